--- a/internal/duty/duty.go
+++ b/internal/assignment/duty.go
@@ -1,10 +1,10 @@
-// Package duty decides which controller is to hold a shard: one that can do its work. A
+// Package assignment decides which controller is to hold a shard: one that can do its work. A
 // holder that is cut off from its workers while another controller reaches them gives the
 // shard away, long before a lease ends; nobody gives anything away in an outage that all
 // share, or for a link that comes and goes.
 //
 // Pure functions over what the controllers say of themselves.
-package duty
+package assignment
 
 import (
 	"slices"
--- a/internal/duty/duty_test.go
+++ b/internal/assignment/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package assignment
 
 import (
 	"testing"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"github.com/barrowbridge/barrowbridge/internal/aims"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
-	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
@@ -437,7 +437,7 @@
 // takeShard writes a new holder; the write's revision is the shard's token.
 func (c *Core) takeShard(i int, node string, boot uint64, when ...wire.Condition) {
 	e := c.shards[i]
-	rec := duty.NextHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
+	rec := assignment.NextHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
 	key := shardKey(i)
 	if !c.every("take:"+key, tuning.RetryAfter) {
 		return
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
-	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
@@ -155,7 +155,7 @@
 		shard.Teams = append(shard.Teams, fmt.Sprintf("team-of-a-long-name-%02d", k))
 	}
 	for k := range 20 {
-		shard = duty.NextHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
+		shard = assignment.NextHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
 		w.put(shardKey(0), shard)
 	}
 
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -5,7 +5,7 @@
 	"maps"
 	"slices"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/health"
 	"github.com/barrowbridge/barrowbridge/internal/hearing"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
@@ -278,7 +278,7 @@
 	if now := c.shards[i]; old == nil || old.rec.Holder != now.rec.Holder || old.rec.Boot != now.rec.Boot || !slices.Equal(old.rec.Teams, now.rec.Teams) {
 		c.vouch.Granted(shardKey(i), now.ver, named)
 	}
-	if named && c.held[i] && old != nil && duty.Regained(old.rec, c.shards[i].rec) {
+	if named && c.held[i] && old != nil && assignment.Regained(old.rec, c.shards[i].rec) {
 		c.leaveShard(i) // another held it, and what it did is not in our mirror yet
 	}
 	switch {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/inventory"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -121,7 +121,7 @@
 		for n, t := range c.p.Teams {
 			guarantees[n] = t.CPUs
 		}
-		teams := duty.ShareTeams(guarantees, len(names))
+		teams := assignment.ShareTeams(guarantees, len(names))
 		var when []wire.Condition
 		var then []wire.Change
 		when = append(when, c.leaderCond())
@@ -154,7 +154,7 @@
 		switch {
 		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeUp[s.rec.Holder] > tuning.GrantTTL):
 			// Dead, or back without having retaken it. All of it goes to one successor.
-			to = duty.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
+			to = assignment.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
 		case s.rec.Home != s.rec.Holder:
 			if at, here := l.nodeUp[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
 				to = s.rec.Home
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -139,7 +139,7 @@
 		old, now := held, held
 		x.old(&old)
 		x.now(&now)
-		if duty.Regained(old, now) != x.grant {
+		if assignment.Regained(old, now) != x.grant {
 			t.Errorf("%s: taken for a grant: %v", what, !x.grant)
 		}
 	}
--- a/internal/core/reaching.go
+++ b/internal/core/reaching.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/reach"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -16,24 +16,24 @@
 type reaching struct {
 	workers    *reach.Workers
 	cloud      *reach.Link
-	words      *duty.Book
+	words      *assignment.Book
 	writing    bool
 	askedCloud bool // the cloud is being asked on behalf of a leader that does not reach it
 }
 
-var dutyLimits = duty.Limits{Keep: tuning.WayKeep, Near: 3 * tuning.PeerEvery, Apart: tuning.ApartAfter, Cloud: 2 * tuning.AskCloud,
+var dutyLimits = assignment.Limits{Keep: tuning.WayKeep, Near: 3 * tuning.PeerEvery, Apart: tuning.ApartAfter, Cloud: 2 * tuning.AskCloud,
 	Home: tuning.HomeAfter, Few: tuning.MissingFew, Share: tuning.MissingShare}
 
 func newReaching(p Params, present map[string]wire.Node) reaching {
 	r := reaching{cloud: reach.NewLink(reach.LinkLimits{Late: time.Minute, Down: tuning.CloudDown, Back: tuning.CloudBack, BackMax: tuning.CloudBackMax, Window: tuning.CloudWindow}),
 		workers: reach.NewWorkers(reach.WorkerLimits{Probe: tuning.ProbeEvery, Wait: tuning.ProbeWait, Sample: tuning.ProbeSample, Again: tuning.ProbeAgain, Deaf: tuning.DeafFor, DeafMax: tuning.DeafMax,
 			Crowd: reach.CrowdLimits{Every: p.Report, Least: tuning.SilenceLeast, Gaps: tuning.SilenceGaps, Most: tuning.SuspectReports, Ask: tuning.AskGaps, Asked: tuning.AskReports}})}
-	r.words = duty.NewBook(p.Node, p.Nodes, present, r.workers, r.cloud, duty.Rules{Gain: tuning.MoveGain, After: tuning.GiveAfter}, dutyLimits)
+	r.words = assignment.NewBook(p.Node, p.Nodes, present, r.workers, r.cloud, assignment.Rules{Gain: tuning.MoveGain, After: tuning.GiveAfter}, dutyLimits)
 	return r
 }
 
-func (c *Core) self() duty.Self {
-	return duty.Self{Boot: c.member.Boot(), Leading: c.leading(), Leader: c.chief.Node}
+func (c *Core) self() assignment.Self {
+	return assignment.Self{Boot: c.member.Boot(), Leading: c.leading(), Leader: c.chief.Node}
 }
 
 func (c *Core) wordOf(node string) wire.Reach { return c.words.Of(c.now, node) }
