--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
+	"github.com/barrowbridge/barrowbridge/internal/delivery"
 	"github.com/barrowbridge/barrowbridge/internal/health"
-	"github.com/barrowbridge/barrowbridge/internal/hearing"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/ranges"
@@ -69,7 +69,7 @@
 	proven                 bool   // has shown what only we can have told it
 	trusted                int    // answers given on reports that prove nothing
 	trustedAt              Time
-	ear                    hearing.Ear
+	ear                    delivery.Ear
 	raised                 uint64 // token of our last call that was to make it report
 	promptedAt             Time
 	moving                 bool // its replicas are being moved off
--- a/internal/hearing/hearing.go
+++ b/internal/delivery/hearing.go
@@ -1,4 +1,4 @@
-// Package hearing judges whether a worker hears what it is answered. Its reports may arrive
+// Package delivery judges whether a worker hears what it is answered. Its reports may arrive
 // while answers and commands do not: it looks alive, takes no order, and its lease runs out.
 //
 // What an answer carried shows in the next report: an order is carried out, a higher token is
@@ -8,7 +8,7 @@
 // a row is deafness. A session that ended though it had just been answered counts as one.
 //
 // Plain structures: no clock, no I/O, not for concurrent use.
-package hearing
+package delivery
 
 import (
 	"time"
--- a/internal/hearing/hearing_test.go
+++ b/internal/delivery/hearing_test.go
@@ -1,4 +1,4 @@
-package hearing
+package delivery
 
 import (
 	"testing"
