--- a/internal/prompt/prompt.go
+++ b/internal/callqueue/prompt.go
@@ -1,10 +1,10 @@
-// Package prompt decides which workers are called directly, and when. A worker reports
+// Package callqueue decides which workers are called directly, and when. A worker reports
 // every few seconds; until then a start that is ready for it, or a stop that others
 // wait for, lies still. A call makes the worker report at once. Calls are advice: one
 // that is lost, late or never made costs time only, so they are few and paced.
 //
 // A desk is a plain structure: no clock, no I/O, not for concurrent use.
-package prompt
+package callqueue
 
 import (
 	"container/list"
--- a/internal/prompt/prompt_test.go
+++ b/internal/callqueue/prompt_test.go
@@ -1,4 +1,4 @@
-package prompt
+package callqueue
 
 import (
 	"fmt"
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,13 +14,13 @@
 	"github.com/barrowbridge/barrowbridge/internal/aims"
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
 	"github.com/barrowbridge/barrowbridge/internal/reach"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
@@ -88,7 +88,7 @@
 	rollout *rollout.Book // what the controllers understand
 	holder
 	books
-	desk     *prompt.Desk[*machine]       // workers to call directly
+	desk     *callqueue.Desk[*machine]    // workers to call directly
 	roll     *takeover.Roll[*machine]     // machines to be accounted for
 	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
 	kept     map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
--- a/internal/core/prompting.go
+++ b/internal/core/prompting.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -17,8 +17,8 @@
 	c.out = append(c.out, v)
 }
 
-func newDesk(p Params) *prompt.Desk[*machine] {
-	return prompt.New[*machine](prompt.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
+func newDesk(p Params) *callqueue.Desk[*machine] {
+	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
@@ -48,14 +48,14 @@
 }
 
 // dueFor tells whether a machine should be called now.
-func (c *Core) dueFor(m *machine) prompt.Verdict {
+func (c *Core) dueFor(m *machine) callqueue.Verdict {
 	switch {
 	case c.machines[m.name] != m || m.addr == "" || m.over || m.silent || m.ear.Deaf() || !m.reported || !m.accounted || !c.mine(m.shard):
-		return prompt.Forget
+		return callqueue.Forget
 	case c.now-m.lastOK < tuning.OrderAfterAnswer:
-		return prompt.Wait // what we just answered must not be overtaken
+		return callqueue.Wait // what we just answered must not be overtaken
 	case len(c.stops(m)) > 0:
-		return prompt.Call
+		return callqueue.Call
 	}
 	unsent := false
 	for _, a := range m.attempts {
@@ -65,13 +65,13 @@
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
 		if c.startable(a) && c.rev > max(m.seenToken, m.raised) && (m.promptedAt == 0 || c.now-m.promptedAt > c.p.Lease/2) {
-			return prompt.Call
+			return callqueue.Call
 		}
 	}
 	if unsent {
-		return prompt.Wait
+		return callqueue.Wait
 	}
-	return prompt.Forget
+	return callqueue.Forget
 }
 
 // stops lists what is to be stopped on a machine.
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -59,7 +59,7 @@
 		r, _ := w.machines[a].Inspect(w.now)
 		r.Seq += uint64(50 + k)
 		c.Step(c.now+sec, c.wall, WorkerReport{Req: uint64(1000 + k), Report: r})
-		if calls := c.desk.Take(c.now, func(*machine) prompt.Verdict { return prompt.Call }); len(calls) != 2 || calls[0] != m {
+		if calls := c.desk.Take(c.now, func(*machine) callqueue.Verdict { return callqueue.Call }); len(calls) != 2 || calls[0] != m {
 			t.Fatalf("%d are called, the machine with an urgent start not first", len(calls))
 		}
 	}
