--- a/internal/assignment/duty.go
+++ b/internal/assignment/assignment.go
@@ -15,84 +15,84 @@
 
 // Reach is how many of a shard's machines a controller reaches, of those it knows to
 // speak for the rest.
-type Reach struct{ Of, Heard int }
+type Reach struct{ Total, Reached int }
 
 // share is the part reached.
 func (r Reach) share() float64 {
-	if r.Of == 0 {
+	if r.Total == 0 {
 		return 0
 	}
-	return float64(r.Heard) / float64(r.Of)
+	return float64(r.Reached) / float64(r.Total)
 }
 
 // Member is a controller that is present in the state service: it reaches that, by itself
 // or through others, or it would not be.
 type Member struct {
-	Node string
-	Zone string
-	Held int // shards it holds
+	Node       string
+	Zone       string
+	HeldShards int // shards it holds
 	// Lacks: it is cut off from the workers, by its own word.
-	Lacks bool
+	LacksWorkers bool
 	// Reaches: it reaches these of the shard in question, by its own word; nil: it has
 	// said nothing of it.
-	Reaches *Reach
+	Reach *Reach
 	// Cloud: the cloud has just answered it.
-	Cloud bool
+	ReachesCloud bool
 	// Near: it and the holder can speak, so that reports reach the holder through it.
-	Near bool
+	Reachable bool
 }
 
 // Rules are what a move is weighed by.
 type Rules struct {
 	// Gain is by how much more of the machines another must reach: a move has each of them
 	// accounted for anew, and the tasks that wait for that stand still meanwhile.
-	Gain float64
+	MinGain float64
 	// After is how long the holder has not heard its machines before it gives them away.
-	After time.Duration
+	SilentAfter time.Duration
 }
 
 // GiveTo is the member to whom a holder gives a shard whose machines it has not heard for
 // so long, or "". Who can speak to the holder passes reports on, which costs no move.
-func (r Rules) GiveTo(own Reach, silent time.Duration, home string, zones map[string]string, others []Member) string {
-	if silent < r.After {
+func (r Rules) TransferTarget(own Reach, silent time.Duration, home string, zones map[string]string, others []Member) string {
+	if silent < r.SilentAfter {
 		return ""
 	}
-	var able []Member
+	var candidates []Member
 	for _, m := range others {
-		if m.Lacks || m.Reaches == nil || m.Reaches.share() < own.share()+r.Gain {
+		if m.LacksWorkers || m.Reach == nil || m.Reach.share() < own.share()+r.MinGain {
 			continue
 		}
-		if m.Near {
+		if m.Reachable {
 			return ""
 		}
-		able = append(able, m)
+		candidates = append(candidates, m)
 	}
-	return best(able, home, zones)
+	return bestMember(candidates, home, zones)
 }
 
 // Successor is the member that takes over the shard of a holder that is gone: one that
 // reaches workers, if there is any, with the fewest shards, home first, then in the home's
 // zone.
 func Successor(home string, zones map[string]string, members []Member) string {
-	var able []Member
+	var candidates []Member
 	for _, m := range members {
-		if !m.Lacks {
-			able = append(able, m)
+		if !m.LacksWorkers {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(able) == 0 {
-		able = members
+	if len(candidates) == 0 {
+		candidates = members
 	}
-	return best(able, home, zones)
+	return bestMember(candidates, home, zones)
 }
 
 // Leader is the controller to whom a leader without the cloud leaves its duty, or "": one
 // that the cloud answers, and that reaches workers if there is such a one.
-func Leader(others []Member) string {
-	name, lacks := "", true
+func NextLeader(others []Member) string {
+	name, lacksWorkers := "", true
 	for _, m := range others {
-		if m.Cloud && (name == "" || lacks && !m.Lacks) {
-			name, lacks = m.Node, m.Lacks
+		if m.ReachesCloud && (name == "" || lacksWorkers && !m.LacksWorkers) {
+			name, lacksWorkers = m.Node, m.LacksWorkers
 		}
 	}
 	return name
@@ -101,8 +101,8 @@
 // GoesHome tells whether a shard may go back to its home, present for so long: not while
 // that says it is cut off from the workers, and not while many of the shard's machines are
 // missed: each of them would have to be waited for anew.
-func (r Rules) GoesHome(home Member, missed bool, up, after time.Duration) bool {
-	return !home.Lacks && home.Held == 0 && !missed && up > after
+func (r Rules) MayReturnHome(home Member, manyMissing bool, presentFor, returnAfter time.Duration) bool {
+	return !home.LacksWorkers && home.HeldShards == 0 && !manyMissing && presentFor > returnAfter
 }
 
 // Regained tells whether between two versions of a shard's record that name the same life of the
@@ -110,26 +110,26 @@
 // accounted for, begins that list anew and takes the mark of it back. Past lives too many to be
 // named say nothing; but a holder itself writes only that the shard is settled, a leader that it
 // has another team.
-func Regained(old, now wire.Shard) bool {
+func Reacquired(old, now wire.Shard) bool {
 	return old.Settled && !now.Settled || !slices.Equal(old.Past, now.Past) || old.Known && !now.Known ||
 		!now.Settled && slices.Equal(old.Teams, now.Teams)
 }
 
-func best(members []Member, home string, zones map[string]string) string {
-	name, score := "", 0.0
+func bestMember(members []Member, home string, zones map[string]string) string {
+	name, bestScore := "", 0.0
 	for _, m := range members {
-		s := 2 * float64(m.Held)
+		memberScore := 2 * float64(m.HeldShards)
 		if m.Zone != zones[home] {
-			s++
+			memberScore++
 		}
 		if m.Node == home {
-			s -= 4
+			memberScore -= 4
 		}
-		if m.Reaches != nil {
-			s -= m.Reaches.share() / 2 // among equals
+		if m.Reach != nil {
+			memberScore -= m.Reach.share() / 2 // among equals
 		}
-		if name == "" || s < score || s == score && m.Node < name {
-			name, score = m.Node, s
+		if name == "" || memberScore < bestScore || memberScore == bestScore && m.Node < name {
+			name, bestScore = m.Node, memberScore
 		}
 	}
 	return name
--- a/internal/assignment/share.go
+++ b/internal/assignment/teams.go
@@ -8,19 +8,19 @@
 
 // ShareTeams spreads teams over n shards by their guarantees in CPUs: the largest first,
 // each to the shard with the least so far.
-func ShareTeams(guarantees map[string]float64, n int) [][]string {
-	out, load := make([][]string, n), make([]float64, n)
+func AssignTeams(guarantees map[string]float64, shards int) [][]string {
+	assigned, load := make([][]string, shards), make([]float64, shards)
 	names := slices.Sorted(maps.Keys(guarantees))
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(guarantees[b], guarantees[a]) })
-	for _, t := range names {
-		k := 0
+	for _, team := range names {
+		least := 0
 		for i := range load {
-			if load[i] < load[k] {
-				k = i
+			if load[i] < load[least] {
+				least = i
 			}
 		}
-		out[k] = append(out[k], t)
-		load[k] += guarantees[t] + 1
+		assigned[least] = append(assigned[least], team)
+		load[least] += guarantees[team] + 1
 	}
-	return out
+	return assigned
 }
--- a/internal/assignment/hands.go
+++ b/internal/assignment/transfer.go
@@ -11,25 +11,25 @@
 // earlier lives, and has at most so many bytes in JSON form, if its teams leave room. Two
 // crashes in a row used to hide who had held the shard before the last one, and its tasks
 // then waited half a minute for machines that never answer.
-func NextHolder(rec wire.Shard, node string, boot uint64, lives, bytes int) wire.Shard {
+func WithNewHolder(rec wire.Shard, node string, boot uint64, maxPast, maxBytes int) wire.Shard {
 	last := wire.Life{Node: rec.Holder, Boot: rec.Boot}
 	if rec.Settled {
 		rec.Past, rec.Known = []wire.Life{last}, true
-	} else if len(rec.Past) < lives {
+	} else if len(rec.Past) < maxPast {
 		rec.Past = append(slices.Clone(rec.Past), last)
 	} else {
 		rec.Known = false
 	}
 	rec.Holder, rec.Boot, rec.Settled = node, boot, false
-	return limits.Fit(rec, bytes, forget)
+	return limits.Fit(rec, maxBytes, dropPast)
 }
 
 // forget leaves out who held a shard before. Not to know is safe: a successor waits for the
 // end of leases instead.
-func forget(s *wire.Shard) bool {
-	if len(s.Past) == 0 {
+func dropPast(shard *wire.Shard) bool {
+	if len(shard.Past) == 0 {
 		return false
 	}
-	s.Past, s.Known = nil, false
+	shard.Past, shard.Known = nil, false
 	return true
 }
--- a/internal/callqueue/prompt_test.go
+++ b/internal/callqueue/queue_test.go
@@ -9,13 +9,13 @@
 const sec = time.Second
 
 func TestUrgentFirstAndPaced(t *testing.T) {
-	d := New[string](Limits{PerSecond: 2, Burst: 2, Look: 10, Keep: 10 * sec})
-	d.Want(0, "a", false)
-	d.Want(0, "b", false)
-	d.Want(0, "c", true)
-	d.Want(0, "b", true) // moves up, behind c
-	d.Want(0, "b", false)
-	all := func(string) Verdict { return Call }
+	d := New[string](Limits{PerSecond: 2, Burst: 2, ScanLimit: 10, MaxAge: 10 * sec})
+	d.Request(0, "a", false)
+	d.Request(0, "b", false)
+	d.Request(0, "c", true)
+	d.Request(0, "b", true) // moves up, behind c
+	d.Request(0, "b", false)
+	all := func(string) Decision { return Call }
 	if got := fmt.Sprint(d.Take(0, all)); got != "[c b]" {
 		t.Errorf("first %s", got)
 	}
@@ -28,21 +28,21 @@
 }
 
 func TestOneThatIsNotReadyHoldsUpNobody(t *testing.T) {
-	d := New[string](Limits{PerSecond: 100, Burst: 100, Look: 3, Keep: 2 * sec})
+	d := New[string](Limits{PerSecond: 100, Burst: 100, ScanLimit: 3, MaxAge: 2 * sec})
 	for _, h := range []string{"never", "later", "now", "beyond the look"} {
-		d.Want(0, h, false)
+		d.Request(0, h, false)
 	}
-	say := map[string]Verdict{"never": Forget, "later": Wait, "now": Call, "beyond the look": Call}
-	ask := func(h string) Verdict { return say[h] }
+	say := map[string]Decision{"never": Forget, "later": Wait, "now": Call, "beyond the look": Call}
+	ask := func(h string) Decision { return say[h] }
 	if got := fmt.Sprint(d.Take(sec, ask)); got != "[now]" {
 		t.Errorf("first turn %s", got)
 	}
 	say["later"] = Call
-	d.Forget("beyond the look")
+	d.Remove("beyond the look")
 	if got := fmt.Sprint(d.Take(sec, ask)); got != "[later]" || d.Len() != 0 {
 		t.Errorf("second turn %s, %d left", got, d.Len())
 	}
-	d.Want(sec, "stuck", false)
+	d.Request(sec, "stuck", false)
 	say["stuck"] = Wait
 	if d.Take(2*sec, ask); d.Len() != 1 {
 		t.Error("forgotten too soon")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -68,7 +68,7 @@
 	cloudWait map[uint64]func(CloudReply)
 
 	// Own presence.
-	member       *membership.Life
+	member       *membership.Presence
 	term         *membership.Term
 	wasConfirmed bool
 	sureSince    Time // since when confirmed, or not, without a break
@@ -88,19 +88,19 @@
 	rollout *rollout.Book // what the controllers understand
 	holder
 	books
-	desk     *callqueue.Desk[*machine]    // workers to call directly
-	roll     *takeover.Roll[*machine]     // machines to be accounted for
-	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
-	kept     map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
+	desk     *callqueue.Queue[*machine]          // workers to call directly
+	roll     *takeover.PendingMachines[*machine] // machines to be accounted for
+	places   map[int]*hold.Book[*machine]        // by shard: kept for tasks that fit nowhere
+	kept     map[string]hold.Hold                // by team: of its limit, for a job that does not fit into the rest
 	runs     *forecast.Book
 	calendar *calendar.Book // the crews, and what is planned for their departures
 	weights  *weights.Book  // images that many machines want
 	chaining
-	addrs   *takeover.Book // where workers listen
-	listing bool           // the cloud's list is being read for that
+	addrs   *takeover.AddressBook // where workers listen
+	listing bool                  // the cloud's list is being read for that
 	users
 	peers
-	ways    *reach.Ways[StateReply]
+	ways    *reach.Router[StateReply]
 	probing bool // the link to the state service is being tried, while calls go around it
 	reaching
 	leader leaderState
@@ -128,13 +128,13 @@
 	c.kept = map[string]hold.Hold{}
 	c.places = map[int]*hold.Book[*machine]{}
 	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
-	c.roll, c.addrs = newRoll(), takeover.NewBook()
+	c.roll, c.addrs = newRoll(), takeover.NewAddressBook()
 	c.users = newUsers()
 	c.peers = newPeers(p)
 	c.ways = newWays()
 	c.reaching = newReaching(p, c.nodes)
 	// What may go unconfirmed spans several renewals.
-	c.member = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
+	c.member = membership.NewPresence(membership.PresenceTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.ListLag)
 	c.form = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
@@ -216,7 +216,7 @@
 }
 
 func (c *Core) answer(req uint64, status int, body any) {
-	if x, ok := c.relays.Return(req); ok { // the report came through a peer, so does its answer
+	if x, ok := c.relays.TakeOrigin(req); ok { // the report came through a peer, so does its answer
 		ans := &RelayAnswer{ID: x.ID, Status: status}
 		if r, ok := body.(wire.ReportReply); ok {
 			ans.Token, ans.Commands = r.Token, r.Commands
@@ -274,12 +274,12 @@
 // keepPresence holds a grant, and this node's key on it.
 func (c *Core) keepPresence() {
 	sent := c.now
-	if c.member.WantsGrant(c.now) {
+	if c.member.StartLeaseRequest(c.now) {
 		c.state(StateCall{Op: OpGrant}, func(r StateReply) {
 			if r.Status != 200 {
 				r.Lease = 0
 			}
-			news := c.member.Granted(c.now, sent, r.Lease)
+			news := c.member.LeaseAnswered(c.now, sent, r.Lease)
 			switch {
 			case r.Lease == 0 && news:
 				c.log(0, "no grant from the state service", "status", r.Status, "err", r.Err)
@@ -290,12 +290,12 @@
 				c.keepPresence()
 			}
 		})
-	} else if c.member.WantsWrite(c.now) {
+	} else if c.member.StartWrite(c.now) {
 		c.writePresence()
 	}
-	if g, due := c.member.WantsExtend(c.now); due {
+	if g, due := c.member.StartRenewal(c.now); due {
 		c.state(StateCall{Op: OpExtend, Lease: g}, func(r StateReply) {
-			switch c.member.Extended(c.now, sent, g, r.Status) {
+			switch c.member.RenewalAnswered(c.now, sent, g, r.Status) {
 			case membership.Ended:
 				c.log(0, "grant ended, taking another", "grant", g)
 			case membership.Unanswered:
@@ -309,14 +309,14 @@
 // stands there, the write of an earlier life that is executed late fails. It once replaced the
 // key and took it along when its own grant ended, and a controller that ran was taken for gone.
 func (c *Core) writePresence() {
-	g, key := c.member.Grant(), wire.PrefixNode+c.p.Node
+	g, key := c.member.StateLease(), wire.PrefixNode+c.p.Node
 	c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
-		if r.Status != 200 && r.Status != 404 || c.member.Grant() != g {
+		if r.Status != 200 && r.Status != 404 || c.member.StateLease() != g {
 			return
 		}
 		c.learn(key, r)
 		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: r.Item.Version}}, []wire.Change{{Put: key, Value: wire.Node{Boot: c.member.Boot(), Zone: c.p.Zone, Features: c.p.Features}, Lease: g}}, func(r StateReply) {
-			if c.member.Wrote(c.now, g, r.Status) {
+			if c.member.WriteAnswered(c.now, g, r.Status) {
 				c.retake()
 				c.log(1, "present", "node", c.p.Node, "boot", c.member.Boot(), "grant", g)
 			}
@@ -340,7 +340,7 @@
 			c.watching = false
 			switch r.Status {
 			case 200:
-				c.member.Watched(sent)
+				c.member.WatchAnswered(sent)
 				c.follow(&r.Events)
 				c.keepMirror()
 				c.changed()
@@ -403,7 +403,7 @@
 		// Changes made while the pages were read come again with the watch.
 		c.ver.Read(c.listRev)
 		c.rev, c.loading, c.watching, c.listSeen = c.listRev, false, false, nil
-		c.member.Watched(began)
+		c.member.WatchAnswered(began)
 		c.enterShards()
 		if !c.loaded {
 			c.loaded = true
@@ -423,7 +423,7 @@
 // one else can act for it, and its workers' leases are running out. It is present first: a
 // record of an earlier life in its place would prove to others that this one is dead.
 func (c *Core) retake() {
-	if !c.loaded || !c.member.Here() {
+	if !c.loaded || !c.member.Registered() {
 		return
 	}
 	for _, i := range c.shardIDs() {
@@ -437,7 +437,7 @@
 // takeShard writes a new holder; the write's revision is the shard's token.
 func (c *Core) takeShard(i int, node string, boot uint64, when ...wire.Condition) {
 	e := c.shards[i]
-	rec := assignment.NextHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
+	rec := assignment.WithNewHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
 	key := shardKey(i)
 	if !c.every("take:"+key, tuning.RetryAfter) {
 		return
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -284,16 +284,16 @@
 
 // born gives a core that no world drives its first grant.
 func (c *Core) born(boot uint64) {
-	c.member.WantsGrant(0)
-	c.member.Granted(0, 0, boot)
+	c.member.StartLeaseRequest(0)
+	c.member.LeaseAnswered(0, 0, boot)
 }
 
 // sure has the state service confirm a core at a time.
 func (c *Core) sure(at Time) {
-	if g := c.member.Grant(); g != 0 {
-		c.member.Hurry(at)
-		c.member.WantsExtend(at)
-		c.member.Extended(at, at, g, 200)
+	if g := c.member.StateLease(); g != 0 {
+		c.member.RenewNow(at)
+		c.member.StartRenewal(at)
+		c.member.RenewalAnswered(at, at, g, 200)
 	}
-	c.member.Watched(at)
+	c.member.WatchAnswered(at)
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -155,7 +155,7 @@
 		shard.Teams = append(shard.Teams, fmt.Sprintf("team-of-a-long-name-%02d", k))
 	}
 	for k := range 20 {
-		shard = assignment.NextHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
+		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
 		w.put(shardKey(0), shard)
 	}
 
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -69,7 +69,7 @@
 	proven                 bool   // has shown what only we can have told it
 	trusted                int    // answers given on reports that prove nothing
 	trustedAt              Time
-	ear                    delivery.Ear
+	ear                    delivery.Monitor
 	raised                 uint64 // token of our last call that was to make it report
 	promptedAt             Time
 	moving                 bool // its replicas are being moved off
@@ -228,8 +228,8 @@
 	c.health.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
 	c.room.Drop(m)
-	c.desk.Forget(m)
-	c.roll.Drop(m)
+	c.desk.Remove(m)
+	c.roll.Remove(m)
 	c.machineList = nil
 }
 
@@ -272,13 +272,13 @@
 	c.dirty = true
 	delete(c.yielded, i)
 	if old != nil {
-		c.words.Moved(c.now, &old.rec, &c.shards[i].rec)
+		c.words.HolderChanged(c.now, &old.rec, &c.shards[i].rec)
 	}
 	named := c.member.Boot() != 0 && c.shards[i].rec.Holder == c.p.Node && c.shards[i].rec.Boot == c.member.Boot()
 	if now := c.shards[i]; old == nil || old.rec.Holder != now.rec.Holder || old.rec.Boot != now.rec.Boot || !slices.Equal(old.rec.Teams, now.rec.Teams) {
-		c.vouch.Granted(shardKey(i), now.ver, named)
+		c.vouch.HolderAssigned(shardKey(i), now.ver, named)
 	}
-	if named && c.held[i] && old != nil && assignment.Regained(old.rec, c.shards[i].rec) {
+	if named && c.held[i] && old != nil && assignment.Reacquired(old.rec, c.shards[i].rec) {
 		c.leaveShard(i) // another held it, and what it did is not in our mirror yet
 	}
 	switch {
@@ -359,7 +359,7 @@
 	c.dirty = true
 	b := c.blocks[id]
 	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
-		c.vouch.Granted(blockKey(id), b.ver, c.held[b.rec.Shard] || c.pending[b.rec.Shard])
+		c.vouch.HolderAssigned(blockKey(id), b.ver, c.held[b.rec.Shard] || c.pending[b.rec.Shard])
 	}
 	now := map[string]bool{}
 	if b != nil && c.mine(b.rec.Shard) {
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -141,11 +141,11 @@
 	// workers for half a minute, while another was down, gave 163 healthy machines away.
 	silent := 0
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && m.reported && !m.drop && (c.now-m.lastReport > c.freshFor() || m.ear.Deaf()) {
+		if m.shard == shard && m.reported && !m.drop && (c.now-m.lastReport > c.freshFor() || m.ear.MissesAnswers()) {
 			silent++
 		}
 	}
-	cut := dutyLimits.Many(silent, c.machinesIn(shard))
+	cut := dutyLimits.TooManyMissing(silent, c.machinesIn(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.drop {
 			continue
@@ -157,7 +157,7 @@
 		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
 			// A rented one costs as much as another; while not sure to be entitled we take no report.
 			why = "silent"
-		case m.ear.Deaf() && !m.base && !cut:
+		case m.ear.MissesAnswers() && !m.base && !cut:
 			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
 		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -48,7 +48,7 @@
 // lead claims leadership where it is free, and does the leader's duties.
 func (c *Core) lead() {
 	l := &c.leader
-	began, ended := c.term.Led(c.now, c.leading(), c.ver.Of(wire.KeyLeader))
+	began, ended := c.term.ObserveLeader(c.now, c.leading(), c.ver.Of(wire.KeyLeader))
 	if !c.leading() {
 		if ended {
 			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
@@ -56,10 +56,10 @@
 			l.reset(c.p.ListLag)
 		}
 		// Free, or held by this node's earlier life, which is dead.
-		if c.term.Claims(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Here()) {
+		if c.term.StartClaim(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Registered()) {
 			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.Grant()}}, func(r StateReply) {
-					c.term.Answered()
+				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.StateLease()}}, func(r StateReply) {
+					c.term.WriteFinished()
 					c.changed()
 				})
 		}
@@ -97,13 +97,13 @@
 // names, it put them into two blocks, each with a holder. So after one without an answer the
 // leader record is written anew, which fails whatever compares the old one.
 func (c *Core) fenced() bool {
-	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Here())
+	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Registered())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.Grant()}}, func(r StateReply) {
-		c.term.Renewed(r.Status == 200, r.Txn.Revision)
+	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.StateLease()}}, func(r StateReply) {
+		c.term.FenceWritten(r.Status == 200, r.Txn.Revision)
 		c.changed()
 	})
 	return false
@@ -121,7 +121,7 @@
 		for n, t := range c.p.Teams {
 			guarantees[n] = t.CPUs
 		}
-		teams := assignment.ShareTeams(guarantees, len(names))
+		teams := assignment.AssignTeams(guarantees, len(names))
 		var when []wire.Condition
 		var then []wire.Change
 		when = append(when, c.leaderCond())
@@ -156,7 +156,7 @@
 			// Dead, or back without having retaken it. All of it goes to one successor.
 			to = assignment.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
 		case s.rec.Home != s.rec.Holder:
-			if at, here := l.nodeUp[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
+			if at, here := l.nodeUp[s.rec.Home]; here && c.words.MayReturnHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
 				to = s.rec.Home
 			}
 		}
--- a/internal/core/masks_test.go
+++ b/internal/core/masks_test.go
@@ -330,7 +330,7 @@
 	w.lost["c2"] = true
 	w.run(5 * sec)
 	c := w.nodes["c2"].core
-	if !c.workers.Lacks(c.now) {
+	if !c.workers.LacksWorkers(c.now) {
 		t.Fatal("c2 should know that no worker reaches it")
 	}
 	name := w.order[0]
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -139,7 +139,7 @@
 		old, now := held, held
 		x.old(&old)
 		x.now(&now)
-		if assignment.Regained(old, now) != x.grant {
+		if assignment.Reacquired(old, now) != x.grant {
 			t.Errorf("%s: taken for a grant: %v", what, !x.grant)
 		}
 	}
--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -258,7 +258,7 @@
 		c.onPeer(PeerMessage{From: "b", Nonce: 1})
 		for _, e := range c.out {
 			if v, ok := e.(PeerSend); ok && v.Msg.Reply {
-				for _, n := range v.Msg.Statement.News {
+				for _, n := range v.Msg.Statement.Entries {
 					at = max(at, n.Revision)
 				}
 			}
@@ -393,13 +393,13 @@
 	}
 	// What was vouched for before we gained a block says nothing of that.
 	c.nonce++
-	c.vouch.Pinged(90*sec, c.nonce)
+	c.vouch.PingSent(90*sec, c.nonce)
 	c.sure(80 * sec)
 	c.now = 91 * sec
 	c.onPeer(PeerMessage{From: "b", Nonce: c.nonce, Reply: true, UpMS: 91000, Revision: 500, Statement: &membership.Statement{}})
-	before := c.vouch.Until()
+	before := c.vouch.ConfirmedUntil()
 	put(blockKey("y"), block(0, "n-2"), 71)
-	if before != 90*sec || c.vouch.Until() != 0 {
-		t.Errorf("vouched until %v, and %v once another block is ours", before, c.vouch.Until())
+	if before != 90*sec || c.vouch.ConfirmedUntil() != 0 {
+		t.Errorf("vouched until %v, and %v once another block is ours", before, c.vouch.ConfirmedUntil())
 	}
 }
--- a/internal/core/meeting_late_test.go
+++ b/internal/core/meeting_late_test.go
@@ -270,7 +270,7 @@
 		for range 60 {
 			w.run(200 * time.Millisecond)
 			var r wire.Node
-			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.member.Here() && (err != nil || r.Boot != w.nodes["c1"].core.member.Boot()) {
+			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.member.Registered() && (err != nil || r.Boot != w.nodes["c1"].core.member.Boot()) {
 				t.Errorf("%v late: at %v another life is present, or none: %+v", late, w.now, r)
 				break
 			}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -191,7 +191,7 @@
 }
 
 // oldestCall is the first call of the state service that is under way.
-func (c *Core) oldestCall() uint64 { return c.ways.Oldest(c.seq + 1) }
+func (c *Core) oldestCall() uint64 { return c.ways.OldestID(c.seq + 1) }
 
 // put applies a write. Older news of the same key changes nothing, whichever
 // way it came: watch, list, read or own commit.
@@ -244,7 +244,7 @@
 	case strings.HasPrefix(key, wire.PrefixReach):
 		var r wire.Reach
 		if read(&r) {
-			c.words.Wrote(key[len(wire.PrefixReach):], r)
+			c.words.SetStored(key[len(wire.PrefixReach):], r)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
 		var r wire.Node
@@ -392,7 +392,7 @@
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		c.calendar.Remove(key[len(wire.PrefixCrew):])
 	case strings.HasPrefix(key, wire.PrefixReach):
-		c.words.Withdrew(key[len(wire.PrefixReach):])
+		c.words.RemoveStored(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
 		c.note(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -232,7 +232,7 @@
 			c.tellers[i] = wants.NewTeller(wantPace)
 		}
 		c.wantSent[i] = w
-		n, tell, write := c.tellers[i].Next(c.now, w, c.wants[i], c.words.Hears(c.now, c.chief.Node))
+		n, tell, write := c.tellers[i].Next(c.now, w, c.wants[i], c.words.ReachableOrSelf(c.now, c.chief.Node))
 		if tell {
 			told = append(told, wants.Told{Shard: i, Token: c.shards[i].ver, N: n, Want: w})
 		}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -15,10 +15,10 @@
 // peers is what is known from the other controllers.
 type peers struct {
 	nonce   uint64
-	vouch   *membership.Vouching
+	vouch   *membership.PeerConfirmation
 	counts  map[string]JobCount
 	yielded map[int]string // shards a peer holds under a later token than we have heard of
-	relays  *relay.Book    // reports passed on, by us and to us
+	relays  *relay.Tracker // reports passed on, by us and to us
 	topRev  uint64         // newest revision known, ahead of the watch or not
 }
 
@@ -29,8 +29,8 @@
 			others = append(others, n)
 		}
 	}
-	return peers{vouch: membership.New(others, tuning.PeerPings, tuning.PeerNews), yielded: map[int]string{}, counts: map[string]JobCount{},
-		relays: relay.New(relay.Limits{Lease: p.Lease, For: tuning.RelayFor, Reports: tuning.RelayReports, Wait: tuning.RelayWait})}
+	return peers{vouch: membership.NewPeerConfirmation(others, tuning.PeerPings, tuning.PeerNews), yielded: map[int]string{}, counts: map[string]JobCount{},
+		relays: relay.NewTracker(relay.Limits{Lease: p.Lease, RedirectInterval: tuning.RelayFor, MaxReports: tuning.RelayReports, AnswerTimeout: tuning.RelayWait})}
 }
 
 func (c *Core) knows(rev uint64) { c.topRev = max(c.topRev, rev) }
@@ -38,7 +38,7 @@
 // tell sends a message, with what every message says of its sender.
 func (c *Core) tell(to string, m PeerMessage) {
 	m.From, m.Boot, m.Revision, m.UpMS = c.p.Node, c.member.Boot(), c.topRev, c.now.Milliseconds()
-	m.Way = c.ways.Offer(c.now, to)
+	m.Way = c.ways.OfferFor(c.now, to)
 	c.out = append(c.out, PeerSend{To: to, Msg: m})
 }
 
@@ -48,7 +48,7 @@
 		return
 	}
 	c.nonce++
-	c.vouch.Pinged(c.now, c.nonce)
+	c.vouch.PingSent(c.now, c.nonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
 		if e := c.jobs[id]; e.run != nil && len(jobs) < tuning.PeerJobs {
@@ -60,7 +60,7 @@
 	for _, i := range sortedInts(c.held) {
 		holds = append(holds, HeldShard{Shard: i, Token: c.shards[i].ver})
 	}
-	c.relays.Forget(c.now)
+	c.relays.Prune(c.now)
 	word, addrs := c.ownWord(), c.newAddrs()
 	for _, n := range sortedKeys(c.p.Nodes) {
 		if n != c.p.Node {
@@ -71,7 +71,7 @@
 
 // newAddrs are the workers that have come up since the last few pings.
 func (c *Core) newAddrs() (out []WorkerAddr) {
-	for _, name := range c.addrs.News(c.now, tuning.AddrsFor, tuning.AddrsMost) {
+	for _, name := range c.addrs.RecentlyUp(c.now, tuning.AddrsFor, tuning.AddrsMost) {
 		if m := c.machines[name]; m != nil {
 			out = append(out, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
@@ -82,7 +82,7 @@
 // giveUpRelays answers reports that were passed on to a holder that keeps silent. A late
 // answer of the holder is dropped then, as one that the worker did not wait for.
 func (c *Core) giveUpRelays() {
-	for _, req := range c.relays.GiveUp(c.now) {
+	for _, req := range c.relays.Expire(c.now) {
 		c.answer(req, 503, unavailable("holder does not answer"))
 	}
 }
@@ -92,7 +92,7 @@
 		c.log(1, "message from no controller of this deployment", "from", m.From)
 		return
 	}
-	c.ways.Offered(c.now, m.From, m.Way)
+	c.ways.OfferReceived(c.now, m.From, m.Way)
 	switch {
 	case m.Order != nil:
 		v := *m.Order
@@ -119,11 +119,11 @@
 	case m.Relay != nil:
 		c.seq++
 		req := 1<<63 | c.seq
-		c.relays.Take(req, relay.Taken{From: m.From, ID: m.Relay.ID})
+		c.relays.ReceivedFrom(req, relay.Origin{From: m.From, ID: m.Relay.ID})
 		c.onReport(WorkerReport{Req: req, Report: m.Relay.Report})
 		return
 	case m.Answer != nil:
-		if req, ok := c.relays.Answered(m.Answer.ID); ok {
+		if req, ok := c.relays.AnswerReceived(m.Answer.ID); ok {
 			if m.Answer.Status == 200 {
 				c.answer(req, 200, wire.ReportReply{Token: m.Answer.Token, Commands: m.Answer.Commands})
 			} else {
@@ -140,7 +140,7 @@
 		c.addrs.Learn(a.Machine, a.Addr, a.Session)
 	}
 	if m.Word != nil {
-		c.words.Spoke(c.now, m.From, *m.Word)
+		c.words.ReportReceived(c.now, m.From, *m.Word)
 	}
 	if !m.Reply {
 		for _, j := range m.Jobs {
@@ -148,20 +148,20 @@
 				c.counts[j.ID] = j
 			}
 		}
-		s := c.vouch.Answer(m.From, m.Mirror)
+		s := c.vouch.StatementFor(m.From, m.Mirror)
 		c.tell(m.From, PeerMessage{Nonce: m.Nonce, Reply: true, Statement: &s})
 		return
 	}
-	if _, ok := c.vouch.Sent(m.Nonce); !ok {
+	if _, ok := c.vouch.PingSentAt(m.Nonce); !ok {
 		return // not ours, or too old to mean anything
 	}
-	c.words.Answered(c.now, m.From)
+	c.words.PingAnswered(c.now, m.From)
 	up := time.Duration(float64(m.UpMS)*(1-tuning.Drift)) * time.Millisecond
-	p := membership.Peer{Name: m.From, Since: c.now - up, Revision: m.Revision, Statement: m.Statement}
+	p := membership.Peer{Name: m.From, StartedAt: c.now - up, Revision: m.Revision, Statement: m.Statement}
 	if m.Statement != nil {
-		p.Against = c.takeNews(m.Statement.News)
+		p.Conflict = c.takeNews(m.Statement.Entries)
 	}
-	c.vouch.Heard(m.Nonce, p, c.rev, c.lastConfirmed())
+	c.vouch.AnswerReceived(m.Nonce, p, c.rev, c.lastConfirmed())
 }
 
 // takeNews takes what a peer says that it knows and our mirror may lack, and tells whether
@@ -207,11 +207,11 @@
 
 // relay passes a report on to its holder, for a worker that may be cut off from it.
 func (c *Core) relay(req uint64, r *wire.Report, holder string, granted uint64) bool {
-	if !c.near(holder) || !c.relays.Passes(c.now, r.Machine, r.Token < granted, c.wordOf(holder).Lacks) {
+	if !c.near(holder) || !c.relays.ShouldRelay(c.now, r.Machine, r.Token < granted, c.wordOf(holder).Lacks) {
 		return false
 	}
 	c.seq++
-	c.relays.Pass(c.now, c.seq, req)
+	c.relays.Relayed(c.now, c.seq, req)
 	c.tell(holder, PeerMessage{Relay: &RelayReport{ID: c.seq, Report: *r}})
 	return true
 }
@@ -222,19 +222,19 @@
 // confirmedAt is until when we are sure that nobody has acted against us: the
 // state service said so, or every peer has vouched for it. An outage that all
 // share costs no entitlement; one that only we see does.
-func (c *Core) confirmedAt() Time { return max(c.lastConfirmed(), c.vouch.Until()) }
+func (c *Core) confirmedAt() Time { return max(c.lastConfirmed(), c.vouch.ConfirmedUntil()) }
 
 // unconfirmedMax is how long workers may be answered without confirmation from
 // the state service: an abort missed meanwhile still ends within cancel_s,
 // since the workers' leases run out in the rest. It had a floor of half a lease:
 // with the two times close, tasks outlived cancel_s by that.
 func (c *Core) unconfirmedMax() time.Duration {
-	return membership.Unconfirmed(c.p.Lease, c.p.Cancel)
+	return membership.MaxUnconfirmed(c.p.Lease, c.p.Cancel)
 }
 
 // leaseOver is how long after a 200 left the worker's lease is surely over.
 func (c *Core) leaseOver() time.Duration {
-	return membership.LeaseOver(c.p.Lease)
+	return membership.LeaseExpiredAfter(c.p.Lease)
 }
 
 // confirmed tells whether the entitlement was confirmed recently enough.
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -67,7 +67,7 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.ear.Deaf() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.ear.MissesAnswers() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.freshFor()
 }
 
--- a/internal/core/prompting.go
+++ b/internal/core/prompting.go
@@ -9,7 +9,7 @@
 // callWorker calls a worker, through a peer if we reach none of them and it does. A peer on the
 // way is like a slow network: the worker compares token and session of what we sent.
 func (c *Core) callWorker(v Order) {
-	if n := c.words.ToWorkers(c.now); n != "" {
+	if n := c.words.WorkerProxy(c.now); n != "" {
 		v.For = c.p.Node
 		c.tell(n, PeerMessage{Order: &v})
 		return
@@ -17,8 +17,8 @@
 	c.out = append(c.out, v)
 }
 
-func newDesk(p Params) *callqueue.Desk[*machine] {
-	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
+func newDesk(p Params) *callqueue.Queue[*machine] {
+	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, ScanLimit: tuning.OrderLook, MaxAge: 2 * p.Report})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
@@ -27,7 +27,7 @@
 func (c *Core) tokenOf(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raised) }
 
 // wantReport asks for a machine's next report soon.
-func (c *Core) wantReport(m *machine, urgent bool) { c.desk.Want(c.now, m, urgent) }
+func (c *Core) wantReport(m *machine, urgent bool) { c.desk.Request(c.now, m, urgent) }
 
 // promptWorkers calls workers that have something to hear.
 func (c *Core) promptWorkers() {
@@ -48,9 +48,9 @@
 }
 
 // dueFor tells whether a machine should be called now.
-func (c *Core) dueFor(m *machine) callqueue.Verdict {
+func (c *Core) dueFor(m *machine) callqueue.Decision {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.over || m.silent || m.ear.Deaf() || !m.reported || !m.accounted || !c.mine(m.shard):
+	case c.machines[m.name] != m || m.addr == "" || m.over || m.silent || m.ear.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastOK < tuning.OrderAfterAnswer:
 		return callqueue.Wait // what we just answered must not be overtaken
--- a/internal/core/reaching.go
+++ b/internal/core/reaching.go
@@ -16,19 +16,19 @@
 type reaching struct {
 	workers    *reach.Workers
 	cloud      *reach.Link
-	words      *assignment.Book
+	words      *assignment.Tracker
 	writing    bool
 	askedCloud bool // the cloud is being asked on behalf of a leader that does not reach it
 }
 
-var dutyLimits = assignment.Limits{Keep: tuning.WayKeep, Near: 3 * tuning.PeerEvery, Apart: tuning.ApartAfter, Cloud: 2 * tuning.AskCloud,
-	Home: tuning.HomeAfter, Few: tuning.MissingFew, Share: tuning.MissingShare}
+var dutyLimits = assignment.Limits{ReportTTL: tuning.WayKeep, ReachableFor: 3 * tuning.PeerEvery, UnreachableAfter: tuning.ApartAfter, CloudAnswerTTL: 2 * tuning.AskCloud,
+	ReturnHomeAfter: tuning.HomeAfter, AllowedMissing: tuning.MissingFew, AllowedMissingShare: tuning.MissingShare}
 
 func newReaching(p Params, present map[string]wire.Node) reaching {
-	r := reaching{cloud: reach.NewLink(reach.LinkLimits{Late: time.Minute, Down: tuning.CloudDown, Back: tuning.CloudBack, BackMax: tuning.CloudBackMax, Window: tuning.CloudWindow}),
-		workers: reach.NewWorkers(reach.WorkerLimits{Probe: tuning.ProbeEvery, Wait: tuning.ProbeWait, Sample: tuning.ProbeSample, Again: tuning.ProbeAgain, Deaf: tuning.DeafFor, DeafMax: tuning.DeafMax,
-			Crowd: reach.CrowdLimits{Every: p.Report, Least: tuning.SilenceLeast, Gaps: tuning.SilenceGaps, Most: tuning.SuspectReports, Ask: tuning.AskGaps, Asked: tuning.AskReports}})}
-	r.words = assignment.NewBook(p.Node, p.Nodes, present, r.workers, r.cloud, assignment.Rules{Gain: tuning.MoveGain, After: tuning.GiveAfter}, dutyLimits)
+	r := reaching{cloud: reach.NewLink(reach.LinkLimits{LateAfter: time.Minute, DownAfter: tuning.CloudDown, RecoverAfter: tuning.CloudBack, RecoverAfterMax: tuning.CloudBackMax, FlapWindow: tuning.CloudWindow}),
+		workers: reach.NewWorkers(reach.WorkerLimits{ProbeInterval: tuning.ProbeEvery, ProbeTimeout: tuning.ProbeWait, SampleSize: tuning.ProbeSample, ResampleAfter: tuning.ProbeAgain, CutOffFor: tuning.DeafFor, CutOffForMax: tuning.DeafMax,
+			Group: reach.GroupLimits{ReportInterval: p.Report, MinSilence: tuning.SilenceLeast, DownGaps: tuning.SilenceGaps, DownIntervals: tuning.SuspectReports, ProbeGaps: tuning.AskGaps, ProbeIntervals: tuning.AskReports}})}
+	r.words = assignment.NewTracker(p.Node, p.Nodes, present, r.workers, r.cloud, assignment.Rules{MinGain: tuning.MoveGain, SilentAfter: tuning.GiveAfter}, dutyLimits)
 	return r
 }
 
@@ -36,12 +36,12 @@
 	return assignment.Self{Boot: c.member.Boot(), Leading: c.leading(), Leader: c.chief.Node}
 }
 
-func (c *Core) wordOf(node string) wire.Reach { return c.words.Of(c.now, node) }
+func (c *Core) wordOf(node string) wire.Reach { return c.words.Latest(c.now, node) }
 
-func (c *Core) ownWord() wire.Reach { return c.words.Own(c.now, c.self()) }
+func (c *Core) ownWord() wire.Reach { return c.words.OwnReport(c.now, c.self()) }
 
 // near tells whether a peer has answered us just now.
-func (c *Core) near(peer string) bool { return c.words.Near(c.now, peer) }
+func (c *Core) near(peer string) bool { return c.words.Reachable(c.now, peer) }
 
 // watchReach judges the workers of what is held, asks where nothing shows whether workers
 // are reached, says what has changed, and gives away what others can do and we cannot.
@@ -49,9 +49,9 @@
 	if !c.every("reach", tuning.ReachEvery) {
 		return
 	}
-	held, missed := map[int]reach.Crowd{}, map[int]int{}
+	held, missed := map[int]reach.MachineGroup{}, map[int]int{}
 	for i := range c.held {
-		held[i] = reach.Crowd{}
+		held[i] = reach.MachineGroup{}
 	}
 	for _, m := range c.heldMachines() {
 		x, ok := held[m.shard]
@@ -61,21 +61,21 @@
 		if !ok || m.over || m.fresh || m.drop || !m.reported && !m.inherited {
 			continue
 		}
-		x.Of++
+		x.Expected++
 		if m.reported && c.now-m.lastReport < c.freshFor() {
-			x.Heard++
+			x.Reporting++
 		}
 		held[m.shard] = x
 	}
-	c.workers.Watch(c.now, held)
-	c.words.Watch(c.now, missed, c.machinesIn)
-	for _, name := range c.workers.Probe(c.now, c.words.Sought(c.now, c.mine), c.pickToProbe) {
-		at, _ := c.addrs.Of(name)
+	c.workers.Update(c.now, held)
+	c.words.Update(c.now, missed, c.machinesIn)
+	for _, name := range c.workers.StartProbes(c.now, c.words.SoughtShards(c.now, c.mine), c.pickToProbe) {
+		at, _ := c.addrs.Lookup(name)
 		c.out = append(c.out, Order{Machine: name, Addr: at.Addr, Look: true})
 	}
 	c.giveAway(held)
 	c.standDown()
-	for _, l := range c.words.Turned(c.now, c.ways.Judge(c.now).Level) {
+	for _, l := range c.words.ChangedLinks(c.now, c.ways.EvaluateLink(c.now).Level) {
 		c.out = append(c.out, LinkSeen{To: l.To, Level: l.Level})
 	}
 	c.tellReach()
@@ -85,26 +85,26 @@
 func (c *Core) pickToProbe(shard, n int) []string {
 	var names []string
 	for m, id := range c.blockIn {
-		if b := c.blocks[id]; b != nil && (shard == reach.Anywhere || b.rec.Shard == shard) && !c.dropping[m] {
-			if _, known := c.addrs.Of(m); known {
+		if b := c.blocks[id]; b != nil && (shard == reach.AnyShard || b.rec.Shard == shard) && !c.dropping[m] {
+			if _, known := c.addrs.Lookup(m); known {
 				names = append(names, m)
 			}
 		}
 	}
 	sort.Strings(names)
-	return reach.Spread(names, n)
+	return reach.PickEvenly(names, n)
 }
 
 // giveAway hands shards whose machines have all fallen silent to a controller that
 // reaches them, by a write of our own. Without it they were sent back to us by everybody
 // they could reach, until their leases were over.
-func (c *Core) giveAway(held map[int]reach.Crowd) {
+func (c *Core) giveAway(held map[int]reach.MachineGroup) {
 	for _, i := range sortedInts(held) {
-		silent := c.workers.Silent(c.now, i)
+		silent := c.workers.SilentFor(c.now, i)
 		if silent == 0 || c.shards[i] == nil {
 			continue
 		}
-		to := c.words.GiveTo(c.now, c.self(), i, held[i].Of, silent, c.shards[i].rec.Home, c.shardsHeld())
+		to := c.words.TransferTarget(c.now, c.self(), i, held[i].Expected, silent, c.shards[i].rec.Home, c.shardsHeld())
 		if to == "" || c.now < c.retryAt["take:"+shardKey(i)] {
 			continue
 		}
@@ -128,11 +128,11 @@
 	o := reach.Answered
 	switch {
 	case r.Status == 0:
-		o = reach.Silent
+		o = reach.NoAnswer
 	case r.Status == 503 && (call.Op != OpRent || r.Err == "trouble"):
 		o = reach.Refused
 	}
-	c.reaching.cloud.Done(c.now, call.ID, sent, o)
+	c.reaching.cloud.CallDone(c.now, call.ID, sent, o)
 }
 
 // standDown gives leadership away for want of the cloud, if another present controller
@@ -146,14 +146,14 @@
 		}
 		return
 	}
-	to := c.words.LeadTo(c.now, c.self())
-	if to == "" || !c.term.Resigns(c.now, tuning.StandDown) {
+	to := c.words.LeadershipTarget(c.now, c.self())
+	if to == "" || !c.term.StartResignation(c.now, tuning.StandDown) {
 		return
 	}
 	c.note(wire.TrailEvent{Kind: trail.LeadGiven, Node: to, Why: "the cloud is not reached here, and is there"})
 	c.log(1, "giving leadership away", "to", to, "why", "the cloud is not reached here")
 	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
-		c.term.Answered()
+		c.term.WriteFinished()
 		c.changed()
 	})
 }
@@ -162,20 +162,20 @@
 // reach hear it with each ping as well.
 func (c *Core) tellReach() {
 	r := &c.reaching
-	key, w, stands := wire.PrefixReach+c.p.Node, c.ownWord(), c.words.Written(c.p.Node)
+	key, w, stands := wire.PrefixReach+c.p.Node, c.ownWord(), c.words.Stored(c.p.Node)
 	if stands.Boot != c.member.Boot() {
 		stands = wire.Reach{Boot: c.member.Boot()} // an earlier life's, or none: it goes with its grant
 	}
-	if wire.Same(w, stands) || r.writing || !c.member.Here() || !c.every("tellReach", tuning.TellReach) {
+	if wire.Same(w, stands) || r.writing || !c.member.Registered() || !c.every("tellReach", tuning.TellReach) {
 		return
 	}
 	if w.Lacks != stands.Lacks {
 		c.log(1, "reach of the workers", "lost", w.Lacks)
 	}
 	r.writing = true
-	c.commit(LaneLater, []wire.Condition{{Key: key, Version: c.ver.Of(key)}}, []wire.Change{{Put: key, Value: w, Lease: c.member.Grant()}}, func(StateReply) { r.writing = false })
+	c.commit(LaneLater, []wire.Condition{{Key: key, Version: c.ver.Of(key)}}, []wire.Change{{Put: key, Value: w, Lease: c.member.StateLease()}}, func(StateReply) { r.writing = false })
 }
 
 func (c *Core) onAdminReach(v AdminReach) {
-	c.answer(v.Req, 200, c.words.View(c.now, c.ways.Judge(c.now), c.ways.Around(c.now), sortedInts(c.held)))
+	c.answer(v.Req, 200, c.words.View(c.now, c.ways.EvaluateLink(c.now), c.ways.BestPeer(c.now), sortedInts(c.held)))
 }
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -42,7 +42,7 @@
 				c.log(1, "block formed", "first", b.Machines[0].Name, "shard", b.Shard, "zone", b.Zone, "machines", len(b.Machines), "spot", b.Spot, "status", r.Status)
 			}
 			if r.Status == 0 {
-				c.term.Unanswered()
+				c.term.WriteUncertain()
 			}
 			write(rest[n:], allOK && r.Status == 200)
 		})
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -15,13 +15,13 @@
 	r := &v.Report
 	c.addrs.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
-	from, passed := c.relays.Through(v.Req)
+	from, passed := c.relays.OriginOf(v.Req)
 	switch { // an older report is a copy: it says of no worker that we reach it
 	case m != nil && c.older(m, r):
 	case !passed:
-		c.workers.Heard(c.now, c.shardHeld(r.Machine), r.Machine)
+		c.workers.DirectReport(c.now, c.shardHeld(r.Machine), r.Machine)
 	case m != nil:
-		c.workers.HeardThrough(c.now, m.shard)
+		c.workers.RelayedReport(c.now, m.shard)
 	}
 	if m == nil {
 		c.redirect(v.Req, r)
@@ -62,7 +62,7 @@
 	m.lastOK = c.now
 	m.ear.Answered(r, token, from.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
-	c.desk.Forget(m)
+	c.desk.Remove(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
 		if !a.sent && a.status == "" {
@@ -91,7 +91,7 @@
 // it, one after the other.
 func (c *Core) trust(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
+	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
 	if spent && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -105,7 +105,7 @@
 func (c *Core) test(m *machine, passed bool) {
 	gap := c.now - m.lastReport
 	odd := m.reported && c.now-m.lastOK < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.ear.Test(c.now, odd, c.p.Lease/2) {
+	if m.ear.StartTest(c.now, odd, c.p.Lease/2) {
 		m.raised = max(m.raised, c.rev)
 	}
 }
@@ -113,8 +113,8 @@
 // listen judges by a new report whether its worker hears what it is answered.
 func (c *Core) listen(m *machine, r *wire.Report, via string) {
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.p.Lease && m.reported && !m.over
-	changed := m.ear.Report(r, via, lapsed)
-	if m.ear.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
+	changed := m.ear.ObserveReport(r, via, lapsed)
+	if m.ear.Suspected() && r.Addr != "" && !c.workers.LacksWorkers(c.now) {
 		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
 	if changed {
@@ -126,11 +126,11 @@
 	c.touch(m)
 	c.dirty = true
 	kind := trail.MachineHears
-	if m.ear.Deaf() {
+	if m.ear.MissesAnswers() {
 		kind = trail.MachineDeaf
 	}
 	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
-	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.ear.Deaf())
+	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.ear.MissesAnswers())
 }
 
 // older tells whether a report is history: a later one of its worker is known.
@@ -155,7 +155,7 @@
 	if !m.reported {
 		m.reported = true
 		if len(c.p.Nodes) > 1 { // told with the next pings, and forgotten then
-			c.addrs.CameUp(c.now, m.name)
+			c.addrs.MachineUp(c.now, m.name)
 		}
 		c.boots.Up(c.now, m.name)
 		if m.fresh {
@@ -190,7 +190,7 @@
 			if r.Token > c.rev || c.cutOff() {
 				holder = ""
 			}
-			if _, ours := c.relays.Through(req); holder != "" && holder != c.p.Node && !ours {
+			if _, ours := c.relays.OriginOf(req); holder != "" && holder != c.p.Node && !ours {
 				switch {
 				case c.relay(req, r, holder, s.ver):
 				case c.deaf(holder, b.rec.Shard): // it would wait there in vain
--- a/internal/core/rollcall.go
+++ b/internal/core/rollcall.go
@@ -7,9 +7,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newRoll() *takeover.Roll[*machine] {
-	return takeover.NewRoll[*machine](takeover.Limits{PerSecond: tuning.RollPerSecond, Burst: tuning.RollBurst, Open: tuning.RollOpen, Look: tuning.RollLook,
-		Lost: 2 * tuning.OrderTimeout, Pause: tuning.RollPause, PauseMax: tuning.RollPauseMax})
+func newRoll() *takeover.PendingMachines[*machine] {
+	return takeover.NewPendingMachines[*machine](takeover.Limits{PerSecond: tuning.RollPerSecond, Burst: tuning.RollBurst, MaxInFlight: tuning.RollOpen, ScanLimit: tuning.RollLook,
+		LostAfter: 2 * tuning.OrderTimeout, RetryDelay: tuning.RollPause, RetryDelayMax: tuning.RollPauseMax})
 }
 
 // callRoll calls the workers of machines that are not accounted for, with our token and
@@ -19,14 +19,14 @@
 	if c.roll.Len() == 0 || !c.confirmed() {
 		return
 	}
-	known := func(m *machine) bool { _, ok := c.addrs.Of(m.name); return ok }
+	known := func(m *machine) bool { _, ok := c.addrs.Lookup(m.name); return ok }
 	for _, m := range c.roll.Take(c.now, known) {
 		b := c.blocks[m.block]
 		if c.machines[m.name] != m || m.accounted || b == nil || !c.mine(m.shard) {
-			c.roll.Drop(m)
+			c.roll.Remove(m)
 			continue
 		}
-		at, _ := c.addrs.Of(m.name)
+		at, _ := c.addrs.Lookup(m.name)
 		c.callWorker(Order{Machine: m.name, Addr: at.Addr, Roll: true,
 			Orders: wire.Orders{Token: c.token(b), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
 	}
@@ -41,7 +41,7 @@
 	if v.Status != 0 && r.Machine == v.Machine {
 		c.addrs.Learn(r.Machine, r.Addr, r.Session)
 		if !v.Through {
-			c.workers.Answered(c.now, c.shardHeld(v.Machine), v.Machine)
+			c.workers.CallAnswered(c.now, c.shardHeld(v.Machine), v.Machine)
 		}
 	}
 	if v.For != "" && v.For != c.p.Node {
@@ -54,7 +54,7 @@
 	if v.Look && v.Status == 200 && r.Machine == v.Machine {
 		c.lives(r) // an answer to our own call is no copy
 	}
-	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.ear.Unanswered() {
+	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.ear.CallUnanswered() {
 		c.hearingChanged(m)
 	}
 	if v.Look || m == nil || m.accounted || !c.mine(m.shard) {
@@ -62,7 +62,7 @@
 	}
 	b := c.blocks[m.block]
 	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takenToken || c.older(m, r) || r.Token > c.tokenOf(m, b) {
-		c.roll.Failed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
+		c.roll.CallFailed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
 		return
 	}
 	m.proven = true
@@ -80,7 +80,7 @@
 	if m := c.machines[name]; m != nil {
 		return m.shard
 	}
-	return reach.Anywhere
+	return reach.AnyShard
 }
 
 // learnAddrs takes note of where a list says that workers listen.
@@ -101,7 +101,7 @@
 	}
 	lack := 0
 	for n := range c.blockIn {
-		if _, ok := c.addrs.Of(n); !ok {
+		if _, ok := c.addrs.Lookup(n); !ok {
 			lack++
 		}
 	}
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -27,7 +27,7 @@
 		c.log(1, "feature", "name", f.Feature, "on", f.On, "held_for", f.HeldFor)
 	}
 	node, rec, due := c.rollout.Due(rollout.Life{Node: c.p.Node, Boot: c.member.Boot(), Version: c.p.Version, Features: c.p.Features})
-	if !due || !c.member.Here() || !c.every("version", tuning.RetryAfter) {
+	if !due || !c.member.Registered() || !c.every("version", tuning.RetryAfter) {
 		return
 	}
 	from, key := wire.PrefixNode+node, wire.PrefixVersion+node
--- a/internal/core/settle.go
+++ b/internal/core/settle.go
@@ -27,7 +27,7 @@
 		c.open[m.shard]--
 	}
 	m.accounted = true
-	c.roll.Drop(m)
+	c.roll.Remove(m)
 	c.touch(m)
 	c.settleOn(m)
 	c.settle()
@@ -231,7 +231,7 @@
 		for _, m := range c.heldMachines() {
 			// One that was called twice in vain has had its chance; one that we do not know
 			// how to call has it with its next report.
-			waited := c.roll.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.p.Report*3/2)
+			waited := c.roll.FailedCalls(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.p.Report*3/2)
 			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.drop && waited && c.now-m.trustedAt > tuning.MissingCalled {
 				m.drop = true
 				c.touch(m)
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -22,7 +22,7 @@
 		var got Answer
 		c := w.nodes[n].core
 		for p := range w.nodes {
-			c.words.Answered(c.now-time.Hour, p) // no peer in reach to pass it on to
+			c.words.PingAnswered(c.now-time.Hour, p) // no peer in reach to pass it on to
 		}
 		w.ask(n, func(q uint64) any {
 			return WorkerReport{Req: q, Report: wire.Report{Machine: name, Type: "std", Zone: "n", Session: 9, Seq: 1}}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -31,7 +31,7 @@
 	if _, ok := c.finals[id]; ok {
 		return
 	}
-	c.vouch.Over(jobKey(id), rev)
+	c.vouch.JobOver(jobKey(id), rev)
 	c.finals[id] = f
 	c.chain.End(id, f.Status == wire.JobDone, f.By)
 	c.finalAge = append(c.finalAge, id)
--- a/internal/core/ways.go
+++ b/internal/core/ways.go
@@ -9,9 +9,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newWays() *reach.Ways[StateReply] {
-	return reach.NewWays[StateReply](reach.WayLimits{Keep: tuning.WayKeep, Hops: tuning.WayHops, Fresh: tuning.WayFresh, Cut: tuning.CutAfter, Grace: tuning.WayGrace, Timeout: tuning.StateTimeout,
-		Link: reach.LinkLimits{Late: tuning.LinkLate, Slowest: tuning.LinkSlowest, Down: tuning.LinkDown, Back: tuning.LinkBack, BackMax: tuning.LinkBackMax, Window: tuning.LinkWindow}})
+func newWays() *reach.Router[StateReply] {
+	return reach.NewRouter[StateReply](reach.RouterLimits{OfferTTL: tuning.WayKeep, MaxHops: tuning.WayHops, OfferFreshFor: tuning.WayFresh, CutOffAfter: tuning.CutAfter, RerouteGrace: tuning.WayGrace, CallTimeout: tuning.StateTimeout,
+		Link: reach.LinkLimits{LateAfter: tuning.LinkLate, LateAfterMax: tuning.LinkSlowest, DownAfter: tuning.LinkDown, RecoverAfter: tuning.LinkBack, RecoverAfterMax: tuning.LinkBackMax, FlapWindow: tuning.LinkWindow}})
 }
 
 func (c *Core) state(call StateCall, f func(StateReply)) {
@@ -36,26 +36,26 @@
 
 // keepWays notices that the link has changed, and gives up what hangs on it.
 func (c *Core) keepWays() {
-	j := c.ways.Judge(c.now)
-	for _, id := range c.ways.Late(c.now) {
+	j := c.ways.EvaluateLink(c.now)
+	for _, id := range c.ways.Overdue(c.now) {
 		f, why := c.ways.GiveUp(c.now, id)
 		f(StateReply{Err: why})
 	}
-	if via := c.ways.Around(c.now); via != c.ways.Through() {
-		if c.ways.Through() == "" {
-			for _, id := range c.ways.Hanging(c.now) {
+	if via := c.ways.BestPeer(c.now); via != c.ways.CurrentPeer() {
+		if c.ways.CurrentPeer() == "" {
+			for _, id := range c.ways.Stalled(c.now) {
 				if f := c.ways.Abandon(id); f != nil {
 					f(StateReply{Err: "given up for another way"})
 				}
 			}
 		}
-		if c.ways.Turn(via); via != "" {
-			c.member.Hurry(c.now) // what a grant hangs on goes first
+		if c.ways.SetCurrentPeer(via); via != "" {
+			c.member.RenewNow(c.now) // what a grant hangs on goes first
 		}
-		c.note(wire.TrailEvent{Kind: trail.WayChanged, Node: via, Why: j.Level.String() + ": " + j.Why})
-		c.log(1, "calls of the state service", "through", via, "link", j.Level.String(), "why", j.Why)
+		c.note(wire.TrailEvent{Kind: trail.WayChanged, Node: via, Why: j.Level.String() + ": " + j.Reason})
+		c.log(1, "calls of the state service", "through", via, "link", j.Level.String(), "why", j.Reason)
 	}
-	if c.ways.Doubted(j) && !c.probing && c.every("probe", tuning.RetryAfter) {
+	if c.ways.ShouldProbe(j) && !c.probing && c.every("probe", tuning.RetryAfter) {
 		c.probeState()
 	}
 }
@@ -65,7 +65,7 @@
 	c.probing = true
 	c.seq++
 	call := StateCall{ID: c.seq, Op: OpGet, Key: wire.KeyLeader}
-	c.ways.Try(c.now, call.ID, func(r StateReply) {
+	c.ways.SendDirect(c.now, call.ID, func(r StateReply) {
 		c.probing = false
 		c.learn(wire.KeyLeader, r)
 	})
@@ -75,7 +75,7 @@
 func (c *Core) onStateDone(v StateDone) {
 	r := &v.Reply
 	c.knows(max(r.Txn.Revision, r.Events.Revision, r.List.Revision, r.Item.Version))
-	if f := c.ways.Done(c.now, v.ID, r.Status, r.Own); f != nil {
+	if f := c.ways.CallDone(c.now, v.ID, r.Status, r.Own); f != nil {
 		f(*r)
 	}
 }
@@ -88,7 +88,7 @@
 		}
 		c.tell(from, PeerMessage{Result: &PeerResult{ID: p.ID, Life: p.Life, Reply: r}})
 	}
-	if p.Op < OpGet || p.Op > OpWatch || c.ways.Offer(c.now, from) == 0 || p.Hops >= tuning.WayHops {
+	if p.Op < OpGet || p.Op > OpWatch || c.ways.OfferFor(c.now, from) == 0 || p.Hops >= tuning.WayHops {
 		reply(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
 		return
 	}
@@ -101,7 +101,7 @@
 		return
 	}
 	if s := p.Reply.Status; s == 0 || s == http.StatusServiceUnavailable {
-		c.ways.Withdrawn(c.now, from) // until its next word
+		c.ways.WithdrawOffer(c.now, from) // until its next word
 	}
 	c.onStateDone(StateDone{ID: p.ID, Reply: p.Reply})
 }
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -66,7 +66,7 @@
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 3))
 	w.run(40 * sec)
 	c := w.nodes[holder].core
-	if via := c.ways.Around(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
+	if via := c.ways.BestPeer(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
 		t.Errorf("%s goes through %q, confirmed %v ago", holder, via, c.now-c.lastConfirmed())
 	}
 	if w.check.Final("job-000001") == "" {
@@ -403,13 +403,13 @@
 	// They may have been heard on the way to their holder: that is not what is tested.
 	for _, n := range w.nodes {
 		if n.core != holder {
-			n.core.addrs = takeover.NewBook()
+			n.core.addrs = takeover.NewAddressBook()
 		}
 	}
 	w.run(700 * time.Millisecond) // a ping, and no list
 	for _, name := range names {
 		for _, n := range sortedKeys(w.nodes) {
-			if _, known := w.nodes[n].core.addrs.Of(name); !known {
+			if _, known := w.nodes[n].core.addrs.Lookup(name); !known {
 				t.Errorf("%s does not know where %s listens", n, name)
 			}
 		}
--- a/internal/delivery/hearing_test.go
+++ b/internal/delivery/monitor_test.go
@@ -38,30 +38,30 @@
 		"its lease ended, though in time": {nil, 5, wire.Report{Seq: 3, Session: 2, Token: 5}, "", true, misses},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var e Ear
+			var e Monitor
 			for k := 1; k <= 2; k++ {
 				e.Answered(&wire.Report{Seq: 1, Token: 5}, c.token, "", c.told)
-				e.Report(&c.report, c.via, c.lapsed)
-				if want := c.shows == misses; e.Deaf() != (want && k == 2) || e.Missed() != (want && k == 1) {
-					t.Fatalf("after %d: deaf %v, missed %v", k, e.Deaf(), e.Missed())
+				e.ObserveReport(&c.report, c.via, c.lapsed)
+				if want := c.shows == misses; e.MissesAnswers() != (want && k == 2) || e.Suspected() != (want && k == 1) {
+					t.Fatalf("after %d: deaf %v, missed %v", k, e.MissesAnswers(), e.Suspected())
 				}
 			}
 			e.Answered(&wire.Report{Seq: 1, Token: 5}, 9, "", nil)
-			if e.Report(&wire.Report{Seq: 2, Token: 9}, "", false); e.Deaf() || e.Missed() {
+			if e.ObserveReport(&wire.Report{Seq: 2, Token: 9}, "", false); e.MissesAnswers() || e.Suspected() {
 				t.Error("hears, and still counts as deaf")
 			}
 		})
 	}
-	var e Ear
-	if e.Unanswered() {
+	var e Monitor
+	if e.CallUnanswered() {
 		t.Error("a call alone that is not answered makes nobody deaf")
 	}
-	e.Report(&wire.Report{}, "", true)
-	if !e.Unanswered() || !e.Deaf() {
+	e.ObserveReport(&wire.Report{}, "", true)
+	if !e.CallUnanswered() || !e.MissesAnswers() {
 		t.Error("an answer missed, and a call not answered")
 	}
-	var f Ear
-	if !f.Test(1, true, 5*time.Second) || f.Test(2*time.Second, true, 5*time.Second) || !f.Test(7*time.Second, true, 5*time.Second) || f.Test(20*time.Second, false, 5*time.Second) {
+	var f Monitor
+	if !f.StartTest(1, true, 5*time.Second) || f.StartTest(2*time.Second, true, 5*time.Second) || !f.StartTest(7*time.Second, true, 5*time.Second) || f.StartTest(20*time.Second, false, 5*time.Second) {
 		t.Error("odd reports are put to the test once in a while")
 	}
 }
--- a/internal/reach/ways_test.go
+++ b/internal/reach/router_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-var wayLimits = WayLimits{Keep: 2 * time.Second, Hops: 2, Fresh: time.Second, Cut: time.Second, Grace: 200 * ms, Timeout: 4 * time.Second,
-	Link: LinkLimits{Late: 400 * ms, Down: 300 * ms, Back: time.Second, BackMax: 4 * time.Second, Window: time.Minute}}
+var wayLimits = RouterLimits{OfferTTL: 2 * time.Second, MaxHops: 2, OfferFreshFor: time.Second, CutOffAfter: time.Second, RerouteGrace: 200 * ms, CallTimeout: 4 * time.Second,
+	Link: LinkLimits{LateAfter: 400 * ms, DownAfter: 300 * ms, RecoverAfter: time.Second, RecoverAfterMax: 4 * time.Second, FlapWindow: time.Minute}}
 
 // waysDown are ways whose link is judged down at a second.
-func waysDown() *Ways[string] {
-	w := NewWays[string](wayLimits)
+func waysDown() *Router[string] {
+	w := NewRouter[string](wayLimits)
 	for id := range uint64(2) {
-		w.Try(500*ms, id, nil)
-		w.Done(600*ms, id, 0, false)
+		w.SendDirect(500*ms, id, nil)
+		w.CallDone(600*ms, id, 0, false)
 	}
-	w.Judge(time.Second)
+	w.EvaluateLink(time.Second)
 	return w
 }
 
@@ -25,10 +25,10 @@
 // way: not back to the one that it came from, and past no more peers than it may pass.
 func TestCallsGoAroundACut(t *testing.T) {
 	w := waysDown()
-	if w.Judge(time.Second).Level != Down || w.Around(time.Second) != "" {
-		t.Fatalf("%+v", w.Judge(time.Second))
+	if w.EvaluateLink(time.Second).Level != Down || w.BestPeer(time.Second) != "" {
+		t.Fatalf("%+v", w.EvaluateLink(time.Second))
 	}
-	w.Offered(time.Second, "b", 1)
+	w.OfferReceived(time.Second, "b", 1)
 	for _, c := range []struct {
 		from string
 		hops int
@@ -38,14 +38,14 @@
 			t.Errorf("from %q past %d: through %q, want %q", c.from, c.hops, via, c.want)
 		}
 	}
-	if w.Offer(time.Second, "c") != 0 {
+	if w.OfferFor(time.Second, "c") != 0 {
 		t.Error("offered before calls go that way")
 	}
-	w.Turn("b")
-	if w.Offer(time.Second, "c") != 2 || w.Offer(time.Second, "b") != 0 {
-		t.Errorf("offered %d to c, %d to b", w.Offer(time.Second, "c"), w.Offer(time.Second, "b"))
+	w.SetCurrentPeer("b")
+	if w.OfferFor(time.Second, "c") != 2 || w.OfferFor(time.Second, "b") != 0 {
+		t.Errorf("offered %d to c, %d to b", w.OfferFor(time.Second, "c"), w.OfferFor(time.Second, "b"))
 	}
-	if w.Around(4*time.Second) != "" {
+	if w.BestPeer(4*time.Second) != "" {
 		t.Error("its word is old")
 	}
 }
@@ -53,31 +53,31 @@
 // A call is waited for until it is too old, or its way is one no more; its reply comes once.
 func TestCallsAreGivenUp(t *testing.T) {
 	w := waysDown()
-	w.Offered(time.Second, "b", 1)
+	w.OfferReceived(time.Second, "b", 1)
 	got := ""
 	then := func(s string) { got += s }
 	w.Send(time.Second, 5, "", 0, time.Second, false, then)
-	w.Offered(1100*ms, "b", 1)
-	if late := w.Late(1300 * ms); late != nil || w.Oldest(9) != 5 {
-		t.Errorf("late %v, oldest %d", late, w.Oldest(9))
+	w.OfferReceived(1100*ms, "b", 1)
+	if late := w.Overdue(1300 * ms); late != nil || w.OldestID(9) != 5 {
+		t.Errorf("late %v, oldest %d", late, w.OldestID(9))
 	}
-	w.Withdrawn(1300*ms, "b")
-	if late := w.Late(1300 * ms); !slices.Equal(late, []uint64{5}) {
+	w.WithdrawOffer(1300*ms, "b")
+	if late := w.Overdue(1300 * ms); !slices.Equal(late, []uint64{5}) {
 		t.Fatalf("late %v", late)
 	}
 	f, why := w.GiveUp(1300*ms, 5)
 	f(why)
-	if w.Done(1400*ms, 5, 200, false) != nil || got != "no answer through b" || w.Oldest(9) != 9 {
+	if w.CallDone(1400*ms, 5, 200, false) != nil || got != "no answer through b" || w.OldestID(9) != 9 {
 		t.Errorf("%q", got)
 	}
-	w.Try(2*time.Second, 6, then)
-	if ids := w.Hanging(2100 * ms); ids != nil {
+	w.SendDirect(2*time.Second, 6, then)
+	if ids := w.Stalled(2100 * ms); ids != nil {
 		t.Errorf("%v hang after 0.1 s", ids)
 	}
-	if ids := w.Hanging(2300 * ms); !slices.Equal(ids, []uint64{6}) || w.Abandon(6) == nil || w.Abandon(6) != nil {
+	if ids := w.Stalled(2300 * ms); !slices.Equal(ids, []uint64{6}) || w.Abandon(6) == nil || w.Abandon(6) != nil {
 		t.Errorf("%v hang, to be abandoned once", ids)
 	}
-	if via, known := w.Via(6); !known || via != "" || w.Done(2400*ms, 6, 200, false) != nil {
+	if via, known := w.Via(6); !known || via != "" || w.CallDone(2400*ms, 6, 200, false) != nil {
 		t.Error("an abandoned call ends without a word")
 	}
 }
@@ -88,17 +88,17 @@
 	if w.CutOff(1500*ms) || !w.CutOff(2*time.Second) {
 		t.Error("a second after it fell")
 	}
-	w.Offered(2*time.Second, "b", 0)
+	w.OfferReceived(2*time.Second, "b", 0)
 	if w.CutOff(2100*ms) || !w.CutOff(5*time.Second) {
 		t.Error("b has just said that it has no way either")
 	}
-	w.Offered(5*time.Second, "b", 1)
+	w.OfferReceived(5*time.Second, "b", 1)
 	if w.CutOff(5 * time.Second) {
 		t.Error("there is a way through b")
 	}
-	w.Try(5*time.Second, 7, nil)
-	w.Done(5*time.Second, 7, http.StatusOK, true)
-	if w.Judge(5*time.Second).Level != Down {
+	w.SendDirect(5*time.Second, 7, nil)
+	w.CallDone(5*time.Second, 7, http.StatusOK, true)
+	if w.EvaluateLink(5*time.Second).Level != Down {
 		t.Error("an answer of our own says nothing of the link")
 	}
 }
--- a/internal/takeover/takeover_test.go
+++ b/internal/takeover/takeover_test.go
@@ -8,12 +8,12 @@
 
 const ms = time.Millisecond
 
-var limits = Limits{PerSecond: 10, Burst: 2, Open: 3, Look: 100, Lost: 500 * ms, Pause: 100 * ms, PauseMax: 300 * ms}
+var limits = Limits{PerSecond: 10, Burst: 2, MaxInFlight: 3, ScanLimit: 100, LostAfter: 500 * ms, RetryDelay: 100 * ms, RetryDelayMax: 300 * ms}
 
 func anywhere(string) bool { return true }
 
 func TestRollCallsUrgentFirstWithinItsPace(t *testing.T) {
-	r := NewRoll[string](limits)
+	r := NewPendingMachines[string](limits)
 	for _, h := range []string{"a", "b", "c"} {
 		r.Add(h, false)
 	}
@@ -32,7 +32,7 @@
 	if got := r.Take(400*ms, anywhere); got != nil {
 		t.Fatalf("%v called with three under way", got)
 	}
-	r.Drop("c")
+	r.Remove("c")
 	if got := r.Take(400*ms, anywhere); !slices.Equal(got, []string{"d"}) || r.Len() != 3 {
 		t.Fatalf("after one was accounted for: %v, %d left", got, r.Len())
 	}
@@ -43,16 +43,16 @@
 }
 
 func TestRollPausesLongerAfterEachFailure(t *testing.T) {
-	r := NewRoll[string](limits)
+	r := NewPendingMachines[string](limits)
 	r.Add("a", false)
 	var at []time.Duration
 	for now := time.Duration(0); now < 1200*ms; now += 10 * ms {
 		for _, h := range r.Take(now, anywhere) {
 			at = append(at, now)
-			r.Failed(now, h, len(at) == 1) // the first answer names another session
+			r.CallFailed(now, h, len(at) == 1) // the first answer names another session
 		}
 	}
-	if n := r.Tries("a"); n != len(at) || r.Tries("b") != 0 {
+	if n := r.FailedCalls("a"); n != len(at) || r.FailedCalls("b") != 0 {
 		t.Errorf("%d tries of %d", n, len(at))
 	}
 	if want := []time.Duration{0, 10 * ms, 210 * ms, 510 * ms, 810 * ms, 1110 * ms}; !slices.Equal(at, want) {
@@ -61,32 +61,32 @@
 }
 
 func TestBook(t *testing.T) {
-	b := NewBook()
+	b := NewAddressBook()
 	b.Learn("m", "1:1", 4)
 	b.Learn("m", "1:2", 0) // the cloud's list knows no session
 	b.Learn("n", "", 3)
-	if e, ok := b.Of("m"); !ok || e != (Entry{"1:2", 4}) {
+	if e, ok := b.Lookup("m"); !ok || e != (Endpoint{"1:2", 4}) {
 		t.Errorf("m: %+v", e)
 	}
 	b.Learn("o", "1:3", 0)
-	if e, _ := b.Of("o"); e.Session != 1 || b.Len() != 2 {
+	if e, _ := b.Lookup("o"); e.Session != 1 || b.Len() != 2 {
 		t.Errorf("o: %+v of %d", e, b.Len())
 	}
 	b.Prune(func(n string) bool { return n == "o" })
-	if _, ok := b.Of("m"); ok || b.Len() != 1 {
+	if _, ok := b.Lookup("m"); ok || b.Len() != 1 {
 		t.Error("m is held by nobody and still known")
 	}
 }
 
 func TestNewsOfWorkersThatCameUp(t *testing.T) {
-	b := NewBook()
+	b := NewAddressBook()
 	for k, m := range []string{"a", "b", "c"} {
-		b.CameUp(time.Duration(k)*time.Second, m)
+		b.MachineUp(time.Duration(k)*time.Second, m)
 	}
-	if got := b.News(2*time.Second, 2*time.Second, 2); len(got) != 2 || got[0] != "b" || got[1] != "c" {
+	if got := b.RecentlyUp(2*time.Second, 2*time.Second, 2); len(got) != 2 || got[0] != "b" || got[1] != "c" {
 		t.Errorf("the last two: %v", got)
 	}
-	if got := b.News(4*time.Second, 2*time.Second, 2); len(got) != 1 || got[0] != "c" {
+	if got := b.RecentlyUp(4*time.Second, 2*time.Second, 2); len(got) != 1 || got[0] != "c" {
 		t.Errorf("the lately: %v", got)
 	}
 }
