--- a/internal/core/books.go
+++ b/internal/core/books.go
@@ -7,10 +7,10 @@
 	"sort"
 
 	"github.com/barrowbridge/barrowbridge/internal/aims"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -212,4 +212,4 @@
 	return list
 }
 
-func olderJob(a, b *jobEntry) bool { return ladder.Older(&a.rec, &b.rec) }
+func olderJob(a, b *jobEntry) bool { return tiers.Older(&a.rec, &b.rec) }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -10,11 +10,11 @@
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
 	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/internal/wants"
@@ -220,7 +220,7 @@
 		}
 		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyLadder, limits.Fit(lad, bytes, ladder.Shorter))
+	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.Shorter))
 }
 
 // progress is that of a job with the longest description that is accepted.
--- a/internal/core/laddering.go
+++ b/internal/core/laddering.go
@@ -1,15 +1,15 @@
 package core
 
 import (
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
 // putLadder takes a new ladder: every job has its rung by it from now on.
 func (c *Core) putLadder(r wire.Ladder) {
-	c.rungs, c.ladder = r, ladder.Of(r)
+	c.rungs, c.ladder = r, tiers.Of(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
 		c.touchJob(e)
@@ -31,19 +31,19 @@
 		return
 	}
 	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
-	if err := ladder.Check(v.Patch.Rungs, known); err != nil {
+	if err := tiers.Check(v.Patch.Rungs, known); err != nil {
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
 	ver := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(ladder.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, ladder.Shorter)
+	rec := limits.Fit(tiers.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, tiers.Shorter)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
 	switch {
 	case v.Patch.Check:
-		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: ladder.Of(rec).Rungs()})
+		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: tiers.Of(rec).Rungs()})
 	case v.Patch.Version != ver:
 		c.answer(v.Req, 409, c.ladderView())
 	default:
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/standin/worker"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -42,10 +42,10 @@
 	return n
 }
 
-func (w *world) ladderNow() *ladder.Ladder {
+func (w *world) ladderNow() *tiers.Ladder {
 	var rec wire.Ladder
 	_ = wire.Unmarshal(w.key(wire.KeyLadder).Value, &rec)
-	return ladder.Of(rec)
+	return tiers.Of(rec)
 }
 
 // lookForWaits notes which jobs wait. After a change of hands nobody can start what the earlier
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue keeps the order in which waiting jobs are served: rung (package ladder), the first task
+// Package queue keeps the order in which waiting jobs are served: rung (package tiers), the first task
 // of a job that has waited too long for it, work within its team's guarantee, the strictest closeness (Pogonip's order), what can
 // still be on time, deadline, age. The order is kept up job by job and is never
 // sorted anew, and a walk skips what fits nowhere without looking at each.
--- a/internal/ladder/ladder.go
+++ b/internal/tiers/tiers.go
@@ -1,10 +1,10 @@
-// Package ladder puts jobs on rungs: what stands on a higher rung is served before all that
+// Package tiers puts jobs on rungs: what stands on a higher rung is served before all that
 // stands beneath. The rung of a job follows from two records, the ladder's and the job's own,
 // and its place on the rung from a number that was written with its acceptance, so whoever
 // has the same records serves in the same order.
 //
 // Pure.
-package ladder
+package tiers
 
 import (
 	"cmp"
--- a/internal/ladder/ladder_test.go
+++ b/internal/tiers/tiers_test.go
@@ -1,4 +1,4 @@
-package ladder
+package tiers
 
 import (
 	"fmt"
