--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -15,13 +15,13 @@
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
 	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
-	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
 	"github.com/barrowbridge/barrowbridge/internal/prompt"
 	"github.com/barrowbridge/barrowbridge/internal/reach"
+	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/takeover"
@@ -88,10 +88,10 @@
 	rollout *rollout.Book // what the controllers understand
 	holder
 	books
-	desk     *prompt.Desk[*machine]       // workers to call directly
-	roll     *takeover.Roll[*machine]     // machines to be accounted for
-	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
-	kept     map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
+	desk     *prompt.Desk[*machine]              // workers to call directly
+	roll     *takeover.Roll[*machine]            // machines to be accounted for
+	places   map[int]*reservation.Book[*machine] // by shard: kept for tasks that fit nowhere
+	kept     map[string]reservation.Hold         // by team: of its limit, for a job that does not fit into the rest
 	runs     *forecast.Book
 	calendar *calendar.Book // the crews, and what is planned for their departures
 	weights  *weights.Book  // images that many machines want
@@ -125,8 +125,8 @@
 	c.aims = p.Aims
 	c.desk = newDesk(p)
 	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.caches)
-	c.kept = map[string]hold.Hold{}
-	c.places = map[int]*hold.Book[*machine]{}
+	c.kept = map[string]reservation.Hold{}
+	c.places = map[int]*reservation.Book[*machine]{}
 	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
 	c.roll, c.addrs = newRoll(), takeover.NewBook()
 	c.users = newUsers()
--- a/internal/core/holding.go
+++ b/internal/core/holding.go
@@ -4,16 +4,16 @@
 	"maps"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
+	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var holdLimits = hold.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
+var holdLimits = reservation.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
 
 // unheld is what others than those it is held for see of a machine's room.
 func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
@@ -37,7 +37,7 @@
 	return b.Within(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
-// planHolds keeps places for jobs whose tasks fit nowhere (package hold).
+// planHolds keeps places for jobs whose tasks fit nowhere (package reservation).
 func (c *Core) planHolds() {
 	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
 		return
@@ -49,20 +49,20 @@
 		asks, least := c.fitNowhere(i)
 		b := c.places[i]
 		if b == nil {
-			b = hold.New[*machine](holdLimits)
+			b = reservation.New[*machine](holdLimits)
 			c.places[i] = b
 		}
 		if len(asks) == 0 && b.Len() == 0 {
 			c.keepLimits(i, nil)
 			continue
 		}
-		var machines []hold.Machine[*machine]
+		var machines []reservation.Machine[*machine]
 		for _, m := range c.heldMachines() {
 			if m.shard == i {
 				machines = c.holdable(m, machines, &least)
 			}
 		}
-		wide := hold.Wide(asks, least, tuning.HoldTimes)
+		wide := reservation.Wide(asks, least, tuning.HoldTimes)
 		c.keepLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Of(m); is {
@@ -76,7 +76,7 @@
 
 // fitNowhere lists the jobs of a shard that have waited for a while and find no machine, in
 // the order of service, and the least that any job asks for.
-func (c *Core) fitNowhere(shard int) (asks []hold.Ask[*machine], least placement.Size) {
+func (c *Core) fitNowhere(shard int) (asks []reservation.Ask[*machine], least placement.Size) {
 	if c.order.Len() == 0 {
 		return nil, least
 	}
@@ -101,7 +101,7 @@
 		n := placement.Under(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
 		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
+			asks = append(asks, reservation.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
@@ -109,11 +109,11 @@
 }
 
 // keepLimits keeps parts of the limits of a shard's teams.
-func (c *Core) keepLimits(shard int, asks []hold.Ask[*machine]) {
+func (c *Core) keepLimits(shard int, asks []reservation.Ask[*machine]) {
 	for _, t := range c.shards[shard].rec.Teams {
 		delete(c.kept, t)
 	}
-	maps.Copy(c.kept, hold.Kept(asks))
+	maps.Copy(c.kept, reservation.Kept(asks))
 }
 
 // limitOf is a team's limit as a job of it finds it.
@@ -126,8 +126,8 @@
 }
 
 // holdable adds a machine that a place may be held on, with what is expected to leave it.
-func (c *Core) holdable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
-	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
+func (c *Core) holdable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
+	x := reservation.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
 	if !x.Up {
 		full, known := c.sizeOf(m.typ)
 		if !known || m.reported || m.inherited || !c.coming[m] {
@@ -142,7 +142,7 @@
 		}
 		*least = lesser(*least, a.size)
 		if at, leaves := c.leaves(a); leaves {
-			x.Leaves = append(x.Leaves, hold.Leave{At: at, Size: a.size})
+			x.Leaves = append(x.Leaves, reservation.Leave{At: at, Size: a.size})
 		}
 	}
 	return append(list, x)
@@ -210,7 +210,7 @@
 }
 
 // urgentFirst has urgent tasks that wait take held places.
-func (c *Core) urgentFirst(shard int, b *hold.Book[*machine]) {
+func (c *Core) urgentFirst(shard int, b *reservation.Book[*machine]) {
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -235,7 +235,7 @@
 }
 
 // lend places tasks on a held machine that surely leave before it is needed.
-func (c *Core) lend(m *machine, shard int, h hold.Hold) {
+func (c *Core) lend(m *machine, shard int, h reservation.Hold) {
 	looked := 0
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
--- a/internal/hold/hold.go
+++ b/internal/reservation/reservation.go
@@ -1,4 +1,4 @@
-// Package hold keeps places for tasks that fit nowhere. Every freed corner of a machine
+// Package reservation keeps places for tasks that fit nowhere. Every freed corner of a machine
 // goes to a small task, so no machine ever empties for a large one; a place that is held
 // fills up for it instead. A hold takes its size out of what others see free on the machine.
 //
@@ -7,7 +7,7 @@
 //
 // Plain structures: no clock, no I/O, not for concurrent use. Times are those of the owner's
 // steady clock.
-package hold
+package reservation
 
 import (
 	"cmp"
--- a/internal/hold/hold_test.go
+++ b/internal/reservation/reservation_test.go
@@ -1,4 +1,4 @@
-package hold
+package reservation
 
 import (
 	"fmt"
