--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/clearing"
 	"github.com/barrowbridge/barrowbridge/internal/disruption"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
+	"github.com/barrowbridge/barrowbridge/internal/preemption"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -45,7 +45,7 @@
 	for _, e := range list {
 		least = min(least, e.rank)
 	}
-	by := map[int][]*clearing.Machine[*machine, *attempt]{}
+	by := map[int][]*preemption.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
 			by[m.shard] = append(by[m.shard], c.clearingOf(m, least))
@@ -62,18 +62,18 @@
 	}
 }
 
-func (c *Core) clearingOf(m *machine, least int) *clearing.Machine[*machine, *attempt] {
-	x := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
+func (c *Core) clearingOf(m *machine, least int) *preemption.Machine[*machine, *attempt] {
+	x := &preemption.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		switch {
 		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
-			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
+			x.Victims = append(x.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.sent:
 		case a.stop || c.jobs[a.job] == nil:
 			x.Free = x.Free.Add(a.size) // already leaving
 		case a.known && a.lesser && c.jobs[a.job].rank < least:
-			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
+			x.Victims = append(x.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
 		}
 	}
 	x.Sort()
@@ -82,9 +82,9 @@
 
 // preemptFor makes room for one task of a job, unless some is being made. It tells whether
 // there will be room.
-func (c *Core) preemptFor(e *jobEntry, in []*clearing.Machine[*machine, *attempt]) bool {
+func (c *Core) preemptFor(e *jobEntry, in []*preemption.Machine[*machine, *attempt]) bool {
 	kinds := c.kinds(e, zonesOf(e))
-	stop, ok := clearing.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
+	stop, ok := preemption.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
 		return kinds(ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
 	for _, v := range stop {
--- a/internal/clearing/clearing.go
+++ b/internal/preemption/preemption.go
@@ -1,6 +1,6 @@
-// Package clearing chooses what work is stopped so that other work that goes before it
+// Package preemption chooses what work is stopped so that other work that goes before it
 // finds room: on the machine where the least running time is lost. Pure.
-package clearing
+package preemption
 
 import (
 	"math"
--- a/internal/clearing/clearing_test.go
+++ b/internal/preemption/preemption_test.go
@@ -1,4 +1,4 @@
-package clearing
+package preemption
 
 import (
 	"testing"
