--- a/internal/core/books.go
+++ b/internal/core/books.go
@@ -6,8 +6,8 @@
 	"slices"
 	"sort"
 
-	"github.com/barrowbridge/barrowbridge/internal/aims"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
+	"github.com/barrowbridge/barrowbridge/internal/objectives"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
@@ -19,7 +19,7 @@
 // change. Whoever changes a machine or a job says so with touch or touchJob; update
 // puts what was touched anew. Nothing here is decided, all of it can be counted afresh.
 type books struct {
-	aims      aims.Aims
+	aims      objectives.Aims
 	room      *ledger.Book[*machine]
 	order     *queue.Queue[*jobEntry]
 	found     []ledger.Found[*machine] // kept for the next choice, as is cands
@@ -164,14 +164,14 @@
 	}
 }
 
-var aimLimits = aims.Limits{CPUs: tuning.TurnCPUs, Horizon: tuning.IdleHorizon.Seconds(), Least: tuning.IdleLeast.Seconds(), Headroom: tuning.IdleHeadroom}
+var aimLimits = objectives.Limits{CPUs: tuning.TurnCPUs, Horizon: tuning.IdleHorizon.Seconds(), Least: tuning.IdleLeast.Seconds(), Headroom: tuning.IdleHeadroom}
 
-func workOf(j *wire.Job) aims.Work {
+func workOf(j *wire.Job) objectives.Work {
 	due, ready := j.DueS, float64(j.ReadySince())/1000
 	if due > 0 && j.ReadyMS > 0 { // it counts from the submission, all else from when the job could run
 		due = max(math.SmallestNonzeroFloat64, due-ready+float64(j.AcceptedMS)/1000)
 	}
-	return aims.Work{Class: j.Class, Accepted: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, Estimate: j.EstimateS}
+	return objectives.Work{Class: j.Class, Accepted: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, Estimate: j.EstimateS}
 }
 
 // pending is how many tasks are to be started.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,12 +11,12 @@
 	"strings"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/aims"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
 	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
+	"github.com/barrowbridge/barrowbridge/internal/objectives"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
 	"github.com/barrowbridge/barrowbridge/internal/prompt"
@@ -43,7 +43,7 @@
 	// Lease, Cancel and Report are the workers' times.
 	Lease, Cancel, Report time.Duration
 	ListLag               time.Duration
-	Aims                  aims.Aims
+	Aims                  objectives.Aims
 	TxnOps                int
 	ValueBytes            int
 	Version               string   // of the program, for operators
--- a/internal/aims/aims.go
+++ b/internal/objectives/objectives.go
@@ -1,7 +1,7 @@
-// Package aims decides by when a job should be done, and how many places it deserves for
+// Package objectives decides by when a job should be done, and how many places it deserves for
 // that: by its own deadline, or by what the operators' settings say of its class, or, if
 // nobody says anything, by its size. Pure.
-package aims
+package objectives
 
 import "math"
 
--- a/internal/aims/aims_test.go
+++ b/internal/objectives/objectives_test.go
@@ -1,4 +1,4 @@
-package aims
+package objectives
 
 import (
 	"math"
