--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -126,7 +126,7 @@
 	}
 	c.update()
 	waiting := map[string]int{}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
+	c.order.Walk(anyRoom, func(p *queue.Entry[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
 	for _, t := range sortedKeys(c.p.Teams) {
 		i := c.shardOf(t)
 		v := wire.TeamView{Team: t, Shard: i, Known: c.mine(i), UsedCPU: c.room.Used(t, i).CPUs, CPUs: c.p.Teams[t].CPUs, Waiting: waiting[t]}
@@ -225,7 +225,7 @@
 		out = append(out, fmt.Sprintf("none of %d machines it may use has room", place))
 	}
 	ahead := 0
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.order.Walk(anyRoom, func(p *queue.Entry[*jobEntry]) bool {
 		if p.Handle != e {
 			ahead++
 		}
--- a/internal/core/books.go
+++ b/internal/core/books.go
@@ -19,10 +19,10 @@
 // change. Whoever changes a machine or a job says so with touch or touchJob; update
 // puts what was touched anew. Nothing here is decided, all of it can be counted afresh.
 type books struct {
-	aims      objectives.Aims
-	room      *ledger.Book[*machine]
+	aims      objectives.Objectives
+	room      *ledger.Ledger[*machine]
 	order     *queue.Queue[*jobEntry]
-	found     []ledger.Found[*machine] // kept for the next choice, as is cands
+	found     []ledger.Match[*machine] // kept for the next choice, as is cands
 	cands     []placement.Candidate
 	touched   []*machine
 	jobsTouch []*jobEntry
@@ -83,7 +83,7 @@
 
 // update brings the books up to date.
 func (c *Core) update() {
-	for _, m := range c.room.Silent(c.now - c.freshFor()) {
+	for _, m := range c.room.TakeSilent(c.now - c.freshFor()) {
 		c.touch(m)
 	}
 	for len(c.touched) > 0 { // a machine that became unusable gives tasks back
@@ -126,11 +126,11 @@
 	if m.inherited && !m.accounted {
 		n++ // anything may run there, for any team
 	}
-	urgent, _ := c.reserve.Task(m.shard)
-	f := ledger.Facts{Kind: ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0},
-		Usable: usable, Free: c.freeToAll(m), Uses: x.teams, Spare: c.roomFor(m, urgent)}
+	urgent, _ := c.reserve.TaskSize(m.shard)
+	f := ledger.MachineState{Kind: ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, EmptyRental: !m.base && len(m.attempts) == 0},
+		Usable: usable, Free: c.freeToAll(m), Usage: x.teams, UrgentSlots: c.roomFor(m, urgent)}
 	for range n {
-		f.Unknown = f.Unknown.Add(full)
+		f.UnknownUse = f.UnknownUse.Add(full)
 	}
 	c.room.Put(m, m.name, f)
 	if known && !m.drop && !m.notice && !m.over && (!m.reported || !m.accounted) {
@@ -144,15 +144,15 @@
 	delete(c.owed, e)
 	delete(c.behind, e)
 	if e.run == nil || c.jobs[e.rec.ID] != e {
-		c.order.Drop(e.rec.ID)
+		c.order.Remove(e.rec.ID)
 		return
 	}
 	j, run := &e.rec, e.run
-	q := queue.Job{ID: j.ID, Team: j.Team, Accepted: j.ReadySince(), Number: j.Number, Rank: e.rank, Strict: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
-		Due: min(c.aims.Due(workOf(j)), c.crewDue(j.ID), e.due), Pressed: c.crewPressed(j.ID), Turn: aimLimits.Turn(workOf(j)), Estimate: j.EstimateS, Ask: jobSize(j), Rest: j.Tasks - run.done.Count(), Pending: c.trials(e),
-		Begun: j.Started > 0 || run.next > 0}
+	q := queue.Job{ID: j.ID, Team: j.Team, AcceptedMS: j.ReadySince(), Number: j.Number, Rank: e.rank, ZoneBound: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
+		Due: min(c.aims.Due(workOf(j)), c.crewDue(j.ID), e.due), Pressed: c.crewPressed(j.ID), VirtualFinish: aimLimits.VirtualFinish(workOf(j)), EstimateS: j.EstimateS, TaskSize: jobSize(j), Unfinished: j.Tasks - run.done.Count(), Pending: c.trials(e),
+		Started: j.Started > 0 || run.next > 0}
 	if c.health.Trial(j.ID) {
-		q.Rest = min(q.Rest, 1) // it keeps no place of others
+		q.Unfinished = min(q.Unfinished, 1) // it keeps no place of others
 	}
 	c.order.Put(e, q)
 	_, ended, owes := c.owes(e)
@@ -164,14 +164,14 @@
 	}
 }
 
-var aimLimits = objectives.Limits{CPUs: tuning.TurnCPUs, Horizon: tuning.IdleHorizon.Seconds(), Least: tuning.IdleLeast.Seconds(), Headroom: tuning.IdleHeadroom}
+var aimLimits = objectives.Limits{ReferenceCPUs: tuning.TurnCPUs, HorizonS: tuning.IdleHorizon.Seconds(), MinTimeS: tuning.IdleLeast.Seconds(), Headroom: tuning.IdleHeadroom}
 
 func workOf(j *wire.Job) objectives.Work {
 	due, ready := j.DueS, float64(j.ReadySince())/1000
 	if due > 0 && j.ReadyMS > 0 { // it counts from the submission, all else from when the job could run
 		due = max(math.SmallestNonzeroFloat64, due-ready+float64(j.AcceptedMS)/1000)
 	}
-	return objectives.Work{Class: j.Class, Accepted: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, Estimate: j.EstimateS}
+	return objectives.Work{Class: j.Class, AcceptedS: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, EstimateS: j.EstimateS}
 }
 
 // pending is how many tasks are to be started.
@@ -196,7 +196,7 @@
 		return
 	}
 	have := c.shardCPUs()
-	c.order.Judge(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
+	c.order.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
 		t := c.p.Teams[team]
 		return min(t.CPUsMax, max(have[c.shardOf(team)], t.CPUs))
 	})
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -55,7 +55,7 @@
 
 // stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
-	rate, boot := supply.Speeds(c.types, j.Types)
+	rate, boot := supply.FetchAndBootBounds(c.types, j.Types)
 	s = dependency.Stage{Tasks: j.Tasks, Run: c.runs.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
 	if rate > 0 {
 		s.Fetch = j.ImageGB / rate
@@ -88,7 +88,7 @@
 		if c.shardOf(j.Team) != shard {
 			continue
 		}
-		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
+		if s, boot := c.stageOf(j); c.aims.RequestAhead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
 			list = append(list, j)
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -43,7 +43,7 @@
 	// Lease, Cancel and Report are the workers' times.
 	Lease, Cancel, Report time.Duration
 	ListLag               time.Duration
-	Aims                  objectives.Aims
+	Aims                  objectives.Objectives
 	TxnOps                int
 	ValueBytes            int
 	Version               string   // of the program, for operators
@@ -88,11 +88,11 @@
 	rollout *rollout.Book // what the controllers understand
 	holder
 	books
-	desk     *prompt.Desk[*machine]              // workers to call directly
-	roll     *takeover.Roll[*machine]            // machines to be accounted for
-	places   map[int]*reservation.Book[*machine] // by shard: kept for tasks that fit nowhere
-	kept     map[string]reservation.Hold         // by team: of its limit, for a job that does not fit into the rest
-	runs     *forecast.Book
+	desk     *prompt.Desk[*machine]               // workers to call directly
+	roll     *takeover.Roll[*machine]             // machines to be accounted for
+	places   map[int]*reservation.Table[*machine] // by shard: kept for tasks that fit nowhere
+	kept     map[string]reservation.Reservation   // by team: of its limit, for a job that does not fit into the rest
+	runs     *forecast.Estimator
 	calendar *calendar.Book // the crews, and what is planned for their departures
 	weights  *weights.Book  // images that many machines want
 	chaining
@@ -125,9 +125,9 @@
 	c.aims = p.Aims
 	c.desk = newDesk(p)
 	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.caches)
-	c.kept = map[string]reservation.Hold{}
-	c.places = map[int]*reservation.Book[*machine]{}
-	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
+	c.kept = map[string]reservation.Reservation{}
+	c.places = map[int]*reservation.Table[*machine]{}
+	c.runs = forecast.New(forecast.Params{PriorTasks: tuning.ForecastPrior, MaxTasks: tuning.ForecastKeep, PriorSpread: tuning.ForecastSpread})
 	c.roll, c.addrs = newRoll(), takeover.NewBook()
 	c.users = newUsers()
 	c.peers = newPeers(p)
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -169,8 +169,8 @@
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if was := c.biases[biasKey(i)]; c.mine(i) && c.runs.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.Shorter)}}, func(StateReply) {})
+		if was := c.biases[biasKey(i)]; c.mine(i) && c.runs.Changed(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.DropLeastKnownClass)}}, func(StateReply) {})
 		}
 	}
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -98,7 +98,7 @@
 				}
 				images = append(images, has)
 			}
-			for _, b := range supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, true, true) {
+			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.BlockSize, Max: tuning.BlockSizeMax, BlocksPerBatch: tuning.BlocksAtOnce}, true, true) {
 				b.Idle, b.Spot = true, true
 				for k := range b.Machines {
 					b.Machines[k].Drop, b.Machines[k].Empty = true, true
@@ -182,7 +182,7 @@
 	for k := range 60 {
 		bias.Classes[fmt.Sprintf("class-of-a-long-name-%02d", k)] = [3]float64{float64(k + 20), 1.0 / 3, 2.0 / 3}
 	}
-	bias = limits.Fit(bias, bytes, forecast.Shorter)
+	bias = limits.Fit(bias, bytes, forecast.DropLeastKnownClass)
 	if len(bias.Classes) < 20 || bias.Classes["class-of-a-long-name-59"][0] == 0 {
 		t.Errorf("%d classes are left, of which most is known is not among them", len(bias.Classes))
 	}
@@ -220,7 +220,7 @@
 		}
 		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.Shorter))
+	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
 // progress is that of a job with the longest description that is accepted.
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -91,7 +91,7 @@
 	ok      bool
 	sizes   int // state of the machine types it was made with
 	free    placement.Size
-	teams   []ledger.Use
+	teams   []ledger.TeamUsage
 	unknown int // attempts of unknown size
 }
 
@@ -142,7 +142,7 @@
 func newHolder() holder {
 	return holder{health: newHealth(), startsBusy: map[int]bool{}, startsAt: map[int]Time{}, startsNext: map[int]Time{}, warm: map[string]bool{}, taking: map[int]taking{}, machines: map[string]*machine{}, onTask: map[string][]*attempt{}, held: map[int]bool{}, pending: map[int]bool{}, unsettle: map[int]bool{}, wantSent: map[int]wire.Want{}, tellers: map[int]*wants.Teller{}, lacks: wants.NewBoard(wantPace),
 		used: map[string]bool{}, entered: map[int]Time{}, prevDead: map[int]Time{}, vacating: map[string]bool{}, offered: map[string]uint64{}, dire: map[int]Time{},
-		reserve: supply.NewReserve(supply.ReserveLimits{Memory: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
+		reserve: supply.NewReserve(supply.ReserveLimits{Retention: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
 }
 
 // jobSeen is called for every new version of a live job.
@@ -169,7 +169,7 @@
 		}
 	}
 	if e.prio >= urgentRank {
-		if c.reserve.Seen(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
+		if c.reserve.Observe(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
 			c.touchShard(i) // room is counted in tasks of this size
 		}
 	}
@@ -223,11 +223,11 @@
 	delete(c.machines, m.name)
 	delete(c.coming, m)
 	if b := c.places[m.shard]; b != nil {
-		b.Drop(m)
+		b.Remove(m)
 	}
 	c.health.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
-	c.room.Drop(m)
+	c.room.Remove(m)
 	c.desk.Forget(m)
 	c.roll.Drop(m)
 	c.machineList = nil
--- a/internal/core/holding.go
+++ b/internal/core/holding.go
@@ -13,12 +13,12 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var holdLimits = reservation.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
+var holdLimits = reservation.Limits{MaxShare: tuning.HoldShare, Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter}
 
 // unheld is what others than those it is held for see of a machine's room.
 func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
 	if b := c.places[m.shard]; b != nil {
-		if h, is := b.Of(m); is {
+		if h, is := b.Get(m); is {
 			return free.Sub(h.Size)
 		}
 	}
@@ -33,8 +33,8 @@
 	if b == nil || b.Len() == 0 {
 		return 0
 	}
-	_, boot := supply.Speeds(c.types, j.Types)
-	return b.Within(j.ID, c.now+seconds(boot*tuning.BootHorizon))
+	_, boot := supply.FetchAndBootBounds(c.types, j.Types)
+	return b.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
 // planHolds keeps places for jobs whose tasks fit nowhere (package reservation).
@@ -62,12 +62,12 @@
 				machines = c.holdable(m, machines, &least)
 			}
 		}
-		wide := reservation.Wide(asks, least, tuning.HoldTimes)
+		wide := reservation.Oversized(asks, least, tuning.HoldTimes)
 		c.keepLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
-			if h, is := b.Of(m); is {
+			if h, is := b.Get(m); is {
 				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
-				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.At - c.now).String())
+				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.FitsAt - c.now).String())
 			}
 			c.touch(m)
 		}
@@ -76,11 +76,11 @@
 
 // fitNowhere lists the jobs of a shard that have waited for a while and find no machine, in
 // the order of service, and the least that any job asks for.
-func (c *Core) fitNowhere(shard int) (asks []reservation.Ask[*machine], least placement.Size) {
+func (c *Core) fitNowhere(shard int) (asks []reservation.Request[*machine], least placement.Size) {
 	if c.order.Len() == 0 {
 		return nil, least
 	}
-	most, used := c.room.Most(shard), map[string]placement.Size{}
+	most, used := c.room.MaxFree(shard), map[string]placement.Size{}
 	least = anyRoom("")
 	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.order.Walk(func(team string) placement.Size {
@@ -88,20 +88,20 @@
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
-	}, func(p *queue.Place[*jobEntry]) bool {
-		e, size := p.Handle, p.Job.Ask
+	}, func(p *queue.Entry[*jobEntry]) bool {
+		e, size := p.Handle, p.Job.TaskSize
 		least = lesser(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
+		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
 			return true // urgent work makes room for itself
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
 			used[team] = c.room.Used(team, shard)
 		}
-		n := placement.Under(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
+		n := placement.TasksUnderLimit(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
 		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, reservation.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
+			asks = append(asks, reservation.Request[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), TeamFull: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
@@ -109,11 +109,11 @@
 }
 
 // keepLimits keeps parts of the limits of a shard's teams.
-func (c *Core) keepLimits(shard int, asks []reservation.Ask[*machine]) {
+func (c *Core) keepLimits(shard int, asks []reservation.Request[*machine]) {
 	for _, t := range c.shards[shard].rec.Teams {
 		delete(c.kept, t)
 	}
-	maps.Copy(c.kept, reservation.Kept(asks))
+	maps.Copy(c.kept, reservation.TeamReservations(asks))
 }
 
 // limitOf is a team's limit as a job of it finds it.
@@ -133,7 +133,7 @@
 		if !known || m.reported || m.inherited || !c.coming[m] {
 			return list
 		}
-		x.Free, x.Ready = full, m.since+seconds(c.types[m.typ].BootS*1.2)
+		x.Free, x.ReadyAt = full, m.since+seconds(c.types[m.typ].BootS*1.2)
 	}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
@@ -142,7 +142,7 @@
 		}
 		*least = lesser(*least, a.size)
 		if at, leaves := c.leaves(a); leaves {
-			x.Leaves = append(x.Leaves, reservation.Leave{At: at, Size: a.size})
+			x.Releases = append(x.Releases, reservation.Release{At: at, Size: a.size})
 		}
 	}
 	return append(list, x)
@@ -183,17 +183,17 @@
 		}
 		c.update()
 		c.urgentFirst(i, b)
-		for _, m := range b.Held() {
-			h, _ := b.Of(m)
-			p := c.order.Of(h.Job)
+		for _, m := range b.Machines() {
+			h, _ := b.Get(m)
+			p := c.order.Get(h.Job)
 			if !c.usable(m) || p == nil || c.trials(p.Handle) == 0 || c.barred(p.Handle, i) {
 				continue
 			}
 			if e := p.Handle; c.takes(e, m, i) {
-				b.Drop(m)
+				b.Remove(m)
 				c.placeOn(e, m, true)
 				c.log(2, "task placed on a held place", "job", h.Job, "machine", m.name)
-			} else if h.At-c.now > tuning.HoldFill {
+			} else if h.FitsAt-c.now > tuning.HoldFill {
 				c.lend(m, i, h)
 			}
 		}
@@ -203,30 +203,30 @@
 // takes tells whether a job's next task may be placed on a machine now, holds apart.
 func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
 	size, j := jobSize(&e.rec), &e.rec
-	f, ok := c.room.Of(m)
+	f, ok := c.room.Get(m)
 	n := float64(e.run.unseen() + 1)
 	return ok && f.Usable && placement.Fits(c.free(m), size) && c.kinds(e, zonesOf(e))(f.Kind) && !c.avoids(e, m) &&
 		!c.limitOf(e).exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
 }
 
 // urgentFirst has urgent tasks that wait take held places.
-func (c *Core) urgentFirst(shard int, b *reservation.Book[*machine]) {
+func (c *Core) urgentFirst(shard int, b *reservation.Table[*machine]) {
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
 		if e.prio < urgentRank || b.Len() == 0 {
-			return b.Len() > 0 && !c.ladder.Plain() // by priority the order begins with them
+			return b.Len() > 0 && !c.ladder.PriorityOnly() // by priority the order begins with them
 		}
-		for _, m := range b.Held() {
+		for _, m := range b.Machines() {
 			if c.trials(e) == 0 || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) {
 				break
 			}
 			if c.usable(m) && c.takes(e, m, shard) {
-				b.Drop(m)
+				b.Remove(m)
 				c.placeOn(e, m, true)
 			}
 		}
@@ -235,20 +235,20 @@
 }
 
 // lend places tasks on a held machine that surely leave before it is needed.
-func (c *Core) lend(m *machine, shard int, h reservation.Hold) {
+func (c *Core) lend(m *machine, shard int, h reservation.Reservation) {
 	looked := 0
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return c.free(m)
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
 		if looked++; looked > tuning.HoldLook {
 			return false
 		}
 		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.barred(e, shard) ||
-			c.now+c.runs.Surely(e.rec.Class, e.rec.EstimateS) > h.At {
+			c.now+c.runs.UpperBound(e.rec.Class, e.rec.EstimateS) > h.FitsAt {
 			return true
 		}
 		for c.trials(e) > 0 && c.takes(e, m, shard) {
--- a/internal/core/holding_test.go
+++ b/internal/core/holding_test.go
@@ -99,7 +99,7 @@
 	held := func() bool {
 		n := w.nodes[w.shardRec("red").Holder]
 		b := n.core.places[n.core.shardOf("red")]
-		for _, m := range b.Held() {
+		for _, m := range b.Machines() {
 			if n.core.free(m).CPUs >= 2 {
 				at = m.name
 				return true
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -56,7 +56,7 @@
 
 // spareTarget is for how many urgent tasks a shard keeps room.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.Speeds(c.types, nil)
+	_, boot := supply.FetchAndBootBounds(c.types, nil)
 	return c.reserve.Target(c.now, shard, boot)
 }
 
@@ -76,10 +76,10 @@
 // given machines: such work should not wait for a boot.
 func (c *Core) spareBeyond(shard int, without ...*machine) bool {
 	c.update()
-	n := c.room.Spare(shard)
+	n := c.room.UrgentSlots(shard)
 	for _, m := range without {
-		if f, ok := c.room.Of(m); ok && f.Usable && !f.Spot {
-			n -= f.Spare
+		if f, ok := c.room.Get(m); ok && f.Usable && !f.Spot {
+			n -= f.UrgentSlots
 		}
 	}
 	return n >= c.spareTarget(shard)
@@ -106,11 +106,11 @@
 	}
 	var list []disruption.Machine[*machine]
 	for _, m := range in {
-		x := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
+		x := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Pinned: m.base}
 		for _, k := range sortedAttempts(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
-				x.Stays = true
+				x.Pinned = true
 				break
 			}
 			j := &c.jobs[a.job].rec
--- a/internal/core/laddering.go
+++ b/internal/core/laddering.go
@@ -9,7 +9,7 @@
 
 // putLadder takes a new ladder: every job has its rung by it from now on.
 func (c *Core) putLadder(r wire.Ladder) {
-	c.rungs, c.ladder = r, tiers.Of(r)
+	c.rungs, c.ladder = r, tiers.NewOrder(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
 		c.touchJob(e)
@@ -18,7 +18,7 @@
 }
 
 func (c *Core) ladderView() wire.LadderView {
-	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Rungs()}
+	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Tiers()}
 }
 
 func (c *Core) onAdminLadder(v AdminLadder) {
@@ -31,19 +31,19 @@
 		return
 	}
 	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
-	if err := tiers.Check(v.Patch.Rungs, known); err != nil {
+	if err := tiers.Validate(v.Patch.Rungs, known); err != nil {
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
 	ver := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(tiers.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, tiers.Shorter)
+	rec := limits.Fit(tiers.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, tiers.DropOldestChange)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
 	switch {
 	case v.Patch.Check:
-		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: tiers.Of(rec).Rungs()})
+		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: tiers.NewOrder(rec).Tiers()})
 	case v.Patch.Version != ver:
 		c.answer(v.Req, 409, c.ladderView())
 	default:
@@ -62,7 +62,7 @@
 	for _, e := range c.jobsByAge() {
 		jobs = append(jobs, &e.rec)
 	}
-	list, digest := c.ladder.Order(jobs)
+	list, digest := c.ladder.SortJobs(jobs)
 	c.answer(v.Req, 200, wire.OrderView{Node: c.p.Node, Revision: c.rev, Version: c.ver.Of(wire.KeyLadder), Digest: digest, Count: len(list),
 		Jobs: list[:min(len(list), tuning.OrderAnswer)]})
 }
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -42,10 +42,10 @@
 	return n
 }
 
-func (w *world) ladderNow() *tiers.Ladder {
+func (w *world) ladderNow() *tiers.Order {
 	var rec wire.Ladder
 	_ = wire.Unmarshal(w.key(wire.KeyLadder).Value, &rec)
-	return tiers.Of(rec)
+	return tiers.NewOrder(rec)
 }
 
 // lookForWaits notes which jobs wait. After a change of hands nobody can start what the earlier
@@ -95,7 +95,7 @@
 	for _, other := range sortedKeys(v.since) {
 		u := rec(other)
 		unplaced, is := v.unplaced[other]
-		if l.Place(u) >= l.Place(j) || w.now-v.since[other] <= inversionBound && !(is && w.now-unplaced > unplacedBound) || !slices.Contains(shard.Teams, u.Team) || u.CPUs > j.CPUs || u.MemoryGB > j.MemoryGB ||
+		if l.TierIndex(u) >= l.TierIndex(j) || w.now-v.since[other] <= inversionBound && !(is && w.now-unplaced > unplacedBound) || !slices.Contains(shard.Teams, u.Team) || u.CPUs > j.CPUs || u.MemoryGB > j.MemoryGB ||
 			m.info.Spot && !u.Spot || w.using(u.Team)+u.CPUs > w.teams[u.Team].CPUsMax {
 			continue
 		}
@@ -213,8 +213,8 @@
 		w.bounce(300*time.Millisecond, "c0", w.shardRec("blue").Holder)
 		w.run(8 * sec)
 		now := w.ladderNow()
-		if whole := now.Rungs()[0].Name == rungs[0].Name && now.Rungs()[1].Name == rungs[1].Name; !whole && fmt.Sprint(now.Rungs()) != fmt.Sprint(was.Rungs()) {
-			t.Errorf("ended %v after the change: %v", after, now.Rungs())
+		if whole := now.Tiers()[0].Name == rungs[0].Name && now.Tiers()[1].Name == rungs[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
+			t.Errorf("ended %v after the change: %v", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
 			if n.core.ver.Of(wire.KeyLadder) != w.key(wire.KeyLadder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].rec) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -384,7 +384,7 @@
 	// returned, is not: it would be paid for ever.
 	have := c.shardCPUs()
 	c.writeBlocks(infos, first, false, func(b *wire.Block) {
-		b.Shard = supply.Poorest(c.richness(b.Zone, have))
+		b.Shard = supply.LeastSupplied(c.richness(b.Zone, have))
 		have[b.Shard] += c.blockCPUs(b)
 	}, nil)
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -30,7 +30,7 @@
 	chief    wire.Leader
 	settings wire.Settings
 	cordons  map[string]wire.Cordon
-	ladder   *tiers.Ladder
+	ladder   *tiers.Order
 	rungs    wire.Ladder // the record that it was read from
 	started  *starts.Book
 	progress *progress.Book
@@ -76,7 +76,7 @@
 	return mirror{ver: records.New(), jobs: map[string]*jobEntry{},
 		blocks: map[string]*blockEntry{}, shards: map[int]*shardEntry{}, nodes: map[string]wire.Node{},
 		wants: map[int]wire.Want{}, types: map[string]wire.MachineType{},
-		settings: defaultSettings(), ladder: tiers.Of(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
+		settings: defaultSettings(), ladder: tiers.NewOrder(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
 		blockIn: map[string]string{}, dropping: map[string]bool{}, shardHas: map[int]map[string]int{}, newest: map[int]uint64{}, teamHome: map[string]int{}, caches: weights.NewCaches(tuning.CachesEvery)}
 }
 
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -13,7 +13,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var jobSize, needSize, lesser = supply.JobSize, supply.NeedSize, placement.Lesser
+var jobSize, needSize, lesser = supply.JobSize, supply.NeedSize, placement.Min
 
 // anyRoom walks over all waiting jobs, whatever they ask for.
 func anyRoom(string) placement.Size { return placement.Size{CPUs: inf, GPUs: inf, MemGB: inf} }
@@ -23,10 +23,10 @@
 // some now.
 func (c *Core) supplies(shard int, soon []*wire.Job) supply.Pool {
 	var list []*machine
-	rooms := map[*machine]supply.Room{}
+	rooms := map[*machine]supply.Capacity{}
 	add := func(m *machine, free placement.Size, doubted bool) {
 		list = append(list, m)
-		rooms[m] = supply.Room{Type: m.typ, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
+		rooms[m] = supply.Capacity{Type: m.typ, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
 	doubted := c.doubted(shard)
 	for m := range c.coming {
@@ -38,15 +38,15 @@
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
-	most := c.room.Most(shard)
+	most := c.room.MaxFree(shard)
 	var least *placement.Size
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return most
-	}, func(p *queue.Place[*jobEntry]) bool {
-		if s := p.Job.Ask; least == nil {
+	}, func(p *queue.Entry[*jobEntry]) bool {
+		if s := p.Job.TaskSize; least == nil {
 			least = &s
 		} else {
 			*least = lesser(*least, s)
@@ -61,17 +61,17 @@
 		least = &s
 	}
 	if least != nil {
-		c.room.Each(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
+		c.room.EachFitting(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
 	}
 	n := len(list)
 	for m := range c.idlers {
-		if f, ok := c.room.Of(m); ok && f.Usable && m.shard == shard {
+		if f, ok := c.room.Get(m); ok && f.Usable && m.shard == shard {
 			if _, in := rooms[m]; !in {
 				add(m, f.Free, false)
 			}
 			r := rooms[m]
-			r.Idle = c.idleOn(m)
-			r.Free = r.Free.Add(r.Idle)
+			r.IdleUse = c.idleOn(m)
+			r.Free = r.Free.Add(r.IdleUse)
 			rooms[m] = r
 		}
 	}
@@ -100,8 +100,8 @@
 	if left <= 0 {
 		return wire.Need{}, false
 	}
-	left -= c.room.Spare(shard)
-	u, rank := c.reserve.Task(shard)
+	left -= c.room.UrgentSlots(shard)
+	u, rank := c.reserve.TaskSize(shard)
 	doubted := c.doubted(shard)
 	for m := range c.coming {
 		if m.shard != shard || m.spot || doubted[m.name] {
@@ -122,7 +122,7 @@
 	c.update()
 	var out []wire.Need
 	if n, short := c.spareNeed(shard); short {
-		out = supply.Join(out, n, tuning.NeedsMax)
+		out = supply.MergeNeed(out, n, tuning.NeedsMax)
 	}
 	starved := false
 	used := map[string]placement.Size{}
@@ -136,7 +136,7 @@
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, j := p.Handle, &p.Handle.rec
 		if e.run == nil || c.health.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
@@ -151,11 +151,11 @@
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.room.Used(j.Team, shard)
 		}
-		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.deserves(p))
-		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
+		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.deserves(p))
+		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
-		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		waits := p.Within && e.prio >= urgentRank && c.now-e.run.since > tuning.DireAfter
+		left := want - in.Take(supply.Request{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
+		waits := p.WithinGuarantee && e.prio >= urgentRank && c.now-e.run.since > tuning.DireAfter
 		if left == 0 && !waits {
 			return true
 		}
@@ -164,13 +164,13 @@
 			// A boot is on its way at best; a borrowed machine is there now.
 			n.Dire, n.Booting, n.Tasks = true, left == 0, max(left, p.Job.Pending)
 		}
-		if p.Within && left > 0 {
+		if p.WithinGuarantee && left > 0 {
 			starved = true
 			if at, ok := c.dire[shard]; ok && c.now-at > tuning.DireAfter {
 				n.Dire = true
 			}
 		}
-		out = supply.Join(out, n, tuning.NeedsMax)
+		out = supply.MergeNeed(out, n, tuning.NeedsMax)
 		return true
 	})
 	for _, j := range soon { // after all that could run now
@@ -178,10 +178,10 @@
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.room.Used(j.Team, shard)
 		}
-		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
-		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
-		if left := want - in.Take(supply.Ask{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); left > 0 {
-			out = supply.Join(out, supply.NeedOf(j, j.Zone, left, c.ladder.Rank(j)), tuning.NeedsMax)
+		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
+		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
+		if left := want - in.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); left > 0 {
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, left, c.ladder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.dire[shard]; !starved {
@@ -195,15 +195,15 @@
 // deserves is for how many of a job's waiting tasks machines are asked for. Of work that
 // is run when there is nothing else to do, and of arrays with a deadline beyond a guarantee, it
 // is as many as are needed in time.
-func (c *Core) deserves(p *queue.Place[*jobEntry]) int {
-	e, pace, run := p.Handle, aimLimits, p.Job.Estimate
+func (c *Core) deserves(p *queue.Entry[*jobEntry]) int {
+	e, pace, run := p.Handle, aimLimits, p.Job.EstimateS
 	if e.prio > idleRank {
-		if e.prio >= urgentRank || p.Within || p.Job.Service || e.rec.DueS <= 0 {
+		if e.prio >= urgentRank || p.WithinGuarantee || p.Job.Service || e.rec.DueS <= 0 {
 			return p.Job.Pending
 		}
 		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
 	}
-	n := pace.Places(p.Job.Rest, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
+	n := pace.TargetParallelism(p.Job.Unfinished, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, n-len(e.run.active)))
 }
 
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -41,7 +41,7 @@
 			i++
 		}
 		if i == len(x.teams) {
-			x.teams = append(x.teams, ledger.Use{Team: a.team})
+			x.teams = append(x.teams, ledger.TeamUsage{Team: a.team})
 		}
 		x.teams[i].Size = x.teams[i].Size.Add(a.size)
 	}
@@ -102,12 +102,12 @@
 		i := c.shardOf(team)
 		m, ok := most[i]
 		if !ok {
-			m = c.room.Most(i)
+			m = c.room.MaxFree(i)
 			most[i] = m
 		}
 		t, u := c.p.Teams[team], c.room.Used(team, i)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
 			delete(most, c.shardOf(p.Job.Team))
 		}
@@ -130,7 +130,7 @@
 
 // kinds tells which kinds of machines a job's next task may be placed on.
 func (c *Core) kinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
-	return supply.Kinds(&e.rec, e.run.zone, zones)
+	return supply.KindFilter(&e.rec, e.run.zone, zones)
 }
 
 // unseen counts a job's tasks that may run on machines of an earlier holder: they count
@@ -154,7 +154,7 @@
 }
 
 // placeJob starts as many of a job's waiting tasks as fit, and says how many.
-func (c *Core) placeJob(p *queue.Place[*jobEntry]) (placed int) {
+func (c *Core) placeJob(p *queue.Entry[*jobEntry]) (placed int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
 	shard := c.shardOf(j.Team)
@@ -219,7 +219,7 @@
 
 // choose picks the machine of a job's next task among those the ledger proposes, nil if
 // none has room, and tells its beta.
-func (c *Core) choose(p *queue.Place[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
+func (c *Core) choose(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
 	kinds := c.kinds(e, zones)
@@ -227,7 +227,7 @@
 		// Back to where it was: its image is there, and that start is written
 		// already. After an outage hundreds start again at once.
 		if m := c.machines[onOf(j, run.retry[0])]; m != nil {
-			f, ok := c.room.Of(m)
+			f, ok := c.room.Get(m)
 			if ok && f.Usable && f.Shard == shard && kinds(f.Kind) && placement.Fits(f.Free, size) && !c.avoids(e, m) {
 				return m, placement.Beta(f.Free, size)
 			}
@@ -249,7 +249,7 @@
 // that is served as early and has its image there: the fetch takes as long as many a
 // task, and where tasks end all the time a place with the image comes soon. For a while
 // only: a job that has been passed over for long takes what there is.
-func (c *Core) leaveToLocal(p *queue.Place[*jobEntry], m *machine) bool {
+func (c *Core) leaveToLocal(p *queue.Entry[*jobEntry], m *machine) bool {
 	run, looked, found := p.Handle.run, 0, false
 	if run.passedOver > 0 && c.now-run.passedOver > tuning.LocalWait {
 		return false
@@ -261,12 +261,12 @@
 		}
 		t, u := c.p.Teams[team], c.room.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
-	}, func(o *queue.Place[*jobEntry]) bool {
+	}, func(o *queue.Entry[*jobEntry]) bool {
 		e := o.Handle
 		if looked++; looked > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = o != p && e.rank == p.Handle.rank && o.Within == p.Within && o.Late == p.Late && o.Overdue == p.Overdue && !c.barred(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
+		found = o != p && e.rank == p.Handle.rank && o.WithinGuarantee == p.WithinGuarantee && o.Late == p.Late && o.Overdue == p.Overdue && !c.barred(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
 			e.run.pending(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && zonesOf(e) == nil
 		return !found
 	})
@@ -283,14 +283,14 @@
 		func(m *machine) bool { return m.images[j.Image] }, c.found[:0])
 	c.cands = c.cands[:0]
 	for _, f := range c.found {
-		cand := placement.Candidate{Free: f.Free, Opens: f.Kind.Opens}
+		cand := placement.Candidate{Free: f.Free, EmptyRental: f.Kind.EmptyRental}
 		if j.Shape == wire.ShapeService {
-			cand.Load = zones[f.Kind.Zone]
+			cand.ServiceTasks = zones[f.Kind.Zone]
 		}
 		if f.Handle.images[j.Image] {
-			cand.Better = 1
+			cand.Preference = 1
 		} else if e.prio >= urgentRank && c.weights.Busy(f.Handle.name, j.Image) {
-			cand.Better = -1 // they would share its rate
+			cand.Preference = -1 // they would share its rate
 		}
 		c.cands = append(c.cands, cand)
 	}
@@ -314,7 +314,7 @@
 		return false
 	}
 	room := map[string]int{}
-	c.room.Each(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) { room[k.Zone] += placement.Beta(free, size) + 1 })
+	c.room.EachFitting(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) { room[k.Zone] += placement.Beta(free, size) + 1 })
 	zone, fits := supply.GangFits(j, waiting, room)
 	run.zone = cmp.Or(zone, run.zone)
 	return fits
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -23,13 +23,13 @@
 		return
 	}
 	var list []*jobEntry
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.order.Walk(anyRoom, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		upper := e.prio >= urgentRank || c.ladder.Named(e.rank)
+		upper := e.prio >= urgentRank || c.ladder.OperatorDefined(e.rank)
 		if !upper && (e.prio <= idleRank || len(c.idlers) == 0) {
-			return !c.ladder.Plain() // nothing gives way to it; by priority the order begins with urgent jobs
+			return !c.ladder.PriorityOnly() // nothing gives way to it; by priority the order begins with urgent jobs
 		}
-		if !upper && !p.Within || c.health.Trial(e.rec.ID) {
+		if !upper && !p.WithinGuarantee || c.health.Trial(e.rec.ID) {
 			return true
 		}
 		// For a part of a gang no work is stopped: the rest may find no room.
@@ -73,10 +73,10 @@
 		case a.stop || c.jobs[a.job] == nil:
 			x.Free = x.Free.Add(a.size) // already leaving
 		case a.known && a.lesser && c.jobs[a.job].rank < least:
-			x.Victims = append(x.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
+			x.Victims = append(x.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Runtime: c.now - a.running, Idle: a.idle})
 		}
 	}
-	x.Sort()
+	x.SortVictims()
 	return x
 }
 
@@ -123,7 +123,7 @@
 				continue
 			}
 			dire = true
-			k := supply.Borrower(c.richness("", c.shardCPUs()), i)
+			k := supply.MostOversupplied(c.richness("", c.shardCPUs()), i)
 			if k < 0 || !c.mine(k) {
 				continue
 			}
@@ -172,25 +172,25 @@
 			continue
 		}
 		full, _ := c.sizeOf(b.rec.Type)
-		x := disruption.Block{Name: id, Emptied: c.vacating[id] || b.rec.Idle, Holds: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
+		x := disruption.Block{Name: id, Vacated: c.vacating[id] || b.rec.Idle, TaskSlots: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
 		for _, bm := range b.rec.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
-				x.Fixed = true
+				x.Pinned = true
 				break
 			}
 			for _, a := range m.attempts {
 				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > n.Rung) {
-					x.Fixed = true
+					x.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
-					x.Lost += c.now - a.running + time.Second
+					x.LostRuntime += c.now - a.running + time.Second
 				}
 			}
 		}
 		blocks = append(blocks, x)
 	}
-	best, loss := disruption.Empty(blocks, n.Tasks)
+	best, loss := disruption.ChooseBlock(blocks, n.Tasks)
 	if best == "" {
 		return
 	}
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -93,18 +93,18 @@
 func (w *world) recountRoom(name string, c *Core) {
 	used, spare, open, most, coming := c.plainUsage(), map[int]int{}, map[int]int{}, map[int]placement.Size{}, map[string]bool{}
 	for _, m := range c.heldMachines() {
-		f, ok := c.room.Of(m)
+		f, ok := c.room.Get(m)
 		if !ok {
 			w.t.Fatalf("%v: %s: %s is not in the ledger", w.now, name, m.name)
 		}
 		w.same(name+" usable "+m.name, c.usable(m), f.Usable)
 		w.same(name+" room of "+m.name, c.freeToAll(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
-		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0}, f.Kind)
+		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, EmptyRental: !m.base && len(m.attempts) == 0}, f.Kind)
 		if c.usable(m) {
 			s := most[m.shard]
 			most[m.shard] = placement.Size{CPUs: max(s.CPUs, f.Free.CPUs), GPUs: max(s.GPUs, f.Free.GPUs), MemGB: max(s.MemGB, f.Free.MemGB)}
 			if !m.spot {
-				urgent, _ := c.reserve.Task(m.shard)
+				urgent, _ := c.reserve.TaskSize(m.shard)
 				spare[m.shard] += c.roomFor(m, urgent)
 			}
 		}
@@ -119,8 +119,8 @@
 		w.same(name+" used by "+t, used[t], c.room.Used(t, c.shardOf(t)), cmpopts.EquateApprox(0, 1e-6))
 	}
 	for _, i := range c.shardIDs() {
-		w.same(name+" spare room", spare[i], c.room.Spare(i))
-		w.same(name+" most room", most[i], c.room.Most(i))
+		w.same(name+" spare room", spare[i], c.room.UrgentSlots(i))
+		w.same(name+" most room", most[i], c.room.MaxFree(i))
 		w.same(name+" machines not accounted for", open[i], c.open[i])
 		newest, cpus := uint64(0), 0.0
 		for _, b := range c.blocks {
@@ -147,8 +147,8 @@
 	for _, p := range c.plainQueue() {
 		want = append(want, fmt.Sprint(p.e.rec.ID, " ", p.pending, " ", p.within, " ", p.late, " ", p.overdue))
 	}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
-		got = append(got, fmt.Sprint(p.Job.ID, " ", p.Job.Pending, " ", p.Within, " ", p.Late, " ", p.Overdue))
+	c.order.Walk(anyRoom, func(p *queue.Entry[*jobEntry]) bool {
+		got = append(got, fmt.Sprint(p.Job.ID, " ", p.Job.Pending, " ", p.WithinGuarantee, " ", p.Late, " ", p.Overdue))
 		return true
 	})
 	w.same(name+" order of service", want, got)
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -16,7 +16,7 @@
 // and have never been in a block.
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
 	l := &c.leader
-	blocks := supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, base, fresh)
+	blocks := supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.BlockSize, Max: tuning.BlockSizeMax, BlocksPerBatch: tuning.BlocksAtOnce}, base, fresh)
 	l.writing = true
 	var write func(rest []wire.Block, allOK bool)
 	write = func(rest []wire.Block, allOK bool) {
@@ -53,7 +53,7 @@
 // richness is what each shard has for its teams' guarantees, as machines of a zone see it.
 func (c *Core) richness(zone string, have map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
-		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
+		list = append(list, supply.Shard{Index: i, HaveCPUs: have[i], GuaranteedCPUs: c.guarantee(i), SameZone: c.p.Nodes[c.shards[i].rec.Holder] == zone})
 	}
 	return list
 }
@@ -65,7 +65,7 @@
 	if l.writing || len(c.types) == 0 {
 		return
 	}
-	var open []supply.Open
+	var open []supply.Shortage
 	for _, i := range c.shardIDs() {
 		w := c.wantOf(i)
 		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.newestBlock(i) {
@@ -73,9 +73,9 @@
 		}
 		// Rented and not yet in a block: the holder does not know of them. To wait for
 		// their blocks before renting more took ten seconds where changes were short.
-		open = append(open, supply.Lacking(i, w.Needs, c.booked(i))...)
+		open = append(open, supply.Shortages(i, w.Needs, c.booked(i))...)
 	}
-	supply.ByRung(open)
+	supply.SortByTier(open)
 	for _, x := range open {
 		if c.moveIdle(x.Shard, x.Need) || !x.Need.Booting && c.rent(x.Shard, x.Need) {
 			return
@@ -87,7 +87,7 @@
 func (c *Core) booked(shard int) (p supply.Pool) {
 	for _, info := range c.leader.booked[shard] {
 		if full, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
-			p = append(p, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: full})
+			p = append(p, supply.Capacity{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: full})
 		}
 	}
 	return p
@@ -132,7 +132,7 @@
 	for _, o := range supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
 		if c.now >= l.pause[o.Key()] {
 			offers = append(offers, o)
-			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
+			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.MachineCount(n.Tasks, tuning.RentMax)})
 		}
 	}
 	k, count := c.boots.Choose(c.now, asks)
@@ -168,7 +168,7 @@
 			if len(r.Names) < req.Count {
 				l.pause[key] = c.now + tuning.NoCapacityPause
 			}
-			infos := supply.Machines(req, r.Names)
+			infos := supply.RentedMachines(req, r.Names)
 			if len(infos) == 0 {
 				delete(l.renting, shard)
 				return
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -149,7 +149,7 @@
 	}
 	m.session, m.seq, m.lastReport, m.over = r.Session, r.Seq, c.now, false
 	m.addr, m.seenToken = r.Addr, r.Token
-	if c.room.Heard(m, m.name, c.now) {
+	if c.room.RecordReport(m, m.name, c.now) {
 		c.touch(m)
 	}
 	if !m.reported {
@@ -315,7 +315,7 @@
 	c.touchJob(e)
 	if a.cause == wire.CauseDone {
 		if was == wire.TaskRunning {
-			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.running)
+			c.runs.Record(e.rec.Class, e.rec.EstimateS, c.now-a.running)
 		}
 		e.run.done = e.run.done.Add(a.idx)
 		e.run.fails = 0
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -15,8 +15,8 @@
 	Free   placement.Size
 	// Moves are its tasks, if all of them may be moved and the machine is worth emptying;
 	// Stays: it is not.
-	Moves []Move[M]
-	Stays bool
+	Moves  []Move[M]
+	Pinned bool
 }
 
 // Move is a task that would go to another machine.
@@ -37,7 +37,7 @@
 		if len(out) >= most || i >= look {
 			break
 		}
-		if _, target := taken[m.Handle]; target || m.Stays {
+		if _, target := taken[m.Handle]; target || m.Pinned {
 			continue
 		}
 		if more, ok := m.fit(in, taken, leaving); ok {
@@ -73,22 +73,22 @@
 
 // Block is a block that might be emptied for another shard.
 type Block struct {
-	Name    string
-	Emptied bool          // it is being emptied, or stands idle
-	Holds   int           // tasks of what is asked for
-	Lost    time.Duration // running time that would be lost
-	Fixed   bool          // work on it may not be stopped for this
+	Name        string
+	Vacated     bool          // it is being emptied, or stands idle
+	TaskSlots   int           // tasks of what is asked for
+	LostRuntime time.Duration // running time that would be lost
+	Pinned      bool          // work on it may not be stopped for this
 }
 
 // Empty is the block where the least is lost, if those that are emptied already do not hold
 // all that is asked for; "": none.
-func Empty(blocks []Block, tasks int) (best string, lost time.Duration) {
+func ChooseBlock(blocks []Block, tasks int) (best string, lost time.Duration) {
 	for _, b := range blocks {
 		switch {
-		case b.Emptied:
-			tasks -= b.Holds
-		case !b.Fixed && (best == "" || b.Lost < lost):
-			best, lost = b.Name, b.Lost
+		case b.Vacated:
+			tasks -= b.TaskSlots
+		case !b.Pinned && (best == "" || b.LostRuntime < lost):
+			best, lost = b.Name, b.LostRuntime
 		}
 	}
 	if tasks <= 0 {
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -18,8 +18,8 @@
 	}
 	machines := func() []Machine[string] {
 		return []Machine[string]{
-			{Handle: "full", Stays: true},
-			{Handle: "busy", Free: size(2), Stays: true},
+			{Handle: "full", Pinned: true},
+			{Handle: "busy", Free: size(2), Pinned: true},
 			{Handle: "a", Free: size(3), Moves: []Move[string]{onto()}},
 			{Handle: "b", Free: size(3), Moves: []Move[string]{onto("busy")}},
 			{Handle: "c", Free: size(3), Moves: []Move[string]{onto("full")}},
@@ -42,11 +42,11 @@
 
 // The block where least is lost is emptied, unless those emptied already are enough.
 func TestEmpty(t *testing.T) {
-	blocks := []Block{{Name: "x", Lost: 9 * time.Second}, {Name: "y", Lost: 3 * time.Second}, {Name: "z", Lost: 0, Fixed: true}, {Name: "w", Emptied: true, Holds: 4}}
-	if got, _ := Empty(blocks, 5); got != "y" {
+	blocks := []Block{{Name: "x", LostRuntime: 9 * time.Second}, {Name: "y", LostRuntime: 3 * time.Second}, {Name: "z", LostRuntime: 0, Pinned: true}, {Name: "w", Vacated: true, TaskSlots: 4}}
+	if got, _ := ChooseBlock(blocks, 5); got != "y" {
 		t.Errorf("emptied %q", got)
 	}
-	if got, _ := Empty(blocks, 4); got != "" {
+	if got, _ := ChooseBlock(blocks, 4); got != "" {
 		t.Errorf("enough is being emptied, and %q too", got)
 	}
 }
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -3,7 +3,7 @@
 import "github.com/barrowbridge/barrowbridge/internal/placement"
 
 // Found is a machine that has room.
-type Found[H comparable] struct {
+type Match[H comparable] struct {
 	Handle H
 	Kind   Kind
 	Free   placement.Size
@@ -21,7 +21,7 @@
 // resource alone: each order is walked upwards from what is asked, as long as that
 // resource allows no more copies than the first that fits. The largest is found by
 // walking one order downwards until it allows fewer copies than what was found.
-func (b *Book[H]) Find(shard int, ask placement.Size, anchor bool, look int, kind func(Kind) bool, allowed, better func(H) bool, out []Found[H]) []Found[H] {
+func (b *Ledger[H]) Find(shard int, ask placement.Size, anchor bool, look int, kind func(Kind) bool, allowed, better func(H) bool, out []Match[H]) []Match[H] {
 	for _, k := range b.kinds {
 		if k.Shard != shard || !kind(k) {
 			continue
@@ -42,7 +42,7 @@
 
 // pivot is an entry to start a walk at: what has this much left of every resource.
 func pivot[H comparable](ask placement.Size) *entry[H] {
-	return &entry[H]{facts: Facts{Free: placement.Size{CPUs: ask.CPUs - eps, GPUs: ask.GPUs - eps, MemGB: ask.MemGB - eps}}}
+	return &entry[H]{facts: MachineState{Free: placement.Size{CPUs: ask.CPUs - eps, GPUs: ask.GPUs - eps, MemGB: ask.MemGB - eps}}}
 }
 
 // only leaves one resource of an ask.
@@ -56,7 +56,7 @@
 	return placement.Size{GPUs: ask.GPUs}
 }
 
-func (g *group[H]) smallest(k Kind, r int, ask placement.Size, look int, allowed, better func(H) bool, out []Found[H]) []Found[H] {
+func (g *group[H]) smallest(k Kind, r int, ask placement.Size, look int, allowed, better func(H) bool, out []Match[H]) []Match[H] {
 	least, one := -1, only(ask, r)
 	g.by[r].AscendGreaterOrEqual(pivot[H](ask), func(e *entry[H]) bool {
 		if !placement.Fits(e.facts.Free, ask) || !allowed(e.handle) {
@@ -67,14 +67,14 @@
 			return false
 		}
 		least = n
-		out = append(out, Found[H]{e.handle, k, e.facts.Free})
+		out = append(out, Match[H]{e.handle, k, e.facts.Free})
 		look--
 		return look > 0 && !better(e.handle)
 	})
 	return out
 }
 
-func (g *group[H]) largest(k Kind, ask placement.Size, look int, allowed, better func(H) bool, out []Found[H]) []Found[H] {
+func (g *group[H]) largest(k Kind, ask placement.Size, look int, allowed, better func(H) bool, out []Match[H]) []Match[H] {
 	r := 0
 	for r < resources-1 && amount(ask, r) <= 0 {
 		r++
@@ -89,7 +89,7 @@
 		}
 		seen++
 		if better(e.handle) { // the first that is better has the largest beta of these, nearly always
-			out = append(out, Found[H]{e.handle, k, e.facts.Free})
+			out = append(out, Match[H]{e.handle, k, e.facts.Free})
 			return false
 		}
 		if n := placement.Beta(e.facts.Free, one); n < most {
@@ -97,7 +97,7 @@
 		}
 		if n := placement.Beta(e.facts.Free, ask); n > most {
 			most = n
-			out = append(out, Found[H]{e.handle, k, e.facts.Free})
+			out = append(out, Match[H]{e.handle, k, e.facts.Free})
 		}
 		return true
 	})
@@ -106,7 +106,7 @@
 
 // Each calls f with every usable machine of a shard that has room for a task. It
 // costs as much as there are such machines.
-func (b *Book[H]) Each(shard int, ask placement.Size, kind func(Kind) bool, f func(H, Kind, placement.Size)) {
+func (b *Ledger[H]) EachFitting(shard int, ask placement.Size, kind func(Kind) bool, f func(H, Kind, placement.Size)) {
 	for _, k := range b.kinds {
 		if k.Shard != shard || !kind(k) {
 			continue
@@ -121,10 +121,10 @@
 }
 
 // Of returns what is known of a machine.
-func (b *Book[H]) Of(h H) (Facts, bool) {
+func (b *Ledger[H]) Get(h H) (MachineState, bool) {
 	e := b.byHandle[h]
 	if e == nil || !e.known {
-		return Facts{}, false
+		return MachineState{}, false
 	}
 	return e.facts, true
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -25,30 +25,30 @@
 	Zone  string
 	Spot  bool
 	// Opens: empty and paid for by the second; see placement.Candidate.
-	Opens bool
+	EmptyRental bool
 }
 
 // Use is what one team has on a machine.
-type Use struct {
+type TeamUsage struct {
 	Team string
 	Size placement.Size
 }
 
 // Facts is what the owner of a machine says of it.
-type Facts struct {
+type MachineState struct {
 	Kind
 	Usable bool           // tasks may be placed on it now
 	Free   placement.Size // what nothing may be using
-	Uses   []Use
+	Usage  []TeamUsage
 	// Unknown counts against every team of the shard: what may run there unseen.
-	Unknown placement.Size
+	UnknownUse placement.Size
 	// Spare is how many urgent tasks it could take at once, lesser work giving way.
-	Spare int
+	UrgentSlots int
 }
 
 // Book is the ledger of the machines of one controller. H is the owner's handle of a
 // machine.
-type Book[H comparable] struct {
+type Ledger[H comparable] struct {
 	byHandle map[H]*entry[H]
 	groups   map[Kind]*group[H]
 	kinds    []Kind // of groups, in the order they came up
@@ -60,7 +60,7 @@
 type entry[H comparable] struct {
 	handle H
 	name   string
-	facts  Facts
+	facts  MachineState
 	known  bool // facts have been put
 	at     time.Duration
 	elem   *list.Element // in heard; nil: silent for too long, or never heard
@@ -97,12 +97,12 @@
 }
 
 // New returns an empty book.
-func New[H comparable]() *Book[H] {
-	return &Book[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*teamSum{},
+func New[H comparable]() *Ledger[H] {
+	return &Ledger[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*teamSum{},
 		unknown: map[int]*shardSum{}, heard: list.New()}
 }
 
-func (b *Book[H]) entryOf(h H, name string) *entry[H] {
+func (b *Ledger[H]) entryOf(h H, name string) *entry[H] {
 	e := b.byHandle[h]
 	if e == nil {
 		e = &entry[H]{handle: h, name: name}
@@ -112,22 +112,22 @@
 }
 
 // Put replaces what is known of a machine. Names order machines that are alike.
-func (b *Book[H]) Put(h H, name string, f Facts) {
+func (b *Ledger[H]) Put(h H, name string, f MachineState) {
 	e := b.entryOf(h, name)
 	b.take(e)
 	e.facts, e.known = f, true
-	for _, u := range f.Uses {
+	for _, u := range f.Usage {
 		b.team(u.Team).add(u.Size, 1)
 	}
 	s := b.shard(f.Shard)
-	if f.Unknown != (placement.Size{}) {
-		s.add(f.Unknown, 1)
+	if f.UnknownUse != (placement.Size{}) {
+		s.add(f.UnknownUse, 1)
 	}
 	if !f.Usable {
 		return
 	}
 	if !f.Spot {
-		s.spare += f.Spare
+		s.spare += f.UrgentSlots
 	}
 	g := b.groups[f.Kind]
 	if g == nil {
@@ -154,24 +154,24 @@
 }
 
 // take undoes what Put added.
-func (b *Book[H]) take(e *entry[H]) {
+func (b *Ledger[H]) take(e *entry[H]) {
 	if !e.known {
 		return
 	}
 	e.known = false
 	f := e.facts
-	for _, u := range f.Uses {
+	for _, u := range f.Usage {
 		b.team(u.Team).add(u.Size, -1)
 	}
 	s := b.shard(f.Shard)
-	if f.Unknown != (placement.Size{}) {
-		s.add(f.Unknown, -1)
+	if f.UnknownUse != (placement.Size{}) {
+		s.add(f.UnknownUse, -1)
 	}
 	if !f.Usable {
 		return
 	}
 	if !f.Spot {
-		s.spare -= f.Spare
+		s.spare -= f.UrgentSlots
 	}
 	g := b.groups[f.Kind]
 	for r := range resources {
@@ -180,7 +180,7 @@
 }
 
 // Drop forgets a machine.
-func (b *Book[H]) Drop(h H) {
+func (b *Ledger[H]) Remove(h H) {
 	if e := b.byHandle[h]; e != nil {
 		b.take(e)
 		if e.elem != nil {
@@ -192,7 +192,7 @@
 
 // Heard notes a report of a machine. It tells whether the machine had been silent for
 // too long, or was never heard, so that its facts have to be put anew.
-func (b *Book[H]) Heard(h H, name string, now time.Duration) (back bool) {
+func (b *Ledger[H]) RecordReport(h H, name string, now time.Duration) (back bool) {
 	e := b.entryOf(h, name)
 	e.at = now
 	if e.elem != nil {
@@ -204,7 +204,7 @@
 }
 
 // Silent returns the machines last heard at or before a time, each once.
-func (b *Book[H]) Silent(until time.Duration) (hs []H) {
+func (b *Ledger[H]) TakeSilent(until time.Duration) (hs []H) {
 	for el := b.heard.Front(); el != nil; el = b.heard.Front() {
 		e := el.Value.(*entry[H])
 		if e.at > until {
@@ -217,7 +217,7 @@
 	return hs
 }
 
-func (b *Book[H]) team(name string) *teamSum {
+func (b *Ledger[H]) team(name string) *teamSum {
 	t := b.teams[name]
 	if t == nil {
 		t = &teamSum{}
@@ -226,7 +226,7 @@
 	return t
 }
 
-func (b *Book[H]) shard(i int) *shardSum {
+func (b *Ledger[H]) shard(i int) *shardSum {
 	s := b.unknown[i]
 	if s == nil {
 		s = &shardSum{}
@@ -247,7 +247,7 @@
 
 // Used is what a team's tasks may use at the most, with all that may run unseen in
 // its shard.
-func (b *Book[H]) Used(team string, shard int) placement.Size {
+func (b *Ledger[H]) Used(team string, shard int) placement.Size {
 	u := b.team(team).size
 	if s := b.unknown[shard]; s != nil {
 		u = u.Add(s.size)
@@ -257,11 +257,11 @@
 
 // Spare is how many urgent tasks the usable machines of a shard could take at once,
 // spot machines apart.
-func (b *Book[H]) Spare(shard int) int { return b.shard(shard).spare }
+func (b *Ledger[H]) UrgentSlots(shard int) int { return b.shard(shard).spare }
 
 // Most is, resource by resource, the most that any one usable machine of a shard has
 // left: what exceeds it fits nowhere.
-func (b *Book[H]) Most(shard int) placement.Size {
+func (b *Ledger[H]) MaxFree(shard int) placement.Size {
 	m := [resources]float64{}
 	for _, k := range b.kinds {
 		if k.Shard != shard {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -10,17 +10,17 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-func drawFacts(t *rapid.T) Facts {
-	f := Facts{Kind: Kind{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), Type: "std", Zone: rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), Opens: rapid.Bool().Draw(t, "opens")},
-		Usable: rapid.IntRange(0, 3).Draw(t, "usable") > 0,
-		Free:   placement.Size{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10, MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem"))},
-		Spare:  rapid.IntRange(0, 4).Draw(t, "spare")}
+func drawFacts(t *rapid.T) MachineState {
+	f := MachineState{Kind: Kind{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), Type: "std", Zone: rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
+		Spot: rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "opens")},
+		Usable:      rapid.IntRange(0, 3).Draw(t, "usable") > 0,
+		Free:        placement.Size{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10, MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem"))},
+		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "spare")}
 	if rapid.Bool().Draw(t, "used") {
-		f.Uses = []Use{{rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), placement.Size{CPUs: 0.1}}}
+		f.Usage = []TeamUsage{{rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), placement.Size{CPUs: 0.1}}}
 	}
 	if rapid.IntRange(0, 4).Draw(t, "unknown") == 0 {
-		f.Unknown = placement.Size{CPUs: 4, MemGB: 16}
+		f.UnknownUse = placement.Size{CPUs: 4, MemGB: 16}
 	}
 	return f
 }
@@ -29,11 +29,11 @@
 // heuristic chooses among what is proposed a machine of the same beta as among all.
 func TestProposesWhatThePlainWayWouldChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, all := New[int](), map[int]Facts{}
+		b, all := New[int](), map[int]MachineState{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			h := rapid.IntRange(0, 25).Draw(t, "machine")
 			if rapid.IntRange(0, 5).Draw(t, "drop") == 0 {
-				b.Drop(h)
+				b.Remove(h)
 				delete(all, h)
 				continue
 			}
@@ -45,10 +45,10 @@
 		anchor := rapid.Bool().Draw(t, "anchor")
 		image := rapid.Map(rapid.IntRange(2, 9), func(n int) func(int) bool { return func(h int) bool { return h%n == 0 } }).Draw(t, "image")
 		kinds := func(k Kind) bool { return !k.Spot }
-		candidate := func(f Facts, h int) placement.Candidate {
-			c := placement.Candidate{Free: f.Free, Opens: f.Opens}
+		candidate := func(f MachineState, h int) placement.Candidate {
+			c := placement.Candidate{Free: f.Free, EmptyRental: f.EmptyRental}
 			if image(h) {
-				c.Better = 1
+				c.Preference = 1
 			}
 			return c
 		}
@@ -60,21 +60,21 @@
 				continue
 			}
 			if f.Shard == 0 && f.Usable && !f.Spot {
-				spare += f.Spare
+				spare += f.UrgentSlots
 				if placement.Fits(f.Free, ask) {
 					plain = append(plain, candidate(f, h))
 				}
 			}
-			for _, u := range f.Uses {
+			for _, u := range f.Usage {
 				if u.Team == "red" {
 					used = used.Add(u.Size)
 				}
 			}
 			if f.Shard == 0 {
-				used = used.Add(f.Unknown)
+				used = used.Add(f.UnknownUse)
 			}
 		}
-		if got := b.Spare(0); got != spare {
+		if got := b.UrgentSlots(0); got != spare {
 			t.Fatalf("spare room %d, counted afresh %d", got, spare)
 		}
 		if got := b.Used("red", 0); !placement.Fits(got, used) || !placement.Fits(used, got) {
@@ -82,7 +82,7 @@
 		}
 		var cs []placement.Candidate
 		for _, f := range b.Find(0, ask, anchor, 64, kinds, func(int) bool { return true }, image, nil) {
-			cs = append(cs, candidate(Facts{Kind: f.Kind, Free: f.Free}, f.Handle))
+			cs = append(cs, candidate(MachineState{Kind: f.Kind, Free: f.Free}, f.Handle))
 		}
 		want, got := placement.Pick(plain, ask, anchor), placement.Pick(cs, ask, anchor)
 		if (want < 0) != (got < 0) {
@@ -92,7 +92,7 @@
 			return
 		}
 		x, y := plain[want], cs[got]
-		if x.Better != y.Better || anchor && x.Opens != y.Opens || placement.Beta(x.Free, ask) != placement.Beta(y.Free, ask) {
+		if x.Preference != y.Preference || anchor && x.EmptyRental != y.EmptyRental || placement.Beta(x.Free, ask) != placement.Beta(y.Free, ask) {
 			t.Fatalf("chosen %+v, the plain way %+v", y, x)
 		}
 	})
@@ -101,20 +101,20 @@
 func TestSilentMachinesAreToldOnce(t *testing.T) {
 	b := New[string]()
 	for i, h := range []string{"a", "b", "c"} {
-		if !b.Heard(h, h, time.Duration(i)*time.Second) {
+		if !b.RecordReport(h, h, time.Duration(i)*time.Second) {
 			t.Fatalf("%s was known before", h)
 		}
 	}
-	if b.Heard("a", "a", 3*time.Second) {
+	if b.RecordReport("a", "a", 3*time.Second) {
 		t.Error("a was never silent")
 	}
-	if got := fmt.Sprint(b.Silent(2 * time.Second)); got != "[b c]" {
+	if got := fmt.Sprint(b.TakeSilent(2 * time.Second)); got != "[b c]" {
 		t.Errorf("silent: %s", got)
 	}
-	if got := b.Silent(2 * time.Second); got != nil {
+	if got := b.TakeSilent(2 * time.Second); got != nil {
 		t.Errorf("told twice: %v", got)
 	}
-	if !b.Heard("c", "c", 4*time.Second) {
+	if !b.RecordReport("c", "c", 4*time.Second) {
 		t.Error("c is back, and was not said to be")
 	}
 }
@@ -124,12 +124,12 @@
 	for _, n := range []int{100, 1000, 10000} {
 		book := New[int]()
 		for i := range n {
-			book.Put(i, fmt.Sprintf("n-%06d", i), Facts{Kind: Kind{Type: "std", Zone: []string{"n", "s"}[i%2]}, Usable: true,
+			book.Put(i, fmt.Sprintf("n-%06d", i), MachineState{Kind: Kind{Type: "std", Zone: []string{"n", "s"}[i%2]}, Usable: true,
 				Free: placement.Size{CPUs: float64(i%40) / 10, MemGB: float64(i % 17)}})
 		}
 		for _, anchor := range []bool{false, true} {
 			b.Run(fmt.Sprintf("anchor-%v-%d", anchor, n), func(b *testing.B) {
-				var out []Found[int]
+				var out []Match[int]
 				for range b.N {
 					out = book.Find(0, placement.Size{CPUs: 1.5, MemGB: 5}, anchor, 64, func(Kind) bool { return true }, func(int) bool { return true }, func(int) bool { return false }, out[:0])
 				}
@@ -137,7 +137,7 @@
 		}
 		b.Run(fmt.Sprintf("put-%d", n), func(b *testing.B) {
 			for i := range b.N {
-				f, _ := book.Of(i % n)
+				f, _ := book.Get(i % n)
 				f.Free.CPUs = float64(i%37) / 10
 				book.Put(i%n, fmt.Sprintf("n-%06d", i%n), f)
 			}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,13 +45,13 @@
 		cpus, gpus := t.Most()
 		p.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: cpus, GPUs: t.GPUs, GPUsMax: gpus}
 	}
-	p.Aims.Finished, p.Aims.Begun = map[string]float64{}, map[string]float64{}
+	p.Aims.CompleteWithinS, p.Aims.StartWithinS = map[string]float64{}, map[string]float64{}
 	for _, o := range cfg.Params.Objectives {
 		switch o.Kind {
 		case "finished":
-			p.Aims.Finished[o.Class] = o.WithinS
+			p.Aims.CompleteWithinS[o.Class] = o.WithinS
 		case "wait":
-			p.Aims.Begun[o.Class] = o.WithinS
+			p.Aims.StartWithinS[o.Class] = o.WithinS
 		}
 	}
 	return p
--- a/internal/node/params_test.go
+++ b/internal/node/params_test.go
@@ -11,7 +11,7 @@
 	cfg := &config.Config{}
 	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "scan", WithinS: 300}, {Kind: "wait", Class: "stitch", WithinS: 40}, {Kind: "deadline", Class: "plan"}}
 	a := Params(cfg).Aims
-	if len(a.Finished) != 1 || a.Finished["scan"] != 300 || len(a.Begun) != 1 || a.Begun["stitch"] != 40 {
+	if len(a.CompleteWithinS) != 1 || a.CompleteWithinS["scan"] != 300 || len(a.StartWithinS) != 1 || a.StartWithinS["stitch"] != 40 {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,7 +20,7 @@
 func (a Size) Add(b Size) Size { return Size{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemGB + b.MemGB} }
 
 // Lesser is what two amounts both hold.
-func Lesser(a, b Size) Size {
+func Min(a, b Size) Size {
 	return Size{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemGB, b.MemGB)}
 }
 
@@ -49,15 +49,15 @@
 type Candidate struct {
 	Free Size
 	// Load is how many tasks of the same service its zone holds; 0 elsewhere.
-	Load int
+	ServiceTasks int
 	// Opens: the machine is empty and paid for by the second. Exception to the
 	// paper, where nodes cost nothing while empty: an anchor takes the largest
 	// beta among the machines already in use, if one fits.
-	Opens bool
+	EmptyRental bool
 	// Better, larger first, breaks ties of beta (an image at hand, say). Second
 	// exception: for an anchor it goes before beta, since a fetch takes longer
 	// than users wait for a first task.
-	Better int
+	Preference int
 }
 
 // Pick returns the chosen candidate's index, or -1: the zone with the least
@@ -76,23 +76,23 @@
 		}
 		o := cs[best]
 		switch {
-		case c.Load != o.Load:
-			if c.Load < o.Load {
+		case c.ServiceTasks != o.ServiceTasks:
+			if c.ServiceTasks < o.ServiceTasks {
 				best, bestBeta = i, b
 			}
-		case anchor && c.Better != o.Better:
-			if c.Better > o.Better {
+		case anchor && c.Preference != o.Preference:
+			if c.Preference > o.Preference {
 				best, bestBeta = i, b
 			}
-		case anchor && c.Opens != o.Opens:
-			if o.Opens {
+		case anchor && c.EmptyRental != o.EmptyRental:
+			if o.EmptyRental {
 				best, bestBeta = i, b
 			}
 		case b != bestBeta:
 			if (b > bestBeta) == anchor {
 				best, bestBeta = i, b
 			}
-		case c.Better > o.Better:
+		case c.Preference > o.Preference:
 			best = i
 		}
 	}
@@ -101,7 +101,7 @@
 
 // Under is how many more tasks of a size may start before a limit in CPUs and GPUs, at most
 // so many.
-func Under(cpus, gpus float64, used, size Size, most int) int {
+func TasksUnderLimit(cpus, gpus float64, used, size Size, most int) int {
 	n := float64(most)
 	if size.CPUs > 0 {
 		n = min(n, math.Floor((cpus-used.CPUs)/size.CPUs+1e-6))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -28,7 +28,7 @@
 	ask := Size{CPUs: 1, MemGB: 3}
 	free := func(cpus float64) Candidate { return Candidate{Free: Size{CPUs: cpus, MemGB: 16}} }
 	at := func(cpus float64, load, better int) Candidate {
-		return Candidate{Free: Size{CPUs: cpus, MemGB: 16}, Load: load, Better: better}
+		return Candidate{Free: Size{CPUs: cpus, MemGB: 16}, ServiceTasks: load, Preference: better}
 	}
 	for _, c := range []struct {
 		name   string
@@ -42,8 +42,8 @@
 		{"nothing fits", []Candidate{free(0), free(0.9)}, true, -1},
 		{"a service goes to the emptier zone first", []Candidate{at(1, 1, 0), at(4, 0, 0), at(2, 0, 0)}, false, 2},
 		{"an image at hand breaks a tie only", []Candidate{at(2, 0, 0), at(2, 0, 1), at(1, 0, 0)}, false, 2},
-		{"an anchor keeps to machines in use", []Candidate{{Free: Size{CPUs: 4, MemGB: 16}, Opens: true}, free(2), free(3)}, true, 2},
-		{"and opens one when none of them fits", []Candidate{{Free: Size{CPUs: 4, MemGB: 16}, Opens: true}, free(0)}, true, 0},
+		{"an anchor keeps to machines in use", []Candidate{{Free: Size{CPUs: 4, MemGB: 16}, EmptyRental: true}, free(2), free(3)}, true, 2},
+		{"and opens one when none of them fits", []Candidate{{Free: Size{CPUs: 4, MemGB: 16}, EmptyRental: true}, free(0)}, true, 0},
 		{"an anchor goes where its image is", []Candidate{at(4, 0, 0), at(2, 0, 1), at(3, 0, 1)}, true, 2},
 		{"an image at hand breaks a tie", []Candidate{at(2, 0, 0), at(2, 0, 1)}, false, 1},
 	} {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -12,10 +12,10 @@
 
 // Victim is a task that may have to give way.
 type Victim[T any] struct {
-	Handle T
-	Size   placement.Size
-	Ran    time.Duration
-	Idle   bool // gives way to all other work, else to urgent work only
+	Handle  T
+	Size    placement.Size
+	Runtime time.Duration
+	Idle    bool // gives way to all other work, else to urgent work only
 	// Unsent: its place is reserved, and nobody has been told to start it. It gives way to
 	// whatever is served first, and nothing is lost.
 	Unsent bool
@@ -31,14 +31,14 @@
 
 // Sort puts the victims in the order in which they give way: what has not been sent, idle
 // work, then what has run the least.
-func (m *Machine[M, T]) Sort() {
+func (m *Machine[M, T]) SortVictims() {
 	sort.SliceStable(m.Victims, func(i, j int) bool {
 		if a, b := &m.Victims[i], &m.Victims[j]; a.Unsent != b.Unsent {
 			return a.Unsent
 		} else if a.Idle != b.Idle {
 			return a.Idle
 		}
-		return m.Victims[i].Ran < m.Victims[j].Ran
+		return m.Victims[i].Runtime < m.Victims[j].Runtime
 	})
 }
 
@@ -56,7 +56,7 @@
 		f, lost, k := x.Free, time.Duration(0), 0
 		for ; k < len(x.Victims) && !placement.Fits(f, size) && lost < loss && (urgent || x.Victims[k].Idle || x.Victims[k].Unsent); k++ {
 			f = f.Add(x.Victims[k].Size)
-			lost += x.Victims[k].Ran
+			lost += x.Victims[k].Runtime
 		}
 		if placement.Fits(f, size) && lost < loss {
 			best, n, loss = x, k, lost
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -13,13 +13,13 @@
 // running time is lost, and room that has been made is not made twice.
 func TestWhoGivesWay(t *testing.T) {
 	v := func(name string, ran time.Duration, idle bool) Victim[string] {
-		return Victim[string]{Handle: name, Size: size(1), Ran: ran, Idle: idle}
+		return Victim[string]{Handle: name, Size: size(1), Runtime: ran, Idle: idle}
 	}
 	a := &Machine[string, string]{Handle: "a", Victims: []Victim[string]{v("a1", 5, false), v("a2", 90, true)}}
 	b := &Machine[string, string]{Handle: "b", Free: size(1), Victims: []Victim[string]{v("b1", 30, false), v("b2", 40, false)}}
 	in := []*Machine[string, string]{a, b}
 	for _, m := range in {
-		m.Sort()
+		m.SortVictims()
 	}
 	any := func(string) bool { return true }
 	for _, x := range []struct {
@@ -49,8 +49,8 @@
 
 // A place that is reserved and not told is given up to what is served first, urgent or not.
 func TestUnsentGivesWayFirst(t *testing.T) {
-	m := &Machine[string, string]{Handle: "m", Victims: []Victim[string]{{Handle: "runs", Size: size(1), Ran: time.Second}, {Handle: "unsent", Size: size(1), Unsent: true}}}
-	m.Sort()
+	m := &Machine[string, string]{Handle: "m", Victims: []Victim[string]{{Handle: "runs", Size: size(1), Runtime: time.Second}, {Handle: "unsent", Size: size(1), Unsent: true}}}
+	m.SortVictims()
 	in, any := []*Machine[string, string]{m}, func(string) bool { return true }
 	if stop, ok := Choose(in, size(1), false, any); !ok || stop[0].Handle != "unsent" {
 		t.Errorf("stopped %v", stop)
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -18,37 +18,37 @@
 
 // Job is what the order hangs on.
 type Job struct {
-	ID       string
-	Team     string
-	Accepted int64  // milliseconds of the day's time: its age
-	Number   uint64 // its age: orders jobs, and before the time if it is written
-	Rank     int    // of its rung, higher first
-	Strict   bool   // bound to one zone
-	Service  bool
-	Due      float64        // seconds of the day's time; +Inf without a deadline
-	Turn     float64        // orders those that are due at the same time, or never; lower first
-	Estimate float64        // seconds of one task
-	Ask      placement.Size // of one task
-	Rest     int            // tasks not done
-	Pending  int            // tasks to start; 0: it only counts against its team's guarantee
-	Pressed  bool           // a departure leaves it no slack: it goes before other work of its rung
-	Begun    bool           // a task of it has been started, as far as records tell
+	ID            string
+	Team          string
+	AcceptedMS    int64  // milliseconds of the day's time: its age
+	Number        uint64 // its age: orders jobs, and before the time if it is written
+	Rank          int    // of its rung, higher first
+	ZoneBound     bool   // bound to one zone
+	Service       bool
+	Due           float64        // seconds of the day's time; +Inf without a deadline
+	VirtualFinish float64        // orders those that are due at the same time, or never; lower first
+	EstimateS     float64        // seconds of one task
+	TaskSize      placement.Size // of one task
+	Unfinished    int            // tasks not done
+	Pending       int            // tasks to start; 0: it only counts against its team's guarantee
+	Pressed       bool           // a departure leaves it no slack: it goes before other work of its rung
+	Started       bool           // a task of it has been started, as far as records tell
 }
 
 func (j *Job) demand() placement.Size {
-	n := float64(j.Rest)
-	return placement.Size{CPUs: j.Ask.CPUs * n, GPUs: j.Ask.GPUs * n}
+	n := float64(j.Unfinished)
+	return placement.Size{CPUs: j.TaskSize.CPUs * n, GPUs: j.TaskSize.GPUs * n}
 }
 
 // work is the CPU seconds left.
-func (j *Job) work() float64 { return float64(j.Rest) * j.Estimate * j.Ask.CPUs }
+func (j *Job) work() float64 { return float64(j.Unfinished) * j.EstimateS * j.TaskSize.CPUs }
 
 // Place is a job with its place in the order. H is the owner's handle of a job.
-type Place[H any] struct {
-	Handle H
-	Job    Job
-	Within bool // its team's unfinished jobs up to this one fit into the guarantee
-	Late   bool // cannot be on time without making more jobs late
+type Entry[H any] struct {
+	Handle          H
+	Job             Job
+	WithinGuarantee bool // its team's unfinished jobs up to this one fit into the guarantee
+	Late            bool // cannot be on time without making more jobs late
 	// Overdue: it has waited too long for its first task, which goes ahead; the others do not.
 	Overdue bool
 	n       *node[H]
@@ -57,7 +57,7 @@
 // Queue is the order of one controller's jobs.
 type Queue[H any] struct {
 	guarantees map[string]placement.Size // by team
-	jobs       map[string]*Place[H]
+	jobs       map[string]*Entry[H]
 	teams      map[string]*team[H]
 	names      []string // of teams, in order
 }
@@ -66,43 +66,43 @@
 // those that wait in the order they are served.
 type team[H any] struct {
 	guarantee placement.Size
-	byAge     *btree.BTreeG[*Place[H]]
-	last      *Place[H] // the youngest within the guarantee; nil: none
+	byAge     *btree.BTreeG[*Entry[H]]
+	last      *Entry[H] // the youngest within the guarantee; nil: none
 	inside    placement.Size
 	within    int
 	services  float64 // CPUs of services
 	serving   int     // services
-	byDue     *btree.BTreeG[*Place[H]]
+	byDue     *btree.BTreeG[*Entry[H]]
 	waiting   tree[H]
 }
 
 // New returns an empty queue. Jobs of teams it does not know are never within a guarantee.
 func New[H any](guarantees map[string]placement.Size) *Queue[H] {
-	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Place[H]{}, teams: map[string]*team[H]{}}
+	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Entry[H]{}, teams: map[string]*team[H]{}}
 }
 
-func older[H any](a, b *Place[H]) bool {
+func older[H any](a, b *Entry[H]) bool {
 	if a.Job.Number != b.Job.Number {
 		return a.Job.Number < b.Job.Number
 	}
-	if a.Job.Accepted != b.Job.Accepted {
-		return a.Job.Accepted < b.Job.Accepted
+	if a.Job.AcceptedMS != b.Job.AcceptedMS {
+		return a.Job.AcceptedMS < b.Job.AcceptedMS
 	}
 	return a.Job.ID < b.Job.ID
 }
 
-func sooner[H any](a, b *Place[H]) bool {
+func sooner[H any](a, b *Entry[H]) bool {
 	if a.Job.Due != b.Job.Due {
 		return a.Job.Due < b.Job.Due
 	}
-	if a.Job.Turn != b.Job.Turn {
-		return a.Job.Turn < b.Job.Turn
+	if a.Job.VirtualFinish != b.Job.VirtualFinish {
+		return a.Job.VirtualFinish < b.Job.VirtualFinish
 	}
 	return older(a, b)
 }
 
 // before is the order in which jobs are served.
-func before[H any](a, b *Place[H]) bool {
+func before[H any](a, b *Entry[H]) bool {
 	switch {
 	case a.Job.Rank != b.Job.Rank:
 		return a.Job.Rank > b.Job.Rank
@@ -110,10 +110,10 @@
 		return a.Overdue
 	case a.Job.Pressed != b.Job.Pressed:
 		return a.Job.Pressed
-	case a.Within != b.Within:
-		return a.Within
-	case a.Job.Strict != b.Job.Strict:
-		return a.Job.Strict
+	case a.WithinGuarantee != b.WithinGuarantee:
+		return a.WithinGuarantee
+	case a.Job.ZoneBound != b.Job.ZoneBound:
+		return a.Job.ZoneBound
 	case a.Late != b.Late:
 		return !a.Late
 	case a.Late && a.Job.work() != b.Job.work():
@@ -139,20 +139,20 @@
 		if p.Job == j {
 			return
 		}
-		if p.Job.Team == j.Team && p.Job.Accepted == j.Accepted && p.Job.Number == j.Number && p.Job.Due == j.Due && p.Job.Turn == j.Turn && p.Job.Service == j.Service {
+		if p.Job.Team == j.Team && p.Job.AcceptedMS == j.AcceptedMS && p.Job.Number == j.Number && p.Job.Due == j.Due && p.Job.VirtualFinish == j.VirtualFinish && p.Job.Service == j.Service {
 			q.amend(p, j)
 			return
 		}
-		q.Drop(j.ID)
+		q.Remove(j.ID)
 	}
 	t := q.team(j.Team)
-	p := &Place[H]{Handle: h, Job: j}
+	p := &Entry[H]{Handle: h, Job: j}
 	q.jobs[j.ID] = p
 	t.byAge.ReplaceOrInsert(p)
 	t.byDueChanged(p, true)
 	t.serve(&j, 1)
 	if t.last != nil && older(p, t.last) {
-		p.Within = true
+		p.WithinGuarantee = true
 		t.inside, t.within = t.inside.Add(j.demand()), t.within+1
 	}
 	t.settle()
@@ -160,22 +160,22 @@
 }
 
 // amend changes how much is left and waits; a job's place by age and deadline stays.
-func (q *Queue[H]) amend(p *Place[H], j Job) {
+func (q *Queue[H]) amend(p *Entry[H], j Job) {
 	t := q.team(j.Team)
 	t.leave(p)
 	t.serve(&p.Job, -1)
-	if p.Within {
+	if p.WithinGuarantee {
 		t.inside = t.inside.Sub(p.Job.demand()).Add(j.demand())
 	}
 	p.Job = j
-	p.Overdue = p.Overdue && !j.Begun
+	p.Overdue = p.Overdue && !j.Started
 	t.serve(&j, 1)
 	t.settle()
 	t.wait(p)
 }
 
 // Drop forgets a job.
-func (q *Queue[H]) Drop(id string) {
+func (q *Queue[H]) Remove(id string) {
 	p := q.jobs[id]
 	if p == nil {
 		return
@@ -184,7 +184,7 @@
 	t := q.team(p.Job.Team)
 	t.leave(p)
 	t.serve(&p.Job, -1)
-	if p.Within {
+	if p.WithinGuarantee {
 		t.inside, t.within = t.inside.Sub(p.Job.demand()), t.within-1
 		if p == t.last {
 			t.last = t.next(p, false)
@@ -202,14 +202,14 @@
 	if !j.Service {
 		return
 	}
-	if t.serving += n * j.Rest; t.serving == 0 {
+	if t.serving += n * j.Unfinished; t.serving == 0 {
 		t.services = 0
 	} else {
-		t.services += float64(n*j.Rest) * j.Ask.CPUs
+		t.services += float64(n*j.Unfinished) * j.TaskSize.CPUs
 	}
 }
 
-func (t *team[H]) byDueChanged(p *Place[H], in bool) {
+func (t *team[H]) byDueChanged(p *Entry[H], in bool) {
 	if math.IsInf(p.Job.Due, 1) {
 		return
 	}
@@ -222,13 +222,13 @@
 
 // wait puts a job among those that wait, leave takes it out; its place in the order
 // must not change in between.
-func (t *team[H]) wait(p *Place[H]) {
+func (t *team[H]) wait(p *Entry[H]) {
 	if p.Job.Pending > 0 && p.n == nil {
 		p.n = t.waiting.insert(p)
 	}
 }
 
-func (t *team[H]) leave(p *Place[H]) {
+func (t *team[H]) leave(p *Entry[H]) {
 	if p.n != nil {
 		t.waiting.remove(p)
 		p.n = nil
@@ -236,8 +236,8 @@
 }
 
 // next is the neighbour by age, younger or older; nil: none.
-func (t *team[H]) next(p *Place[H], younger bool) (found *Place[H]) {
-	look := func(o *Place[H]) bool {
+func (t *team[H]) next(p *Entry[H], younger bool) (found *Entry[H]) {
+	look := func(o *Entry[H]) bool {
 		if o == p {
 			return true
 		}
@@ -269,7 +269,7 @@
 		t.inside, t.within = placement.Size{}, 0
 	}
 	for {
-		var p *Place[H]
+		var p *Entry[H]
 		if t.last != nil {
 			p = t.next(t.last, true)
 		} else if o, ok := t.byAge.Min(); ok {
@@ -284,16 +284,16 @@
 	}
 }
 
-func (t *team[H]) setWithin(p *Place[H], v bool) {
+func (t *team[H]) setWithin(p *Entry[H], v bool) {
 	t.leave(p)
-	p.Within = v
+	p.WithinGuarantee = v
 	t.wait(p)
 }
 
 // Judge decides anew which jobs of each team are late, where anything has changed, and
 // which are overdue: accepted more than begin seconds ago, and not begun. now is in seconds
 // of the day's time, cpus what a team can use for its batches.
-func (q *Queue[H]) Judge(now, begin float64, cpus func(team string) float64) {
+func (q *Queue[H]) UpdateDeadlines(now, begin float64, cpus func(team string) float64) {
 	for _, name := range q.names {
 		t := q.teams[name]
 		t.overdue(now - begin)
@@ -308,9 +308,9 @@
 // time go last, the largest of them after all others; without a bound one waited for seven
 // minutes while younger work kept coming. One task each goes ahead, so the others lose little.
 func (t *team[H]) overdue(before float64) {
-	var turned []*Place[H]
-	t.byAge.Ascend(func(p *Place[H]) bool {
-		if float64(p.Job.Accepted)/1000 <= before && !p.Job.Begun && !p.Overdue && p.Job.Pending > 0 {
+	var turned []*Entry[H]
+	t.byAge.Ascend(func(p *Entry[H]) bool {
+		if float64(p.Job.AcceptedMS)/1000 <= before && !p.Job.Started && !p.Overdue && p.Job.Pending > 0 {
 			turned = append(turned, p)
 		}
 		return true
@@ -327,23 +327,23 @@
 // Plain order of deadline lets one hopeless job make all after it late.
 func (t *team[H]) judge(now, cpus float64) {
 	var kept largest[H]
-	late := map[*Place[H]]bool{}
+	late := map[*Entry[H]]bool{}
 	at := now
-	t.byDue.Ascend(func(p *Place[H]) bool {
-		if now+p.Job.Estimate > p.Job.Due && p.Job.Pending > 0 {
+	t.byDue.Ascend(func(p *Entry[H]) bool {
+		if now+p.Job.EstimateS > p.Job.Due && p.Job.Pending > 0 {
 			late[p] = true
 			return true
 		}
 		heap.Push(&kept, p)
 		if at += p.Job.work() / cpus; at > p.Job.Due {
-			o := heap.Pop(&kept).(*Place[H])
+			o := heap.Pop(&kept).(*Entry[H])
 			late[o] = true
 			at -= o.Job.work() / cpus
 		}
 		return true
 	})
-	var turned []*Place[H]
-	t.byDue.Ascend(func(p *Place[H]) bool {
+	var turned []*Entry[H]
+	t.byDue.Ascend(func(p *Entry[H]) bool {
 		if p.Late != late[p] {
 			turned = append(turned, p)
 		}
@@ -366,14 +366,14 @@
 }
 
 // Of returns a job's place; nil: not known.
-func (q *Queue[H]) Of(id string) *Place[H] { return q.jobs[id] }
+func (q *Queue[H]) Get(id string) *Entry[H] { return q.jobs[id] }
 
 // Walk calls f with the waiting jobs in the order they are served. room is asked anew
 // for each step what a job of the team may find at the most; jobs that ask for more
 // are skipped without a look at each. f may place tasks, but must not put or drop
 // jobs; it says whether to go on.
-func (q *Queue[H]) Walk(room func(team string) placement.Size, f func(*Place[H]) bool) {
-	heads := make([]*Place[H], 0, len(q.names))
+func (q *Queue[H]) Walk(room func(team string) placement.Size, f func(*Entry[H]) bool) {
+	heads := make([]*Entry[H], 0, len(q.names))
 	for _, name := range q.names {
 		if p := q.teams[name].waiting.first(room(name)); p != nil {
 			heads = append(heads, p)
@@ -388,7 +388,7 @@
 		}
 		p := heads[k]
 		// Room has shrunk since this head was found.
-		if most := room(p.Job.Team); !placement.Fits(most, p.Job.Ask) {
+		if most := room(p.Job.Team); !placement.Fits(most, p.Job.TaskSize) {
 			if n := q.teams[p.Job.Team].waiting.after(p, most); n != nil {
 				heads[k] = n
 			} else {
@@ -408,7 +408,7 @@
 }
 
 // largest is a heap of jobs, the most work on top.
-type largest[H any] []*Place[H]
+type largest[H any] []*Entry[H]
 
 func (h largest[H]) Len() int { return len(h) }
 func (h largest[H]) Less(i, j int) bool {
@@ -418,7 +418,7 @@
 	return sooner(h[i], h[j])
 }
 func (h largest[H]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *largest[H]) Push(x any)   { *h = append(*h, x.(*Place[H])) }
+func (h *largest[H]) Push(x any)   { *h = append(*h, x.(*Entry[H])) }
 func (h *largest[H]) Pop() any {
 	old := *h
 	x := old[len(old)-1]
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -16,11 +16,11 @@
 
 func drawJob(t *rapid.T) Job {
 	n := rapid.IntRange(0, 15).Draw(t, "job")
-	j := Job{ID: fmt.Sprintf("job-%06d", n), Team: []string{"red", "blue"}[n%2], Accepted: int64(n / 3), Rank: n % 2, Strict: n%5 == 0, Service: n%7 == 0, Pressed: n%6 == 1,
-		Due: math.Inf(1), Estimate: float64(rapid.IntRange(1, 9).Draw(t, "estimate")),
-		Ask:  placement.Size{CPUs: float64(1 + n%3), MemGB: float64(1 + n%4)},
-		Rest: rapid.IntRange(1, 6).Draw(t, "rest")}
-	j.Pending = rapid.IntRange(0, j.Rest).Draw(t, "pending")
+	j := Job{ID: fmt.Sprintf("job-%06d", n), Team: []string{"red", "blue"}[n%2], AcceptedMS: int64(n / 3), Rank: n % 2, ZoneBound: n%5 == 0, Service: n%7 == 0, Pressed: n%6 == 1,
+		Due: math.Inf(1), EstimateS: float64(rapid.IntRange(1, 9).Draw(t, "estimate")),
+		TaskSize:   placement.Size{CPUs: float64(1 + n%3), MemGB: float64(1 + n%4)},
+		Unfinished: rapid.IntRange(1, 6).Draw(t, "rest")}
+	j.Pending = rapid.IntRange(0, j.Unfinished).Draw(t, "pending")
 	if n%4 > 0 {
 		j.Due = float64(rapid.IntRange(1, 40).Draw(t, "due"))
 	}
@@ -37,19 +37,19 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
 				id := fmt.Sprintf("job-%06d", rapid.IntRange(0, 15).Draw(t, "job"))
-				q.Drop(id)
+				q.Remove(id)
 				delete(all, id)
 			case 1:
-				q.Judge(float64(rapid.IntRange(0, 20).Draw(t, "now")), 1e9, func(team string) float64 { return 3 * teams[team].CPUs })
+				q.UpdateDeadlines(float64(rapid.IntRange(0, 20).Draw(t, "now")), 1e9, func(team string) float64 { return 3 * teams[team].CPUs })
 			default:
 				j := drawJob(t)
 				q.Put(j.ID, j)
 				all[j.ID] = j
 			}
 		}
-		var ps []*Place[string]
+		var ps []*Entry[string]
 		for id, j := range all {
-			p := q.Of(id)
+			p := q.Get(id)
 			if p == nil || p.Job != j {
 				t.Fatalf("%s: kept %+v, put %+v", id, p, j)
 			}
@@ -59,8 +59,8 @@
 		sum := map[string]float64{}
 		for _, p := range ps {
 			sum[p.Job.Team] += p.Job.demand().CPUs
-			if want := sum[p.Job.Team] <= teams[p.Job.Team].CPUs; p.Within != want {
-				t.Fatalf("%s within its guarantee: %v, counted afresh %v", p.Job.ID, p.Within, want)
+			if want := sum[p.Job.Team] <= teams[p.Job.Team].CPUs; p.WithinGuarantee != want {
+				t.Fatalf("%s within its guarantee: %v, counted afresh %v", p.Job.ID, p.WithinGuarantee, want)
 			}
 		}
 		most := placement.Size{CPUs: float64(rapid.IntRange(1, 3).Draw(t, "room")), MemGB: float64(rapid.IntRange(1, 4).Draw(t, "mem"))}
@@ -70,12 +70,12 @@
 		for _, p := range ps {
 			if p.Job.Pending > 0 {
 				waiting++
-				if placement.Fits(most, p.Job.Ask) {
+				if placement.Fits(most, p.Job.TaskSize) {
 					want = append(want, p.Job.ID)
 				}
 			}
 		}
-		q.Walk(func(string) placement.Size { return most }, func(p *Place[string]) bool { got = append(got, p.Handle); return true })
+		q.Walk(func(string) placement.Size { return most }, func(p *Entry[string]) bool { got = append(got, p.Handle); return true })
 		if strings.Join(got, " ") != strings.Join(want, " ") || q.Len() != waiting {
 			t.Fatalf("served %v of %d, sorted afresh %v of %d", got, q.Len(), want, waiting)
 		}
@@ -86,25 +86,25 @@
 func TestHopelessJobIsGivenUp(t *testing.T) {
 	q := New[int](teams)
 	for i, work := range []int{1, 50, 1, 1} {
-		q.Put(i, Job{ID: fmt.Sprint(i), Team: "red", Accepted: int64(i), Due: float64(10 + i), Estimate: 1, Ask: placement.Size{CPUs: 1}, Rest: work, Pending: work})
+		q.Put(i, Job{ID: fmt.Sprint(i), Team: "red", AcceptedMS: int64(i), Due: float64(10 + i), EstimateS: 1, TaskSize: placement.Size{CPUs: 1}, Unfinished: work, Pending: work})
 	}
-	q.Judge(0, 1e9, func(string) float64 { return 2 })
+	q.UpdateDeadlines(0, 1e9, func(string) float64 { return 2 })
 	var got []int
-	q.Walk(func(string) placement.Size { return placement.Size{CPUs: 4} }, func(p *Place[int]) bool { got = append(got, p.Handle); return true })
+	q.Walk(func(string) placement.Size { return placement.Size{CPUs: 4} }, func(p *Entry[int]) bool { got = append(got, p.Handle); return true })
 	if fmt.Sprint(got) != "[0 2 3 1]" {
 		t.Errorf("served %v", got)
 	}
 	// It goes ahead for its first task once it has waited for too long, and no further.
-	q.Judge(200, 199.9985, func(string) float64 { return 2 })
+	q.UpdateDeadlines(200, 199.9985, func(string) float64 { return 2 })
 	order := func() (got []int) {
-		q.Walk(func(string) placement.Size { return placement.Size{CPUs: 4} }, func(p *Place[int]) bool { got = append(got, p.Handle); return true })
+		q.Walk(func(string) placement.Size { return placement.Size{CPUs: 4} }, func(p *Entry[int]) bool { got = append(got, p.Handle); return true })
 		return got
 	}
 	if got := order(); got[0] != 0 || got[1] != 1 {
 		t.Errorf("two have waited too long, served %v", got)
 	}
-	j := q.Of("1").Job
-	j.Begun = true
+	j := q.Get("1").Job
+	j.Started = true
 	q.Put(1, j)
 	if got := order(); got[0] != 0 || got[3] != 1 {
 		t.Errorf("the second has begun, served %v", got)
@@ -116,7 +116,7 @@
 	for _, n := range []int{100, 1000, 10000} {
 		q := New[int](map[string]placement.Size{"red": {CPUs: float64(n)}})
 		job := func(i, rest int) Job {
-			return Job{ID: fmt.Sprintf("job-%06d", i), Team: "red", Accepted: int64(i), Due: float64(i), Estimate: 20, Ask: placement.Size{CPUs: 2 + float64(i%8)/8, MemGB: 4}, Rest: rest, Pending: rest}
+			return Job{ID: fmt.Sprintf("job-%06d", i), Team: "red", AcceptedMS: int64(i), Due: float64(i), EstimateS: 20, TaskSize: placement.Size{CPUs: 2 + float64(i%8)/8, MemGB: 4}, Unfinished: rest, Pending: rest}
 		}
 		for i := range n {
 			q.Put(i, job(i, 40))
@@ -128,7 +128,7 @@
 		})
 		b.Run(fmt.Sprintf("walk-%d", n), func(b *testing.B) {
 			for range b.N {
-				q.Walk(func(string) placement.Size { return placement.Size{CPUs: 1.9, MemGB: 16} }, func(*Place[int]) bool { return true })
+				q.Walk(func(string) placement.Size { return placement.Size{CPUs: 1.9, MemGB: 16} }, func(*Entry[int]) bool { return true })
 			}
 		})
 	}
--- a/internal/queue/tree.go
+++ b/internal/queue/tree.go
@@ -18,14 +18,14 @@
 }
 
 type node[H any] struct {
-	p           *Place[H]
+	p           *Entry[H]
 	height      uint64
 	left, right *node[H]
 	least       placement.Size
 }
 
 func (n *node[H]) update() {
-	n.least = n.p.Job.Ask
+	n.least = n.p.Job.TaskSize
 	for _, c := range [2]*node[H]{n.left, n.right} {
 		if c != nil {
 			n.least = placement.Size{CPUs: math.Min(n.least.CPUs, c.least.CPUs), GPUs: math.Min(n.least.GPUs, c.least.GPUs), MemGB: math.Min(n.least.MemGB, c.least.MemGB)}
@@ -33,7 +33,7 @@
 	}
 }
 
-func (t *tree[H]) insert(p *Place[H]) *node[H] {
+func (t *tree[H]) insert(p *Entry[H]) *node[H] {
 	n := &node[H]{p: p, height: xxhash.Sum64String(p.Job.ID)}
 	n.update()
 	t.len++
@@ -59,7 +59,7 @@
 }
 
 // split parts a tree into what is served before a job and the rest.
-func split[H any](at *node[H], p *Place[H]) (l, r *node[H]) {
+func split[H any](at *node[H], p *Entry[H]) (l, r *node[H]) {
 	if at == nil {
 		return nil, nil
 	}
@@ -73,12 +73,12 @@
 	return l, at
 }
 
-func (t *tree[H]) remove(p *Place[H]) {
+func (t *tree[H]) remove(p *Entry[H]) {
 	t.len--
 	t.root = cut(t.root, p)
 }
 
-func cut[H any](at *node[H], p *Place[H]) *node[H] {
+func cut[H any](at *node[H], p *Entry[H]) *node[H] {
 	switch {
 	case at.p == p:
 		return join(at.left, at.right)
@@ -108,12 +108,12 @@
 }
 
 // first is the first job that asks for no more than there is.
-func (t *tree[H]) first(most placement.Size) *Place[H] { return find(t.root, nil, most) }
+func (t *tree[H]) first(most placement.Size) *Entry[H] { return find(t.root, nil, most) }
 
 // after is the first such job after p in the order.
-func (t *tree[H]) after(p *Place[H], most placement.Size) *Place[H] { return find(t.root, p, most) }
+func (t *tree[H]) after(p *Entry[H], most placement.Size) *Entry[H] { return find(t.root, p, most) }
 
-func find[H any](at *node[H], p *Place[H], most placement.Size) *Place[H] {
+func find[H any](at *node[H], p *Entry[H], most placement.Size) *Entry[H] {
 	if at == nil || !placement.Fits(most, at.least) {
 		return nil
 	}
@@ -123,7 +123,7 @@
 	if x := find(at.left, p, most); x != nil {
 		return x
 	}
-	if placement.Fits(most, at.p.Job.Ask) {
+	if placement.Fits(most, at.p.Job.TaskSize) {
 		return at.p
 	}
 	return find(at.right, nil, most)
--- a/internal/supply/blocks.go
+++ b/internal/supply/blocks.go
@@ -4,11 +4,11 @@
 
 // BlockSizes bound blocks, in machines; AtOnce (blocks) is into how many those of one kind
 // that come together are split.
-type BlockSizes struct{ Least, Most, AtOnce int }
+type BlockSizes struct{ Min, Max, BlocksPerBatch int }
 
 // Blocks forms blocks of one type, zone and kind out of machines, in their order. Fresh
 // machines have just been rented and have never been in a block; base ones stand there.
-func Blocks(machines []wire.MachineInfo, sizes BlockSizes, base, fresh bool) (blocks []wire.Block) {
+func FormBlocks(machines []wire.MachineInfo, sizes BlockSizes, base, fresh bool) (blocks []wire.Block) {
 	type kind struct {
 		typ, zone string
 		spot      bool
@@ -19,7 +19,7 @@
 		size[of(m)]++
 	}
 	for k, n := range size {
-		size[k] = min(max(n/sizes.AtOnce, sizes.Least), sizes.Most)
+		size[k] = min(max(n/sizes.BlocksPerBatch, sizes.Min), sizes.Max)
 	}
 	for _, m := range machines {
 		k, bm := of(m), wire.BlockMachine{Name: m.Name, Fresh: fresh}
--- a/internal/supply/reserve.go
+++ b/internal/supply/reserve.go
@@ -9,8 +9,8 @@
 
 // ReserveLimits are the times by which urgent work counts.
 type ReserveLimits struct {
-	Memory time.Duration // a shard that has seen no urgent job for so long reserves nothing
-	Window time.Duration // arrivals are counted over so long
+	Retention time.Duration // a shard that has seen no urgent job for so long reserves nothing
+	Window    time.Duration // arrivals are counted over so long
 }
 
 // Reserve is the room that shards keep for the next urgent tasks, so that they do not wait for a
@@ -36,9 +36,9 @@
 
 // Seen notes an urgent job of a shard, its task's size and its rung's rank; came: it is new. It
 // tells whether the size that room is counted in has changed.
-func (r *Reserve) Seen(now time.Duration, shard int, size placement.Size, rank int, came bool) (changed bool) {
+func (r *Reserve) Observe(now time.Duration, shard int, size placement.Size, rank int, came bool) (changed bool) {
 	u := r.of[shard]
-	if size.CPUs >= u.size.CPUs || now-u.seen > r.limits.Memory {
+	if size.CPUs >= u.size.CPUs || now-u.seen > r.limits.Retention {
 		changed = u.size != size
 		u.size, u.rank = size, rank
 	}
@@ -51,12 +51,12 @@
 }
 
 // Task is the size and rank of the tasks that a shard reserves room for.
-func (r *Reserve) Task(shard int) (placement.Size, int) { u := r.of[shard]; return u.size, u.rank }
+func (r *Reserve) TaskSize(shard int) (placement.Size, int) { u := r.of[shard]; return u.size, u.rank }
 
 // Target is for how many urgent tasks a shard keeps room, if a machine boots in so many seconds.
 func (r *Reserve) Target(now time.Duration, shard int, bootS float64) int {
 	u, ok := r.of[shard]
-	if !ok || now-u.seen > r.limits.Memory {
+	if !ok || now-u.seen > r.limits.Retention {
 		return 0
 	}
 	came := r.came[shard]
--- a/internal/supply/reserve_test.go
+++ b/internal/supply/reserve_test.go
@@ -9,16 +9,16 @@
 
 // Room is kept for the largest urgent task seen lately, and for as many as come while one boots.
 func TestReserve(t *testing.T) {
-	r := NewReserve(ReserveLimits{Memory: 10 * time.Minute, Window: time.Minute})
+	r := NewReserve(ReserveLimits{Retention: 10 * time.Minute, Window: time.Minute})
 	const boot = 20.0
 	if r.Target(0, 1, boot) != 0 {
 		t.Error("no urgent work has come")
 	}
 	big := placement.Size{CPUs: 2}
-	if !r.Seen(time.Second, 1, one, 5, true) || r.Seen(time.Second, 1, one, 5, false) || !r.Seen(2*time.Second, 1, big, 6, true) || r.Seen(3*time.Second, 1, one, 5, true) {
+	if !r.Observe(time.Second, 1, one, 5, true) || r.Observe(time.Second, 1, one, 5, false) || !r.Observe(2*time.Second, 1, big, 6, true) || r.Observe(3*time.Second, 1, one, 5, true) {
 		t.Error("the size changes to that of a larger task, and of no smaller one")
 	}
-	if size, rank := r.Task(1); size != big || rank != 6 {
+	if size, rank := r.TaskSize(1); size != big || rank != 6 {
 		t.Errorf("%+v %d", size, rank)
 	}
 	for _, c := range []struct {
@@ -29,14 +29,14 @@
 			t.Errorf("at %v: %d, want %d", c.at, got, c.want)
 		}
 	}
-	if r.Seen(20*time.Minute, 1, one, 5, false); r.Target(20*time.Minute, 1, boot) != 1 {
+	if r.Observe(20*time.Minute, 1, one, 5, false); r.Target(20*time.Minute, 1, boot) != 1 {
 		t.Error("one that is there again")
 	}
-	if size, _ := r.Task(1); size != one {
+	if size, _ := r.TaskSize(1); size != one {
 		t.Errorf("the large one was long ago: %+v", size)
 	}
 	for range 7 {
-		r.Seen(21*time.Minute, 1, one, 5, true)
+		r.Observe(21*time.Minute, 1, one, 5, true)
 	}
 	if got := r.Target(21*time.Minute, 1, boot); got != 4 {
 		t.Errorf("seven in a minute, a third of it to boot: %d", got)
--- a/internal/supply/rules.go
+++ b/internal/supply/rules.go
@@ -18,7 +18,7 @@
 
 // Kinds tells which kinds of machines a job's next task may be placed on, with so many of its others in
 // each zone. chosen is the zone of a gang that has to be in one.
-func Kinds(j *wire.Job, chosen string, zones map[string]int) func(ledger.Kind) bool {
+func KindFilter(j *wire.Job, chosen string, zones map[string]int) func(ledger.Kind) bool {
 	return func(k ledger.Kind) bool {
 		switch {
 		case !Allows(j, k):
@@ -55,7 +55,7 @@
 
 // Speeds is how fast a machine of the types that are allowed fetches at best, GB/s, and how long one boots at
 // worst, s.
-func Speeds(types map[string]wire.MachineType, allowed []string) (fetch, boot float64) {
+func FetchAndBootBounds(types map[string]wire.MachineType, allowed []string) (fetch, boot float64) {
 	for name, t := range types {
 		if AllowsType(allowed, name) {
 			fetch, boot = max(fetch, t.FetchGBps), max(boot, t.BootS)
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -15,18 +15,18 @@
 )
 
 // Room is a machine with room, now or soon.
-type Room struct {
+type Capacity struct {
 	Type, Zone string
 	Spot       bool
 	Free       placement.Size
-	Idle       placement.Size // of that, taken by work that gives way to all other
+	IdleUse    placement.Size // of that, taken by work that gives way to all other
 	// Doubted: it boots and is late. Urgent work has another rented in its place; for work
 	// that can wait that cost more than it brought (docs/rounds.md).
-	Doubted bool
+	BootLate bool
 }
 
 // Ask is what the tasks of a job ask for, each.
-type Ask struct {
+type Request struct {
 	Types  []string // empty: any
 	Zone   string   // "": any
 	Spot   bool     // may use spot machines
@@ -46,8 +46,8 @@
 }
 
 // AskOf is what a need asks for.
-func AskOf(n wire.Need) Ask {
-	return Ask{Types: n.Types, Zone: n.Zone, Spot: n.Spot, Size: NeedSize(n)}
+func RequestOf(n wire.Need) Request {
+	return Request{Types: n.Types, Zone: n.Zone, Spot: n.Spot, Size: NeedSize(n)}
 }
 
 // NeedOf is a need of so many tasks of a job.
@@ -56,15 +56,15 @@
 	return wire.Need{Types: j.Types, Zone: zone, Spot: j.Spot, CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB, Tasks: tasks, Rung: rung}
 }
 
-func (a *Ask) allows(r *Room) bool {
-	return (len(a.Types) == 0 || slices.Contains(a.Types, r.Type)) && (a.Zone == "" || a.Zone == r.Zone) && (!r.Spot || a.Spot) && !(r.Doubted && a.Urgent)
+func (a *Request) allows(r *Capacity) bool {
+	return (len(a.Types) == 0 || slices.Contains(a.Types, r.Type)) && (a.Zone == "" || a.Zone == r.Zone) && (!r.Spot || a.Spot) && !(r.BootLate && a.Urgent)
 }
 
 // Pool is room that is used up as it is taken.
-type Pool []Room
+type Pool []Capacity
 
 // Take uses up room for at most want tasks, and says for how many there was some.
-func (p Pool) Take(a Ask, want int) (got int) {
+func (p Pool) Take(a Request, want int) (got int) {
 	for k := range p {
 		if got == want {
 			break
@@ -72,25 +72,25 @@
 		r := &p[k]
 		free := r.Free
 		if a.Idle {
-			free = free.Sub(r.Idle)
+			free = free.Sub(r.IdleUse)
 		}
 		if n := min(want-got, placement.Beta(free, a.Size)+1); n > 0 && a.allows(r) {
 			got += n
-			r.Free = r.Free.Sub(Times(a.Size, n))
+			r.Free = r.Free.Sub(Multiply(a.Size, n))
 		}
 	}
 	return got
 }
 
 // Times is what n tasks take.
-func Times(s placement.Size, n int) placement.Size {
+func Multiply(s placement.Size, n int) placement.Size {
 	return placement.Size{CPUs: float64(n) * s.CPUs, GPUs: float64(n) * s.GPUs, MemGB: float64(n) * s.MemGB}
 }
 
 // Join adds a need to others, at most so many kinds. Many jobs of one task each used to be
 // as many needs, and got a machine each, one after the other, where one rental or a few of
 // another shard's blocks would have held them all.
-func Join(list []wire.Need, n wire.Need, most int) []wire.Need {
+func MergeNeed(list []wire.Need, n wire.Need, most int) []wire.Need {
 	for i := range list {
 		if wants.SameKind(list[i], n) {
 			list[i].Tasks += n.Tasks
@@ -105,11 +105,11 @@
 
 // Offer is one way to rent.
 type Offer struct {
-	Type, Zone string
-	Spot       bool
-	Price      float64 // of a task's room
-	Away       bool    // in another zone than the holder
-	PerMachine int     // tasks
+	Type, Zone      string
+	Spot            bool
+	TaskPrice       float64 // of a task's room
+	OtherZone       bool    // in another zone than the holder
+	TasksPerMachine int     // tasks
 }
 
 // Key names what is offered.
@@ -118,7 +118,7 @@
 // Offers lists the ways to rent for a need, the cheapest for a task first, in the holder's
 // zone before elsewhere. spot: such machines may be rented at all.
 func Offers(types map[string]wire.MachineType, n wire.Need, zone string, spot bool) (out []Offer) {
-	ask := AskOf(n)
+	ask := RequestOf(n)
 	names := make([]string, 0, len(types))
 	for name := range types {
 		names = append(names, name)
@@ -142,15 +142,15 @@
 		}
 	}
 	sort.SliceStable(out, func(i, j int) bool {
-		if out[i].Price != out[j].Price {
-			return out[i].Price < out[j].Price
+		if out[i].TaskPrice != out[j].TaskPrice {
+			return out[i].TaskPrice < out[j].TaskPrice
 		}
-		return !out[i].Away && out[j].Away
+		return !out[i].OtherZone && out[j].OtherZone
 	})
 	return out
 }
 
 // Machines is how many of an offer's machines hold so many tasks, at most most.
-func (o *Offer) Machines(tasks, most int) int {
-	return min((tasks+o.PerMachine-1)/o.PerMachine, most)
+func (o *Offer) MachineCount(tasks, most int) int {
+	return min((tasks+o.TasksPerMachine-1)/o.TasksPerMachine, most)
 }
--- a/internal/supply/supply_test.go
+++ b/internal/supply/supply_test.go
@@ -13,22 +13,22 @@
 // holds, urgent work not what may never come.
 func TestTake(t *testing.T) {
 	full := placement.Size{CPUs: 4, MemGB: 16}
-	p := Pool{{Type: "std", Zone: "n", Free: full, Idle: placement.Size{CPUs: 3, MemGB: 6}}, {Type: "std", Zone: "s", Spot: true, Free: full}, {Type: "std", Zone: "n", Free: full, Doubted: true}}
+	p := Pool{{Type: "std", Zone: "n", Free: full, IdleUse: placement.Size{CPUs: 3, MemGB: 6}}, {Type: "std", Zone: "s", Spot: true, Free: full}, {Type: "std", Zone: "n", Free: full, BootLate: true}}
 	for _, x := range []struct {
 		name string
-		ask  Ask
+		ask  Request
 		want int
 		got  int
 	}{
-		{"idle, not spot", Ask{Size: one, Idle: true}, 9, 5}, // 1 beside idle work, 4 that may come
-		{"urgent, spot", Ask{Size: one, Spot: true, Urgent: true}, 9, 7},
-		{"normal, what is left", Ask{Size: one, Spot: true}, 9, 0},
+		{"idle, not spot", Request{Size: one, Idle: true}, 9, 5}, // 1 beside idle work, 4 that may come
+		{"urgent, spot", Request{Size: one, Spot: true, Urgent: true}, 9, 7},
+		{"normal, what is left", Request{Size: one, Spot: true}, 9, 0},
 	} {
 		if got := p.Take(x.ask, x.want); got != x.got {
 			t.Errorf("%s: %d, want %d", x.name, got, x.got)
 		}
 	}
-	if (Pool{{Type: "std", Zone: "n", Free: full}}).Take(Ask{Types: []string{"big"}, Size: one}, 1)+(Pool{{Type: "std", Zone: "n", Free: full}}).Take(Ask{Zone: "s", Size: one}, 1) != 0 {
+	if (Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Types: []string{"big"}, Size: one}, 1)+(Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Zone: "s", Size: one}, 1) != 0 {
 		t.Error("a machine of another type or zone is taken")
 	}
 }
@@ -38,14 +38,14 @@
 		"big": {Name: "big", CPUs: 16, MemoryGB: 64, Price: 0.7, Zones: []string{"n"}}, "tiny": {Name: "tiny", CPUs: 0.5, MemoryGB: 1, Price: 0.01, Zones: []string{"n"}}}
 	n := wire.Need{CPUs: 1, MemGB: 2, Tasks: 9, Spot: true}
 	offers := Offers(types, n, "s", true)
-	if len(offers) != 5 || !offers[0].Spot || offers[0].Zone != "s" || offers[0].Machines(9, 50) != 3 || offers[2].Type != "big" {
+	if len(offers) != 5 || !offers[0].Spot || offers[0].Zone != "s" || offers[0].MachineCount(9, 50) != 3 || offers[2].Type != "big" {
 		t.Errorf("offers %+v", offers)
 	}
 	if offers = Offers(types, n, "s", false); offers[0].Spot || len(offers) != 3 {
 		t.Errorf("without spot machines: %+v", offers)
 	}
-	list := Join(Join(Join(nil, n, 2), n, 2), wire.Need{CPUs: 2, Tasks: 1}, 2)
-	if list = Join(list, wire.Need{CPUs: 3, Tasks: 1}, 2); len(list) != 2 || list[0].Tasks != 18 {
+	list := MergeNeed(MergeNeed(MergeNeed(nil, n, 2), n, 2), wire.Need{CPUs: 2, Tasks: 1}, 2)
+	if list = MergeNeed(list, wire.Need{CPUs: 3, Tasks: 1}, 2); len(list) != 2 || list[0].Tasks != 18 {
 		t.Errorf("needs %+v", list)
 	}
 }
--- a/internal/tiers/tiers.go
+++ b/internal/tiers/tiers.go
@@ -20,8 +20,8 @@
 
 // MostRungs and MostNames bound a ladder: rungs, and names of a kind on one.
 const (
-	MostRungs = 32
-	MostNames = 64
+	MaxTiers = 32
+	MaxNames = 64
 )
 
 // Priorities, from the top; services go first among what cannot wait.
@@ -35,24 +35,24 @@
 }
 
 // Ladder is one version of the order.
-type Ladder struct {
+type Order struct {
 	rungs []wire.Rung
 	own   int // rungs that operators have named
 }
 
 // Of reads a record; beneath its rungs stand those that come from priorities.
-func Of(rec wire.Ladder) *Ladder {
-	return &Ladder{append(slices.Clone(rec.Rungs), beneath...), len(rec.Rungs)}
+func NewOrder(rec wire.Ladder) *Order {
+	return &Order{append(slices.Clone(rec.Rungs), beneath...), len(rec.Rungs)}
 }
 
 // Plain tells whether nobody has named a rung: all then goes by priority.
-func (l *Ladder) Plain() bool { return l.own == 0 }
+func (l *Order) PriorityOnly() bool { return l.own == 0 }
 
 // Rungs lists all rungs, top down.
-func (l *Ladder) Rungs() []wire.Rung { return l.rungs }
+func (l *Order) Tiers() []wire.Rung { return l.rungs }
 
 // Place is a job's rung, counted from the top.
-func (l *Ladder) Place(j *wire.Job) int {
+func (l *Order) TierIndex(j *wire.Job) int {
 	for i := range l.rungs {
 		if selects(&l.rungs[i], j) {
 			return i
@@ -62,10 +62,10 @@
 }
 
 // Rank is the same counted from below: higher is served first.
-func (l *Ladder) Rank(j *wire.Job) int { return len(l.rungs) - l.Place(j) }
+func (l *Order) Rank(j *wire.Job) int { return len(l.rungs) - l.TierIndex(j) }
 
 // Named tells whether a rank is that of a rung that operators have named.
-func (l *Ladder) Named(rank int) bool { return rank > len(l.rungs)-l.own }
+func (l *Order) OperatorDefined(rank int) bool { return rank > len(l.rungs)-l.own }
 
 func selects(r *wire.Rung, j *wire.Job) bool {
 	in := func(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
@@ -80,10 +80,10 @@
 }
 
 // Order lists jobs in the order of rung and number, with a digest of all of it.
-func (l *Ladder) Order(jobs []*wire.Job) (list []wire.JobPlace, digest string) {
+func (l *Order) SortJobs(jobs []*wire.Job) (list []wire.JobPlace, digest string) {
 	sorted := slices.Clone(jobs)
 	slices.SortFunc(sorted, func(a, b *wire.Job) int {
-		if c := cmp.Compare(l.Place(a), l.Place(b)); c != 0 {
+		if c := cmp.Compare(l.TierIndex(a), l.TierIndex(b)); c != 0 {
 			return c
 		}
 		if Older(a, b) {
@@ -94,7 +94,7 @@
 	h := xxhash.New()
 	for _, j := range sorted {
 		name := "none"
-		if i := l.Place(j); i < len(l.rungs) {
+		if i := l.TierIndex(j); i < len(l.rungs) {
 			name = l.rungs[i].Name
 		}
 		list = append(list, wire.JobPlace{Job: j.ID, Rung: name, Number: j.Number})
@@ -119,9 +119,9 @@
 }
 
 // Check tells in one line what is wrong with rungs.
-func Check(rungs []wire.Rung, team func(string) bool) error {
-	if len(rungs) > MostRungs {
-		return fmt.Errorf("rungs: at most %d, got %d", MostRungs, len(rungs))
+func Validate(rungs []wire.Rung, team func(string) bool) error {
+	if len(rungs) > MaxTiers {
+		return fmt.Errorf("rungs: at most %d, got %d", MaxTiers, len(rungs))
 	}
 	names, classes := map[string]bool{}, map[string]string{}
 	for _, r := range beneath {
@@ -136,8 +136,8 @@
 			return fmt.Errorf("%s: name: %q stands twice, or is one that comes from priorities", at, r.Name)
 		case len(r.Classes)+len(r.Teams)+len(r.Priorities)+len(r.Shapes) == 0:
 			return fmt.Errorf("%s: %q selects everything", at, r.Name)
-		case len(r.Classes) > MostNames || len(r.Teams) > MostNames:
-			return fmt.Errorf("%s: at most %d classes and teams", at, MostNames)
+		case len(r.Classes) > MaxNames || len(r.Teams) > MaxNames:
+			return fmt.Errorf("%s: at most %d classes and teams", at, MaxNames)
 		case len(r.Classes) > 0 && len(r.Teams) == 0:
 			return fmt.Errorf("%s: classes: name the teams too, or any team climbs by naming the class; \"*\" stands for all", at)
 		}
@@ -168,7 +168,7 @@
 }
 
 // Shorter leaves the oldest change out of a record, and tells whether there was one.
-func Shorter(l *wire.Ladder) bool {
+func DropOldestChange(l *wire.Ladder) bool {
 	if len(l.History) == 0 {
 		return false
 	}
--- a/internal/tiers/tiers_test.go
+++ b/internal/tiers/tiers_test.go
@@ -24,7 +24,7 @@
 // Which rung a job stands on: the first that selects it by all that it names; beneath the named
 // ones by priority, services first among what is urgent.
 func TestRungs(t *testing.T) {
-	l, plain := Of(wire.Ladder{Rungs: alarms}), Of(wire.Ladder{})
+	l, plain := NewOrder(wire.Ladder{Rungs: alarms}), NewOrder(wire.Ladder{})
 	for _, c := range []struct {
 		j           *wire.Job
 		rung, plain string
@@ -37,14 +37,14 @@
 		{job("f", "scan", "red", "production", wire.ShapeBatch, 1), "production", "production"},
 		{job("g", "scan", "red", "idle", wire.ShapeBatch, 1), "idle", "idle"},
 	} {
-		if got := l.Rungs()[l.Place(c.j)].Name; got != c.rung {
+		if got := l.Tiers()[l.TierIndex(c.j)].Name; got != c.rung {
 			t.Errorf("%s stands on %q, want %q", c.j.ID, got, c.rung)
 		}
-		if got := plain.Rungs()[plain.Place(c.j)].Name; got != c.plain {
+		if got := plain.Tiers()[plain.TierIndex(c.j)].Name; got != c.plain {
 			t.Errorf("%s without a ladder stands on %q, want %q", c.j.ID, got, c.plain)
 		}
 	}
-	if l.Plain() || !plain.Plain() || l.Rank(job("a", "alarm", "red", "urgent", wire.ShapeBatch, 1)) != len(l.Rungs()) || l.Named(len(l.Rungs())-2) || !l.Named(len(l.Rungs())-1) {
+	if l.PriorityOnly() || !plain.PriorityOnly() || l.Rank(job("a", "alarm", "red", "urgent", wire.ShapeBatch, 1)) != len(l.Tiers()) || l.OperatorDefined(len(l.Tiers())-2) || !l.OperatorDefined(len(l.Tiers())-1) {
 		t.Error("the named rung is not the top one")
 	}
 }
@@ -53,16 +53,16 @@
 // change of any place changes the digest.
 func TestOrderHangsOnRecordsAlone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Of(wire.Ladder{Rungs: alarms})
+		l := NewOrder(wire.Ladder{Rungs: alarms})
 		var jobs []*wire.Job
 		for i := range rapid.IntRange(1, 20).Draw(t, "jobs") {
 			one := func(what string, of ...string) string { return rapid.SampledFrom(of).Draw(t, what) }
 			jobs = append(jobs, job(fmt.Sprintf("job-%06d", i), one("class", "alarm", "unlock", "scan"), one("team", "red", "blue"), one("prio", "urgent", "normal", "idle"),
 				one("shape", wire.ShapeBatch, wire.ShapeService), uint64(rapid.IntRange(0, 5).Draw(t, "number"))))
 		}
-		list, digest := l.Order(jobs)
+		list, digest := l.SortJobs(jobs)
 		rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "shuffle"), 1)).Shuffle(len(jobs), func(i, k int) { jobs[i], jobs[k] = jobs[k], jobs[i] })
-		again, same := l.Order(jobs)
+		again, same := l.SortJobs(jobs)
 		if digest != same || fmt.Sprint(list) != fmt.Sprint(again) {
 			t.Fatalf("%v and %v", list, again)
 		}
@@ -72,12 +72,12 @@
 		}
 		for i := 1; i < len(list); i++ {
 			a, b := of[list[i-1].Job], of[list[i].Job]
-			if l.Place(a) > l.Place(b) || l.Place(a) == l.Place(b) && !Older(a, b) {
+			if l.TierIndex(a) > l.TierIndex(b) || l.TierIndex(a) == l.TierIndex(b) && !Older(a, b) {
 				t.Fatalf("%s before %s", a.ID, b.ID)
 			}
 		}
 		jobs[0].Number += 100
-		if _, other := l.Order(jobs); other == digest {
+		if _, other := l.SortJobs(jobs); other == digest {
 			t.Fatal("a number changed, the digest did not")
 		}
 	})
@@ -86,7 +86,7 @@
 // What is wrong with a ladder is said in one line.
 func TestCheck(t *testing.T) {
 	known := func(team string) bool { return team == "red" }
-	many := make([]wire.Rung, MostRungs+1)
+	many := make([]wire.Rung, MaxTiers+1)
 	for _, c := range []struct {
 		rungs []wire.Rung
 		want  string
@@ -102,9 +102,9 @@
 		{[]wire.Rung{{Name: "a", Classes: []string{"x"}, Teams: []string{"*"}}, {Name: "b", Classes: []string{"x"}, Teams: []string{"*"}}}, `stands on rung "a" already`},
 		{[]wire.Rung{{Name: "a", Priorities: []string{"high"}}}, "priorities: must be"},
 		{[]wire.Rung{{Name: "a", Shapes: []string{"heap"}}}, "shapes: must be"},
-		{[]wire.Rung{{Name: "a", Teams: make([]string, MostNames+1)}}, "at most 64"},
+		{[]wire.Rung{{Name: "a", Teams: make([]string, MaxNames+1)}}, "at most 64"},
 	} {
-		err := Check(c.rungs, known)
+		err := Validate(c.rungs, known)
 		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%v: %v, want %q", c.rungs[:min(2, len(c.rungs))], err, c.want)
 		}
