--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -28,38 +28,38 @@
 // Consolidate chooses up to most machines, the emptiest first, whose tasks all fit on others
 // in use that are not emptied themselves; only the first look are considered. Anchors spread by
 // design; once the batches around them have ended, each holds a machine alone.
-func Consolidate[M comparable](in []Machine[M], most, look int) (out []M) {
-	sort.SliceStable(in, func(i, j int) bool { return in[i].Free.CPUs > in[j].Free.CPUs })
-	taken := map[M]placement.Size{} // of the machines that tasks are moved to
-	leaving := map[M]bool{}
-	for i := range in {
-		m := &in[i]
-		if len(out) >= most || i >= look {
+func Consolidate[M comparable](machines []Machine[M], maxMachines, maxConsidered int) (chosen []M) {
+	sort.SliceStable(machines, func(i, j int) bool { return machines[i].Free.CPUs > machines[j].Free.CPUs })
+	reserved := map[M]placement.Size{} // of the machines that tasks are moved to
+	emptied := map[M]bool{}
+	for i := range machines {
+		machine := &machines[i]
+		if len(chosen) >= maxMachines || i >= maxConsidered {
 			break
 		}
-		if _, target := taken[m.Handle]; target || m.Pinned {
+		if _, target := reserved[machine.Handle]; target || machine.Pinned {
 			continue
 		}
-		if more, ok := m.fit(in, taken, leaving); ok {
-			for o, s := range more {
-				taken[o] = taken[o].Add(s)
+		if required, ok := machine.placeMoves(machines, reserved, emptied); ok {
+			for other, size := range required {
+				reserved[other] = reserved[other].Add(size)
 			}
-			leaving[m.Handle] = true
-			out = append(out, m.Handle)
+			emptied[machine.Handle] = true
+			chosen = append(chosen, machine.Handle)
 		}
 	}
-	return out
+	return chosen
 }
 
 // fit finds room on the others for all tasks of a machine.
-func (m *Machine[M]) fit(in []Machine[M], taken map[M]placement.Size, leaving map[M]bool) (more map[M]placement.Size, ok bool) {
-	more = map[M]placement.Size{}
-	for _, t := range m.Moves {
+func (machine *Machine[M]) placeMoves(machines []Machine[M], reserved map[M]placement.Size, emptied map[M]bool) (required map[M]placement.Size, ok bool) {
+	required = map[M]placement.Size{}
+	for _, move := range machine.Moves {
 		found := false
-		for k := range in {
-			o := &in[k]
-			if o.Handle != m.Handle && !leaving[o.Handle] && t.Allows(o.Handle) && placement.Fits(o.Free.Sub(taken[o.Handle]).Sub(more[o.Handle]), t.Size) {
-				more[o.Handle] = more[o.Handle].Add(t.Size)
+		for k := range machines {
+			target := &machines[k]
+			if target.Handle != machine.Handle && !emptied[target.Handle] && move.Allows(target.Handle) && placement.Fits(target.Free.Sub(reserved[target.Handle]).Sub(required[target.Handle]), move.Size) {
+				required[target.Handle] = required[target.Handle].Add(move.Size)
 				found = true
 				break
 			}
@@ -68,7 +68,7 @@
 			return nil, false
 		}
 	}
-	return more, true
+	return required, true
 }
 
 // Block is a block that might be emptied for another shard.
@@ -83,12 +83,12 @@
 // Empty is the block where the least is lost, if those that are emptied already do not hold
 // all that is asked for; "": none.
 func ChooseBlock(blocks []Block, tasks int) (best string, lost time.Duration) {
-	for _, b := range blocks {
+	for _, block := range blocks {
 		switch {
-		case b.Vacated:
-			tasks -= b.TaskSlots
-		case !b.Pinned && (best == "" || b.LostRuntime < lost):
-			best, lost = b.Name, b.LostRuntime
+		case block.Vacated:
+			tasks -= block.TaskSlots
+		case !block.Pinned && (best == "" || block.LostRuntime < lost):
+			best, lost = block.Name, block.LostRuntime
 		}
 	}
 	if tasks <= 0 {
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -20,94 +20,94 @@
 
 // Book keeps the bias of each class.
 type Estimator struct {
-	p  Params
-	of map[string]*bias
+	params  Params
+	classes map[string]*classBias
 }
 
-type bias struct{ n, sum, squares float64 } // of log(ran/estimate)
+type classBias struct{ weight, sum, squares float64 } // of log(ran/estimate)
 
 // New returns a book that trusts estimates.
-func New(p Params) *Estimator { return &Estimator{p: p, of: map[string]*bias{}} }
+func New(p Params) *Estimator { return &Estimator{params: p, classes: map[string]*classBias{}} }
 
 // Ran notes that a task of a class, estimated at so many seconds, ran for so long.
-func (b *Estimator) Record(class string, estimate float64, ran time.Duration) {
-	if estimate <= 0 || ran <= 0 {
+func (e *Estimator) Record(class string, estimateS float64, ran time.Duration) {
+	if estimateS <= 0 || ran <= 0 {
 		return
 	}
-	x := b.of[class]
-	if x == nil {
-		x = &bias{}
-		b.of[class] = x
+	bias := e.classes[class]
+	if bias == nil {
+		bias = &classBias{}
+		e.classes[class] = bias
 	}
-	if x.n >= b.p.MaxTasks {
-		f := 1 - 1/b.p.MaxTasks
-		x.n, x.sum, x.squares = x.n*f, x.sum*f, x.squares*f
+	if bias.weight >= e.params.MaxTasks {
+		decay := 1 - 1/e.params.MaxTasks
+		bias.weight, bias.sum, bias.squares = bias.weight*decay, bias.sum*decay, bias.squares*decay
 	}
-	l := math.Log(ran.Seconds() / estimate)
-	x.n, x.sum, x.squares = x.n+1, x.sum+l, x.squares+l*l
+	logRatio := math.Log(ran.Seconds() / estimateS)
+	bias.weight, bias.sum, bias.squares = bias.weight+1, bias.sum+logRatio, bias.squares+logRatio*logRatio
 }
 
 // Factor corrects estimates of a class: its tasks run so many times as long, typically.
-func (b *Estimator) Factor(class string) float64 { f, _ := b.log(class); return math.Exp(f) }
+func (e *Estimator) Factor(class string) float64 { f, _ := e.logBias(class); return math.Exp(f) }
 
 // Surely bounds the run time of a task of a class from above, nearly always.
-func (b *Estimator) UpperBound(class string, estimate float64) time.Duration {
-	mean, spread := b.log(class)
-	return time.Duration(estimate * math.Exp(mean+2*spread) * float64(time.Second))
+func (e *Estimator) UpperBound(class string, estimateS float64) time.Duration {
+	mean, spread := e.logBias(class)
+	return time.Duration(estimateS * math.Exp(mean+2*spread) * float64(time.Second))
 }
 
 // Typical is how long a task of a class runs.
-func (b *Estimator) Typical(class string, estimate float64) time.Duration {
-	return time.Duration(estimate * b.Factor(class) * float64(time.Second))
+func (e *Estimator) Typical(class string, estimateS float64) time.Duration {
+	return time.Duration(estimateS * e.Factor(class) * float64(time.Second))
 }
 
-func (b *Estimator) log(class string) (mean, spread float64) {
-	x := b.of[class]
-	if x == nil {
-		return 0, b.p.PriorSpread
+func (e *Estimator) logBias(class string) (mean, spread float64) {
+	bias := e.classes[class]
+	if bias == nil {
+		return 0, e.params.PriorSpread
 	}
-	mean = x.sum / (x.n + b.p.PriorTasks)
-	v := (x.squares+b.p.PriorTasks*b.p.PriorSpread*b.p.PriorSpread)/(x.n+b.p.PriorTasks) - mean*mean
-	return mean, math.Sqrt(max(v, 0.01))
+	mean = bias.sum / (bias.weight + e.params.PriorTasks)
+	variance := (bias.squares+e.params.PriorTasks*e.params.PriorSpread*e.params.PriorSpread)/(bias.weight+e.params.PriorTasks) - mean*mean
+	return mean, math.Sqrt(max(variance, 0.01))
 }
 
 // Export is what is worth keeping: classes of which so many tasks have been seen.
-func (b *Estimator) Export(least float64) map[string][3]float64 {
-	out := map[string][3]float64{}
-	for class, x := range b.of {
-		if x.n >= least {
-			out[class] = [3]float64{x.n, x.sum, x.squares}
+func (e *Estimator) Export(minWeight float64) map[string][3]float64 {
+	exported := map[string][3]float64{}
+	for class, bias := range e.classes {
+		if bias.weight >= minWeight {
+			exported[class] = [3]float64{bias.weight, bias.sum, bias.squares}
 		}
 	}
-	return out
+	return exported
 }
 
 // Shorter leaves out the class of which least is known, and tells whether there was one.
-func DropLeastKnownClass(b *wire.Bias) bool {
+func DropLeastKnownClass(record *wire.Bias) bool {
 	least, found := "", false
-	for class, v := range b.Classes {
-		if x := b.Classes[least]; !found || v[0] < x[0] || v[0] == x[0] && class < least {
+	for class, v := range record.Classes {
+		if x := record.Classes[least]; !found || v[0] < x[0] || v[0] == x[0] && class < least {
 			least, found = class, true
 		}
 	}
-	delete(b.Classes, least)
+	delete(record.Classes, least)
 	return found
 }
 
 // Import takes what another has learned, for classes of which less is known here.
-func (b *Estimator) Import(classes map[string][3]float64) {
+func (e *Estimator) Import(classes map[string][3]float64) {
 	for class, v := range classes {
-		if x := b.of[class]; (x == nil || x.n < v[0]) && v[0] > 0 && v[0] <= 2*b.p.MaxTasks {
-			b.of[class] = &bias{v[0], v[1], v[2]}
+		if known := e.classes[class]; (known == nil || known.weight < v[0]) && v[0] > 0 && v[0] <= 2*e.params.MaxTasks {
+			e.classes[class] = &classBias{v[0], v[1], v[2]}
 		}
 	}
 }
 
 // Moved tells whether a class's factor differs by more than a share from what was exported.
-func (b *Estimator) Changed(was map[string][3]float64, least, share float64) bool {
-	for class := range b.Export(least) {
-		old, known := was[class]
-		if f := b.Factor(class); !known || math.Abs(math.Log(f)-old[1]/(old[0]+b.p.PriorTasks)) > share {
+func (e *Estimator) Changed(exported map[string][3]float64, minWeight, threshold float64) bool {
+	for class := range e.Export(minWeight) {
+		old, known := exported[class]
+		if f := e.Factor(class); !known || math.Abs(math.Log(f)-old[1]/(old[0]+e.params.PriorTasks)) > threshold {
 			return true
 		}
 	}
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -21,99 +21,99 @@
 // resource alone: each order is walked upwards from what is asked, as long as that
 // resource allows no more copies than the first that fits. The largest is found by
 // walking one order downwards until it allows fewer copies than what was found.
-func (b *Ledger[H]) Find(shard int, ask placement.Size, anchor bool, look int, kind func(Kind) bool, allowed, better func(H) bool, out []Match[H]) []Match[H] {
-	for _, k := range b.kinds {
-		if k.Shard != shard || !kind(k) {
+func (l *Ledger[H]) Find(shard int, size placement.Size, anchor bool, limit int, kindAllowed func(Kind) bool, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	for _, kind := range l.kinds {
+		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
 		}
-		g := b.groups[k]
+		machines := l.groups[kind]
 		if anchor {
-			out = g.largest(k, ask, look, allowed, better, out)
+			matches = machines.largestBeta(kind, size, limit, allowed, preferred, matches)
 			continue
 		}
 		for r := range resources {
-			if amount(ask, r) > 0 {
-				out = g.smallest(k, r, ask, look, allowed, better, out)
+			if amount(size, r) > 0 {
+				matches = machines.smallestBeta(kind, r, size, limit, allowed, preferred, matches)
 			}
 		}
 	}
-	return out
+	return matches
 }
 
 // pivot is an entry to start a walk at: what has this much left of every resource.
-func pivot[H comparable](ask placement.Size) *entry[H] {
-	return &entry[H]{facts: MachineState{Free: placement.Size{CPUs: ask.CPUs - eps, GPUs: ask.GPUs - eps, MemGB: ask.MemGB - eps}}}
+func lowerBound[H comparable](size placement.Size) *entry[H] {
+	return &entry[H]{state: MachineState{Free: placement.Size{CPUs: size.CPUs - eps, GPUs: size.GPUs - eps, MemGB: size.MemGB - eps}}}
 }
 
 // only leaves one resource of an ask.
-func only(ask placement.Size, r int) placement.Size {
-	switch r {
+func onlyResource(size placement.Size, resource int) placement.Size {
+	switch resource {
 	case 0:
-		return placement.Size{CPUs: ask.CPUs}
+		return placement.Size{CPUs: size.CPUs}
 	case 1:
-		return placement.Size{MemGB: ask.MemGB}
+		return placement.Size{MemGB: size.MemGB}
 	}
-	return placement.Size{GPUs: ask.GPUs}
+	return placement.Size{GPUs: size.GPUs}
 }
 
-func (g *group[H]) smallest(k Kind, r int, ask placement.Size, look int, allowed, better func(H) bool, out []Match[H]) []Match[H] {
-	least, one := -1, only(ask, r)
-	g.by[r].AscendGreaterOrEqual(pivot[H](ask), func(e *entry[H]) bool {
-		if !placement.Fits(e.facts.Free, ask) || !allowed(e.handle) {
+func (g *group[H]) smallestBeta(kind Kind, resource int, size placement.Size, limit int, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	minCopies, single := -1, onlyResource(size, resource)
+	g.byResource[resource].AscendGreaterOrEqual(lowerBound[H](size), func(e *entry[H]) bool {
+		if !placement.Fits(e.state.Free, size) || !allowed(e.handle) {
 			return true
 		}
-		n := placement.Beta(e.facts.Free, one)
-		if least >= 0 && n > least {
+		copies := placement.Beta(e.state.Free, single)
+		if minCopies >= 0 && copies > minCopies {
 			return false
 		}
-		least = n
-		out = append(out, Match[H]{e.handle, k, e.facts.Free})
-		look--
-		return look > 0 && !better(e.handle)
+		minCopies = copies
+		matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
+		limit--
+		return limit > 0 && !preferred(e.handle)
 	})
-	return out
+	return matches
 }
 
-func (g *group[H]) largest(k Kind, ask placement.Size, look int, allowed, better func(H) bool, out []Match[H]) []Match[H] {
-	r := 0
-	for r < resources-1 && amount(ask, r) <= 0 {
-		r++
+func (g *group[H]) largestBeta(kind Kind, size placement.Size, limit int, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	resource := 0
+	for resource < resources-1 && amount(size, resource) <= 0 {
+		resource++
 	}
-	most, seen, one := -1, 0, only(ask, r)
-	g.by[r].Descend(func(e *entry[H]) bool {
-		if amount(e.facts.Free, r) < amount(ask, r)-eps || seen >= look {
+	maxCopies, seen, single := -1, 0, onlyResource(size, resource)
+	g.byResource[resource].Descend(func(e *entry[H]) bool {
+		if amount(e.state.Free, resource) < amount(size, resource)-eps || seen >= limit {
 			return false
 		}
-		if !placement.Fits(e.facts.Free, ask) || !allowed(e.handle) {
+		if !placement.Fits(e.state.Free, size) || !allowed(e.handle) {
 			return true
 		}
 		seen++
-		if better(e.handle) { // the first that is better has the largest beta of these, nearly always
-			out = append(out, Match[H]{e.handle, k, e.facts.Free})
+		if preferred(e.handle) { // the first that is better has the largest beta of these, nearly always
+			matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
 			return false
 		}
-		if n := placement.Beta(e.facts.Free, one); n < most {
+		if copies := placement.Beta(e.state.Free, single); copies < maxCopies {
 			return true // only a better one counts from here on
 		}
-		if n := placement.Beta(e.facts.Free, ask); n > most {
-			most = n
-			out = append(out, Match[H]{e.handle, k, e.facts.Free})
+		if copies := placement.Beta(e.state.Free, size); copies > maxCopies {
+			maxCopies = copies
+			matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
 		}
 		return true
 	})
-	return out
+	return matches
 }
 
 // Each calls f with every usable machine of a shard that has room for a task. It
 // costs as much as there are such machines.
-func (b *Ledger[H]) EachFitting(shard int, ask placement.Size, kind func(Kind) bool, f func(H, Kind, placement.Size)) {
-	for _, k := range b.kinds {
-		if k.Shard != shard || !kind(k) {
+func (l *Ledger[H]) EachFitting(shard int, size placement.Size, kindAllowed func(Kind) bool, visit func(H, Kind, placement.Size)) {
+	for _, kind := range l.kinds {
+		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
 		}
-		b.groups[k].by[0].AscendGreaterOrEqual(pivot[H](ask), func(e *entry[H]) bool {
-			if placement.Fits(e.facts.Free, ask) {
-				f(e.handle, k, e.facts.Free)
+		l.groups[kind].byResource[0].AscendGreaterOrEqual(lowerBound[H](size), func(e *entry[H]) bool {
+			if placement.Fits(e.state.Free, size) {
+				visit(e.handle, kind, e.state.Free)
 			}
 			return true
 		})
@@ -121,10 +121,10 @@
 }
 
 // Of returns what is known of a machine.
-func (b *Ledger[H]) Get(h H) (MachineState, bool) {
-	e := b.byHandle[h]
+func (l *Ledger[H]) Get(h H) (MachineState, bool) {
+	e := l.byHandle[h]
 	if e == nil || !e.known {
 		return MachineState{}, false
 	}
-	return e.facts, true
+	return e.state, true
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -52,99 +52,99 @@
 	byHandle map[H]*entry[H]
 	groups   map[Kind]*group[H]
 	kinds    []Kind // of groups, in the order they came up
-	teams    map[string]*teamSum
-	unknown  map[int]*shardSum
-	heard    *list.List // of *entry[H], the longest silent first
+	teams    map[string]*usageSum
+	shards   map[int]*shardSum
+	reports  *list.List // of *entry[H], the longest silent first
 }
 
 type entry[H comparable] struct {
-	handle H
-	name   string
-	facts  MachineState
-	known  bool // facts have been put
-	at     time.Duration
-	elem   *list.Element // in heard; nil: silent for too long, or never heard
+	handle     H
+	name       string
+	state      MachineState
+	known      bool // facts have been put
+	reportedAt time.Duration
+	elem       *list.Element // in heard; nil: silent for too long, or never heard
 }
 
 // teamSum adds and subtracts the same amounts many times; n tells when it is truly
 // zero, so that rounding never adds up.
-type teamSum struct {
-	n    int
-	size placement.Size
+type usageSum struct {
+	count int
+	size  placement.Size
 }
 
 type shardSum struct {
-	teamSum
-	spare int
+	usageSum
+	urgentSlots int
 }
 
 // group holds the usable machines of a kind, ordered by what each has left of one
 // resource after the other.
 type group[H comparable] struct {
-	by [resources]*btree.BTreeG[*entry[H]]
+	byResource [resources]*btree.BTreeG[*entry[H]]
 }
 
 const resources = 3
 
-func amount(s placement.Size, r int) float64 {
-	switch r {
+func amount(size placement.Size, resource int) float64 {
+	switch resource {
 	case 0:
-		return s.CPUs
+		return size.CPUs
 	case 1:
-		return s.MemGB
+		return size.MemGB
 	}
-	return s.GPUs
+	return size.GPUs
 }
 
 // New returns an empty book.
 func New[H comparable]() *Ledger[H] {
-	return &Ledger[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*teamSum{},
-		unknown: map[int]*shardSum{}, heard: list.New()}
+	return &Ledger[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*usageSum{},
+		shards: map[int]*shardSum{}, reports: list.New()}
 }
 
-func (b *Ledger[H]) entryOf(h H, name string) *entry[H] {
-	e := b.byHandle[h]
+func (l *Ledger[H]) entryOf(handle H, name string) *entry[H] {
+	e := l.byHandle[handle]
 	if e == nil {
-		e = &entry[H]{handle: h, name: name}
-		b.byHandle[h] = e
+		e = &entry[H]{handle: handle, name: name}
+		l.byHandle[handle] = e
 	}
 	return e
 }
 
 // Put replaces what is known of a machine. Names order machines that are alike.
-func (b *Ledger[H]) Put(h H, name string, f MachineState) {
-	e := b.entryOf(h, name)
-	b.take(e)
-	e.facts, e.known = f, true
-	for _, u := range f.Usage {
-		b.team(u.Team).add(u.Size, 1)
+func (l *Ledger[H]) Put(handle H, name string, state MachineState) {
+	e := l.entryOf(handle, name)
+	l.subtract(e)
+	e.state, e.known = state, true
+	for _, usage := range state.Usage {
+		l.team(usage.Team).add(usage.Size, 1)
 	}
-	s := b.shard(f.Shard)
-	if f.UnknownUse != (placement.Size{}) {
-		s.add(f.UnknownUse, 1)
+	shard := l.shard(state.Shard)
+	if state.UnknownUse != (placement.Size{}) {
+		shard.add(state.UnknownUse, 1)
 	}
-	if !f.Usable {
+	if !state.Usable {
 		return
 	}
-	if !f.Spot {
-		s.spare += f.UrgentSlots
+	if !state.Spot {
+		shard.urgentSlots += state.UrgentSlots
 	}
-	g := b.groups[f.Kind]
-	if g == nil {
-		g = newGroup[H]()
-		b.groups[f.Kind] = g
-		b.kinds = append(b.kinds, f.Kind)
+	machines := l.groups[state.Kind]
+	if machines == nil {
+		machines = newGroup[H]()
+		l.groups[state.Kind] = machines
+		l.kinds = append(l.kinds, state.Kind)
 	}
 	for r := range resources {
-		g.by[r].ReplaceOrInsert(e)
+		machines.byResource[r].ReplaceOrInsert(e)
 	}
 }
 
 func newGroup[H comparable]() *group[H] {
 	g := &group[H]{}
 	for r := range resources {
-		g.by[r] = btree.NewG(16, func(x, y *entry[H]) bool {
-			if a, c := amount(x.facts.Free, r), amount(y.facts.Free, r); a != c {
+		g.byResource[r] = btree.NewG(16, func(x, y *entry[H]) bool {
+			if a, c := amount(x.state.Free, r), amount(y.state.Free, r); a != c {
 				return a < c
 			}
 			return x.name < y.name
@@ -154,91 +154,91 @@
 }
 
 // take undoes what Put added.
-func (b *Ledger[H]) take(e *entry[H]) {
+func (l *Ledger[H]) subtract(e *entry[H]) {
 	if !e.known {
 		return
 	}
 	e.known = false
-	f := e.facts
-	for _, u := range f.Usage {
-		b.team(u.Team).add(u.Size, -1)
+	state := e.state
+	for _, usage := range state.Usage {
+		l.team(usage.Team).add(usage.Size, -1)
 	}
-	s := b.shard(f.Shard)
-	if f.UnknownUse != (placement.Size{}) {
-		s.add(f.UnknownUse, -1)
+	shard := l.shard(state.Shard)
+	if state.UnknownUse != (placement.Size{}) {
+		shard.add(state.UnknownUse, -1)
 	}
-	if !f.Usable {
+	if !state.Usable {
 		return
 	}
-	if !f.Spot {
-		s.spare -= f.UrgentSlots
+	if !state.Spot {
+		shard.urgentSlots -= state.UrgentSlots
 	}
-	g := b.groups[f.Kind]
+	machines := l.groups[state.Kind]
 	for r := range resources {
-		g.by[r].Delete(e)
+		machines.byResource[r].Delete(e)
 	}
 }
 
 // Drop forgets a machine.
-func (b *Ledger[H]) Remove(h H) {
-	if e := b.byHandle[h]; e != nil {
-		b.take(e)
+func (l *Ledger[H]) Remove(h H) {
+	if e := l.byHandle[h]; e != nil {
+		l.subtract(e)
 		if e.elem != nil {
-			b.heard.Remove(e.elem)
+			l.reports.Remove(e.elem)
 		}
-		delete(b.byHandle, h)
+		delete(l.byHandle, h)
 	}
 }
 
 // Heard notes a report of a machine. It tells whether the machine had been silent for
 // too long, or was never heard, so that its facts have to be put anew.
-func (b *Ledger[H]) RecordReport(h H, name string, now time.Duration) (back bool) {
-	e := b.entryOf(h, name)
-	e.at = now
+func (l *Ledger[H]) RecordReport(handle H, name string, now time.Duration) (returned bool) {
+	e := l.entryOf(handle, name)
+	e.reportedAt = now
 	if e.elem != nil {
-		b.heard.MoveToBack(e.elem)
+		l.reports.MoveToBack(e.elem)
 		return false
 	}
-	e.elem = b.heard.PushBack(e)
+	e.elem = l.reports.PushBack(e)
 	return true
 }
 
 // Silent returns the machines last heard at or before a time, each once.
-func (b *Ledger[H]) TakeSilent(until time.Duration) (hs []H) {
-	for el := b.heard.Front(); el != nil; el = b.heard.Front() {
+func (l *Ledger[H]) TakeSilent(until time.Duration) (handles []H) {
+	for el := l.reports.Front(); el != nil; el = l.reports.Front() {
 		e := el.Value.(*entry[H])
-		if e.at > until {
+		if e.reportedAt > until {
 			break
 		}
-		b.heard.Remove(el)
+		l.reports.Remove(el)
 		e.elem = nil
-		hs = append(hs, e.handle)
+		handles = append(handles, e.handle)
 	}
-	return hs
+	return handles
 }
 
-func (b *Ledger[H]) team(name string) *teamSum {
-	t := b.teams[name]
+func (l *Ledger[H]) team(name string) *usageSum {
+	t := l.teams[name]
 	if t == nil {
-		t = &teamSum{}
-		b.teams[name] = t
+		t = &usageSum{}
+		l.teams[name] = t
 	}
 	return t
 }
 
-func (b *Ledger[H]) shard(i int) *shardSum {
-	s := b.unknown[i]
+func (l *Ledger[H]) shard(i int) *shardSum {
+	s := l.shards[i]
 	if s == nil {
 		s = &shardSum{}
-		b.unknown[i] = s
+		l.shards[i] = s
 	}
 	return s
 }
 
-func (t *teamSum) add(s placement.Size, n int) {
-	if t.n += n; t.n == 0 {
+func (t *usageSum) add(s placement.Size, sign int) {
+	if t.count += sign; t.count == 0 {
 		t.size = placement.Size{}
-	} else if n > 0 {
+	} else if sign > 0 {
 		t.size = t.size.Add(s)
 	} else {
 		t.size = t.size.Sub(s)
@@ -247,9 +247,9 @@
 
 // Used is what a team's tasks may use at the most, with all that may run unseen in
 // its shard.
-func (b *Ledger[H]) Used(team string, shard int) placement.Size {
-	u := b.team(team).size
-	if s := b.unknown[shard]; s != nil {
+func (l *Ledger[H]) Used(team string, shard int) placement.Size {
+	u := l.team(team).size
+	if s := l.shards[shard]; s != nil {
 		u = u.Add(s.size)
 	}
 	return u
@@ -257,21 +257,21 @@
 
 // Spare is how many urgent tasks the usable machines of a shard could take at once,
 // spot machines apart.
-func (b *Ledger[H]) UrgentSlots(shard int) int { return b.shard(shard).spare }
+func (l *Ledger[H]) UrgentSlots(shard int) int { return l.shard(shard).urgentSlots }
 
 // Most is, resource by resource, the most that any one usable machine of a shard has
 // left: what exceeds it fits nowhere.
-func (b *Ledger[H]) MaxFree(shard int) placement.Size {
-	m := [resources]float64{}
-	for _, k := range b.kinds {
+func (l *Ledger[H]) MaxFree(shard int) placement.Size {
+	largest := [resources]float64{}
+	for _, k := range l.kinds {
 		if k.Shard != shard {
 			continue
 		}
 		for r := range resources {
-			if e, ok := b.groups[k].by[r].Max(); ok {
-				m[r] = math.Max(m[r], amount(e.facts.Free, r))
+			if e, ok := l.groups[k].byResource[r].Max(); ok {
+				largest[r] = math.Max(largest[r], amount(e.state.Free, r))
 			}
 		}
 	}
-	return placement.Size{CPUs: m[0], MemGB: m[1], GPUs: m[2]}
+	return placement.Size{CPUs: largest[0], MemGB: largest[1], GPUs: largest[2]}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -27,7 +27,7 @@
 
 // However machines come, change and go, the sums are those of the machines, and the
 // heuristic chooses among what is proposed a machine of the same beta as among all.
-func TestProposesWhatThePlainWayWouldChoose(t *testing.T) {
+func TestFindMatchesFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, all := New[int](), map[int]MachineState{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestSilentMachinesAreToldOnce(t *testing.T) {
+func TestSilentMachinesAreReturnedOnce(t *testing.T) {
 	b := New[string]()
 	for i, h := range []string{"a", "b", "c"} {
 		if !b.RecordReport(h, h, time.Duration(i)*time.Second) {
--- a/internal/objectives/objectives.go
+++ b/internal/objectives/objectives.go
@@ -1,73 +1,77 @@
-// Package objectives decides by when a job should be done, and how many places it deserves for
-// that: by its own deadline, or by what the operators' settings say of its class, or, if
-// nobody says anything, by its size. Pure.
+// Package objectives decides when a job should be done, and for how many of its tasks at a time
+// machines should be rented. The deadline is the job's own, or follows from the operators' objective
+// for its class. Jobs without either are ordered by size. The package has no clock and no I/O.
 package objectives
 
 import "math"
 
-// Aims are what the settings say of classes.
+// Objectives are the operators' settings, by class.
 type Objectives struct {
-	// Finished: a job of the class should be done so many seconds after it was accepted.
+	// CompleteWithinS is within how many seconds after its acceptance a job of the class should be
+	// done.
 	CompleteWithinS map[string]float64
-	// Begun: the tasks of a job of the class should have begun within so many seconds of when it could run.
+	// StartWithinS is within how many seconds after a job of the class became ready to run its tasks
+	// should have started.
 	StartWithinS map[string]float64
 }
 
-// Ahead tells whether machines for work of a class have to be asked for before it could run: its tasks
-// would be late if one of them were asked for then, took as long as it may to be up, and fetched an image. boot
-// is the usual time of a boot and fetch what comes after it, in seconds; a slow boot takes so many times the usual.
-func (a Objectives) RequestAhead(class string, boot, fetch, slow float64) bool {
-	s := a.StartWithinS[class]
-	return s > 0 && boot*slow+fetch > s
+// RequestAhead reports whether machines for jobs of a class have to be requested before the jobs are
+// ready to run. That is so if their tasks would start late on a machine that was requested only
+// then, had a slow boot and fetched an image. bootS is the usual duration of a boot and fetchS that
+// of what follows it, in seconds. A slow boot takes slowFactor times as long as usual.
+func (o Objectives) RequestAhead(class string, bootS, fetchS, slowFactor float64) bool {
+	limit := o.StartWithinS[class]
+	return limit > 0 && bootS*slowFactor+fetchS > limit
 }
 
-// Limits bound what work that nobody waits for urgently is given.
+// Limits bound the machines that are rented for work that is not urgent.
 type Limits struct {
-	ReferenceCPUs float64 // see Turn
-	HorizonS      float64 // seconds: work without an aim is to be done within so long
-	MinTimeS      float64 // seconds: and none sooner than this, however late it is
-	Headroom      float64 // share of the time that is left, for boots, fetches and failures
+	ReferenceCPUs float64 // see VirtualFinish
+	HorizonS      float64 // work without an objective is to be done within this time
+	MinTimeS      float64 // the time to plan with is never less than this, however late the work is
+	Headroom      float64 // share of the remaining time that may be planned with; the rest is for boots, fetches and failures
 }
 
-// Work is a job as far as this hangs on it. Times are seconds of the day's time.
+// Work is what the decisions depend on of a job. Times are in seconds of wall-clock time.
 type Work struct {
 	Class     string
 	AcceptedS float64
 	DueS      float64 // after acceptance; 0: no deadline of its own
-	CPUs      float64 // of a task
+	CPUs      float64 // of one task
 	Tasks     int
-	EstimateS float64 // seconds of a task; 0 of a service
+	EstimateS float64 // of one task; 0: a service
 }
 
-// Due is by when a job should be done; +Inf: nobody has said.
-func (a Objectives) Due(w Work) float64 {
+// Due returns when a job should be done, +Inf if neither the job nor an objective says so.
+func (o Objectives) Due(w Work) float64 {
 	if w.DueS > 0 {
 		return w.AcceptedS + w.DueS
 	}
-	if s := a.CompleteWithinS[w.Class]; s > 0 && w.EstimateS > 0 {
-		return w.AcceptedS + s
+	if limit := o.CompleteWithinS[w.Class]; limit > 0 && w.EstimateS > 0 {
+		return w.AcceptedS + limit
 	}
 	return math.Inf(1)
 }
 
-// Turn orders jobs that nobody has said anything of: as if each were given time by its
-// work, at so many CPUs. By age alone hundreds of single tasks waited for minutes behind
-// arrays that nobody needed soon; by work alone a large job might wait for ever.
+// VirtualFinish returns the sort key of jobs without a deadline: when the job would be done if it
+// ran on ReferenceCPUs CPUs from its acceptance. Ordered by age alone, hundreds of single tasks
+// waited for minutes behind arrays that were not needed soon. Ordered by work alone, a large job
+// might wait forever.
 func (l Limits) VirtualFinish(w Work) float64 {
 	return w.AcceptedS + float64(w.Tasks)*w.EstimateS*w.CPUs/l.ReferenceCPUs
 }
 
-// Places is for how many tasks at a time machines should be paid so that rest tasks, each
-// of estimate seconds, are done by their due time: not one for each task. An array of
-// fifteen thousand tasks of four seconds would otherwise rent all there is for a minute,
-// most of it boots.
-func (l Limits) TargetParallelism(rest int, estimate, due, now float64) int {
-	if estimate <= 0 {
-		return rest
+// TargetParallelism returns for how many tasks at a time machines should be paid, so that the
+// unfinished tasks, of estimateS seconds each, are done by their due time. Renting for every task at
+// once would be wasteful: an array of fifteen thousand tasks of four seconds would rent all
+// available machines for a minute, most of which they would spend booting.
+func (l Limits) TargetParallelism(unfinished int, estimateS, due, now float64) int {
+	if estimateS <= 0 {
+		return unfinished
 	}
-	left := l.HorizonS
+	leftS := l.HorizonS
 	if !math.IsInf(due, 1) {
-		left = min(left, max(l.MinTimeS, (due-now)*l.Headroom))
+		leftS = min(leftS, max(l.MinTimeS, (due-now)*l.Headroom))
 	}
-	return min(rest, int(math.Ceil(float64(rest)*estimate/max(left, estimate))))
+	return min(unfinished, int(math.Ceil(float64(unfinished)*estimateS/max(leftS, estimateS))))
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -25,24 +25,24 @@
 }
 
 // Fits tells whether an asked amount fits into the free one.
-func Fits(free, ask Size) bool {
-	return ask.CPUs <= free.CPUs+eps && ask.GPUs <= free.GPUs+eps && ask.MemGB <= free.MemGB+eps
+func Fits(free, size Size) bool {
+	return size.CPUs <= free.CPUs+eps && size.GPUs <= free.GPUs+eps && size.MemGB <= free.MemGB+eps
 }
 
 // Beta is the minimum over the asked resources of floor((free-ask)/ask): the
 // copies a machine could still hold once this one is placed. Negative: does
 // not fit.
-func Beta(free, ask Size) int {
-	b := math.Inf(1)
-	for _, r := range [3][2]float64{{free.CPUs, ask.CPUs}, {free.GPUs, ask.GPUs}, {free.MemGB, ask.MemGB}} {
-		if r[1] > 0 {
-			b = math.Min(b, math.Floor((r[0]-r[1])/r[1]+eps))
+func Beta(free, size Size) int {
+	copies := math.Inf(1)
+	for _, resource := range [3][2]float64{{free.CPUs, size.CPUs}, {free.GPUs, size.GPUs}, {free.MemGB, size.MemGB}} {
+		if resource[1] > 0 {
+			copies = math.Min(copies, math.Floor((resource[0]-resource[1])/resource[1]+eps))
 		}
 	}
-	if math.IsInf(b, 1) {
+	if math.IsInf(copies, 1) {
 		return 0
 	}
-	return int(b)
+	return int(copies)
 }
 
 // Candidate is a machine that a task is allowed on.
@@ -63,36 +63,36 @@
 // Pick returns the chosen candidate's index, or -1: the zone with the least
 // load; for the anchor then the largest beta, for others the first smallest.
 // The two exceptions stand with Candidate.
-func Pick(cs []Candidate, ask Size, anchor bool) int {
+func Pick(candidates []Candidate, size Size, anchor bool) int {
 	best, bestBeta := -1, 0
-	for i, c := range cs {
-		if !Fits(c.Free, ask) {
+	for i, c := range candidates {
+		if !Fits(c.Free, size) {
 			continue
 		}
-		b := Beta(c.Free, ask)
+		beta := Beta(c.Free, size)
 		if best < 0 {
-			best, bestBeta = i, b
+			best, bestBeta = i, beta
 			continue
 		}
-		o := cs[best]
+		chosen := candidates[best]
 		switch {
-		case c.ServiceTasks != o.ServiceTasks:
-			if c.ServiceTasks < o.ServiceTasks {
-				best, bestBeta = i, b
+		case c.ServiceTasks != chosen.ServiceTasks:
+			if c.ServiceTasks < chosen.ServiceTasks {
+				best, bestBeta = i, beta
 			}
-		case anchor && c.Preference != o.Preference:
-			if c.Preference > o.Preference {
-				best, bestBeta = i, b
+		case anchor && c.Preference != chosen.Preference:
+			if c.Preference > chosen.Preference {
+				best, bestBeta = i, beta
 			}
-		case anchor && c.EmptyRental != o.EmptyRental:
-			if o.EmptyRental {
-				best, bestBeta = i, b
+		case anchor && c.EmptyRental != chosen.EmptyRental:
+			if chosen.EmptyRental {
+				best, bestBeta = i, beta
 			}
-		case b != bestBeta:
-			if (b > bestBeta) == anchor {
-				best, bestBeta = i, b
+		case beta != bestBeta:
+			if (beta > bestBeta) == anchor {
+				best, bestBeta = i, beta
 			}
-		case c.Preference > o.Preference:
+		case c.Preference > chosen.Preference:
 			best = i
 		}
 	}
@@ -101,13 +101,13 @@
 
 // Under is how many more tasks of a size may start before a limit in CPUs and GPUs, at most
 // so many.
-func TasksUnderLimit(cpus, gpus float64, used, size Size, most int) int {
-	n := float64(most)
+func TasksUnderLimit(cpus, gpus float64, used, size Size, limit int) int {
+	tasks := float64(limit)
 	if size.CPUs > 0 {
-		n = min(n, math.Floor((cpus-used.CPUs)/size.CPUs+1e-6))
+		tasks = min(tasks, math.Floor((cpus-used.CPUs)/size.CPUs+1e-6))
 	}
 	if size.GPUs > 0 {
-		n = min(n, math.Floor((gpus-used.GPUs)/size.GPUs+1e-6))
+		tasks = min(tasks, math.Floor((gpus-used.GPUs)/size.GPUs+1e-6))
 	}
-	return max(0, int(n))
+	return max(0, int(tasks))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -5,7 +5,7 @@
 // The expected values are worked out by hand from the paper's formula
 // beta = min(floor((C-c)/c), floor((M-m)/m)).
 func TestBeta(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		free, ask Size
 		want      int
@@ -18,19 +18,19 @@
 		{"cards do not bind others: floor(88/8)=11, floor(704/64)=11", Size{CPUs: 96, MemGB: 768}, Size{CPUs: 8, MemGB: 64}, 11},
 		{"decimal dust is no lost copy: floor(0.2/0.1)=2", Size{CPUs: 0.1 + 0.2, MemGB: 9}, Size{CPUs: 0.1, MemGB: 1}, 2},
 	} {
-		if got := Beta(c.free, c.ask); got != c.want {
-			t.Errorf("%s: beta %d, want %d", c.name, got, c.want)
+		if got := Beta(test.free, test.ask); got != test.want {
+			t.Errorf("%s: beta %d, want %d", test.name, got, test.want)
 		}
 	}
 }
 
 func TestPick(t *testing.T) {
-	ask := Size{CPUs: 1, MemGB: 3}
+	size := Size{CPUs: 1, MemGB: 3}
 	free := func(cpus float64) Candidate { return Candidate{Free: Size{CPUs: cpus, MemGB: 16}} }
 	at := func(cpus float64, load, better int) Candidate {
 		return Candidate{Free: Size{CPUs: cpus, MemGB: 16}, ServiceTasks: load, Preference: better}
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		cs     []Candidate
 		anchor bool
@@ -47,8 +47,8 @@
 		{"an anchor goes where its image is", []Candidate{at(4, 0, 0), at(2, 0, 1), at(3, 0, 1)}, true, 2},
 		{"an image at hand breaks a tie", []Candidate{at(2, 0, 0), at(2, 0, 1)}, false, 1},
 	} {
-		if got := Pick(c.cs, ask, c.anchor); got != c.want {
-			t.Errorf("%s: picked %d, want %d", c.name, got, c.want)
+		if got := Pick(test.cs, size, test.anchor); got != test.want {
+			t.Errorf("%s: picked %d, want %d", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -41,7 +41,7 @@
 }
 
 // work is the CPU seconds left.
-func (j *Job) work() float64 { return float64(j.Unfinished) * j.EstimateS * j.TaskSize.CPUs }
+func (j *Job) workLeft() float64 { return float64(j.Unfinished) * j.EstimateS * j.TaskSize.CPUs }
 
 // Place is a job with its place in the order. H is the owner's handle of a job.
 type Entry[H any] struct {
@@ -51,7 +51,7 @@
 	Late            bool // cannot be on time without making more jobs late
 	// Overdue: it has waited too long for its first task, which goes ahead; the others do not.
 	Overdue bool
-	n       *node[H]
+	node    *node[H]
 }
 
 // Queue is the order of one controller's jobs.
@@ -59,21 +59,21 @@
 	guarantees map[string]placement.Size // by team
 	jobs       map[string]*Entry[H]
 	teams      map[string]*team[H]
-	names      []string // of teams, in order
+	teamNames  []string // of teams, in order
 }
 
 // team holds the jobs of one team: all by age, with the boundary of its guarantee, and
 // those that wait in the order they are served.
 type team[H any] struct {
-	guarantee placement.Size
-	byAge     *btree.BTreeG[*Entry[H]]
-	last      *Entry[H] // the youngest within the guarantee; nil: none
-	inside    placement.Size
-	within    int
-	services  float64 // CPUs of services
-	serving   int     // services
-	byDue     *btree.BTreeG[*Entry[H]]
-	waiting   tree[H]
+	guarantee    placement.Size
+	byAge        *btree.BTreeG[*Entry[H]]
+	lastWithin   *Entry[H] // the youngest within the guarantee; nil: none
+	withinDemand placement.Size
+	withinCount  int
+	serviceCPUs  float64 // CPUs of services
+	serviceTasks int     // services
+	byDue        *btree.BTreeG[*Entry[H]]
+	waiting      tree[H]
 }
 
 // New returns an empty queue. Jobs of teams it does not know are never within a guarantee.
@@ -91,7 +91,7 @@
 	return a.Job.ID < b.Job.ID
 }
 
-func sooner[H any](a, b *Entry[H]) bool {
+func dueBefore[H any](a, b *Entry[H]) bool {
 	if a.Job.Due != b.Job.Due {
 		return a.Job.Due < b.Job.Due
 	}
@@ -102,7 +102,7 @@
 }
 
 // before is the order in which jobs are served.
-func before[H any](a, b *Entry[H]) bool {
+func servedBefore[H any](a, b *Entry[H]) bool {
 	switch {
 	case a.Job.Rank != b.Job.Rank:
 		return a.Job.Rank > b.Job.Rank
@@ -116,243 +116,245 @@
 		return a.Job.ZoneBound
 	case a.Late != b.Late:
 		return !a.Late
-	case a.Late && a.Job.work() != b.Job.work():
-		return a.Job.work() < b.Job.work()
+	case a.Late && a.Job.workLeft() != b.Job.workLeft():
+		return a.Job.workLeft() < b.Job.workLeft()
 	}
-	return sooner(a, b)
+	return dueBefore(a, b)
 }
 
 func (q *Queue[H]) team(name string) *team[H] {
 	t := q.teams[name]
 	if t == nil {
-		t = &team[H]{guarantee: q.guarantees[name], byAge: btree.NewG(16, older[H]), byDue: btree.NewG(16, sooner[H])}
+		t = &team[H]{guarantee: q.guarantees[name], byAge: btree.NewG(16, older[H]), byDue: btree.NewG(16, dueBefore[H])}
 		q.teams[name] = t
-		i, _ := slices.BinarySearch(q.names, name)
-		q.names = slices.Insert(q.names, i, name)
+		i, _ := slices.BinarySearch(q.teamNames, name)
+		q.teamNames = slices.Insert(q.teamNames, i, name)
 	}
 	return t
 }
 
 // Put adds a job or replaces what is known of it.
-func (q *Queue[H]) Put(h H, j Job) {
-	if p := q.jobs[j.ID]; p != nil {
-		if p.Job == j {
+func (q *Queue[H]) Put(handle H, job Job) {
+	if entry := q.jobs[job.ID]; entry != nil {
+		if entry.Job == job {
 			return
 		}
-		if p.Job.Team == j.Team && p.Job.AcceptedMS == j.AcceptedMS && p.Job.Number == j.Number && p.Job.Due == j.Due && p.Job.VirtualFinish == j.VirtualFinish && p.Job.Service == j.Service {
-			q.amend(p, j)
+		if entry.Job.Team == job.Team && entry.Job.AcceptedMS == job.AcceptedMS && entry.Job.Number == job.Number && entry.Job.Due == job.Due && entry.Job.VirtualFinish == job.VirtualFinish && entry.Job.Service == job.Service {
+			q.updateRemaining(entry, job)
 			return
 		}
-		q.Remove(j.ID)
+		q.Remove(job.ID)
 	}
-	t := q.team(j.Team)
-	p := &Entry[H]{Handle: h, Job: j}
-	q.jobs[j.ID] = p
-	t.byAge.ReplaceOrInsert(p)
-	t.byDueChanged(p, true)
-	t.serve(&j, 1)
-	if t.last != nil && older(p, t.last) {
-		p.WithinGuarantee = true
-		t.inside, t.within = t.inside.Add(j.demand()), t.within+1
+	t := q.team(job.Team)
+	entry := &Entry[H]{Handle: handle, Job: job}
+	q.jobs[job.ID] = entry
+	t.byAge.ReplaceOrInsert(entry)
+	t.setByDue(entry, true)
+	t.addService(&job, 1)
+	if t.lastWithin != nil && older(entry, t.lastWithin) {
+		entry.WithinGuarantee = true
+		t.withinDemand, t.withinCount = t.withinDemand.Add(job.demand()), t.withinCount+1
 	}
-	t.settle()
-	t.wait(p)
+	t.moveBoundary()
+	t.enqueue(entry)
 }
 
 // amend changes how much is left and waits; a job's place by age and deadline stays.
-func (q *Queue[H]) amend(p *Entry[H], j Job) {
-	t := q.team(j.Team)
-	t.leave(p)
-	t.serve(&p.Job, -1)
-	if p.WithinGuarantee {
-		t.inside = t.inside.Sub(p.Job.demand()).Add(j.demand())
+func (q *Queue[H]) updateRemaining(entry *Entry[H], job Job) {
+	t := q.team(job.Team)
+	t.dequeue(entry)
+	t.addService(&entry.Job, -1)
+	if entry.WithinGuarantee {
+		t.withinDemand = t.withinDemand.Sub(entry.Job.demand()).Add(job.demand())
 	}
-	p.Job = j
-	p.Overdue = p.Overdue && !j.Started
-	t.serve(&j, 1)
-	t.settle()
-	t.wait(p)
+	entry.Job = job
+	entry.Overdue = entry.Overdue && !job.Started
+	t.addService(&job, 1)
+	t.moveBoundary()
+	t.enqueue(entry)
 }
 
 // Drop forgets a job.
 func (q *Queue[H]) Remove(id string) {
-	p := q.jobs[id]
-	if p == nil {
+	entry := q.jobs[id]
+	if entry == nil {
 		return
 	}
 	delete(q.jobs, id)
-	t := q.team(p.Job.Team)
-	t.leave(p)
-	t.serve(&p.Job, -1)
-	if p.WithinGuarantee {
-		t.inside, t.within = t.inside.Sub(p.Job.demand()), t.within-1
-		if p == t.last {
-			t.last = t.next(p, false)
+	t := q.team(entry.Job.Team)
+	t.dequeue(entry)
+	t.addService(&entry.Job, -1)
+	if entry.WithinGuarantee {
+		t.withinDemand, t.withinCount = t.withinDemand.Sub(entry.Job.demand()), t.withinCount-1
+		if entry == t.lastWithin {
+			t.lastWithin = t.neighbor(entry, false)
 		}
-		if t.within == 0 {
-			t.inside, t.last = placement.Size{}, nil // rounding ends here
+		if t.withinCount == 0 {
+			t.withinDemand, t.lastWithin = placement.Size{}, nil // rounding ends here
 		}
 	}
-	t.byAge.Delete(p)
-	t.byDueChanged(p, false)
-	t.settle()
+	t.byAge.Delete(entry)
+	t.setByDue(entry, false)
+	t.moveBoundary()
 }
 
-func (t *team[H]) serve(j *Job, n int) {
-	if !j.Service {
+func (t *team[H]) addService(job *Job, sign int) {
+	if !job.Service {
 		return
 	}
-	if t.serving += n * j.Unfinished; t.serving == 0 {
-		t.services = 0
+	if t.serviceTasks += sign * job.Unfinished; t.serviceTasks == 0 {
+		t.serviceCPUs = 0
 	} else {
-		t.services += float64(n*j.Unfinished) * j.TaskSize.CPUs
+		t.serviceCPUs += float64(sign*job.Unfinished) * job.TaskSize.CPUs
 	}
 }
 
-func (t *team[H]) byDueChanged(p *Entry[H], in bool) {
-	if math.IsInf(p.Job.Due, 1) {
+func (t *team[H]) setByDue(entry *Entry[H], in bool) {
+	if math.IsInf(entry.Job.Due, 1) {
 		return
 	}
 	if in {
-		t.byDue.ReplaceOrInsert(p)
+		t.byDue.ReplaceOrInsert(entry)
 	} else {
-		t.byDue.Delete(p)
+		t.byDue.Delete(entry)
 	}
 }
 
 // wait puts a job among those that wait, leave takes it out; its place in the order
 // must not change in between.
-func (t *team[H]) wait(p *Entry[H]) {
-	if p.Job.Pending > 0 && p.n == nil {
-		p.n = t.waiting.insert(p)
+func (t *team[H]) enqueue(entry *Entry[H]) {
+	if entry.Job.Pending > 0 && entry.node == nil {
+		entry.node = t.waiting.insert(entry)
 	}
 }
 
-func (t *team[H]) leave(p *Entry[H]) {
-	if p.n != nil {
-		t.waiting.remove(p)
-		p.n = nil
+func (t *team[H]) dequeue(entry *Entry[H]) {
+	if entry.node != nil {
+		t.waiting.remove(entry)
+		entry.node = nil
 	}
 }
 
 // next is the neighbour by age, younger or older; nil: none.
-func (t *team[H]) next(p *Entry[H], younger bool) (found *Entry[H]) {
-	look := func(o *Entry[H]) bool {
-		if o == p {
+func (t *team[H]) neighbor(entry *Entry[H], younger bool) (found *Entry[H]) {
+	visit := func(other *Entry[H]) bool {
+		if other == entry {
 			return true
 		}
-		found = o
+		found = other
 		return false
 	}
 	if younger {
-		t.byAge.AscendGreaterOrEqual(p, look)
+		t.byAge.AscendGreaterOrEqual(entry, visit)
 	} else {
-		t.byAge.DescendLessOrEqual(p, look)
+		t.byAge.DescendLessOrEqual(entry, visit)
 	}
 	return found
 }
 
 const eps = 1e-6
 
-func fits(s, most placement.Size) bool { return s.CPUs <= most.CPUs+eps && s.GPUs <= most.GPUs+eps }
+func fits(size, limit placement.Size) bool {
+	return size.CPUs <= limit.CPUs+eps && size.GPUs <= limit.GPUs+eps
+}
 
 // settle moves the boundary of the guarantee. Sums over jobs by age only grow, so what
 // is within is always the oldest jobs up to some one.
-func (t *team[H]) settle() {
-	for t.last != nil && !fits(t.inside, t.guarantee) {
-		p := t.last
-		t.last = t.next(p, false)
-		t.inside, t.within = t.inside.Sub(p.Job.demand()), t.within-1
-		t.setWithin(p, false)
+func (t *team[H]) moveBoundary() {
+	for t.lastWithin != nil && !fits(t.withinDemand, t.guarantee) {
+		entry := t.lastWithin
+		t.lastWithin = t.neighbor(entry, false)
+		t.withinDemand, t.withinCount = t.withinDemand.Sub(entry.Job.demand()), t.withinCount-1
+		t.setWithin(entry, false)
 	}
-	if t.last == nil {
-		t.inside, t.within = placement.Size{}, 0
+	if t.lastWithin == nil {
+		t.withinDemand, t.withinCount = placement.Size{}, 0
 	}
 	for {
-		var p *Entry[H]
-		if t.last != nil {
-			p = t.next(t.last, true)
-		} else if o, ok := t.byAge.Min(); ok {
-			p = o
+		var entry *Entry[H]
+		if t.lastWithin != nil {
+			entry = t.neighbor(t.lastWithin, true)
+		} else if oldest, ok := t.byAge.Min(); ok {
+			entry = oldest
 		}
-		if p == nil || !fits(t.inside.Add(p.Job.demand()), t.guarantee) {
+		if entry == nil || !fits(t.withinDemand.Add(entry.Job.demand()), t.guarantee) {
 			return
 		}
-		t.last = p
-		t.inside, t.within = t.inside.Add(p.Job.demand()), t.within+1
-		t.setWithin(p, true)
+		t.lastWithin = entry
+		t.withinDemand, t.withinCount = t.withinDemand.Add(entry.Job.demand()), t.withinCount+1
+		t.setWithin(entry, true)
 	}
 }
 
-func (t *team[H]) setWithin(p *Entry[H], v bool) {
-	t.leave(p)
-	p.WithinGuarantee = v
-	t.wait(p)
+func (t *team[H]) setWithin(entry *Entry[H], within bool) {
+	t.dequeue(entry)
+	entry.WithinGuarantee = within
+	t.enqueue(entry)
 }
 
 // Judge decides anew which jobs of each team are late, where anything has changed, and
 // which are overdue: accepted more than begin seconds ago, and not begun. now is in seconds
 // of the day's time, cpus what a team can use for its batches.
-func (q *Queue[H]) UpdateDeadlines(now, begin float64, cpus func(team string) float64) {
-	for _, name := range q.names {
+func (q *Queue[H]) UpdateDeadlines(nowS, startWithinS float64, cpus func(team string) float64) {
+	for _, name := range q.teamNames {
 		t := q.teams[name]
-		t.overdue(now - begin)
+		t.updateOverdue(nowS - startWithinS)
 		if t.byDue.Len() == 0 {
 			continue
 		}
-		t.judge(now, max(1, cpus(name)-t.services))
+		t.updateLate(nowS, max(1, cpus(name)-t.serviceCPUs))
 	}
 }
 
 // overdue marks the jobs accepted before a time that have not begun. Those that cannot be on
 // time go last, the largest of them after all others; without a bound one waited for seven
 // minutes while younger work kept coming. One task each goes ahead, so the others lose little.
-func (t *team[H]) overdue(before float64) {
-	var turned []*Entry[H]
-	t.byAge.Ascend(func(p *Entry[H]) bool {
-		if float64(p.Job.AcceptedMS)/1000 <= before && !p.Job.Started && !p.Overdue && p.Job.Pending > 0 {
-			turned = append(turned, p)
+func (t *team[H]) updateOverdue(acceptedUntilS float64) {
+	var changed []*Entry[H]
+	t.byAge.Ascend(func(entry *Entry[H]) bool {
+		if float64(entry.Job.AcceptedMS)/1000 <= acceptedUntilS && !entry.Job.Started && !entry.Overdue && entry.Job.Pending > 0 {
+			changed = append(changed, entry)
 		}
 		return true
 	})
-	for _, p := range turned {
-		t.leave(p)
-		p.Overdue = true
-		t.wait(p)
+	for _, entry := range changed {
+		t.dequeue(entry)
+		entry.Overdue = true
+		t.enqueue(entry)
 	}
 }
 
 // judge gives up being on time for as few jobs as possible (Moore and Hodgson): in
 // order of deadline, and whenever one would be late, the largest so far is left out.
 // Plain order of deadline lets one hopeless job make all after it late.
-func (t *team[H]) judge(now, cpus float64) {
-	var kept largest[H]
+func (t *team[H]) updateLate(nowS, cpus float64) {
+	var onTime workHeap[H]
 	late := map[*Entry[H]]bool{}
-	at := now
-	t.byDue.Ascend(func(p *Entry[H]) bool {
-		if now+p.Job.EstimateS > p.Job.Due && p.Job.Pending > 0 {
-			late[p] = true
+	finishS := nowS
+	t.byDue.Ascend(func(entry *Entry[H]) bool {
+		if nowS+entry.Job.EstimateS > entry.Job.Due && entry.Job.Pending > 0 {
+			late[entry] = true
 			return true
 		}
-		heap.Push(&kept, p)
-		if at += p.Job.work() / cpus; at > p.Job.Due {
-			o := heap.Pop(&kept).(*Entry[H])
-			late[o] = true
-			at -= o.Job.work() / cpus
+		heap.Push(&onTime, entry)
+		if finishS += entry.Job.workLeft() / cpus; finishS > entry.Job.Due {
+			largest := heap.Pop(&onTime).(*Entry[H])
+			late[largest] = true
+			finishS -= largest.Job.workLeft() / cpus
 		}
 		return true
 	})
-	var turned []*Entry[H]
-	t.byDue.Ascend(func(p *Entry[H]) bool {
-		if p.Late != late[p] {
-			turned = append(turned, p)
+	var changed []*Entry[H]
+	t.byDue.Ascend(func(entry *Entry[H]) bool {
+		if entry.Late != late[entry] {
+			changed = append(changed, entry)
 		}
 		return true
 	})
-	for _, p := range turned {
-		t.leave(p)
-		p.Late = !p.Late
-		t.wait(p)
+	for _, entry := range changed {
+		t.dequeue(entry)
+		entry.Late = !entry.Late
+		t.enqueue(entry)
 	}
 }
 
@@ -372,54 +374,54 @@
 // for each step what a job of the team may find at the most; jobs that ask for more
 // are skipped without a look at each. f may place tasks, but must not put or drop
 // jobs; it says whether to go on.
-func (q *Queue[H]) Walk(room func(team string) placement.Size, f func(*Entry[H]) bool) {
-	heads := make([]*Entry[H], 0, len(q.names))
-	for _, name := range q.names {
-		if p := q.teams[name].waiting.first(room(name)); p != nil {
-			heads = append(heads, p)
+func (q *Queue[H]) Walk(freeFor func(team string) placement.Size, visit func(*Entry[H]) bool) {
+	heads := make([]*Entry[H], 0, len(q.teamNames))
+	for _, name := range q.teamNames {
+		if entry := q.teams[name].waiting.first(freeFor(name)); entry != nil {
+			heads = append(heads, entry)
 		}
 	}
 	for len(heads) > 0 {
-		k := 0
+		next := 0
 		for i := range heads {
-			if before(heads[i], heads[k]) {
-				k = i
+			if servedBefore(heads[i], heads[next]) {
+				next = i
 			}
 		}
-		p := heads[k]
+		entry := heads[next]
 		// Room has shrunk since this head was found.
-		if most := room(p.Job.Team); !placement.Fits(most, p.Job.TaskSize) {
-			if n := q.teams[p.Job.Team].waiting.after(p, most); n != nil {
-				heads[k] = n
+		if free := freeFor(entry.Job.Team); !placement.Fits(free, entry.Job.TaskSize) {
+			if following := q.teams[entry.Job.Team].waiting.after(entry, free); following != nil {
+				heads[next] = following
 			} else {
-				heads = slices.Delete(heads, k, k+1)
+				heads = slices.Delete(heads, next, next+1)
 			}
 			continue
 		}
-		if !f(p) {
+		if !visit(entry) {
 			return
 		}
-		if n := q.teams[p.Job.Team].waiting.after(p, room(p.Job.Team)); n != nil {
-			heads[k] = n
+		if following := q.teams[entry.Job.Team].waiting.after(entry, freeFor(entry.Job.Team)); following != nil {
+			heads[next] = following
 		} else {
-			heads = slices.Delete(heads, k, k+1)
+			heads = slices.Delete(heads, next, next+1)
 		}
 	}
 }
 
 // largest is a heap of jobs, the most work on top.
-type largest[H any] []*Entry[H]
+type workHeap[H any] []*Entry[H]
 
-func (h largest[H]) Len() int { return len(h) }
-func (h largest[H]) Less(i, j int) bool {
-	if a, b := h[i].Job.work(), h[j].Job.work(); a != b {
+func (h workHeap[H]) Len() int { return len(h) }
+func (h workHeap[H]) Less(i, j int) bool {
+	if a, b := h[i].Job.workLeft(), h[j].Job.workLeft(); a != b {
 		return a > b
 	}
-	return sooner(h[i], h[j])
+	return dueBefore(h[i], h[j])
 }
-func (h largest[H]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *largest[H]) Push(x any)   { *h = append(*h, x.(*Entry[H])) }
-func (h *largest[H]) Pop() any {
+func (h workHeap[H]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *workHeap[H]) Push(x any)   { *h = append(*h, x.(*Entry[H])) }
+func (h *workHeap[H]) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-var teams = map[string]placement.Size{"red": {CPUs: 10}, "blue": {CPUs: 3}}
+var guarantees = map[string]placement.Size{"red": {CPUs: 10}, "blue": {CPUs: 3}}
 
 func drawJob(t *rapid.T) Job {
 	n := rapid.IntRange(0, 15).Draw(t, "job")
@@ -30,9 +30,9 @@
 // However jobs come, change and go, they are served in the order that sorting them
 // afresh gives, what lies within a guarantee is counted anew, and a walk that is told
 // of little room meets just those that ask for no more.
-func TestOrderIsThatOfSortingAfresh(t *testing.T) {
+func TestOrderMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q, all := New[string](teams), map[string]Job{}
+		q, all := New[string](guarantees), map[string]Job{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0:
@@ -40,42 +40,42 @@
 				q.Remove(id)
 				delete(all, id)
 			case 1:
-				q.UpdateDeadlines(float64(rapid.IntRange(0, 20).Draw(t, "now")), 1e9, func(team string) float64 { return 3 * teams[team].CPUs })
+				q.UpdateDeadlines(float64(rapid.IntRange(0, 20).Draw(t, "now")), 1e9, func(team string) float64 { return 3 * guarantees[team].CPUs })
 			default:
 				j := drawJob(t)
 				q.Put(j.ID, j)
 				all[j.ID] = j
 			}
 		}
-		var ps []*Entry[string]
+		var entries []*Entry[string]
 		for id, j := range all {
 			p := q.Get(id)
 			if p == nil || p.Job != j {
 				t.Fatalf("%s: kept %+v, put %+v", id, p, j)
 			}
-			ps = append(ps, p)
+			entries = append(entries, p)
 		}
-		sort.Slice(ps, func(i, j int) bool { return older(ps[i], ps[j]) })
+		sort.Slice(entries, func(i, j int) bool { return older(entries[i], entries[j]) })
 		sum := map[string]float64{}
-		for _, p := range ps {
+		for _, p := range entries {
 			sum[p.Job.Team] += p.Job.demand().CPUs
-			if want := sum[p.Job.Team] <= teams[p.Job.Team].CPUs; p.WithinGuarantee != want {
+			if want := sum[p.Job.Team] <= guarantees[p.Job.Team].CPUs; p.WithinGuarantee != want {
 				t.Fatalf("%s within its guarantee: %v, counted afresh %v", p.Job.ID, p.WithinGuarantee, want)
 			}
 		}
-		most := placement.Size{CPUs: float64(rapid.IntRange(1, 3).Draw(t, "room")), MemGB: float64(rapid.IntRange(1, 4).Draw(t, "mem"))}
-		sort.Slice(ps, func(i, j int) bool { return before(ps[i], ps[j]) })
+		free := placement.Size{CPUs: float64(rapid.IntRange(1, 3).Draw(t, "room")), MemGB: float64(rapid.IntRange(1, 4).Draw(t, "mem"))}
+		sort.Slice(entries, func(i, j int) bool { return servedBefore(entries[i], entries[j]) })
 		var want, got []string
 		waiting := 0
-		for _, p := range ps {
+		for _, p := range entries {
 			if p.Job.Pending > 0 {
 				waiting++
-				if placement.Fits(most, p.Job.TaskSize) {
+				if placement.Fits(free, p.Job.TaskSize) {
 					want = append(want, p.Job.ID)
 				}
 			}
 		}
-		q.Walk(func(string) placement.Size { return most }, func(p *Entry[string]) bool { got = append(got, p.Handle); return true })
+		q.Walk(func(string) placement.Size { return free }, func(p *Entry[string]) bool { got = append(got, p.Handle); return true })
 		if strings.Join(got, " ") != strings.Join(want, " ") || q.Len() != waiting {
 			t.Fatalf("served %v of %d, sorted afresh %v of %d", got, q.Len(), want, waiting)
 		}
@@ -83,8 +83,8 @@
 }
 
 // One hopeless job does not make those after it late.
-func TestHopelessJobIsGivenUp(t *testing.T) {
-	q := New[int](teams)
+func TestLateJobDoesNotDelayOthers(t *testing.T) {
+	q := New[int](guarantees)
 	for i, work := range []int{1, 50, 1, 1} {
 		q.Put(i, Job{ID: fmt.Sprint(i), Team: "red", AcceptedMS: int64(i), Due: float64(10 + i), EstimateS: 1, TaskSize: placement.Size{CPUs: 1}, Unfinished: work, Pending: work})
 	}
--- a/internal/queue/tree.go
+++ b/internal/queue/tree.go
@@ -18,113 +18,115 @@
 }
 
 type node[H any] struct {
-	p           *Entry[H]
-	height      uint64
+	entry       *Entry[H]
+	priority    uint64
 	left, right *node[H]
-	least       placement.Size
+	minSize     placement.Size
 }
 
-func (n *node[H]) update() {
-	n.least = n.p.Job.TaskSize
-	for _, c := range [2]*node[H]{n.left, n.right} {
-		if c != nil {
-			n.least = placement.Size{CPUs: math.Min(n.least.CPUs, c.least.CPUs), GPUs: math.Min(n.least.GPUs, c.least.GPUs), MemGB: math.Min(n.least.MemGB, c.least.MemGB)}
+func (n *node[H]) updateMinSize() {
+	n.minSize = n.entry.Job.TaskSize
+	for _, child := range [2]*node[H]{n.left, n.right} {
+		if child != nil {
+			n.minSize = placement.Size{CPUs: math.Min(n.minSize.CPUs, child.minSize.CPUs), GPUs: math.Min(n.minSize.GPUs, child.minSize.GPUs), MemGB: math.Min(n.minSize.MemGB, child.minSize.MemGB)}
 		}
 	}
 }
 
-func (t *tree[H]) insert(p *Entry[H]) *node[H] {
-	n := &node[H]{p: p, height: xxhash.Sum64String(p.Job.ID)}
-	n.update()
+func (t *tree[H]) insert(entry *Entry[H]) *node[H] {
+	n := &node[H]{entry: entry, priority: xxhash.Sum64String(entry.Job.ID)}
+	n.updateMinSize()
 	t.len++
-	t.root = put(t.root, n)
+	t.root = insertNode(t.root, n)
 	return n
 }
 
-func put[H any](at, n *node[H]) *node[H] {
+func insertNode[H any](root, n *node[H]) *node[H] {
 	switch {
-	case at == nil:
+	case root == nil:
 		return n
-	case n.height > at.height:
-		n.left, n.right = split(at, n.p)
-		n.update()
+	case n.priority > root.priority:
+		n.left, n.right = split(root, n.entry)
+		n.updateMinSize()
 		return n
-	case before(n.p, at.p):
-		at.left = put(at.left, n)
+	case servedBefore(n.entry, root.entry):
+		root.left = insertNode(root.left, n)
 	default:
-		at.right = put(at.right, n)
+		root.right = insertNode(root.right, n)
 	}
-	at.update()
-	return at
+	root.updateMinSize()
+	return root
 }
 
 // split parts a tree into what is served before a job and the rest.
-func split[H any](at *node[H], p *Entry[H]) (l, r *node[H]) {
-	if at == nil {
+func split[H any](root *node[H], entry *Entry[H]) (left, right *node[H]) {
+	if root == nil {
 		return nil, nil
 	}
-	if before(at.p, p) {
-		at.right, r = split(at.right, p)
-		at.update()
-		return at, r
+	if servedBefore(root.entry, entry) {
+		root.right, right = split(root.right, entry)
+		root.updateMinSize()
+		return root, right
 	}
-	l, at.left = split(at.left, p)
-	at.update()
-	return l, at
+	left, root.left = split(root.left, entry)
+	root.updateMinSize()
+	return left, root
 }
 
-func (t *tree[H]) remove(p *Entry[H]) {
+func (t *tree[H]) remove(entry *Entry[H]) {
 	t.len--
-	t.root = cut(t.root, p)
+	t.root = removeNode(t.root, entry)
 }
 
-func cut[H any](at *node[H], p *Entry[H]) *node[H] {
+func removeNode[H any](root *node[H], entry *Entry[H]) *node[H] {
 	switch {
-	case at.p == p:
-		return join(at.left, at.right)
-	case before(p, at.p):
-		at.left = cut(at.left, p)
+	case root.entry == entry:
+		return join(root.left, root.right)
+	case servedBefore(entry, root.entry):
+		root.left = removeNode(root.left, entry)
 	default:
-		at.right = cut(at.right, p)
+		root.right = removeNode(root.right, entry)
 	}
-	at.update()
-	return at
+	root.updateMinSize()
+	return root
 }
 
-func join[H any](l, r *node[H]) *node[H] {
+func join[H any](left, right *node[H]) *node[H] {
 	switch {
-	case l == nil:
-		return r
-	case r == nil:
-		return l
-	case l.height > r.height:
-		l.right = join(l.right, r)
-		l.update()
-		return l
+	case left == nil:
+		return right
+	case right == nil:
+		return left
+	case left.priority > right.priority:
+		left.right = join(left.right, right)
+		left.updateMinSize()
+		return left
 	}
-	r.left = join(l, r.left)
-	r.update()
-	return r
+	right.left = join(left, right.left)
+	right.updateMinSize()
+	return right
 }
 
 // first is the first job that asks for no more than there is.
-func (t *tree[H]) first(most placement.Size) *Entry[H] { return find(t.root, nil, most) }
+func (t *tree[H]) first(free placement.Size) *Entry[H] { return find(t.root, nil, free) }
 
 // after is the first such job after p in the order.
-func (t *tree[H]) after(p *Entry[H], most placement.Size) *Entry[H] { return find(t.root, p, most) }
+func (t *tree[H]) after(entry *Entry[H], free placement.Size) *Entry[H] {
+	return find(t.root, entry, free)
+}
 
-func find[H any](at *node[H], p *Entry[H], most placement.Size) *Entry[H] {
-	if at == nil || !placement.Fits(most, at.least) {
+func find[H any](root *node[H], after *Entry[H], free placement.Size) *Entry[H] {
+	if root == nil || !placement.Fits(free, root.minSize) {
 		return nil
 	}
-	if p != nil && !before(p, at.p) {
-		return find(at.right, p, most)
+	if after != nil && !servedBefore(after, root.entry) {
+		return find(root.right, after, free)
 	}
-	if x := find(at.left, p, most); x != nil {
-		return x
+	if found := find(root.left, after, free); found != nil {
+		return found
 	}
-	if placement.Fits(most, at.p.Job.TaskSize) {
-		return at.p
+	if placement.Fits(free, root.entry.Job.TaskSize) {
+		return root.entry
 	}
-	return find(at.right, nil, most)
+	return find(root.right, nil, free)
 }
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,12 +1,14 @@
-// Package reservation keeps places for tasks that fit nowhere. Every freed corner of a machine
-// goes to a small task, so no machine ever empties for a large one; a place that is held
-// fills up for it instead. A hold takes its size out of what others see free on the machine.
+// Package reservation keeps capacity on machines for tasks that fit nowhere. Small tasks take all
+// capacity that is released, so without reservations no machine would ever empty far enough for a
+// large task. A reservation subtracts its size from the free capacity that other tasks see on the
+// machine.
 //
-// Who waits, in which order, comes from records alone, so a successor holds for the same
-// jobs. Holds themselves are not written: they only keep places free.
+// Which jobs wait, and in which order, follows from records alone, so a new holder of a shard makes
+// reservations for the same jobs. Reservations themselves are not written: they only keep capacity
+// free.
 //
-// Plain structures: no clock, no I/O, not for concurrent use. Times are those of the owner's
-// steady clock.
+// The structures have no clock and no I/O, and are not safe for concurrent use. Times are those of
+// the caller's monotonic clock.
 package reservation
 
 import (
@@ -17,108 +19,118 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Limits bound what is held.
+// Limits bound the reservations of a shard.
 type Limits struct {
-	MaxShare float64       // of the machines that are up
-	Horizon  time.Duration // a machine that is free later than this from now is not held
-	MinGain  time.Duration // a hold moves only to a machine that is free so much sooner
+	MaxShare float64       // largest share of the machines that are up
+	Horizon  time.Duration // machines where the task fits later than this from now are not reserved
+	MinGain  time.Duration // a reservation moves only to a machine where the task fits sooner by more than this
 }
 
-// Leave is room that comes free.
+// Release is capacity that is expected to become free.
 type Release struct {
 	At   time.Duration
 	Size placement.Size
 }
 
-// Machine is one that a place may be held on.
+// Machine is a machine that may be reserved.
 type Machine[M comparable] struct {
 	Handle   M
 	Name     string
 	Up       bool
 	ReadyAt  time.Duration // when it is expected to be up, if it is not
 	Free     placement.Size
-	Releases []Release // what is expected to leave; work that stays is not among it
+	Releases []Release // expected ends of its tasks; tasks without a foreseeable end are not among them
 }
 
-// Ask is a job whose tasks fit nowhere, in the order of service.
+// Request is a job whose tasks fit nowhere. Requests are listed in the order of service.
 type Request[M comparable] struct {
 	Job      string
 	Team     string
-	TeamFull bool           // its team's limit has no room for one
+	TeamFull bool           // the team's limit has no capacity left for one task
 	Size     placement.Size // of one task
-	Tasks    int            // that may be started
+	Tasks    int            // number of tasks that may be started
 	Allows   func(M) bool
 }
 
-// Wide leaves the asks for at least so many times what the least of the others does, of any
-// resource: those of a like size are served in turn, these are passed by for ever.
-func Oversized[M comparable](asks []Request[M], least placement.Size, times float64) (out []Request[M]) {
-	for _, a := range asks {
-		s := a.Size
-		if least.CPUs > 0 && s.CPUs >= times*least.CPUs || least.MemGB > 0 && s.MemGB >= times*least.MemGB || s.GPUs > 0 && s.GPUs >= times*least.GPUs {
-			out = append(out, a)
+// Oversized returns the requests for at least factor times the smallest amount that other tasks ask
+// for, of any resource. Tasks of similar size are served in turn, while these would be passed over
+// forever.
+func Oversized[M comparable](requests []Request[M], smallest placement.Size, factor float64) (oversized []Request[M]) {
+	for _, request := range requests {
+		size := request.Size
+		if smallest.CPUs > 0 && size.CPUs >= factor*smallest.CPUs ||
+			smallest.MemGB > 0 && size.MemGB >= factor*smallest.MemGB ||
+			size.GPUs > 0 && size.GPUs >= factor*smallest.GPUs {
+			oversized = append(oversized, request)
 		}
 	}
-	return out
+	return oversized
 }
 
-// Kept is what is kept of teams' limits: a task's size for the first of each team that does not
-// fit into what is left. Smaller tasks of the same team took up every bit of it for ever.
-func TeamReservations[M comparable](asks []Request[M]) map[string]Reservation {
-	kept := map[string]Reservation{}
-	for _, a := range asks {
-		if _, has := kept[a.Team]; a.TeamFull && !has {
-			kept[a.Team] = Reservation{Job: a.Job, Size: a.Size}
+// TeamReservations returns, by team, what is reserved of the team's limit: the size of one task of
+// the first job that does not fit into what is left of it. Without this, smaller tasks of the same
+// team used up whatever became free, and the large task was never started.
+func TeamReservations[M comparable](requests []Request[M]) map[string]Reservation {
+	reservations := map[string]Reservation{}
+	for _, request := range requests {
+		if _, has := reservations[request.Team]; request.TeamFull && !has {
+			reservations[request.Team] = Reservation{Job: request.Job, Size: request.Size}
 		}
 	}
-	return kept
+	return reservations
 }
 
-// Hold is a place that is kept.
+// Reservation is capacity for one task that is kept free.
 type Reservation struct {
 	Job    string
 	Size   placement.Size
 	FitsAt time.Duration // when the task is expected to fit
 }
 
-// Book is what one controller holds in one shard.
+// Table holds the reservations of one controller in one shard.
 type Table[M comparable] struct {
-	limits Limits
-	holds  map[M]Reservation
-	order  []M // of holds: by the place of their ask, then by when it fits
+	limits       Limits
+	reservations map[M]Reservation
+	order        []M // reserved machines, by the order of their requests, then by when the task fits
 }
 
-// New returns an empty book.
-func New[M comparable](l Limits) *Table[M] { return &Table[M]{limits: l, holds: map[M]Reservation{}} }
+// New returns an empty table.
+func New[M comparable](limits Limits) *Table[M] {
+	return &Table[M]{limits: limits, reservations: map[M]Reservation{}}
+}
 
-// Of is what is held on a machine.
-func (b *Table[M]) Get(m M) (Reservation, bool) { h, ok := b.holds[m]; return h, ok }
+// Get returns the reservation on a machine, if there is one.
+func (t *Table[M]) Get(m M) (Reservation, bool) {
+	reservation, ok := t.reservations[m]
+	return reservation, ok
+}
 
-// Held lists the machines that are held, those of the job that is served first in front.
-func (b *Table[M]) Machines() []M { return b.order }
+// Machines returns the reserved machines, those of the job that is served first in front.
+func (t *Table[M]) Machines() []M { return t.order }
 
-// Within counts the places held for a job where a task fits by a time.
-func (b *Table[M]) CountUntil(job string, until time.Duration) (n int) {
-	for _, h := range b.holds {
-		if h.Job == job && h.FitsAt <= until {
+// CountUntil returns the number of reservations of a job whose task fits no later than until.
+func (t *Table[M]) CountUntil(job string, until time.Duration) (n int) {
+	for _, reservation := range t.reservations {
+		if reservation.Job == job && reservation.FitsAt <= until {
 			n++
 		}
 	}
 	return n
 }
 
-// Len is how many machines are held.
-func (b *Table[M]) Len() int { return len(b.holds) }
+// Len returns the number of reserved machines.
+func (t *Table[M]) Len() int { return len(t.reservations) }
 
-// Drop ends the hold on a machine.
-func (b *Table[M]) Remove(m M) {
-	if _, is := b.holds[m]; is {
-		delete(b.holds, m)
-		b.order = slices.DeleteFunc(slices.Clone(b.order), func(o M) bool { return o == m })
+// Remove ends the reservation on a machine.
+func (t *Table[M]) Remove(m M) {
+	if _, exists := t.reservations[m]; exists {
+		delete(t.reservations, m)
+		t.order = slices.DeleteFunc(slices.Clone(t.order), func(other M) bool { return other == m })
 	}
 }
 
-// At is when a task of a size is expected to fit on a machine; false: not foreseen.
+// FitTime returns when a task of the given size is expected to fit on the machine. It returns false
+// if that cannot be foreseen.
 func (m *Machine[M]) FitTime(now time.Duration, size placement.Size) (time.Duration, bool) {
 	at := now
 	if !m.Up {
@@ -136,129 +148,132 @@
 	return 0, false
 }
 
-// Plan decides anew which places are held, and returns the machines whose hold has changed.
-// Asks share what is held: each gets one place before any gets two. What is held already
-// stays while its task still waits and its machine still empties; a machine that boots
-// counts against no bound, since nobody is kept from it yet.
-func (b *Table[M]) Plan(now time.Duration, asks []Request[M], machines []Machine[M]) (changed []M) {
+// Plan recomputes the reservations, and returns the machines whose reservation has changed. Requests
+// share the reservations: each gets one before any gets two. An existing reservation stays while its
+// task still waits and its machine is still expected to become free. Machines that boot do not count
+// against the limit, since no other task could use them yet.
+func (t *Table[M]) Plan(now time.Duration, requests []Request[M], machines []Machine[M]) (changed []M) {
 	slices.SortFunc(machines, func(x, y Machine[M]) int { return cmp.Compare(x.Name, y.Name) })
 	for k := range machines {
 		slices.SortStableFunc(machines[k].Releases, func(x, y Release) int { return cmp.Compare(x.At, y.At) })
 	}
-	old := b.holds
-	b.holds = map[M]Reservation{}
-	got := b.keep(now, old, asks, machines)
-	up, held := 0, 0
+	old := t.reservations
+	t.reservations = map[M]Reservation{}
+	granted := t.carryOver(now, old, requests, machines)
+	up, reserved := 0, 0
 	for k := range machines {
 		if machines[k].Up {
 			up++
-			if _, is := b.holds[machines[k].Handle]; is {
-				held++
+			if _, exists := t.reservations[machines[k].Handle]; exists {
+				reserved++
 			}
 		}
 	}
-	most := max(1, int(float64(up)*b.limits.MaxShare))
-	// Machines that were held while they booted count once they are up, and others may be gone.
-	for k := len(machines) - 1; k >= 0 && held > most; k-- {
-		if h, is := b.holds[machines[k].Handle]; is && machines[k].Up {
-			delete(b.holds, machines[k].Handle)
-			got[slices.IndexFunc(asks, func(a Request[M]) bool { return a.Job == h.Job })]--
-			held--
+	maxReserved := max(1, int(float64(up)*t.limits.MaxShare))
+	// Machines that were reserved while they booted count once they are up, and other machines may
+	// be gone, so more may be reserved than the limit allows.
+	for k := len(machines) - 1; k >= 0 && reserved > maxReserved; k-- {
+		if reservation, exists := t.reservations[machines[k].Handle]; exists && machines[k].Up {
+			delete(t.reservations, machines[k].Handle)
+			granted[slices.IndexFunc(requests, func(a Request[M]) bool { return a.Job == reservation.Job })]--
+			reserved--
 		}
 	}
 	for round := 1; ; round++ {
-		more := false
-		for i := range asks {
-			a := &asks[i]
-			if got[i] >= min(round, a.Tasks) {
+		progress := false
+		for i := range requests {
+			a := &requests[i]
+			if granted[i] >= min(round, a.Tasks) {
 				continue
 			}
-			if k, at := b.soonest(now, a, machines, held < most); k >= 0 {
-				b.holds[machines[k].Handle] = Reservation{a.Job, a.Size, at}
-				got[i]++
-				more = true
+			if k, at := t.earliest(now, a, machines, reserved < maxReserved); k >= 0 {
+				t.reservations[machines[k].Handle] = Reservation{a.Job, a.Size, at}
+				granted[i]++
+				progress = true
 				if machines[k].Up {
-					held++
+					reserved++
 				}
 			}
 		}
-		if !more {
+		if !progress {
 			break
 		}
 	}
-	b.sort(asks, machines)
+	t.sortMachines(requests, machines)
 	for k := range machines {
 		m := machines[k].Handle
-		h, is := b.holds[m]
-		o, was := old[m]
-		if is != was || h.Job != o.Job || h.Size != o.Size {
+		reservation, exists := t.reservations[m]
+		before, existed := old[m]
+		if exists != existed || reservation.Job != before.Job || reservation.Size != before.Size {
 			changed = append(changed, m)
 		}
 		delete(old, m)
 	}
-	for m := range old { // no longer among the machines; the owner forgets them in no order
+	// These are no longer among the machines. The caller drops its state of them in any order.
+	for m := range old {
 		changed = append(changed, m)
 	}
 	return changed
 }
 
-// sort puts what is held in order. Machines come sorted by name.
-func (b *Table[M]) sort(asks []Request[M], machines []Machine[M]) {
+// sortMachines lists the reserved machines in the order of service. machines are sorted by name.
+func (t *Table[M]) sortMachines(requests []Request[M], machines []Machine[M]) {
 	rank := map[string]int{}
-	for i := range asks {
-		rank[asks[i].Job] = i
+	for i := range requests {
+		rank[requests[i].Job] = i
 	}
-	b.order = make([]M, 0, len(b.holds))
+	t.order = make([]M, 0, len(t.reservations))
 	for k := range machines {
-		if _, is := b.holds[machines[k].Handle]; is {
-			b.order = append(b.order, machines[k].Handle)
+		if _, is := t.reservations[machines[k].Handle]; is {
+			t.order = append(t.order, machines[k].Handle)
 		}
 	}
-	slices.SortStableFunc(b.order, func(x, y M) int {
-		p, q := b.holds[x], b.holds[y]
-		return cmp.Or(cmp.Compare(rank[p.Job], rank[q.Job]), cmp.Compare(p.FitsAt, q.FitsAt))
+	slices.SortStableFunc(t.order, func(x, y M) int {
+		first, second := t.reservations[x], t.reservations[y]
+		return cmp.Or(cmp.Compare(rank[first.Job], rank[second.Job]), cmp.Compare(first.FitsAt, second.FitsAt))
 	})
 }
 
-// keep takes over the holds that still serve, and counts them by ask.
-func (b *Table[M]) keep(now time.Duration, old map[M]Reservation, asks []Request[M], machines []Machine[M]) []int {
-	got, of := make([]int, len(asks)), map[string]int{}
-	for i := range asks {
-		of[asks[i].Job] = i
+// carryOver takes over the old reservations that still apply, and returns their number by request.
+func (t *Table[M]) carryOver(now time.Duration, old map[M]Reservation, requests []Request[M], machines []Machine[M]) []int {
+	granted, byJob := make([]int, len(requests)), map[string]int{}
+	for i := range requests {
+		byJob[requests[i].Job] = i
 	}
 	for k := range machines {
-		m := &machines[k]
-		h, was := old[m.Handle]
-		i, waits := of[h.Job]
-		if !was || !waits || got[i] >= asks[i].Tasks || asks[i].Size != h.Size || !asks[i].Allows(m.Handle) {
+		machine := &machines[k]
+		reservation, existed := old[machine.Handle]
+		i, waits := byJob[reservation.Job]
+		if !existed || !waits || granted[i] >= requests[i].Tasks ||
+			requests[i].Size != reservation.Size || !requests[i].Allows(machine.Handle) {
 			continue
 		}
-		at, ok := m.FitTime(now, h.Size)
-		if !ok || at > now+b.limits.Horizon {
+		at, ok := machine.FitTime(now, reservation.Size)
+		if !ok || at > now+t.limits.Horizon {
 			continue
 		}
-		if s, sooner := b.soonest(now, &asks[i], machines, true); s >= 0 && sooner+b.limits.MinGain < at {
-			if _, taken := old[machines[s].Handle]; !taken {
+		if better, betterAt := t.earliest(now, &requests[i], machines, true); better >= 0 && betterAt+t.limits.MinGain < at {
+			if _, taken := old[machines[better].Handle]; !taken {
 				continue
 			}
 		}
-		b.holds[m.Handle] = Reservation{h.Job, h.Size, at}
-		got[i]++
+		t.reservations[machine.Handle] = Reservation{reservation.Job, reservation.Size, at}
+		granted[i]++
 	}
-	return got
+	return granted
 }
 
-// soonest is the machine, not held yet, where a task fits first; up: machines that are up
-// may be held too.
-func (b *Table[M]) soonest(now time.Duration, a *Request[M], machines []Machine[M], up bool) (best int, at time.Duration) {
+// earliest returns the index of the machine without a reservation where a task of the request fits
+// first, and when; -1 if there is none. allowUp is whether machines that are up may be reserved too.
+func (t *Table[M]) earliest(now time.Duration, request *Request[M], machines []Machine[M], allowUp bool) (best int, at time.Duration) {
 	best = -1
 	for k := range machines {
-		m := &machines[k]
-		if _, held := b.holds[m.Handle]; held || m.Up && !up || !a.Allows(m.Handle) {
+		machine := &machines[k]
+		if _, reserved := t.reservations[machine.Handle]; reserved || machine.Up && !allowUp || !request.Allows(machine.Handle) {
 			continue
 		}
-		if t, ok := m.FitTime(now, a.Size); ok && t <= now+b.limits.Horizon && (best < 0 || t < at) {
-			best, at = k, t
+		if fitsAt, ok := machine.FitTime(now, request.Size); ok && fitsAt <= now+t.limits.Horizon && (best < 0 || fitsAt < at) {
+			best, at = k, fitsAt
 		}
 	}
 	return best, at
--- a/internal/supply/blocks.go
+++ b/internal/supply/blocks.go
@@ -13,22 +13,22 @@
 		typ, zone string
 		spot      bool
 	}
-	of := func(m wire.MachineInfo) kind { return kind{m.Type, m.Zone, m.Spot} }
-	last, size := map[kind]int{}, map[kind]int{}
-	for _, m := range machines {
-		size[of(m)]++
+	kindOf := func(machine wire.MachineInfo) kind { return kind{machine.Type, machine.Zone, machine.Spot} }
+	lastBlock, size := map[kind]int{}, map[kind]int{}
+	for _, machine := range machines {
+		size[kindOf(machine)]++
 	}
-	for k, n := range size {
-		size[k] = min(max(n/sizes.BlocksPerBatch, sizes.Min), sizes.Max)
+	for kindOfMachine, n := range size {
+		size[kindOfMachine] = min(max(n/sizes.BlocksPerBatch, sizes.Min), sizes.Max)
 	}
-	for _, m := range machines {
-		k, bm := of(m), wire.BlockMachine{Name: m.Name, Fresh: fresh}
-		if i, ok := last[k]; ok && len(blocks[i].Machines) < size[k] {
-			blocks[i].Machines = append(blocks[i].Machines, bm)
+	for _, machine := range machines {
+		kindOfMachine, blockMachine := kindOf(machine), wire.BlockMachine{Name: machine.Name, Fresh: fresh}
+		if i, ok := lastBlock[kindOfMachine]; ok && len(blocks[i].Machines) < size[kindOfMachine] {
+			blocks[i].Machines = append(blocks[i].Machines, blockMachine)
 			continue
 		}
-		last[k] = len(blocks)
-		blocks = append(blocks, wire.Block{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Base: base, Machines: []wire.BlockMachine{bm}})
+		lastBlock[kindOfMachine] = len(blocks)
+		blocks = append(blocks, wire.Block{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Base: base, Machines: []wire.BlockMachine{blockMachine}})
 	}
 	return blocks
 }
--- a/internal/supply/rules.go
+++ b/internal/supply/rules.go
@@ -36,18 +36,18 @@
 
 // GangFits tells whether so many tasks of a gang find room at once, by how many each zone has room for,
 // and in which zone if all have to be in one: each is tried alone, for the first task's place binds the rest.
-func GangFits(j *wire.Job, waiting int, room map[string]int) (zone string, ok bool) {
+func GangFits(j *wire.Job, waiting int, slots map[string]int) (zone string, ok bool) {
 	total := 0
-	for _, z := range slices.Sorted(maps.Keys(room)) {
+	for _, z := range slices.Sorted(maps.Keys(slots)) {
 		switch {
 		case j.OneZone:
-			if room[z] >= waiting {
+			if slots[z] >= waiting {
 				return z, true
 			}
 		case j.Spread:
-			total += min(room[z], (j.Tasks+1)/2)
+			total += min(slots[z], (j.Tasks+1)/2)
 		default:
-			total += room[z]
+			total += slots[z]
 		}
 	}
 	return "", total >= waiting
--- a/internal/supply/shards.go
+++ b/internal/supply/shards.go
@@ -31,13 +31,13 @@
 // before others; -1: there is none.
 func LeastSupplied(shards []Shard) int {
 	best, score := -1, 0.0
-	for _, x := range shards {
-		s := (x.HaveCPUs + 0.001) / (x.GuaranteedCPUs + 0.001)
-		if x.SameZone {
-			s *= 0.7
+	for _, shard := range shards {
+		ratio := (shard.HaveCPUs + 0.001) / (shard.GuaranteedCPUs + 0.001)
+		if shard.SameZone {
+			ratio *= 0.7
 		}
-		if best < 0 || s < score {
-			best, score = x.Index, s
+		if best < 0 || ratio < score {
+			best, score = shard.Index, ratio
 		}
 	}
 	return best
@@ -47,9 +47,9 @@
 // there is none.
 func MostOversupplied(shards []Shard, except int) int {
 	best, most := -1, 0.0
-	for _, x := range shards {
-		if over := x.HaveCPUs - x.GuaranteedCPUs; x.Index != except && over > most {
-			best, most = x.Index, over
+	for _, shard := range shards {
+		if surplus := shard.HaveCPUs - shard.GuaranteedCPUs; shard.Index != except && surplus > most {
+			best, most = shard.Index, surplus
 		}
 	}
 	return best
@@ -63,22 +63,22 @@
 
 // Lacking is what is left of a shard's needs once what is rented and stands in no block yet has
 // come; a need that waits for a boot at best stays whole.
-func Shortages(shard int, needs []wire.Need, coming Pool) (open []Shortage) {
-	for _, n := range needs {
-		if !n.Booting {
-			n.Tasks -= coming.Take(RequestOf(n), n.Tasks)
+func Shortages(shard int, needs []wire.Need, incoming Pool) (shortages []Shortage) {
+	for _, need := range needs {
+		if !need.Booting {
+			need.Tasks -= incoming.Take(RequestOf(need), need.Tasks)
 		}
-		if n.Tasks > 0 {
-			open = append(open, Shortage{shard, n})
+		if need.Tasks > 0 {
+			shortages = append(shortages, Shortage{shard, need})
 		}
 	}
-	return open
+	return shortages
 }
 
 // ByRung puts in front what is lacked for an upper rung: it goes before what another shard lacks
 // for routine work.
-func SortByTier(open []Shortage) {
-	slices.SortStableFunc(open, func(a, b Shortage) int { return cmp.Compare(b.Need.Rung, a.Need.Rung) })
+func SortByTier(shortages []Shortage) {
+	slices.SortStableFunc(shortages, func(a, b Shortage) int { return cmp.Compare(b.Need.Rung, a.Need.Rung) })
 }
 
 // Machines is what the machines of a rental are, by the names that the cloud gave them.
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -56,51 +56,51 @@
 	return wire.Need{Types: j.Types, Zone: zone, Spot: j.Spot, CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB, Tasks: tasks, Rung: rung}
 }
 
-func (a *Request) allows(r *Capacity) bool {
-	return (len(a.Types) == 0 || slices.Contains(a.Types, r.Type)) && (a.Zone == "" || a.Zone == r.Zone) && (!r.Spot || a.Spot) && !(r.BootLate && a.Urgent)
+func (request *Request) allows(machine *Capacity) bool {
+	return (len(request.Types) == 0 || slices.Contains(request.Types, machine.Type)) && (request.Zone == "" || request.Zone == machine.Zone) && (!machine.Spot || request.Spot) && !(machine.BootLate && request.Urgent)
 }
 
 // Pool is room that is used up as it is taken.
 type Pool []Capacity
 
 // Take uses up room for at most want tasks, and says for how many there was some.
-func (p Pool) Take(a Request, want int) (got int) {
+func (p Pool) Take(request Request, want int) (taken int) {
 	for k := range p {
-		if got == want {
+		if taken == want {
 			break
 		}
-		r := &p[k]
-		free := r.Free
-		if a.Idle {
-			free = free.Sub(r.IdleUse)
+		machine := &p[k]
+		free := machine.Free
+		if request.Idle {
+			free = free.Sub(machine.IdleUse)
 		}
-		if n := min(want-got, placement.Beta(free, a.Size)+1); n > 0 && a.allows(r) {
-			got += n
-			r.Free = r.Free.Sub(Multiply(a.Size, n))
+		if tasks := min(want-taken, placement.Beta(free, request.Size)+1); tasks > 0 && request.allows(machine) {
+			taken += tasks
+			machine.Free = machine.Free.Sub(Multiply(request.Size, tasks))
 		}
 	}
-	return got
+	return taken
 }
 
 // Times is what n tasks take.
-func Multiply(s placement.Size, n int) placement.Size {
-	return placement.Size{CPUs: float64(n) * s.CPUs, GPUs: float64(n) * s.GPUs, MemGB: float64(n) * s.MemGB}
+func Multiply(size placement.Size, tasks int) placement.Size {
+	return placement.Size{CPUs: float64(tasks) * size.CPUs, GPUs: float64(tasks) * size.GPUs, MemGB: float64(tasks) * size.MemGB}
 }
 
 // Join adds a need to others, at most so many kinds. Many jobs of one task each used to be
 // as many needs, and got a machine each, one after the other, where one rental or a few of
 // another shard's blocks would have held them all.
-func MergeNeed(list []wire.Need, n wire.Need, most int) []wire.Need {
-	for i := range list {
-		if wants.SameKind(list[i], n) {
-			list[i].Tasks += n.Tasks
-			return list
+func MergeNeed(needs []wire.Need, need wire.Need, maxNeeds int) []wire.Need {
+	for i := range needs {
+		if wants.SameKind(needs[i], need) {
+			needs[i].Tasks += need.Tasks
+			return needs
 		}
 	}
-	if len(list) < most {
-		list = append(list, n)
+	if len(needs) < maxNeeds {
+		needs = append(needs, need)
 	}
-	return list
+	return needs
 }
 
 // Offer is one way to rent.
@@ -117,40 +117,40 @@
 
 // Offers lists the ways to rent for a need, the cheapest for a task first, in the holder's
 // zone before elsewhere. spot: such machines may be rented at all.
-func Offers(types map[string]wire.MachineType, n wire.Need, zone string, spot bool) (out []Offer) {
-	ask := RequestOf(n)
+func Offers(types map[string]wire.MachineType, need wire.Need, zone string, spotAllowed bool) (offers []Offer) {
+	request := RequestOf(need)
 	names := make([]string, 0, len(types))
 	for name := range types {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		t := types[name]
-		full := placement.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB}
-		if len(n.Types) > 0 && !slices.Contains(n.Types, name) || !placement.Fits(full, ask.Size) {
+		machineType := types[name]
+		full := placement.Size{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemoryGB}
+		if len(need.Types) > 0 && !slices.Contains(need.Types, name) || !placement.Fits(full, request.Size) {
 			continue
 		}
-		per := placement.Beta(full, ask.Size) + 1
-		for _, z := range t.Zones {
-			if n.Zone != "" && z != n.Zone {
+		perMachine := placement.Beta(full, request.Size) + 1
+		for _, offerZone := range machineType.Zones {
+			if need.Zone != "" && offerZone != need.Zone {
 				continue
 			}
-			out = append(out, Offer{name, z, false, t.Price / float64(per), z != zone, per})
-			if n.Spot && spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
-				out = append(out, Offer{name, z, true, t.SpotPrice / float64(per), z != zone, per})
+			offers = append(offers, Offer{name, offerZone, false, machineType.Price / float64(perMachine), offerZone != zone, perMachine})
+			if need.Spot && spotAllowed && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.Price {
+				offers = append(offers, Offer{name, offerZone, true, machineType.SpotPrice / float64(perMachine), offerZone != zone, perMachine})
 			}
 		}
 	}
-	sort.SliceStable(out, func(i, j int) bool {
-		if out[i].TaskPrice != out[j].TaskPrice {
-			return out[i].TaskPrice < out[j].TaskPrice
+	sort.SliceStable(offers, func(i, j int) bool {
+		if offers[i].TaskPrice != offers[j].TaskPrice {
+			return offers[i].TaskPrice < offers[j].TaskPrice
 		}
-		return !out[i].OtherZone && out[j].OtherZone
+		return !offers[i].OtherZone && offers[j].OtherZone
 	})
-	return out
+	return offers
 }
 
 // Machines is how many of an offer's machines hold so many tasks, at most most.
-func (o *Offer) MachineCount(tasks, most int) int {
-	return min((tasks+o.TasksPerMachine-1)/o.TasksPerMachine, most)
+func (o *Offer) MachineCount(tasks, limit int) int {
+	return min((tasks+o.TasksPerMachine-1)/o.TasksPerMachine, limit)
 }
--- a/internal/tiers/tiers.go
+++ b/internal/tiers/tiers.go
@@ -1,9 +1,9 @@
-// Package tiers puts jobs on rungs: what stands on a higher rung is served before all that
-// stands beneath. The rung of a job follows from two records, the ladder's and the job's own,
-// and its place on the rung from a number that was written with its acceptance, so whoever
-// has the same records serves in the same order.
+// Package tiers assigns jobs to tiers. Jobs on a higher tier are served before all jobs on the tiers
+// below it. A job's tier follows from two records, the tier order's and the job's own, and its
+// position within the tier from a number that was written when it was accepted. Controllers that
+// have the same records therefore serve jobs in the same order.
 //
-// Pure.
+// The package has no clock and no I/O.
 package tiers
 
 import (
@@ -18,14 +18,16 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// MostRungs and MostNames bound a ladder: rungs, and names of a kind on one.
+// MaxTiers and MaxNames bound a tier order: the number of tiers, and the number of classes and of
+// teams named on one tier.
 const (
 	MaxTiers = 32
 	MaxNames = 64
 )
 
-// Priorities, from the top; services go first among what cannot wait.
-var beneath = []wire.Rung{
+// priorityTiers are the tiers that come from job priorities, from the top. They are below the tiers
+// that operators have defined. Among urgent and production work, services go first.
+var priorityTiers = []wire.Rung{
 	{Name: "production services", Priorities: []string{"production"}, Shapes: []string{wire.ShapeService}},
 	{Name: "production", Priorities: []string{"production"}},
 	{Name: "urgent services", Priorities: []string{"urgent"}, Shapes: []string{wire.ShapeService}},
@@ -34,56 +36,62 @@
 	{Name: "idle", Priorities: []string{"idle"}},
 }
 
-// Ladder is one version of the order.
+// Order is one version of the tier order.
 type Order struct {
-	rungs []wire.Rung
-	own   int // rungs that operators have named
+	tiers           []wire.Rung
+	operatorDefined int // number of tiers that operators have defined
 }
 
-// Of reads a record; beneath its rungs stand those that come from priorities.
-func NewOrder(rec wire.Ladder) *Order {
-	return &Order{append(slices.Clone(rec.Rungs), beneath...), len(rec.Rungs)}
+// NewOrder returns the order that a record describes: its tiers, and below them those that come from
+// priorities.
+func NewOrder(record wire.Ladder) *Order {
+	return &Order{append(slices.Clone(record.Rungs), priorityTiers...), len(record.Rungs)}
 }
 
-// Plain tells whether nobody has named a rung: all then goes by priority.
-func (l *Order) PriorityOnly() bool { return l.own == 0 }
+// PriorityOnly reports whether operators have defined no tier, so that jobs are ordered by priority
+// alone.
+func (o *Order) PriorityOnly() bool { return o.operatorDefined == 0 }
 
-// Rungs lists all rungs, top down.
-func (l *Order) Tiers() []wire.Rung { return l.rungs }
+// Tiers returns all tiers, from the top.
+func (o *Order) Tiers() []wire.Rung { return o.tiers }
 
-// Place is a job's rung, counted from the top.
-func (l *Order) TierIndex(j *wire.Job) int {
-	for i := range l.rungs {
-		if selects(&l.rungs[i], j) {
+// TierIndex returns the index of a job's tier, counted from the top.
+func (o *Order) TierIndex(j *wire.Job) int {
+	for i := range o.tiers {
+		if matches(&o.tiers[i], j) {
 			return i
 		}
 	}
-	return len(l.rungs)
+	return len(o.tiers)
 }
 
-// Rank is the same counted from below: higher is served first.
-func (l *Order) Rank(j *wire.Job) int { return len(l.rungs) - l.TierIndex(j) }
+// Rank returns the rank of a job's tier, counted from the bottom: higher ranks are served first.
+func (o *Order) Rank(j *wire.Job) int { return len(o.tiers) - o.TierIndex(j) }
 
-// Named tells whether a rank is that of a rung that operators have named.
-func (l *Order) OperatorDefined(rank int) bool { return rank > len(l.rungs)-l.own }
+// OperatorDefined reports whether a rank is that of a tier that operators have defined.
+func (o *Order) OperatorDefined(rank int) bool { return rank > len(o.tiers)-o.operatorDefined }
 
-func selects(r *wire.Rung, j *wire.Job) bool {
+// matches reports whether a job has what a tier names. Where the tier names nothing, every job does.
+func matches(tier *wire.Rung, j *wire.Job) bool {
 	in := func(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
-	return in(r.Classes, j.Class) && (in(r.Teams, j.Team) || slices.Contains(r.Teams, "*")) && in(r.Priorities, j.Priority) && in(r.Shapes, j.Shape)
+	return in(tier.Classes, j.Class) &&
+		(in(tier.Teams, j.Team) || slices.Contains(tier.Teams, "*")) &&
+		in(tier.Priorities, j.Priority) &&
+		in(tier.Shapes, j.Shape)
 }
 
-// Older orders jobs of one rung: by the number written with their acceptance, or as the last job
-// that they waited for was done. Jobs accepted by versions that wrote none go by the day's time,
-// before all others.
+// Older reports whether a goes before b on the same tier. Jobs are ordered by the number written
+// when they were accepted, or when the last job that they depended on was done. Jobs accepted by
+// versions that wrote no number go before all others, by wall-clock time.
 func Older(a, b *wire.Job) bool {
 	return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.ReadySince(), b.ReadySince()), cmp.Compare(a.ID, b.ID)) < 0
 }
 
-// Order lists jobs in the order of rung and number, with a digest of all of it.
-func (l *Order) SortJobs(jobs []*wire.Job) (list []wire.JobPlace, digest string) {
+// SortJobs returns the jobs in the order of tier and number, and a digest of that list.
+func (o *Order) SortJobs(jobs []*wire.Job) (places []wire.JobPlace, digest string) {
 	sorted := slices.Clone(jobs)
 	slices.SortFunc(sorted, func(a, b *wire.Job) int {
-		if c := cmp.Compare(l.TierIndex(a), l.TierIndex(b)); c != 0 {
+		if c := cmp.Compare(o.TierIndex(a), o.TierIndex(b)); c != 0 {
 			return c
 		}
 		if Older(a, b) {
@@ -91,87 +99,89 @@
 		}
 		return 1
 	})
-	h := xxhash.New()
+	hash := xxhash.New()
 	for _, j := range sorted {
 		name := "none"
-		if i := l.TierIndex(j); i < len(l.rungs) {
-			name = l.rungs[i].Name
+		if i := o.TierIndex(j); i < len(o.tiers) {
+			name = o.tiers[i].Name
 		}
-		list = append(list, wire.JobPlace{Job: j.ID, Rung: name, Number: j.Number})
-		_, _ = fmt.Fprintf(h, "%s %s %d\n", j.ID, name, j.Number)
+		places = append(places, wire.JobPlace{Job: j.ID, Rung: name, Number: j.Number})
+		_, _ = fmt.Fprintf(hash, "%s %s %d\n", j.ID, name, j.Number)
 	}
-	return list, hex.EncodeToString(h.Sum(nil))
+	return places, hex.EncodeToString(hash.Sum(nil))
 }
 
-// Revise is a ladder's record with other rungs, put there at a controller now; the last keep of
-// those that it has had stand in its history. ver is the version of the record it replaces.
-func Revise(old wire.Ladder, ver uint64, rungs []wire.Rung, now time.Time, node string, keep int) wire.Ladder {
-	rec := wire.Ladder{Rungs: rungs, History: slices.Clone(old.History)}
-	if ver > 0 || len(old.Rungs) > 0 {
-		was := wire.LadderChange{Version: ver, AtMS: now.UnixMilli(), Node: node, Rungs: []string{}}
+// Revise returns the record of a tier order with new tiers, as changed at a controller now. version
+// is the version of the record that it replaces. The history of the new record has at most keep
+// changes, the latest ones.
+func Revise(old wire.Ladder, version uint64, tiers []wire.Rung, now time.Time, node string, keep int) wire.Ladder {
+	revised := wire.Ladder{Rungs: tiers, History: slices.Clone(old.History)}
+	if version > 0 || len(old.Rungs) > 0 {
+		replaced := wire.LadderChange{Version: version, AtMS: now.UnixMilli(), Node: node, Rungs: []string{}}
 		for _, r := range old.Rungs {
-			was.Rungs = append(was.Rungs, r.Name)
+			replaced.Rungs = append(replaced.Rungs, r.Name)
 		}
-		rec.History = append(rec.History, was)
+		revised.History = append(revised.History, replaced)
 	}
-	rec.History = rec.History[max(0, len(rec.History)-keep):]
-	return rec
+	revised.History = revised.History[max(0, len(revised.History)-keep):]
+	return revised
 }
 
-// Check tells in one line what is wrong with rungs.
-func Validate(rungs []wire.Rung, team func(string) bool) error {
-	if len(rungs) > MaxTiers {
-		return fmt.Errorf("rungs: at most %d, got %d", MaxTiers, len(rungs))
+// Validate returns an error of one line that names the first fault in tiers, or nil.
+func Validate(tiers []wire.Rung, knownTeam func(string) bool) error {
+	if len(tiers) > MaxTiers {
+		return fmt.Errorf("rungs: at most %d, got %d", MaxTiers, len(tiers))
 	}
 	names, classes := map[string]bool{}, map[string]string{}
-	for _, r := range beneath {
+	for _, r := range priorityTiers {
 		names[r.Name] = true
 	}
-	for i, r := range rungs {
-		at := fmt.Sprintf("rung %d", i+1)
+	for i, r := range tiers {
+		position := fmt.Sprintf("rung %d", i+1)
 		switch {
 		case r.Name == "" || len(r.Name) > 64:
-			return fmt.Errorf("%s: name: must have 1 to 64 bytes", at)
+			return fmt.Errorf("%s: name: must have 1 to 64 bytes", position)
 		case names[r.Name]:
-			return fmt.Errorf("%s: name: %q stands twice, or is one that comes from priorities", at, r.Name)
+			return fmt.Errorf("%s: name: %q stands twice, or is one that comes from priorities", position, r.Name)
 		case len(r.Classes)+len(r.Teams)+len(r.Priorities)+len(r.Shapes) == 0:
-			return fmt.Errorf("%s: %q selects everything", at, r.Name)
+			return fmt.Errorf("%s: %q selects everything", position, r.Name)
 		case len(r.Classes) > MaxNames || len(r.Teams) > MaxNames:
-			return fmt.Errorf("%s: at most %d classes and teams", at, MaxNames)
+			return fmt.Errorf("%s: at most %d classes and teams", position, MaxNames)
 		case len(r.Classes) > 0 && len(r.Teams) == 0:
-			return fmt.Errorf("%s: classes: name the teams too, or any team climbs by naming the class; \"*\" stands for all", at)
+			return fmt.Errorf("%s: classes: name the teams too, or any team climbs by naming the class; \"*\" stands for all", position)
 		}
 		names[r.Name] = true
 		for _, c := range r.Classes {
 			if other := classes[c]; other != "" {
-				return fmt.Errorf("%s: classes: %q stands on rung %q already", at, c, other)
+				return fmt.Errorf("%s: classes: %q stands on rung %q already", position, c, other)
 			}
 			classes[c] = r.Name
 		}
 		for _, t := range r.Teams {
-			if t != "*" && !team(t) {
-				return fmt.Errorf("%s: teams: %q is not known", at, t)
+			if t != "*" && !knownTeam(t) {
+				return fmt.Errorf("%s: teams: %q is not known", position, t)
 			}
 		}
 		for _, p := range r.Priorities {
 			if wire.PriorityRank(p) < 0 {
-				return fmt.Errorf("%s: priorities: must be production, urgent, normal or idle, got %q", at, p)
+				return fmt.Errorf("%s: priorities: must be production, urgent, normal or idle, got %q", position, p)
 			}
 		}
 		for _, s := range r.Shapes {
 			if s != wire.ShapeBatch && s != wire.ShapeService {
-				return fmt.Errorf("%s: shapes: must be batch or service, got %q", at, s)
+				return fmt.Errorf("%s: shapes: must be batch or service, got %q", position, s)
 			}
 		}
 	}
 	return nil
 }
 
-// Shorter leaves the oldest change out of a record, and tells whether there was one.
-func DropOldestChange(l *wire.Ladder) bool {
-	if len(l.History) == 0 {
+// DropOldestChange removes the oldest change from a record's history, and reports whether there was
+// one.
+func DropOldestChange(record *wire.Ladder) bool {
+	if len(record.History) == 0 {
 		return false
 	}
-	l.History = l.History[1:]
+	record.History = record.History[1:]
 	return true
 }
