--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -90,13 +90,13 @@
 	if m == nil {
 		return
 	}
-	c.touch(m)
+	c.markDirty(m)
 	if !cordon.Drain {
 		return
 	}
-	m.drop = true // given back once it is empty
-	for _, k := range sortedAttempts(m) {
-		if a := m.attempts[k]; a.sent && a.status != wire.TaskEnded {
+	m.returning = true // given back once it is empty
+	for _, k := range sortedAttemptKeys(m) {
+		if a := m.attempts[k]; a.startSent && a.status != wire.TaskEnded {
 			c.stopAttempt(a)
 		}
 	}
@@ -116,7 +116,7 @@
 			mv := wire.MachineView{Name: bm.Name, State: "held by " + c.holderName(b.Shard), Cordoned: cordoned}
 			if m := c.machines[bm.Name]; m != nil {
 				mv.State = m.state()
-				for _, k := range sortedAttempts(m) {
+				for _, k := range sortedAttemptKeys(m) {
 					mv.Tasks = append(mv.Tasks, k.task)
 				}
 			}
@@ -124,12 +124,12 @@
 		}
 		o.Blocks = append(o.Blocks, bv)
 	}
-	c.update()
+	c.refreshIndexes()
 	waiting := map[string]int{}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Place[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
 	for _, t := range sortedKeys(c.p.Teams) {
 		i := c.shardOf(t)
-		v := wire.TeamView{Team: t, Shard: i, Known: c.mine(i), UsedCPU: c.room.Used(t, i).CPUs, CPUs: c.p.Teams[t].CPUs, Waiting: waiting[t]}
+		v := wire.TeamView{Team: t, Shard: i, Known: c.mine(i), UsedCPU: c.capacity.Used(t, i).CPUs, CPUs: c.p.Teams[t].CPUs, Waiting: waiting[t]}
 		if most := c.p.Teams[t].CPUsMax; !math.IsInf(most, 1) {
 			v.CPUsMax = most
 		}
@@ -149,15 +149,15 @@
 // state describes a held machine in a word.
 func (m *machine) state() string {
 	switch {
-	case m.drop:
+	case m.returning:
 		return "leaving"
-	case m.over:
+	case m.leaseOver:
 		return "silent"
 	case !m.reported:
 		return "starting"
 	case !m.accounted:
 		return "not accounted for"
-	case m.notice:
+	case m.terminationNotice:
 		return "taken soon"
 	}
 	return "up"
@@ -187,15 +187,15 @@
 // why lists what keeps a job's waiting tasks from starting.
 func (c *Core) why(e *jobEntry, shard int) []string {
 	j := &e.rec
-	pending := len(e.run.retry) + j.Tasks - e.run.next
-	if pending == 0 && e.run.held == 0 {
+	pending := len(e.run.retryIndexes) + j.Tasks - e.run.nextIndex
+	if pending == 0 && e.run.inheritedBelow == 0 {
 		return []string{"no task waits"}
 	}
 	var out []string
 	if !c.confirmed() {
 		out = append(out, "the state service has not confirmed this controller lately")
 	}
-	if c.unsettle[shard] && e.run.held > 0 {
+	if c.unreconciledShards[shard] && e.run.inheritedBelow > 0 {
 		n := 0
 		for _, m := range c.machines {
 			if m.shard == shard && m.inherited && !m.accounted {
@@ -204,19 +204,19 @@
 		}
 		out = append(out, fmt.Sprintf("%d machines of an earlier holder are not accounted for", n))
 	}
-	if c.now < e.run.notYet {
-		out = append(out, fmt.Sprintf("its tasks failed; next try in %s", e.run.notYet-c.now))
+	if c.now < e.run.notBefore {
+		out = append(out, fmt.Sprintf("its tasks failed; next try in %s", e.run.notBefore-c.now))
 	}
 	t, size := c.p.Teams[j.Team], jobSize(j)
-	c.update()
-	if u := c.room.Used(j.Team, shard); t.exceeds(u.Add(size)) {
+	c.refreshIndexes()
+	if u := c.capacity.Used(j.Team, shard); t.exceededBy(u.Add(size)) {
 		out = append(out, fmt.Sprintf("team %s uses %g of at most %g cpus", j.Team, u.CPUs, t.CPUsMax))
 	}
 	place, room := 0, 0
 	for _, m := range c.machines {
-		if m.shard == shard && c.usable(m) && allows(j, m) {
+		if m.shard == shard && c.usable(m) && allowsMachine(j, m) {
 			place++
-			if placement.Fits(c.free(m), size) {
+			if placement.Fits(c.freeCapacity(m), size) {
 				room++
 			}
 		}
@@ -225,7 +225,7 @@
 		out = append(out, fmt.Sprintf("none of %d machines it may use has room", place))
 	}
 	ahead := 0
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Place[*jobEntry]) bool {
 		if p.Handle != e {
 			ahead++
 		}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -78,18 +78,18 @@
 		b.Run(fmt.Sprintf("place-%d", n), func(b *testing.B) {
 			for range b.N {
 				c.sure(c.now)
-				c.place()
+				c.placeTasks()
 			}
 		})
 		b.Run(fmt.Sprintf("needs-%d", n), func(b *testing.B) {
 			for range b.N {
-				c.needs(held0shard(c))
+				c.unmetNeeds(held0shard(c))
 			}
 		})
 	}
 }
 
-func held0shard(c *Core) int { return sortedInts(c.held)[0] }
+func held0shard(c *Core) int { return sortedIntKeys(c.heldShards)[0] }
 
 // fleetWorld has twelve teams, services on half of the machines and arrays for the rest.
 func fleetWorld(t testing.TB, n int) *world {
--- a/internal/core/booting.go
+++ b/internal/core/booting.go
@@ -31,7 +31,7 @@
 			switch m := c.machines[bm.Name]; {
 			case !bm.Fresh: // adopted: when it was rented is not known
 				c.boots.Forget(bm.Name)
-			case !c.everUsed(bm.Name) && (m == nil || !m.reported):
+			case !c.useRecorded(bm.Name) && (m == nil || !m.reported):
 				c.boots.Booked(c.now, bm.Name, k, c.bootOf(k.Type))
 			}
 		}
@@ -50,7 +50,7 @@
 // doubted lists the machines of a shard that boot and do not count as room to come.
 func (c *Core) doubted(shard int) map[string]bool {
 	var names []string
-	for m := range c.coming {
+	for m := range c.comingMachines {
 		if m.shard == shard && !m.reported && !m.inherited {
 			names = append(names, m.name)
 		}
@@ -65,7 +65,7 @@
 func (c *Core) neverComes(m *machine) string {
 	switch {
 	case m.reported:
-	case c.boots.Hopeless(c.now, m.name), c.now-m.since > max(seconds(c.types[m.typ].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.boots.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.types[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
 		return "never came up"
 	}
 	return ""
--- a/internal/core/prompting.go
+++ b/internal/core/callqueue.go
@@ -17,54 +17,54 @@
 	c.out = append(c.out, v)
 }
 
-func newDesk(p Params) *prompt.Desk[*machine] {
+func newCallQueue(p Params) *prompt.Desk[*machine] {
 	return prompt.New[*machine](prompt.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
 // which our copy of the state still showed that we hold it. Whoever is granted it next
 // is so by a later write, so has a higher one.
-func (c *Core) tokenOf(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raised) }
+func (c *Core) answerToken(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raisedToken) }
 
 // wantReport asks for a machine's next report soon.
-func (c *Core) wantReport(m *machine, urgent bool) { c.desk.Want(c.now, m, urgent) }
+func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Want(c.now, m, urgent) }
 
 // promptWorkers calls workers that have something to hear.
-func (c *Core) promptWorkers() {
+func (c *Core) callQueuedWorkers() {
 	if c.desk.Len() == 0 || !c.confirmed() {
 		return
 	}
-	for _, m := range c.desk.Take(c.now, c.dueFor) {
+	for _, m := range c.desk.Take(c.now, c.callVerdict) {
 		b := c.blocks[m.block]
 		if b == nil {
 			continue
 		}
-		stops := c.stops(m)
+		stops := c.stopCommands(m)
 		if len(stops) == 0 {
-			m.raised, m.promptedAt = max(m.raised, c.rev), c.now
+			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.rev), c.now
 		}
-		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.tokenOf(m, b), Session: m.session, Commands: stops}})
+		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.answerToken(m, b), Session: m.session, Commands: stops}})
 	}
 }
 
 // dueFor tells whether a machine should be called now.
-func (c *Core) dueFor(m *machine) prompt.Verdict {
+func (c *Core) callVerdict(m *machine) prompt.Verdict {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.over || m.silent || m.ear.Deaf() || !m.reported || !m.accounted || !c.mine(m.shard):
+	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.Deaf() || !m.reported || !m.accounted || !c.mine(m.shard):
 		return prompt.Forget
-	case c.now-m.lastOK < tuning.OrderAfterAnswer:
+	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
 		return prompt.Wait // what we just answered must not be overtaken
-	case len(c.stops(m)) > 0:
+	case len(c.stopCommands(m)) > 0:
 		return prompt.Call
 	}
 	unsent := false
 	for _, a := range m.attempts {
-		if a.status != "" || a.sent {
+		if a.status != "" || a.startSent {
 			continue
 		}
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
-		if c.startable(a) && c.rev > max(m.seenToken, m.raised) && (m.promptedAt == 0 || c.now-m.promptedAt > c.p.Lease/2) {
+		if c.startable(a) && c.rev > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.p.Lease/2) {
 			return prompt.Call
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // stops lists what is to be stopped on a machine.
-func (c *Core) stops(m *machine) []wire.Command {
+func (c *Core) stopCommands(m *machine) []wire.Command {
 	cmds := []wire.Command{}
 	for _, cmd := range c.commandsFor(m, true) {
 		if cmd.Verb == wire.VerbStop {
@@ -88,8 +88,8 @@
 // passOn has the workers of a block that was ours report at once: they are sent on to
 // the block's next holder, who has no address to call them at. The token is the one
 // that the next holder was granted, so that ours count no more.
-func (c *Core) passOn(m *machine, b *blockEntry) {
-	if b != nil && m.addr != "" && m.session > 0 && !m.over && c.confirmed() {
+func (c *Core) sendToNextHolder(m *machine, b *blockEntry) {
+	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.confirmed() {
 		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.token(b), Session: m.session, Commands: []wire.Command{}}})
 	}
 }
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -41,7 +41,7 @@
 		}
 	}
 	c.rankBefore(c.chain.Before(r.ID))
-	c.relook, c.dirty = true, true
+	c.relook, c.placementDue = true, true
 }
 
 // waitingGone is called when a job waits no longer.
@@ -50,7 +50,7 @@
 	delete(c.waitingAt, id)
 	c.chain.Remove(id)
 	c.rankBefore(before)
-	c.relook, c.dirty = true, true
+	c.relook, c.placementDue = true, true
 }
 
 // stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
@@ -66,7 +66,7 @@
 // endsIn is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
 func (c *Core) endsIn(id string) float64 {
 	e := c.jobs[id]
-	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
+	if e == nil || e.run == nil || e.run.pendingTasks(&e.rec) > 0 || e.run.inheritedBelow > 0 {
 		return inf
 	}
 	var last Time
@@ -74,7 +74,7 @@
 		if a.status == "" || a.status == wire.TaskPulling {
 			return inf
 		}
-		last = max(last, a.running)
+		last = max(last, a.runningSince)
 	}
 	s, _ := c.stageOf(&e.rec)
 	return s.Left((c.now - last).Seconds())
@@ -88,7 +88,7 @@
 		if c.shardOf(j.Team) != shard {
 			continue
 		}
-		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
+		if s, boot := c.stageOf(j); c.objectives.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
 			list = append(list, j)
 		}
 	}
@@ -98,7 +98,7 @@
 // demandOf is what a job asks of those before it.
 func (c *Core) demandOf(j *wire.Job) dependency.Demand {
 	s, _ := c.stageOf(j)
-	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.ladder.Rank(j), Due: c.aims.Due(workOf(j)), Length: dependency.Length(s)}
+	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.ladder.Rank(j), Due: c.objectives.Due(objectiveWork(j)), Length: dependency.Length(s)}
 }
 
 // rankJob puts a job on its rung, or on that of a job that needs it: on that one's own once there
@@ -117,10 +117,10 @@
 	if e.run == nil {
 		return
 	}
-	for _, k := range sortedInts(e.run.active) {
-		if a := e.run.active[k]; a.known && (a.lesser != (e.prio < urgentRank) || a.idle != (e.prio <= idleRank)) {
-			c.dropAttempt(a)
-			a.lesser, a.idle = e.prio < urgentRank, e.prio <= idleRank
+	for _, k := range sortedIntKeys(e.run.active) {
+		if a := e.run.active[k]; a.sizeKnown && (a.belowUrgent != (e.prio < urgentRank) || a.idlePriority != (e.prio <= idleRank)) {
+			c.removeAttempt(a)
+			a.belowUrgent, a.idlePriority = e.prio < urgentRank, e.prio <= idleRank
 			c.addAttempt(a)
 		}
 	}
@@ -131,7 +131,7 @@
 	for _, id := range ids {
 		if e := c.jobs[id]; e != nil {
 			c.rankJob(e)
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 // lookOver has dependents of a job looked at that has left the live keys.
 func (c *Core) lookOver(id string) {
 	if len(c.chain.Dependents(id)) > 0 {
-		c.relook, c.dirty = true, true
+		c.relook, c.placementDue = true, true
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -86,8 +86,8 @@
 
 	mirror
 	rollout *rollout.Book // what the controllers understand
-	holder
-	books
+	holderState
+	indexes
 	desk     *prompt.Desk[*machine]       // workers to call directly
 	roll     *takeover.Roll[*machine]     // machines to be accounted for
 	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
@@ -119,16 +119,16 @@
 	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.Nodes), c.nodes)
-	c.holder = newHolder()
+	c.holderState = newHolderState()
 	c.started, c.boots, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
-	c.books = newBooks(p.Teams)
-	c.aims = p.Aims
-	c.desk = newDesk(p)
+	c.indexes = newIndexes(p.Teams)
+	c.objectives = p.Aims
+	c.desk = newCallQueue(p)
 	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.caches)
 	c.kept = map[string]hold.Hold{}
 	c.places = map[int]*hold.Book[*machine]{}
 	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
-	c.roll, c.addrs = newRoll(), takeover.NewBook()
+	c.roll, c.addrs = newPendingMachines(), takeover.NewBook()
 	c.users = newUsers()
 	c.peers = newPeers(p)
 	c.ways = newWays()
@@ -137,8 +137,8 @@
 	c.member = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.ListLag)
-	c.form = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
-	c.keepTo(c.form.Bounds())
+	c.form = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
+	c.applyWriteLimits(c.form.Bounds())
 	return c
 }
 
@@ -265,9 +265,9 @@
 		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.member.LastRenewed()).String(), "watched_ago", (c.now - c.member.LastWatched()).String())
 	}
 	c.lead()
-	c.followAddrs()
+	c.refreshAddresses()
 	c.watchReach()
-	c.hold()
+	c.runHolder()
 	c.keepTrail()
 }
 
@@ -369,7 +369,7 @@
 	}
 	c.rev = max(c.rev, ev.Revision)
 	c.ver.Forget(c.rev, c.oldestCall)
-	c.enterShards()
+	c.startHoldingShards()
 }
 
 func (c *Core) loadPage(after string, began Time) {
@@ -404,7 +404,7 @@
 		c.ver.Read(c.listRev)
 		c.rev, c.loading, c.watching, c.listSeen = c.listRev, false, false, nil
 		c.member.Watched(began)
-		c.enterShards()
+		c.startHoldingShards()
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
@@ -443,7 +443,7 @@
 		return
 	}
 	from := e.rec.Holder
-	c.taking[i] = taking{rec, from}
+	c.takeovers[i] = taking{rec, from}
 	c.commit(LaneFirst, append(when, wire.Condition{Key: key, Version: e.ver}), []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
 		if r.Status == 200 {
 			c.noteTaken(i)
@@ -459,7 +459,7 @@
 	c.state(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: when, Then: then}}, func(r StateReply) {
 		switch r.Status {
 		case 400:
-			c.refusedForm(when, then, r.Err)
+			c.writeRefused(when, then, r.Err)
 		case 200:
 			for _, ch := range then {
 				c.form.Taken(limits.KindOf(ch.Put))
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -88,7 +88,7 @@
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 	c.tellBias()
--- a/internal/core/needs.go
+++ b/internal/core/demand.go
@@ -13,34 +13,36 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var jobSize, needSize, lesser = supply.JobSize, supply.NeedSize, placement.Lesser
+var jobSize, needSize, smallerSize = supply.JobSize, supply.NeedSize, placement.Lesser
 
 // anyRoom walks over all waiting jobs, whatever they ask for.
-func anyRoom(string) placement.Size { return placement.Size{CPUs: inf, GPUs: inf, MemGB: inf} }
+func unlimitedCapacity(string) placement.Size {
+	return placement.Size{CPUs: inf, GPUs: inf, MemGB: inf}
+}
 
 // supplies is the room of a shard that waiting tasks may find: on machines that come up or
 // are not accounted for yet, and, if any of the waiting fits at all, on those that have
 // some now.
-func (c *Core) supplies(shard int, soon []*wire.Job) supply.Pool {
+func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
 	var list []*machine
 	rooms := map[*machine]supply.Room{}
 	add := func(m *machine, free placement.Size, doubted bool) {
 		list = append(list, m)
-		rooms[m] = supply.Room{Type: m.typ, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
+		rooms[m] = supply.Room{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
 	}
 	doubted := c.doubted(shard)
-	for m := range c.coming {
+	for m := range c.comingMachines {
 		if m.shard == shard {
 			// What is on a machine not accounted for is not known: it may be empty,
 			// so only what finds no room even then is asked for.
-			full, _ := c.sizeOf(m.typ)
+			full, _ := c.sizeOf(m.machineType)
 			add(m, c.unheld(m, full), doubted[m.name])
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
-	most := c.room.Most(shard)
+	most := c.capacity.Most(shard)
 	var least *placement.Size
-	c.order.Walk(func(team string) placement.Size {
+	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
@@ -49,28 +51,28 @@
 		if s := p.Job.Ask; least == nil {
 			least = &s
 		} else {
-			*least = lesser(*least, s)
+			*least = smallerSize(*least, s)
 		}
 		return true
 	})
 	for _, j := range soon {
 		s := jobSize(j)
 		if least != nil {
-			s = lesser(*least, s)
+			s = smallerSize(*least, s)
 		}
 		least = &s
 	}
 	if least != nil {
-		c.room.Each(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
+		c.capacity.Each(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
 	}
 	n := len(list)
-	for m := range c.idlers {
-		if f, ok := c.room.Of(m); ok && f.Usable && m.shard == shard {
+	for m := range c.idleAttempts {
+		if f, ok := c.capacity.Of(m); ok && f.Usable && m.shard == shard {
 			if _, in := rooms[m]; !in {
 				add(m, f.Free, false)
 			}
 			r := rooms[m]
-			r.Idle = c.idleOn(m)
+			r.Idle = c.idleUsage(m)
 			r.Free = r.Free.Add(r.Idle)
 			rooms[m] = r
 		}
@@ -84,9 +86,9 @@
 }
 
 // idleOn is what work on a machine that gives way to all other takes.
-func (c *Core) idleOn(m *machine) (s placement.Size) {
+func (c *Core) idleUsage(m *machine) (s placement.Size) {
 	for _, a := range m.attempts {
-		if a.idle && a.status != wire.TaskEnded {
+		if a.idlePriority && a.status != wire.TaskEnded {
 			s = s.Add(a.size)
 		}
 	}
@@ -100,16 +102,16 @@
 	if left <= 0 {
 		return wire.Need{}, false
 	}
-	left -= c.room.Spare(shard)
-	u, rank := c.reserve.Task(shard)
+	left -= c.capacity.Spare(shard)
+	u, rank := c.urgentReserve.Task(shard)
 	doubted := c.doubted(shard)
-	for m := range c.coming {
+	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
 			left -= c.roomFor(m, u)
-		} else if full, ok := c.sizeOf(m.typ); ok {
+		} else if full, ok := c.sizeOf(m.machineType); ok {
 			left -= placement.Beta(full, u) + 1
 		}
 	}
@@ -118,8 +120,8 @@
 
 // needs lists the tasks of a shard that no held machine has room for, those
 // still booting included: Pogonip's overflow.
-func (c *Core) needs(shard int) []wire.Need {
-	c.update()
+func (c *Core) unmetNeeds(shard int) []wire.Need {
+	c.refreshIndexes()
 	var out []wire.Need
 	if n, short := c.spareNeed(shard); short {
 		out = supply.Join(out, n, tuning.NeedsMax)
@@ -128,34 +130,34 @@
 	used := map[string]placement.Size{}
 	var in supply.Pool
 	soon := c.soon(shard)
-	if c.order.Len() > 0 || soon != nil {
-		in = c.supplies(shard, soon)
+	if c.jobQueue.Len() > 0 || soon != nil {
+		in = c.supplyPool(shard, soon)
 	}
-	c.order.Walk(func(team string) placement.Size {
+	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return anyRoom(team)
+		return unlimitedCapacity(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e, j := p.Handle, &p.Handle.rec
-		if e.run == nil || c.health.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
+		if e.run == nil || c.taskHealth.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
 		}
 		size, team := jobSize(j), c.p.Teams[j.Team]
 		zone := j.Zone
 		if j.OneZone {
 			for _, a := range e.run.active {
-				zone = a.m.zone
+				zone = a.machine.zone
 			}
 		}
 		if _, ok := used[j.Team]; !ok {
-			used[j.Team] = c.room.Used(j.Team, shard)
+			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
-		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.deserves(p))
+		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
 		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		waits := p.Within && e.prio >= urgentRank && c.now-e.run.since > tuning.DireAfter
+		waits := p.Within && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if left == 0 && !waits {
 			return true
 		}
@@ -166,7 +168,7 @@
 		}
 		if p.Within && left > 0 {
 			starved = true
-			if at, ok := c.dire[shard]; ok && c.now-at > tuning.DireAfter {
+			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.DireAfter {
 				n.Dire = true
 			}
 		}
@@ -176,7 +178,7 @@
 	for _, j := range soon { // after all that could run now
 		size, team := jobSize(j), c.p.Teams[j.Team]
 		if _, ok := used[j.Team]; !ok {
-			used[j.Team] = c.room.Used(j.Team, shard)
+			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
@@ -184,10 +186,10 @@
 			out = supply.Join(out, supply.NeedOf(j, j.Zone, left, c.ladder.Rank(j)), tuning.NeedsMax)
 		}
 	}
-	if _, was := c.dire[shard]; !starved {
-		delete(c.dire, shard)
+	if _, was := c.starvedSince[shard]; !starved {
+		delete(c.starvedSince, shard)
 	} else if !was {
-		c.dire[shard] = c.now
+		c.starvedSince[shard] = c.now
 	}
 	return out
 }
@@ -195,8 +197,8 @@
 // deserves is for how many of a job's waiting tasks machines are asked for. Of work that
 // is run when there is nothing else to do, and of arrays with a deadline beyond a guarantee, it
 // is as many as are needed in time.
-func (c *Core) deserves(p *queue.Place[*jobEntry]) int {
-	e, pace, run := p.Handle, aimLimits, p.Job.Estimate
+func (c *Core) requestedTasks(p *queue.Place[*jobEntry]) int {
+	e, pace, run := p.Handle, objectiveLimits, p.Job.Estimate
 	if e.prio > idleRank {
 		if e.prio >= urgentRank || p.Within || p.Job.Service || e.rec.DueS <= 0 {
 			return p.Job.Pending
@@ -207,10 +209,10 @@
 	return max(0, min(p.Job.Pending, n-len(e.run.active)))
 }
 
-var wantPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
+var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
 
 // tellWants tells what each held shard lacks, for the leader and the other holders.
-func (c *Core) tellWants() {
+func (c *Core) publishDemand() {
 	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
 		return
 	}
@@ -221,18 +223,18 @@
 		}
 		w := wire.Want{Seen: c.newestBlock(i)}
 		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
-			w.Needs = c.needs(i)
+			w.Needs = c.unmetNeeds(i)
 			c.retire(i, len(w.Needs) > 0)
 			if len(w.Needs) == 0 {
 				c.moveOff(i)
 			}
 		}
 		w = limits.Fit(w, c.p.ValueBytes, wants.Shorter)
-		if c.tellers[i] == nil {
-			c.tellers[i] = wants.NewTeller(wantPace)
+		if c.demandPublishers[i] == nil {
+			c.demandPublishers[i] = wants.NewTeller(demandPace)
 		}
-		c.wantSent[i] = w
-		n, tell, write := c.tellers[i].Next(c.now, w, c.wants[i], c.words.Hears(c.now, c.chief.Node))
+		c.publishedDemand[i] = w
+		n, tell, write := c.demandPublishers[i].Next(c.now, w, c.wants[i], c.words.Hears(c.now, c.chief.Node))
 		if tell {
 			told = append(told, wants.Told{Shard: i, Token: c.shards[i].ver, N: n, Want: w})
 		}
@@ -251,13 +253,13 @@
 }
 
 // wantOf is what a shard lacks, as far as we know.
-func (c *Core) wantOf(i int) wire.Want {
+func (c *Core) shardDemand(i int) wire.Want {
 	s := c.shards[i]
 	switch {
 	case s == nil:
 		return wire.Want{}
 	case c.mine(i):
-		return c.wantSent[i]
+		return c.publishedDemand[i]
 	}
-	return c.lacks.Of(c.now, i, s.ver, c.wants[i])
+	return c.peerDemand.Of(c.now, i, s.ver, c.wants[i])
 }
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -59,7 +59,7 @@
 // addJob adds changes of one job.
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
-	e.run.writing = true
+	e.run.writeInFlight = true
 	b.add(b.c.shardOf(e.rec.Team), &wire.Condition{Key: jobKey(e.rec.ID), Version: e.ver}, changes...)
 }
 
@@ -68,15 +68,15 @@
 	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.ver}, wire.Change{Put: blockKey(x.id), Value: rec})
 	if rec.Idle && !x.rec.Idle {
 		b.idle = append(b.idle, x.id)
-		b.c.offered[x.id] = x.ver
-		b.c.touchBlock(x.id)
+		b.c.idleMarkVersions[x.id] = x.ver
+		b.c.markBlockDirty(x.id)
 	}
 }
 
 // offering tells whether a mark that a block is idle may be on its way to the state, or be
 // executed late: only a newer version of its record, or a refusal, ends that.
 func (c *Core) offering(b *blockEntry) bool {
-	ver, sent := c.offered[b.id]
+	ver, sent := c.idleMarkVersions[b.id]
 	return sent && ver == b.ver
 }
 
@@ -84,8 +84,8 @@
 func (c *Core) withdraw(ids []string, status int) {
 	if status == 409 || status == 429 || status == 503 || status == 400 {
 		for _, id := range ids {
-			delete(c.offered, id)
-			c.touchBlock(id)
+			delete(c.idleMarkVersions, id)
+			c.markBlockDirty(id)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		c.withdraw(b.idle, r.Status)
 		for _, e := range b.jobs {
 			if e.run != nil {
-				e.run.writing = false
+				e.run.writeInFlight = false
 			}
 		}
 		if r.Status == 200 {
@@ -112,56 +112,56 @@
 			c.retryAt[duty] = c.now + tuning.RetryAfter/2
 			c.log(2, "not written", "changes", len(b.then), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
-		c.dirty = true
-		c.hold()
+		c.placementDue = true
+		c.runHolder()
 	})
 }
 
 // flushJobs writes ends of jobs, urgent ones first, and blocks that cannot wait.
 func (c *Core) flushJobs() {
-	if c.flushing || c.now < c.retryAt["flushJobs"] {
+	if c.writingJobs || c.now < c.retryAt["flushJobs"] {
 		return
 	}
 	b := c.newBatch() // short, so that acceptances get in between
 	finals := map[string]wire.Final{}
-	c.update()
+	c.refreshIndexes()
 	c.addHasty(b)
-	for _, e := range sortedJobs(c.owed) {
+	for _, e := range sortedJobs(c.pendingWrites) {
 		if b.full() {
 			break
 		}
-		if e.run.writing || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
 			continue
 		}
-		if _, ended, _ := c.owes(e); !ended {
+		if _, ended, _ := c.unwrittenStarts(e); !ended {
 			continue
 		}
 		id, f := e.rec.ID, wire.Final{Status: wire.JobDone, Done: e.rec.Tasks}
 		finals[id] = f
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
-	for _, id := range sortedKeys(c.used) {
+	for _, id := range sortedKeys(c.urgentBlocks) {
 		x := c.blocks[id]
 		if x == nil || !c.mine(x.rec.Shard) {
-			delete(c.used, id)
+			delete(c.urgentBlocks, id)
 		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			if rec, change := c.markBlock(x); change {
 				b.addBlock(x, rec)
 			} else {
-				delete(c.used, id)
+				delete(c.urgentBlocks, id)
 			}
 		}
 	}
 	for _, i := range c.shardIDs() {
 		s := c.shards[i]
-		if !c.mine(i) || c.unsettle[i] || s.rec.Settled || b.full() {
+		if !c.mine(i) || c.unreconciledShards[i] || s.rec.Settled || b.full() {
 			continue
 		}
 		rec := s.rec
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
-	b.send(LaneUser, &c.flushing, "flushJobs", func(rev uint64) {
+	b.send(LaneUser, &c.writingJobs, "flushJobs", func(rev uint64) {
 		for _, id := range sortedKeys(finals) {
 			c.keepFinal(id, finals[id], rev)
 			c.log(1, "job done", "job", id)
@@ -179,7 +179,7 @@
 			continue
 		}
 		bm.Fresh = m.fresh // written among the starts; no change by itself
-		if m.drop && !c.keepsEnds(m) {
+		if m.returning && !c.keepsEnds(m) {
 			if empty := m.accounted && len(m.attempts) == 0; !bm.Drop || empty && !bm.Empty {
 				bm.Drop, bm.Empty, change = true, bm.Empty || empty, true
 			}
@@ -193,9 +193,9 @@
 
 // movedOn tells whether a tracked job has a task on another machine than written.
 func (c *Core) movedOn(e *jobEntry) bool {
-	if tracked(&e.rec) {
+	if tracksMachines(&e.rec) {
 		for k, a := range e.run.active {
-			if onOf(&e.rec, k) != a.m.name {
+			if recordedMachine(&e.rec, k) != a.machine.name {
 				return true
 			}
 		}
@@ -205,33 +205,33 @@
 
 // flushLater writes marks on blocks and the progress of jobs.
 func (c *Core) flushLater() {
-	if c.flushingLater || !c.every("flushLater", tuning.LaterEvery) {
+	if c.writingProgress || !c.every("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
 		x := c.blocks[id]
-		if !c.mine(x.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		if !c.mine(x.rec.Shard) || c.urgentBlocks[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
 		if rec, change := c.markBlock(x); change {
 			b.addBlock(x, rec)
 		}
 	}
-	c.update()
+	c.refreshIndexes()
 	// The fewer jobs have something to write, the sooner each may: ends that are not written are lost if
 	// we end and their workers' leases run out.
-	pause := min(max(time.Duration(len(c.behind))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
-	for _, e := range sortedJobs(c.behind) {
+	pause := min(max(time.Duration(len(c.pendingProgress))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
+	for _, e := range sortedJobs(c.pendingProgress) {
 		if b.full() {
 			break
 		}
 		// Progress of a job that still has starts to write goes with them.
-		if e.run.writing || c.now-e.run.wrote < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
 			continue
 		}
-		e.run.wrote = c.now
+		e.run.progressWrittenAt = c.now
 		b.addProgress(e)
 	}
-	b.send(LaneLater, &c.flushingLater, "flushLater", func(uint64) {})
+	b.send(LaneLater, &c.writingProgress, "flushLater", func(uint64) {})
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -70,7 +70,7 @@
 			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []starts.Entry
 			for k := range each {
-				entries = append(entries, starts.Entry{Name: machineEntry + long(k)})
+				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
 			}
 			for k := range each { // services, and arrays of 250 small and 400 tasks
 				e := starts.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -20,134 +20,134 @@
 
 // holder is what this controller knows as the holder of shards: the machines
 // of their blocks, and the tasks on them.
-type holder struct {
-	machines                         map[string]*machine
-	held                             map[int]bool // shards this life holds and has taken up
-	pending                          map[int]bool // shards granted, the mirror not there yet
-	unsettle                         map[int]bool // shards taken over, not all machines accounted for yet
-	dirty                            bool         // a placement pass is due
-	flushing, flushingLater, telling bool
-	tryNo                            uint64
-	wantSent                         map[int]wire.Want
-	tellers                          map[int]*wants.Teller // of held shards
-	lacks                            *wants.Board          // what other holders lack
-	checking                         bool
-	startsBusy                       map[int]bool // shards whose starts are being written
-	startsAt                         map[int]Time // when a shard's starts may be written next
-	startsNext                       map[int]Time // when those that are not urgent may be
-	health                           *health.Book
-	warm                             map[string]bool // machines that are up, and fresh in the state
-	used                             map[string]bool // blocks with fresh machines that are up
-	taking                           map[int]taking
-	entered                          map[int]Time      // when a held shard was taken up
-	prevDead                         map[int]Time      // since when the life a shard was taken from is known to be dead
-	vacating                         map[string]bool   // blocks being emptied for another shard's guarantee
-	offered                          map[string]uint64 // blocks whose mark as idle has been sent, and at which version
-	dire                             map[int]Time      // since when a shard's guaranteed work finds no room
-	reserve                          *supply.Reserve   // room kept for urgent tasks
+type holderState struct {
+	machines                                    map[string]*machine
+	heldShards                                  map[int]bool // shards this life holds and has taken up
+	grantedShards                               map[int]bool // shards granted, the mirror not there yet
+	unreconciledShards                          map[int]bool // shards taken over, not all machines accounted for yet
+	placementDue                                bool         // a placement pass is due
+	writingJobs, writingProgress, writingImages bool
+	lastAttemptNumber                           uint64
+	publishedDemand                             map[int]wire.Want
+	demandPublishers                            map[int]*wants.Teller // of held shards
+	peerDemand                                  *wants.Board          // what other holders lack
+	verifyingShard                              bool
+	startsInFlight                              map[int]bool // shards whose starts are being written
+	startsRetryAt                               map[int]Time // when a shard's starts may be written next
+	startsPacedUntil                            map[int]Time // when those that are not urgent may be
+	taskHealth                                  *health.Book
+	firstUseUnwritten                           map[string]bool // machines that are up, and fresh in the state
+	urgentBlocks                                map[string]bool // blocks with fresh machines that are up
+	takeovers                                   map[int]taking
+	shardHeldSince                              map[int]Time      // when a held shard was taken up
+	previousHolderDeadSince                     map[int]Time      // since when the life a shard was taken from is known to be dead
+	vacating                                    map[string]bool   // blocks being emptied for another shard's guarantee
+	idleMarkVersions                            map[string]uint64 // blocks whose mark as idle has been sent, and at which version
+	starvedSince                                map[int]Time      // since when a shard's guaranteed work finds no room
+	urgentReserve                               *supply.Reserve   // room kept for urgent tasks
 
-	machineList []*machine            // by name; nil: to be made again
-	onTask      map[string][]*attempt // task -> its attempts on machines
+	machinesByName []*machine            // by name; nil: to be made again
+	attemptsByTask map[string][]*attempt // task -> its attempts on machines
 }
 
 // machine is one machine of a block this controller holds.
 type machine struct {
-	name, block, typ, zone string
-	shard                  int
-	spot, base, drop       bool
-	fresh                  bool   // nothing may be started here before the block's record says so
-	since                  Time   // held since
-	takenToken             uint64 // a report carrying this token or a later one accounts for it
-	inherited              bool   // an earlier holder may have started tasks here
-	accounted              bool
-	reported               bool // has ever reported to us
-	session, seq           uint64
-	lastReport             Time
-	lastOK                 Time // when our last 200 left
-	addr                   string
-	seenToken              uint64 // the highest its worker has named
-	proven                 bool   // has shown what only we can have told it
-	trusted                int    // answers given on reports that prove nothing
-	trustedAt              Time
-	ear                    hearing.Ear
-	raised                 uint64 // token of our last call that was to make it report
-	promptedAt             Time
-	moving                 bool // its replicas are being moved off
-	over                   bool // its lease is surely over; confirmed by the state
-	cut                    bool // it fell silent with many others
-	silent                 bool // its reports stay away
-	notice                 bool
-	noticeAt               Time
-	attempts               map[attemptKey]*attempt
-	idleSince              Time
-	images                 map[string]bool
-	sum                    machineSum
-	touched                bool // see books
+	name, block, machineType, zone string
+	shard                          int
+	spot, base, returning          bool
+	fresh                          bool   // nothing may be started here before the block's record says so
+	heldSince                      Time   // held since
+	takeoverToken                  uint64 // a report carrying this token or a later one accounts for it
+	inherited                      bool   // an earlier holder may have started tasks here
+	accounted                      bool
+	reported                       bool // has ever reported to us
+	session, seq                   uint64
+	lastReport                     Time
+	lastAnswered                   Time // when our last 200 left
+	addr                           string
+	reportedToken                  uint64 // the highest its worker has named
+	currentReportsProven           bool   // has shown what only we can have told it
+	unprovenAnswers                int    // answers given on reports that prove nothing
+	unprovenAnsweredAt             Time
+	delivery                       hearing.Ear
+	raisedToken                    uint64 // token of our last call that was to make it report
+	earlyCallAt                    Time
+	moving                         bool // its replicas are being moved off
+	leaseOver                      bool // its lease is surely over; confirmed by the state
+	silentWithMany                 bool // it fell silent with many others
+	silent                         bool // its reports stay away
+	terminationNotice              bool
+	terminatesAt                   Time
+	attempts                       map[attemptKey]*attempt
+	idleSince                      Time
+	images                         map[string]bool
+	usage                          machineUsage
+	dirty                          bool // see books
 }
 
 // machineSum is what a machine has left and what each team has on it. It is
 // made again when the machine's attempts or its type have changed.
-type machineSum struct {
-	ok      bool
-	sizes   int // state of the machine types it was made with
-	free    placement.Size
-	teams   []ledger.Use
-	unknown int // attempts of unknown size
+type machineUsage struct {
+	valid           bool
+	sizesVersion    int // state of the machine types it was made with
+	free            placement.Size
+	teams           []ledger.Use
+	unknownAttempts int // attempts of unknown size
 }
 
 type attemptKey struct {
-	task string
-	try  uint64
+	task   string
+	number uint64
 }
 
 // attempt is one try of a task on a machine. It counts as possibly there from
 // its reservation until a newer report, a deletion or the end of the lease
 // says otherwise.
 type attempt struct {
-	key              attemptKey
-	job              string
-	idx              int
-	team             string
-	size             placement.Size
-	known            bool // size and team are known
-	lesser           bool // gives way to urgent work
-	proved           bool // a replica that has run for long
-	idle             bool // gives way to all other work
-	m                *machine
-	status           string // "" until reported
-	cause            string
-	sent             bool
-	stop             bool
-	graceS           float64
-	created, running Time
+	key                     attemptKey
+	job                     string
+	taskIndex               int
+	team                    string
+	size                    placement.Size
+	sizeKnown               bool // size and team are known
+	belowUrgent             bool // gives way to urgent work
+	countedSound            bool // a replica that has run for long
+	idlePriority            bool // gives way to all other work
+	machine                 *machine
+	status                  string // "" until reported
+	cause                   string
+	startSent               bool
+	stopping                bool
+	stopGraceS              float64
+	createdAt, runningSince Time
 }
 
 // jobRun is what the holder knows of a job's tasks.
 type jobRun struct {
-	active  map[int]*attempt
-	retry   []int // started once, nowhere now, to be started again
-	next    int   // first index never reserved
-	held    int   // tasks below this may run on inherited machines; 0 once settled
-	done    ranges.Set
-	notYet  Time // after failures: nothing is started before this
-	fails   int
-	zone    string // chosen for a gang that must be in one zone
-	since   Time   // known here, or waiting for room again, since
-	wrote   Time   // when its progress was last written
-	writing bool   // a write of its record is under way
+	active            map[int]*attempt
+	retryIndexes      []int // started once, nowhere now, to be started again
+	nextIndex         int   // first index never reserved
+	inheritedBelow    int   // tasks below this may run on inherited machines; 0 once settled
+	done              ranges.Set
+	notBefore         Time // after failures: nothing is started before this
+	failures          int
+	zone              string // chosen for a gang that must be in one zone
+	waitingSince      Time   // known here, or waiting for room again, since
+	progressWrittenAt Time   // when its progress was last written
+	writeInFlight     bool   // a write of its record is under way
 
-	passedOver Time // since when places without its image have been left to others; 0: not
+	passedOverSince Time // since when places without its image have been left to others; 0: not
 }
 
-func newHolder() holder {
-	return holder{health: newHealth(), startsBusy: map[int]bool{}, startsAt: map[int]Time{}, startsNext: map[int]Time{}, warm: map[string]bool{}, taking: map[int]taking{}, machines: map[string]*machine{}, onTask: map[string][]*attempt{}, held: map[int]bool{}, pending: map[int]bool{}, unsettle: map[int]bool{}, wantSent: map[int]wire.Want{}, tellers: map[int]*wants.Teller{}, lacks: wants.NewBoard(wantPace),
-		used: map[string]bool{}, entered: map[int]Time{}, prevDead: map[int]Time{}, vacating: map[string]bool{}, offered: map[string]uint64{}, dire: map[int]Time{},
-		reserve: supply.NewReserve(supply.ReserveLimits{Memory: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
+func newHolderState() holderState {
+	return holderState{taskHealth: newHealth(), startsInFlight: map[int]bool{}, startsRetryAt: map[int]Time{}, startsPacedUntil: map[int]Time{}, firstUseUnwritten: map[string]bool{}, takeovers: map[int]taking{}, machines: map[string]*machine{}, attemptsByTask: map[string][]*attempt{}, heldShards: map[int]bool{}, grantedShards: map[int]bool{}, unreconciledShards: map[int]bool{}, publishedDemand: map[int]wire.Want{}, demandPublishers: map[int]*wants.Teller{}, peerDemand: wants.NewBoard(demandPace),
+		urgentBlocks: map[string]bool{}, shardHeldSince: map[int]Time{}, previousHolderDeadSince: map[int]Time{}, vacating: map[string]bool{}, idleMarkVersions: map[string]uint64{}, starvedSince: map[int]Time{},
+		urgentReserve: supply.NewReserve(supply.ReserveLimits{Memory: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
 }
 
 // jobSeen is called for every new version of a live job.
-func (c *Core) jobSeen(e *jobEntry) {
-	c.touchJob(e)
+func (c *Core) jobChanged(e *jobEntry) {
+	c.markJobDirty(e)
 	i := c.shardOf(e.rec.Team)
 	if !c.mine(i) {
 		e.run = nil
@@ -155,30 +155,30 @@
 	}
 	fresh := e.run == nil
 	if fresh {
-		e.run = &jobRun{since: c.now, active: map[int]*attempt{}, next: e.rec.Started, done: c.known(e).Clone()}
+		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.rec.Started, done: c.known(e).Clone()}
 		if e.rec.Started > 0 {
-			e.run.held = e.rec.Started
+			e.run.inheritedBelow = e.rec.Started
 			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
 				// Otherwise a whole array that fails everywhere starts anew with each takeover.
-				c.health.Condemn(c.now, e.rec.ID)
-				e.run.notYet = c.health.NotBefore(e.rec.ID)
+				c.taskHealth.Condemn(c.now, e.rec.ID)
+				e.run.notBefore = c.taskHealth.NotBefore(e.rec.ID)
 			}
-			c.settleJob(e, i, true)
-			c.awaitOn(e)
+			c.reconcileJob(e, i, true)
+			c.awaitMachines(e)
 			c.noteHeld(e, i)
 		}
 	}
 	if e.prio >= urgentRank {
-		if c.reserve.Seen(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
-			c.touchShard(i) // room is counted in tasks of this size
+		if c.urgentReserve.Seen(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
+			c.markShardDirty(i) // room is counted in tasks of this size
 		}
 	}
-	if e.rec.Started > e.run.next {
+	if e.rec.Started > e.run.nextIndex {
 		// Someone wrote further starts before we took over: a late write of the
 		// earlier holder. Those may have been started.
-		e.run.held, e.run.next = e.rec.Started, e.rec.Started
-		c.settleJob(e, i, c.unsettle[i])
-		c.awaitOn(e)
+		e.run.inheritedBelow, e.run.nextIndex = e.rec.Started, e.rec.Started
+		c.reconcileJob(e, i, c.unreconciledShards[i])
+		c.awaitMachines(e)
 		c.noteHeld(e, i)
 	}
 	e.run.done = e.run.done.Union(c.known(e))
@@ -186,18 +186,18 @@
 
 // jobGone is called when a job has left the live keys: done or aborted. What
 // of it is still on machines is stopped there and counts until it is gone.
-func (c *Core) jobGone(e *jobEntry) {
-	c.touchJob(e)
-	c.health.ForgetJob(e.rec.ID)
+func (c *Core) jobRemoved(e *jobEntry) {
+	c.markJobDirty(e)
+	c.taskHealth.ForgetJob(e.rec.ID)
 	if e.run == nil {
 		return
 	}
-	for _, k := range sortedInts(e.run.active) { // machines are called in the order in which they are asked for
+	for _, k := range sortedIntKeys(e.run.active) { // machines are called in the order in which they are asked for
 		a := e.run.active[k]
-		if !a.sent && a.status == "" {
-			c.dropAttempt(a)
+		if !a.startSent && a.status == "" {
+			c.removeAttempt(a)
 		} else {
-			c.wantReport(a.m, false) // what of it still runs is stopped, and its place is free sooner
+			c.requestReport(a.machine, false) // what of it still runs is stopped, and its place is free sooner
 		}
 	}
 	e.run = nil
@@ -205,55 +205,55 @@
 
 // heldMachines lists the machines of the held blocks by name.
 func (c *Core) heldMachines() []*machine {
-	if c.machineList == nil {
-		c.machineList = slices.AppendSeq(make([]*machine, 0, len(c.machines)), maps.Values(c.machines))
-		slices.SortFunc(c.machineList, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
+	if c.machinesByName == nil {
+		c.machinesByName = slices.AppendSeq(make([]*machine, 0, len(c.machines)), maps.Values(c.machines))
+		slices.SortFunc(c.machinesByName, func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
 	}
-	return c.machineList
+	return c.machinesByName
 }
 
 // dropMachine forgets a machine, and the attempts that were on it.
-func (c *Core) dropMachine(m *machine) {
+func (c *Core) forgetMachine(m *machine) {
 	for _, a := range m.attempts {
-		c.dropAttempt(a)
+		c.removeAttempt(a)
 	}
 	if m.inherited && !m.accounted {
-		c.open[m.shard]--
+		c.unaccountedMachines[m.shard]--
 	}
 	delete(c.machines, m.name)
-	delete(c.coming, m)
+	delete(c.comingMachines, m)
 	if b := c.places[m.shard]; b != nil {
 		b.Drop(m)
 	}
-	c.health.ForgetMachine(m.name)
+	c.taskHealth.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
-	c.room.Drop(m)
+	c.capacity.Drop(m)
 	c.desk.Forget(m)
 	c.roll.Drop(m)
-	c.machineList = nil
+	c.machinesByName = nil
 }
 
 // addAttempt and dropAttempt are the only ones to change what is on a machine.
 func (c *Core) addAttempt(a *attempt) {
-	a.m.attempts[a.key] = a
-	if a.idle {
-		c.idlers[a.m]++
+	a.machine.attempts[a.key] = a
+	if a.idlePriority {
+		c.idleAttempts[a.machine]++
 	}
-	a.m.sum.ok = false
-	c.touch(a.m)
-	c.onTask[a.key.task] = append(c.onTask[a.key.task], a)
+	a.machine.usage.valid = false
+	c.markDirty(a.machine)
+	c.attemptsByTask[a.key.task] = append(c.attemptsByTask[a.key.task], a)
 }
 
-func (c *Core) dropAttempt(a *attempt) {
-	if a.m.attempts[a.key] == a && a.idle {
-		if c.idlers[a.m]--; c.idlers[a.m] == 0 {
-			delete(c.idlers, a.m)
+func (c *Core) removeAttempt(a *attempt) {
+	if a.machine.attempts[a.key] == a && a.idlePriority {
+		if c.idleAttempts[a.machine]--; c.idleAttempts[a.machine] == 0 {
+			delete(c.idleAttempts, a.machine)
 		}
 	}
-	delete(a.m.attempts, a.key)
-	a.m.sum.ok = false
-	c.touch(a.m)
-	list := c.onTask[a.key.task]
+	delete(a.machine.attempts, a.key)
+	a.machine.usage.valid = false
+	c.markDirty(a.machine)
+	list := c.attemptsByTask[a.key.task]
 	for i, o := range list {
 		if o == a {
 			list = append(list[:i], list[i+1:]...)
@@ -261,15 +261,15 @@
 		}
 	}
 	if len(list) == 0 {
-		delete(c.onTask, a.key.task)
+		delete(c.attemptsByTask, a.key.task)
 	} else {
-		c.onTask[a.key.task] = list
+		c.attemptsByTask[a.key.task] = list
 	}
 }
 
 // shardSeen is called for every new version of a shard record.
-func (c *Core) shardSeen(i int, old *shardEntry) {
-	c.dirty = true
+func (c *Core) shardChanged(i int, old *shardEntry) {
+	c.placementDue = true
 	delete(c.yielded, i)
 	if old != nil {
 		c.words.Moved(c.now, &old.rec, &c.shards[i].rec)
@@ -278,23 +278,23 @@
 	if now := c.shards[i]; old == nil || old.rec.Holder != now.rec.Holder || old.rec.Boot != now.rec.Boot || !slices.Equal(old.rec.Teams, now.rec.Teams) {
 		c.vouch.Granted(shardKey(i), now.ver, named)
 	}
-	if named && c.held[i] && old != nil && duty.Regained(old.rec, c.shards[i].rec) {
-		c.leaveShard(i) // another held it, and what it did is not in our mirror yet
+	if named && c.heldShards[i] && old != nil && duty.Regained(old.rec, c.shards[i].rec) {
+		c.stopHoldingShard(i) // another held it, and what it did is not in our mirror yet
 	}
 	switch {
-	case named && !c.held[i]:
-		c.pending[i] = true
-		c.enterShards()
+	case named && !c.heldShards[i]:
+		c.grantedShards[i] = true
+		c.startHoldingShards()
 	case named:
 		for _, id := range sortedKeys(c.jobs) { // of a team homed here just now
 			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == i {
-				c.jobSeen(e)
+				c.jobChanged(e)
 			}
 		}
 	default:
-		delete(c.pending, i)
-		if c.held[i] {
-			c.leaveShard(i)
+		delete(c.grantedShards, i)
+		if c.heldShards[i] {
+			c.stopHoldingShard(i)
 		}
 	}
 }
@@ -303,17 +303,17 @@
 // the granting write. Our own commits enter the mirror ahead of the watch; to
 // act on the grant before all that the earlier holder wrote has been seen
 // would mean to start what its last writes say it has started.
-func (c *Core) enterShards() {
+func (c *Core) startHoldingShards() {
 	for _, i := range c.shardIDs() {
-		if !c.pending[i] || c.rev < c.shards[i].ver {
+		if !c.grantedShards[i] || c.rev < c.shards[i].ver {
 			continue
 		}
-		delete(c.pending, i)
-		c.held[i], c.unsettle[i], c.entered[i] = true, true, c.now
-		delete(c.prevDead, i)
+		delete(c.grantedShards, i)
+		c.heldShards[i], c.unreconciledShards[i], c.shardHeldSince[i] = true, true, c.now
+		delete(c.previousHolderDeadSince, i)
 		for _, id := range c.blockIDs() {
 			if b := c.blocks[id]; b.rec.Shard == i {
-				c.holdBlock(b, !b.rec.Idle)
+				c.holdMachines(b, !b.rec.Idle)
 			}
 		}
 		c.relook = true
@@ -322,28 +322,28 @@
 		c.log(1, "holding shard", "shard", i, "token", c.shards[i].ver, "teams", len(c.shards[i].rec.Teams))
 		for _, id := range sortedKeys(c.jobs) {
 			if e := c.jobs[id]; c.shardOf(e.rec.Team) == i {
-				c.jobSeen(e)
+				c.jobChanged(e)
 			}
 		}
-		c.settle()
+		c.reconcileShards()
 	}
 }
 
-func (c *Core) leaveShard(i int) {
-	delete(c.held, i)
-	delete(c.unsettle, i)
-	delete(c.tellers, i)
+func (c *Core) stopHoldingShard(i int) {
+	delete(c.heldShards, i)
+	delete(c.unreconciledShards, i)
+	delete(c.demandPublishers, i)
 	delete(c.places, i)
 	c.weights.Left(i)
 	for _, m := range c.heldMachines() {
 		if m.shard == i {
-			c.dropMachine(m)
+			c.forgetMachine(m)
 		}
 	}
 	for _, e := range c.jobsByAge() {
 		if c.shardOf(e.rec.Team) == i && e.run != nil {
 			e.run = nil
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 	to := c.shards[i].rec.Holder
@@ -355,17 +355,17 @@
 }
 
 // blockSeen is called for every new version of a block, or its removal.
-func (c *Core) blockSeen(id string, old *blockEntry) {
-	c.dirty = true
+func (c *Core) blockChanged(id string, old *blockEntry) {
+	c.placementDue = true
 	b := c.blocks[id]
 	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
-		c.vouch.Granted(blockKey(id), b.ver, c.held[b.rec.Shard] || c.pending[b.rec.Shard])
+		c.vouch.Granted(blockKey(id), b.ver, c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard])
 	}
 	now := map[string]bool{}
 	if b != nil && c.mine(b.rec.Shard) {
 		// Gained while holding: rented just now, or promised empty by another
 		// shard. Nothing of ours can be on it.
-		c.holdBlock(b, false)
+		c.holdMachines(b, false)
 		for _, bm := range b.rec.Machines {
 			now[bm.Name] = true
 		}
@@ -373,97 +373,97 @@
 	if old == nil {
 		return
 	}
-	if _, sent := c.offered[id]; sent || b != nil && b.rec.Idle != old.rec.Idle {
-		delete(c.offered, id)
-		c.touchBlock(id)
+	if _, sent := c.idleMarkVersions[id]; sent || b != nil && b.rec.Idle != old.rec.Idle {
+		delete(c.idleMarkVersions, id)
+		c.markBlockDirty(id)
 	}
 	for _, bm := range old.rec.Machines {
 		if m := c.machines[bm.Name]; m != nil && m.block == id && !now[bm.Name] {
 			// The leader takes a name out only once the cloud has deleted it, or
 			// the block moved, which only an empty one does.
 			if b != nil && b.rec.Shard != m.shard {
-				c.passOn(m, b)
+				c.sendToNextHolder(m, b)
 			}
 			c.noteMachine(trail.MachineGone, m, wire.TrailEvent{Count: len(m.attempts), Why: "left its block"})
 			c.machineGone(m, "deleted")
-			c.dropMachine(m)
+			c.forgetMachine(m)
 			delete(c.vacating, id)
 		}
 	}
 }
 
-func (c *Core) holdBlock(b *blockEntry, inherited bool) {
+func (c *Core) holdMachines(b *blockEntry, inherited bool) {
 	for _, bm := range b.rec.Machines {
 		m := c.machines[bm.Name]
 		if m == nil {
-			m = &machine{name: bm.Name, block: b.id, typ: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
-				shard: b.rec.Shard, since: c.now, takenToken: c.token(b), inherited: inherited && !bm.Empty && (!bm.Fresh || c.everUsed(bm.Name)),
+			m = &machine{name: bm.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
+				shard: b.rec.Shard, heldSince: c.now, takeoverToken: c.token(b), inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
 				attempts: map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now}
 			for _, image := range c.caches.Of(bm.Name) {
 				m.images[image] = true
 			}
 			c.machines[bm.Name] = m
-			c.machineList = nil
+			c.machinesByName = nil
 			if m.inherited {
-				c.open[m.shard]++
+				c.unaccountedMachines[m.shard]++
 				c.roll.Add(m, false)
 			}
 		} else if m.shard != b.rec.Shard && m.inherited && !m.accounted {
-			c.open[m.shard]--
-			c.open[b.rec.Shard]++
+			c.unaccountedMachines[m.shard]--
+			c.unaccountedMachines[b.rec.Shard]++
 		}
-		m.fresh = bm.Fresh && !c.everUsed(bm.Name)
+		m.fresh = bm.Fresh && !c.useRecorded(bm.Name)
 		// A block may move between two shards of one holder: a machine left in
 		// its old shard would take that shard's tasks, and lose them from sight
 		// with the next change of hands.
-		m.shard, m.base, m.drop = b.rec.Shard, b.rec.Base, m.drop || bm.Drop || c.cordons[bm.Name].Drain
-		c.touch(m)
+		m.shard, m.base, m.returning = b.rec.Shard, b.rec.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
+		c.markDirty(m)
 	}
 }
 
-func sortedAttempts(m *machine) []attemptKey {
+func sortedAttemptKeys(m *machine) []attemptKey {
 	return slices.SortedFunc(maps.Keys(m.attempts), func(a, b attemptKey) int {
-		return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.try, b.try))
+		return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
 }
 
 // attemptGone takes an attempt off its machine; its task is started again
 // unless it is done.
-func (c *Core) attemptGone(a *attempt, why string) {
+func (c *Core) attemptLost(a *attempt, why string) {
 	c.hasten(a)
-	c.dropAttempt(a)
-	c.dirty = true
+	c.removeAttempt(a)
+	c.placementDue = true
 	e := c.jobs[a.job]
-	if e == nil || e.run == nil || e.run.active[a.idx] != a {
+	if e == nil || e.run == nil || e.run.active[a.taskIndex] != a {
 		return
 	}
-	c.endActive(e, a)
+	c.deactivateAttempt(e, a)
 	c.noteTask(trail.TaskLost, a, why)
-	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.try, "machine", a.m.name, "why", why)
+	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", why)
 }
 
 // endActive marks that a's task is nowhere now.
-func (c *Core) endActive(e *jobEntry, a *attempt) {
-	c.touchJob(e)
-	delete(e.run.active, a.idx)
-	if o := c.elsewhere(a); o != nil {
+func (c *Core) deactivateAttempt(e *jobEntry, a *attempt) {
+	c.markJobDirty(e)
+	delete(e.run.active, a.taskIndex)
+	if o := c.otherAttempt(a); o != nil {
 		// A delayed report named it on one machine while it was on another:
 		// only when the last of them is gone may it start again.
-		e.run.active[a.idx] = o
+		e.run.active[a.taskIndex] = o
 		return
 	}
-	if !e.run.done.Has(a.idx) {
-		e.run.retry = append(e.run.retry, a.idx)
-		e.run.since = c.now
+	if !e.run.done.Has(a.taskIndex) {
+		e.run.retryIndexes = append(e.run.retryIndexes, a.taskIndex)
+		e.run.waitingSince = c.now
 	}
 }
 
 // elsewhere finds another attempt of a's task that may be on a machine.
-func (c *Core) elsewhere(a *attempt) *attempt {
+func (c *Core) otherAttempt(a *attempt) *attempt {
 	var found *attempt
-	for _, o := range c.onTask[a.key.task] {
-		if o != a && o.status != wire.TaskEnded && (found == nil || o.m.name < found.m.name || o.m == found.m && o.key.try < found.key.try) {
+	for _, o := range c.attemptsByTask[a.key.task] {
+		if o != a && o.status != wire.TaskEnded && (found == nil || o.machine.name < found.machine.name || o.machine == found.machine && o.key.number < found.key.number) {
 			found = o
 		}
 	}
@@ -471,19 +471,19 @@
 }
 
 // hold does the holder's duties.
-func (c *Core) hold() {
-	c.watchMachines()
+func (c *Core) runHolder() {
+	c.checkLeases()
 	c.vacate()
 	c.keepChains()
 	c.planCrews()
 	c.planHolds()
-	if c.dirty {
-		c.dirty = false
-		c.place()
+	if c.placementDue {
+		c.placementDue = false
+		c.placeTasks()
 	}
 	c.preempt()
 	c.flush()
-	c.callRoll()
-	c.promptWorkers()
-	c.tellWants()
+	c.queryPendingMachines()
+	c.callQueuedWorkers()
+	c.publishDemand()
 }
--- a/internal/core/holding.go
+++ b/internal/core/holding.go
@@ -25,7 +25,7 @@
 	return free
 }
 
-func (c *Core) freeToAll(m *machine) placement.Size { return c.unheld(m, c.free(m)) }
+func (c *Core) freeToAll(m *machine) placement.Size { return c.unheld(m, c.freeCapacity(m)) }
 
 // heldSoon counts the places of a job that are free before a rented machine would be.
 func (c *Core) heldSoon(shard int, j *wire.Job) int {
@@ -69,7 +69,7 @@
 				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
 				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.At - c.now).String())
 			}
-			c.touch(m)
+			c.markDirty(m)
 		}
 	}
 }
@@ -77,31 +77,31 @@
 // fitNowhere lists the jobs of a shard that have waited for a while and find no machine, in
 // the order of service, and the least that any job asks for.
 func (c *Core) fitNowhere(shard int) (asks []hold.Ask[*machine], least placement.Size) {
-	if c.order.Len() == 0 {
+	if c.jobQueue.Len() == 0 {
 		return nil, least
 	}
-	most, used := c.room.Most(shard), map[string]placement.Size{}
-	least = anyRoom("")
+	most, used := c.capacity.Most(shard), map[string]placement.Size{}
+	least = unlimitedCapacity("")
 	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
-	c.order.Walk(func(team string) placement.Size {
+	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return anyRoom(team)
+		return unlimitedCapacity(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.Ask
-		least = lesser(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
+		least = smallerSize(least, size)
+		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.rec.ID) {
 			return true // urgent work makes room for itself
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
-			used[team] = c.room.Used(team, shard)
+			used[team] = c.capacity.Used(team, shard)
 		}
 		n := placement.Under(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
 		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
+			asks = append(asks, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allowsMachine(&e.rec, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
@@ -127,20 +127,20 @@
 
 // holdable adds a machine that a place may be held on, with what is expected to leave it.
 func (c *Core) holdable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
-	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
+	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.freeCapacity(m)}
 	if !x.Up {
-		full, known := c.sizeOf(m.typ)
-		if !known || m.reported || m.inherited || !c.coming[m] {
+		full, known := c.sizeOf(m.machineType)
+		if !known || m.reported || m.inherited || !c.comingMachines[m] {
 			return list
 		}
-		x.Free, x.Ready = full, m.since+seconds(c.types[m.typ].BootS*1.2)
+		x.Free, x.Ready = full, m.heldSince+seconds(c.types[m.machineType].BootS*1.2)
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		if a.status == wire.TaskEnded || !a.known {
+		if a.status == wire.TaskEnded || !a.sizeKnown {
 			continue
 		}
-		*least = lesser(*least, a.size)
+		*least = smallerSize(*least, a.size)
 		if at, leaves := c.leaves(a); leaves {
 			x.Leaves = append(x.Leaves, hold.Leave{At: at, Size: a.size})
 		}
@@ -151,22 +151,22 @@
 // leaves is when a task is expected to leave its machine; false: not foreseen.
 func (c *Core) leaves(a *attempt) (time.Duration, bool) {
 	e := c.jobs[a.job]
-	if e == nil || a.stop {
-		return c.now + seconds(a.graceS), true
+	if e == nil || a.stopping {
+		return c.now + seconds(a.stopGraceS), true
 	}
 	if e.rec.EstimateS <= 0 {
 		return 0, false
 	}
 	runs := c.runs.Typical(e.rec.Class, e.rec.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
-		return max(a.running+runs, c.now+runs/8), true // one that should be over ends some time
+		return max(a.runningSince+runs, c.now+runs/8), true // one that should be over ends some time
 	}
-	return max(a.created+c.fetches(e, a.m), c.now) + runs, true
+	return max(a.createdAt+c.fetches(e, a.machine), c.now) + runs, true
 }
 
 // fetches is how long a machine fetches a job's image, alone.
 func (c *Core) fetches(e *jobEntry, m *machine) time.Duration {
-	if rate := c.types[m.typ].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
+	if rate := c.types[m.machineType].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
 		return seconds(e.rec.ImageGB / rate)
 	}
 	return 0
@@ -176,17 +176,17 @@
 // served. Urgent tasks that found nothing else take any of them; until its task fits a place
 // is lent to tasks that surely end before.
 func (c *Core) placeHeld() {
-	for _, i := range sortedInts(c.places) {
+	for _, i := range sortedIntKeys(c.places) {
 		b := c.places[i]
 		if b.Len() == 0 || !c.mine(i) {
 			continue
 		}
-		c.update()
+		c.refreshIndexes()
 		c.urgentFirst(i, b)
 		for _, m := range b.Held() {
 			h, _ := b.Of(m)
-			p := c.order.Of(h.Job)
-			if !c.usable(m) || p == nil || c.trials(p.Handle) == 0 || c.barred(p.Handle, i) {
+			p := c.jobQueue.Of(h.Job)
+			if !c.usable(m) || p == nil || c.startableTasks(p.Handle) == 0 || c.placementBlocked(p.Handle, i) {
 				continue
 			}
 			if e := p.Handle; c.takes(e, m, i) {
@@ -203,26 +203,26 @@
 // takes tells whether a job's next task may be placed on a machine now, holds apart.
 func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
 	size, j := jobSize(&e.rec), &e.rec
-	f, ok := c.room.Of(m)
-	n := float64(e.run.unseen() + 1)
-	return ok && f.Usable && placement.Fits(c.free(m), size) && c.kinds(e, zonesOf(e))(f.Kind) && !c.avoids(e, m) &&
-		!c.limitOf(e).exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
+	f, ok := c.capacity.Of(m)
+	n := float64(e.run.possiblyInherited() + 1)
+	return ok && f.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(f.Kind) && !c.avoids(e, m) &&
+		!c.limitOf(e).exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
 }
 
 // urgentFirst has urgent tasks that wait take held places.
 func (c *Core) urgentFirst(shard int, b *hold.Book[*machine]) {
-	c.order.Walk(func(team string) placement.Size {
+	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return anyRoom(team)
+		return unlimitedCapacity(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
 		if e.prio < urgentRank || b.Len() == 0 {
 			return b.Len() > 0 && !c.ladder.Plain() // by priority the order begins with them
 		}
 		for _, m := range b.Held() {
-			if c.trials(e) == 0 || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) {
+			if c.startableTasks(e) == 0 || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
 				break
 			}
 			if c.usable(m) && c.takes(e, m, shard) {
@@ -237,21 +237,21 @@
 // lend places tasks on a held machine that surely leave before it is needed.
 func (c *Core) lend(m *machine, shard int, h hold.Hold) {
 	looked := 0
-	c.order.Walk(func(team string) placement.Size {
+	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return c.free(m)
+		return c.freeCapacity(m)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
 		if looked++; looked > tuning.HoldLook {
 			return false
 		}
-		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.barred(e, shard) ||
+		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
 			c.now+c.runs.Surely(e.rec.Class, e.rec.EstimateS) > h.At {
 			return true
 		}
-		for c.trials(e) > 0 && c.takes(e, m, shard) {
+		for c.startableTasks(e) > 0 && c.takes(e, m, shard) {
 			c.placeOn(e, m, true)
 		}
 		return true
--- a/internal/core/holding_test.go
+++ b/internal/core/holding_test.go
@@ -100,7 +100,7 @@
 		n := w.nodes[w.shardRec("red").Holder]
 		b := n.core.places[n.core.shardOf("red")]
 		for _, m := range b.Held() {
-			if n.core.free(m).CPUs >= 2 {
+			if n.core.freeCapacity(m).CPUs >= 2 {
 				at = m.name
 				return true
 			}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -19,14 +19,14 @@
 	if c.vacating[b.id] {
 		return c.empty(b, 0)
 	}
-	if c.wantedHere(b.rec.Shard) {
+	if c.hasUnmetDemand(b.rec.Shard) {
 		return false
 	}
 	asked := false
 	for _, i := range c.shardIDs() {
 		if i != b.rec.Shard {
-			for _, n := range c.wantOf(i).Needs {
-				asked = asked || c.serves(b, n)
+			for _, n := range c.shardDemand(i).Needs {
+				asked = asked || c.blockServes(b, n)
 			}
 		}
 	}
@@ -37,7 +37,7 @@
 func (c *Core) empty(b *blockEntry, since time.Duration) bool {
 	for _, bm := range b.rec.Machines {
 		m := c.machines[bm.Name]
-		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
+		if m == nil || m.returning || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
 			return false
 		}
 	}
@@ -57,15 +57,15 @@
 // spareTarget is for how many urgent tasks a shard keeps room.
 func (c *Core) spareTarget(shard int) int {
 	_, boot := supply.Speeds(c.types, nil)
-	return c.reserve.Target(c.now, shard, boot)
+	return c.urgentReserve.Target(c.now, shard, boot)
 }
 
 // roomFor counts the urgent tasks that a machine could take at once, lesser
 // work on it giving way.
 func (c *Core) roomFor(m *machine, u placement.Size) int {
-	f := c.free(m)
+	f := c.freeCapacity(m)
 	for _, a := range m.attempts {
-		if a.lesser && a.status != wire.TaskEnded {
+		if a.belowUrgent && a.status != wire.TaskEnded {
 			f = f.Add(a.size)
 		}
 	}
@@ -75,10 +75,10 @@
 // spareBeyond tells whether a shard keeps room for urgent tasks without the
 // given machines: such work should not wait for a boot.
 func (c *Core) spareBeyond(shard int, without ...*machine) bool {
-	c.update()
-	n := c.room.Spare(shard)
+	c.refreshIndexes()
+	n := c.capacity.Spare(shard)
 	for _, m := range without {
-		if f, ok := c.room.Of(m); ok && f.Usable && !f.Spot {
+		if f, ok := c.capacity.Of(m); ok && f.Usable && !f.Spot {
 			n -= f.Spare
 		}
 	}
@@ -90,7 +90,7 @@
 // around them have ended, each holds a machine alone. So many at a time as are a small
 // share of the shard: one at a time, a fleet's tail was paid for ten minutes.
 func (c *Core) moveOff(shard int) {
-	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+	if c.unreconciledShards[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
 	var in []*machine
@@ -106,22 +106,22 @@
 	}
 	var list []disruption.Machine[*machine]
 	for _, m := range in {
-		x := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
-		for _, k := range sortedAttempts(m) {
+		x := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Stays: m.base}
+		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
 				x.Stays = true
 				break
 			}
 			j := &c.jobs[a.job].rec
-			x.Moves = append(x.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allows(j, o) }})
+			x.Moves = append(x.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allowsMachine(j, o) }})
 		}
 		list = append(list, x)
 	}
 	for _, m := range disruption.Consolidate(list, max(1, len(in)/tuning.MoveShare)-moving, tuning.MoveLook) {
 		m.moving = true
-		c.touch(m)
-		for _, k := range sortedAttempts(m) {
+		c.markDirty(m)
+		for _, k := range sortedAttemptKeys(m) {
 			c.stopAttempt(m.attempts[k])
 		}
 		c.log(1, "moving replicas off a machine", "machine", m.name, "replicas", len(m.attempts))
@@ -131,8 +131,8 @@
 // movable tells whether a task is a replica that has run for a while and is bound to no zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stop &&
-		a.status == wire.TaskRunning && c.now-a.running >= tuning.MoveAfter
+	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stopping &&
+		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.MoveAfter
 }
 
 // retire marks machines to be given back: idle, silent, never up, or taken.
@@ -141,25 +141,25 @@
 	// workers for half a minute, while another was down, gave 163 healthy machines away.
 	silent := 0
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && m.reported && !m.drop && (c.now-m.lastReport > c.freshFor() || m.ear.Deaf()) {
+		if m.shard == shard && m.reported && !m.returning && (c.now-m.lastReport > c.reportMaxAge() || m.delivery.Deaf()) {
 			silent++
 		}
 	}
-	cut := dutyLimits.Many(silent, c.machinesIn(shard))
+	cut := dutyLimits.Many(silent, c.machineCount(shard))
 	for _, m := range c.heldMachines() {
-		if m.shard != shard || m.drop {
+		if m.shard != shard || m.returning {
 			continue
 		}
-		m.cut = m.over && (m.cut || cut)
+		m.silentWithMany = m.leaseOver && (m.silentWithMany || cut)
 		why := c.neverComes(m)
 		switch {
 		case why != "":
-		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
+		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
 			// A rented one costs as much as another; while not sure to be entitled we take no report.
 			why = "silent"
-		case m.ear.Deaf() && !m.base && !cut:
+		case m.delivery.Deaf() && !m.base && !cut:
 			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
-		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
+		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
@@ -168,8 +168,8 @@
 			why = "idle"
 		}
 		if why != "" {
-			m.drop = true
-			c.touch(m)
+			m.returning = true
+			c.markDirty(m)
 			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
 			c.log(1, "giving a machine back", "machine", m.name, "why", why)
 		}
--- a/internal/core/laddering.go
+++ b/internal/core/laddering.go
@@ -12,7 +12,7 @@
 	c.rungs, c.ladder = r, ladder.Of(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
-		c.touchJob(e)
+		c.markJobDirty(e)
 	}
 	c.rankWaiting()
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -276,7 +276,7 @@
 		if !c.leading() {
 			return
 		}
-		c.learnAddrs(all)
+		c.learnAddresses(all)
 		in := map[string]bool{}
 		for _, b := range c.blocks {
 			for _, bm := range b.rec.Machines {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -270,7 +270,7 @@
 	if _, err := c.calendar.Revise("early", crew, now, "c0", yes, yes); err != nil {
 		t.Fatal(err)
 	}
-	c.keepTo(limits.Bounds{ValueBytes: 600, Changes: 8})
+	c.applyWriteLimits(limits.Bounds{ValueBytes: 600, Changes: 8})
 	if _, err := c.calendar.Revise("early", crew, now, "c0", yes, yes); err == nil {
 		t.Error("the calendar keeps to the limit that was told")
 	}
--- a/internal/core/local_test.go
+++ b/internal/core/local_test.go
@@ -27,21 +27,21 @@
 	for _, id := range []string{"job-000001", "job-000002"} {
 		// Neither places its anchor, which goes by other rules.
 		run := c.jobs[id].run
-		run.done, run.next = run.done.Add(0), 1
-		c.touchJob(c.jobs[id])
+		run.done, run.nextIndex = run.done.Add(0), 1
+		c.markJobDirty(c.jobs[id])
 	}
 	m.images = map[string]bool{"img-b": true}
 	free := func() string {
-		for _, k := range sortedAttempts(m) {
+		for _, k := range sortedAttemptKeys(m) {
 			if a := m.attempts[k]; a.job == "job-000000" {
-				c.dropAttempt(a)
+				c.removeAttempt(a)
 				break
 			}
 		}
-		c.place()
+		c.placeTasks()
 		newest := attemptKey{}
 		for k := range m.attempts {
-			if k.try > newest.try {
+			if k.number > newest.number {
 				newest = k
 			}
 		}
@@ -50,7 +50,7 @@
 	if got := free(); got != "job-000002" {
 		t.Errorf("the place went to %s", got)
 	}
-	c.jobs["job-000001"].run.passedOver = c.now - 10*sec
+	c.jobs["job-000001"].run.passedOverSince = c.now - 10*sec
 	if got := free(); got != "job-000001" {
 		t.Errorf("passed over for long, and the place went to %s", got)
 	}
@@ -73,13 +73,13 @@
 	c := w.nodes["c0"].core
 	m := c.machines[name]
 	run := c.jobs["job-000002"].run
-	run.done, run.next = run.done.Add(0), 1
-	c.touchJob(c.jobs["job-000002"])
+	run.done, run.nextIndex = run.done.Add(0), 1
+	c.markJobDirty(c.jobs["job-000002"])
 	m.images = map[string]bool{"img-b": true}
-	for _, k := range sortedAttempts(m) {
-		c.dropAttempt(m.attempts[k])
+	for _, k := range sortedAttemptKeys(m) {
+		c.removeAttempt(m.attempts[k])
 	}
-	c.place()
+	c.placeTasks()
 	if n := len(c.jobs["job-000001"].run.active); n != 4 {
 		t.Errorf("%d of 4 tasks of a gang are placed", n)
 	}
--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -139,8 +139,8 @@
 			}
 			out = append(out, fmt.Sprintf("%.3f", e.due))
 			for _, a := range e.runActive() {
-				if a.idle || a.lesser != (e.prio < urgentRank) {
-					t.Errorf("%s: %s: a task that runs gives way: to normal work %v, to urgent %v", when, n, a.idle, a.lesser)
+				if a.idlePriority || a.belowUrgent != (e.prio < urgentRank) {
+					t.Errorf("%s: %s: a task that runs gives way: to normal work %v, to urgent %v", when, n, a.idlePriority, a.belowUrgent)
 				}
 			}
 		}
@@ -166,7 +166,7 @@
 
 func (e *jobEntry) runActive() (list []*attempt) {
 	if e.run != nil {
-		for _, k := range sortedInts(e.run.active) {
+		for _, k := range sortedIntKeys(e.run.active) {
 			list = append(list, e.run.active[k])
 		}
 	}
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -102,10 +102,10 @@
 	rec := w.shardRec("red")
 	holder := w.nodes[rec.Holder].core
 	i := holder.shardOf("red")
-	if !holder.held[i] || holder.unsettle[i] {
+	if !holder.heldShards[i] || holder.unreconciledShards[i] {
 		t.Fatal("the shard should be held, and settled")
 	}
-	entered := holder.entered[i]
+	entered := holder.shardHeldSince[i]
 	other := rec
 	other.Holder, other.Boot, other.Settled, other.Past = "c9", 1, false, []wire.Life{{Node: rec.Holder, Boot: rec.Boot}}
 	w.set(shardKey(i), other)
@@ -113,12 +113,12 @@
 	back.Holder, back.Boot, back.Past = rec.Holder, rec.Boot, append(other.Past, wire.Life{Node: "c9", Boot: 1})
 	w.set(shardKey(i), back)
 	holder.learn(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
-	if holder.held[i] {
+	if holder.heldShards[i] {
 		t.Error("acts for the shard as if nobody else had held it")
 	}
 	w.run(sec / 2)
-	if !holder.held[i] || holder.entered[i] == entered {
-		t.Errorf("held %v since %v, before since %v", holder.held[i], holder.entered[i], entered)
+	if !holder.heldShards[i] || holder.shardHeldSince[i] == entered {
+		t.Errorf("held %v since %v, before since %v", holder.heldShards[i], holder.shardHeldSince[i], entered)
 	}
 	w.run(20 * sec) // the world judges what runs where
 
--- a/internal/core/meeting_reports_test.go
+++ b/internal/core/meeting_reports_test.go
@@ -203,7 +203,7 @@
 						}
 						for _, n := range sortedKeys(w.nodes) {
 							if c := w.nodes[n].core; c != nil {
-								for _, i := range sortedInts(c.held) {
+								for _, i := range sortedIntKeys(c.heldShards) {
 									if key := fmt.Sprint(n, i); held[key] != c.shards[i].ver {
 										held[key] = c.shards[i].ver
 										w.at(after*time.Millisecond, flood)
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -24,7 +24,7 @@
 	w.run(6 * sec)
 	c := w.nodes[w.holderOf(name)].core
 	x := c.machines[name]
-	if x == nil || x.accounted || before.Token >= x.takenToken {
+	if x == nil || x.accounted || before.Token >= x.takeoverToken {
 		t.Fatalf("the machine should have been taken over and not be accounted for: %+v", x)
 	}
 	before.Seq += 50 // it is newer than all that has been heard here
@@ -32,7 +32,7 @@
 	if w.step(w.nodes[c.p.Node], done); x.accounted {
 		t.Error("an answer given under an earlier grant accounts for the machine")
 	}
-	before.Token, done.Token = x.takenToken, x.takenToken
+	before.Token, done.Token = x.takeoverToken, x.takeoverToken
 	done.Report = before
 	if w.step(w.nodes[c.p.Node], done); !x.accounted {
 		t.Error("an answer that names our grant does not account for the machine")
@@ -233,15 +233,15 @@
 		x := c.machines[name]
 		state := func() string {
 			var b strings.Builder
-			for _, k := range sortedAttempts(x) {
+			for _, k := range sortedAttemptKeys(x) {
 				fmt.Fprint(&b, k, x.attempts[k].status, " ")
 			}
 			for _, id := range sortedKeys(c.jobs) {
 				if r := c.jobs[id].run; r != nil {
-					fmt.Fprint(&b, id, len(r.active), len(r.retry), r.done.Count(), " ")
+					fmt.Fprint(&b, id, len(r.active), len(r.retryIndexes), r.done.Count(), " ")
 				}
 			}
-			return fmt.Sprint(x.session, x.seq, x.lastOK, x.over, x.accounted, b.String())
+			return fmt.Sprint(x.session, x.seq, x.lastAnswered, x.leaseOver, x.accounted, b.String())
 		}
 		for _, r := range old[:len(old)-1] {
 			if x.session == r.Session && x.seq < r.Seq {
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -85,7 +85,7 @@
 
 func (m *mirror) shardIDs() []int {
 	if m.shardList == nil {
-		m.shardList = sortedInts(m.shards)
+		m.shardList = sortedIntKeys(m.shards)
 	}
 	return m.shardList
 }
@@ -104,7 +104,7 @@
 		for _, e := range m.jobs {
 			m.jobList = append(m.jobList, e)
 		}
-		sort.Slice(m.jobList, func(i, j int) bool { return olderJob(m.jobList[i], m.jobList[j]) })
+		sort.Slice(m.jobList, func(i, j int) bool { return isOlderJob(m.jobList[i], m.jobList[j]) })
 	}
 	return m.jobList
 }
@@ -114,7 +114,7 @@
 	if m.jobList == nil {
 		return
 	}
-	i := sort.Search(len(m.jobList), func(i int) bool { return !olderJob(m.jobList[i], e) })
+	i := sort.Search(len(m.jobList), func(i int) bool { return !isOlderJob(m.jobList[i], e) })
 	switch {
 	case in:
 		m.jobList = slices.Insert(m.jobList, i, e)
@@ -293,13 +293,13 @@
 			c.shards[i] = &shardEntry{r, ver}
 			c.noteTaken(i)
 			c.indexTeams()
-			c.shardSeen(i, old)
+			c.shardChanged(i, old)
 		}
 	case strings.HasPrefix(key, wire.PrefixStart):
 		var r wire.Starts
 		if read(&r) {
 			c.ver.Put(key, ver)
-			if err := c.putStarts(key, ver, r); err != nil {
+			if err := c.applyStarts(key, ver, r); err != nil {
 				fail(err)
 			}
 		}
@@ -309,7 +309,7 @@
 			if id, err := c.progress.Put(key, ver, r); err != nil {
 				fail(err)
 			} else if e := c.jobs[id]; e != nil {
-				c.jobSeen(e)
+				c.jobChanged(e)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWant):
@@ -334,7 +334,7 @@
 		if i, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
 		} else if read(&r) {
-			c.weights.Read(c.now, i, r, c.held[i])
+			c.weights.Read(c.now, i, r, c.heldShards[i])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		var r wire.Block
@@ -345,7 +345,7 @@
 			c.blocks[id] = &blockEntry{id, r, ver}
 			c.indexBlock(id, old, c.blocks[id])
 			c.followBoots(old, c.blocks[id])
-			c.blockSeen(id, old)
+			c.blockChanged(id, old)
 		}
 	}
 }
@@ -359,10 +359,10 @@
 	} else if e.rec.ReadySince() != r.ReadySince() || e.rec.Number != r.Number {
 		c.jobList = nil
 	}
-	c.overlay(&r)
+	c.overlayStarts(&r)
 	e.rec, e.ver = r, ver
 	c.rankJob(e)
-	c.jobSeen(e)
+	c.jobChanged(e)
 }
 
 func (c *Core) putType(r wire.MachineType) {
@@ -370,7 +370,7 @@
 	c.types[r.Name] = r
 	if !known || old.CPUs != r.CPUs || old.GPUs != r.GPUs || old.MemoryGB != r.MemoryGB {
 		c.sizes++ // prices are read every minute, and weigh nothing here
-		c.touchShard(-1)
+		c.markShardDirty(-1)
 	}
 }
 
@@ -402,14 +402,14 @@
 	case strings.HasPrefix(key, wire.PrefixType):
 		delete(c.types, key[len(wire.PrefixType):])
 		c.sizes++
-		c.touchShard(-1)
+		c.markShardDirty(-1)
 	case strings.HasPrefix(key, wire.PrefixJob):
 		id := key[len(wire.PrefixJob):]
 		if e := c.jobs[id]; e != nil {
 			delete(c.jobs, id)
 			delete(c.counts, id)
 			c.listJob(e, false)
-			c.jobGone(e)
+			c.jobRemoved(e)
 			c.lookOver(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
@@ -426,7 +426,7 @@
 		delete(c.blocks, id)
 		c.indexBlock(id, old, nil)
 		c.followBoots(old, nil)
-		c.blockSeen(id, old)
+		c.blockChanged(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
 		c.log(0, "a shard record was removed", "key", key)
 	}
@@ -453,7 +453,7 @@
 func (c *Core) changed() {
 	if c.loaded {
 		c.lead()
-		c.hold()
+		c.runHolder()
 	}
 }
 
@@ -467,7 +467,7 @@
 
 // mine tells whether this life of this controller holds a shard and has taken it up.
 func (c *Core) mine(i int) bool {
-	return c.held[i]
+	return c.heldShards[i]
 }
 
 // token of a block: the write that last granted it, be it the shard's takeover
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -235,17 +235,17 @@
 		if c == nil {
 			continue
 		}
-		put(c.leading(), sortedInts(c.held), sortedInts(c.pending), sortedInts(c.unsettle))
+		put(c.leading(), sortedIntKeys(c.heldShards), sortedIntKeys(c.grantedShards), sortedIntKeys(c.unreconciledShards))
 		for _, m := range c.heldMachines() {
-			put(m.name, m.shard, m.inherited, m.accounted, m.reported, m.proven, m.fresh, m.drop, m.over, m.notice)
-			for _, k := range sortedAttempts(m) {
+			put(m.name, m.shard, m.inherited, m.accounted, m.reported, m.currentReportsProven, m.fresh, m.returning, m.leaseOver, m.terminationNotice)
+			for _, k := range sortedAttemptKeys(m) {
 				a := m.attempts[k]
-				put(k.task, a.status, a.cause, a.sent, a.stop)
+				put(k.task, a.status, a.cause, a.startSent, a.stopping)
 			}
 		}
 		for _, e := range c.jobsByAge() {
 			if e.run != nil {
-				put(e.rec.ID, e.run.done, e.run.retry, e.run.next, e.run.held, sortedInts(e.run.active))
+				put(e.rec.ID, e.run.done, e.run.retryIndexes, e.run.nextIndex, e.run.inheritedBelow, sortedIntKeys(e.run.active))
 			}
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -57,7 +57,7 @@
 		}
 	}
 	var holds []HeldShard
-	for _, i := range sortedInts(c.held) {
+	for _, i := range sortedIntKeys(c.heldShards) {
 		holds = append(holds, HeldShard{Shard: i, Token: c.shards[i].ver})
 	}
 	c.relays.Forget(c.now)
@@ -110,7 +110,7 @@
 		return
 	case m.Wants != nil:
 		for _, t := range m.Wants {
-			c.lacks.Hear(c.now, t)
+			c.peerDemand.Hear(c.now, t)
 		}
 		if c.loaded && c.leading() {
 			c.lead()
@@ -179,12 +179,12 @@
 		case e.Revision <= c.rev:
 		case isBlock:
 			if b := c.blocks[id]; b != nil && b.ver < e.Revision {
-				against = against || c.held[b.rec.Shard] || c.pending[b.rec.Shard]
+				against = against || c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard]
 			}
 		default:
 			i, err := strconv.Atoi(strings.TrimPrefix(e.Key, wire.PrefixShard))
 			s := c.shards[i]
-			against = against || err != nil || s != nil && s.ver < e.Revision && (c.held[i] || c.pending[i])
+			against = against || err != nil || s != nil && s.ver < e.Revision && (c.heldShards[i] || c.grantedShards[i])
 		}
 	}
 	return against
@@ -196,11 +196,11 @@
 		// A peer that holds our shard under a later token has read the grant
 		// in the state; we cannot, or have not yet. To go on answering would keep
 		// the workers from it for as long as we may go unconfirmed.
-		if s := c.shards[h.Shard]; s != nil && c.held[h.Shard] && h.Token > s.ver {
+		if s := c.shards[h.Shard]; s != nil && c.heldShards[h.Shard] && h.Token > s.ver {
 			c.yielded[h.Shard] = m.From
 			c.noteShard(trail.ShardYielded, h.Shard, wire.TrailEvent{Node: m.From, Token: h.Token})
 			c.log(1, "shard yielded to a later token", "shard", h.Shard, "to", m.From, "token", h.Token)
-			c.leaveShard(h.Shard)
+			c.stopHoldingShard(h.Shard)
 		}
 	}
 }
--- a/internal/core/rollcall.go
+++ b/internal/core/pending_machines.go
@@ -7,7 +7,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newRoll() *takeover.Roll[*machine] {
+func newPendingMachines() *takeover.Roll[*machine] {
 	return takeover.NewRoll[*machine](takeover.Limits{PerSecond: tuning.RollPerSecond, Burst: tuning.RollBurst, Open: tuning.RollOpen, Look: tuning.RollLook,
 		Lost: 2 * tuning.OrderTimeout, Pause: tuning.RollPause, PauseMax: tuning.RollPauseMax})
 }
@@ -15,7 +15,7 @@
 // callRoll calls the workers of machines that are not accounted for, with our token and
 // no command. After a cut they may be answered by a former holder for as long as it may
 // go unconfirmed, and by nobody who can reach us: the roll does not wait for them to come.
-func (c *Core) callRoll() {
+func (c *Core) queryPendingMachines() {
 	if c.roll.Len() == 0 || !c.confirmed() {
 		return
 	}
@@ -41,7 +41,7 @@
 	if v.Status != 0 && r.Machine == v.Machine {
 		c.addrs.Learn(r.Machine, r.Addr, r.Session)
 		if !v.Through {
-			c.workers.Answered(c.now, c.shardHeld(v.Machine), v.Machine)
+			c.workers.Answered(c.now, c.heldShardOf(v.Machine), v.Machine)
 		}
 	}
 	if v.For != "" && v.For != c.p.Node {
@@ -54,29 +54,29 @@
 	if v.Look && v.Status == 200 && r.Machine == v.Machine {
 		c.lives(r) // an answer to our own call is no copy
 	}
-	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.ear.Unanswered() {
-		c.hearingChanged(m)
+	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.delivery.Unanswered() {
+		c.deliveryChanged(m)
 	}
 	if v.Look || m == nil || m.accounted || !c.mine(m.shard) {
 		return // it has reported by itself meanwhile, or is no longer ours
 	}
 	b := c.blocks[m.block]
-	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takenToken || c.older(m, r) || r.Token > c.tokenOf(m, b) {
+	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takeoverToken || c.isStaleReport(m, r) || r.Token > c.answerToken(m, b) {
 		c.roll.Failed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
 		return
 	}
-	m.proven = true
-	c.heardFrom(m, r)
+	m.currentReportsProven = true
+	c.applyMachineReport(m, r)
 	// The last report that anybody answered left its worker before the call came there,
 	// so its lease is over no later than one that began now.
-	m.lastOK = max(m.lastOK, c.now)
-	c.takeStock(m, r)
-	c.account(m, "call")
-	c.hold()
+	m.lastAnswered = max(m.lastAnswered, c.now)
+	c.applyAttemptReports(m, r)
+	c.markAccounted(m, "call")
+	c.runHolder()
 }
 
 // shardHeld is the shard of a machine that is held here.
-func (c *Core) shardHeld(name string) int {
+func (c *Core) heldShardOf(name string) int {
 	if m := c.machines[name]; m != nil {
 		return m.shard
 	}
@@ -84,7 +84,7 @@
 }
 
 // learnAddrs takes note of where a list says that workers listen.
-func (c *Core) learnAddrs(list map[string]wire.MachineInfo) {
+func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
 	for n, i := range list {
 		if c.blockIn[n] != "" || c.leader.known.Stranger(n) {
 			c.addrs.Learn(n, i.Addr, 0)
@@ -95,7 +95,7 @@
 
 // followAddrs has the addresses at hand before they are needed. Only the leader reads the
 // list for what it decides; the others read it for the addresses that they lack.
-func (c *Core) followAddrs() {
+func (c *Core) refreshAddresses() {
 	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
 		return
 	}
@@ -108,22 +108,22 @@
 	c.retryAt["addrs"] = c.now + tuning.AddrsEvery
 	if lack > 0 {
 		c.listing = true
-		c.addrsPage("", map[string]wire.MachineInfo{})
+		c.readAddressPage("", map[string]wire.MachineInfo{})
 	}
 }
 
-func (c *Core) addrsPage(after string, all map[string]wire.MachineInfo) {
+func (c *Core) readAddressPage(after string, all map[string]wire.MachineInfo) {
 	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		for _, m := range r.List.Machines {
 			all[m.Name] = m
 			after = m.Name
 		}
 		if r.Status == 200 && r.List.More && len(r.List.Machines) > 0 {
-			c.addrsPage(after, all)
+			c.readAddressPage(after, all)
 			return
 		}
 		if c.listing = false; r.Status == 200 {
-			c.learnAddrs(all)
+			c.learnAddresses(all)
 		}
 	})
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -23,17 +23,17 @@
 		return
 	}
 	var list []*jobEntry
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
 		upper := e.prio >= urgentRank || c.ladder.Named(e.rank)
-		if !upper && (e.prio <= idleRank || len(c.idlers) == 0) {
+		if !upper && (e.prio <= idleRank || len(c.idleAttempts) == 0) {
 			return !c.ladder.Plain() // nothing gives way to it; by priority the order begins with urgent jobs
 		}
-		if !upper && !p.Within || c.health.Trial(e.rec.ID) {
+		if !upper && !p.Within || c.taskHealth.Trial(e.rec.ID) {
 			return true
 		}
 		// For a part of a gang no work is stopped: the rest may find no room.
-		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
+		if !c.placementBlocked(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
 			list = append(list, e)
 		}
 		return true
@@ -53,9 +53,9 @@
 	}
 	for _, e := range list {
 		i := c.shardOf(e.rec.Team)
-		used := c.room.Used(e.rec.Team, i)
-		for n := e.run.pending(&e.rec); n > 0; n-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, by[i]) {
+		used := c.capacity.Used(e.rec.Team, i)
+		for n := e.run.pendingTasks(&e.rec); n > 0; n-- {
+			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceededBy(used) || !c.preemptFor(e, by[i]) {
 				break
 			}
 		}
@@ -63,17 +63,17 @@
 }
 
 func (c *Core) clearingOf(m *machine, least int) *clearing.Machine[*machine, *attempt] {
-	x := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
-	for _, k := range sortedAttempts(m) {
+	x := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.freeCapacity(m)}
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
+		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
 			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
-		case a.status == wire.TaskEnded || !a.sent:
-		case a.stop || c.jobs[a.job] == nil:
+		case a.status == wire.TaskEnded || !a.startSent:
+		case a.stopping || c.jobs[a.job] == nil:
 			x.Free = x.Free.Add(a.size) // already leaving
-		case a.known && a.lesser && c.jobs[a.job].rank < least:
-			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
+		case a.sizeKnown && a.belowUrgent && c.jobs[a.job].rank < least:
+			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.runningSince, Idle: a.idlePriority})
 		}
 	}
 	x.Sort()
@@ -83,29 +83,29 @@
 // preemptFor makes room for one task of a job, unless some is being made. It tells whether
 // there will be room.
 func (c *Core) preemptFor(e *jobEntry, in []*clearing.Machine[*machine, *attempt]) bool {
-	kinds := c.kinds(e, zonesOf(e))
+	kinds := c.allowedKinds(e, tasksByZone(e))
 	stop, ok := clearing.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
-		return kinds(ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
+		return kinds(ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
 	for _, v := range stop {
 		a := v.Handle
 		if v.Unsent { // never told to anybody, so nowhere
-			c.attemptGone(a, "its place goes to "+e.rec.ID)
+			c.attemptLost(a, "its place goes to "+e.rec.ID)
 			continue
 		}
 		c.stopAttempt(a)
 		c.noteTask(trail.TaskStopped, a, "for "+e.rec.ID+", which goes before it")
-		c.log(1, "stopping a task for work that goes before it", "task", a.key.task, "machine", a.m.name, "for", e.rec.ID)
+		c.log(1, "stopping a task for work that goes before it", "task", a.key.task, "machine", a.machine.name, "for", e.rec.ID)
 	}
 	return ok
 }
 
 // stopAttempt has a task stopped, with time to save if it can.
 func (c *Core) stopAttempt(a *attempt) {
-	a.stop = true
-	c.wantReport(a.m, true)
+	a.stopping = true
+	c.requestReport(a.machine, true)
 	if e := c.jobs[a.job]; e != nil && e.rec.CheckpointEvery > 0 {
-		a.graceS = e.rec.SaveS
+		a.stopGraceS = e.rec.SaveS
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	dire := false
 	for _, i := range c.shardIDs() {
-		for _, n := range c.wantOf(i).Needs {
+		for _, n := range c.shardDemand(i).Needs {
 			if !n.Dire {
 				continue
 			}
@@ -132,7 +132,7 @@
 	}
 	if !dire && len(c.vacating) > 0 {
 		for id := range c.vacating {
-			c.touchBlock(id)
+			c.markBlockDirty(id)
 		}
 		c.vacating = map[string]bool{}
 	}
@@ -168,7 +168,7 @@
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
-		if b.rec.Shard != shard || !c.serves(b, n) {
+		if b.rec.Shard != shard || !c.blockServes(b, n) {
 			continue
 		}
 		full, _ := c.sizeOf(b.rec.Type)
@@ -184,7 +184,7 @@
 					x.Fixed = true
 				}
 				if a.status != wire.TaskEnded {
-					x.Lost += c.now - a.running + time.Second
+					x.Lost += c.now - a.runningSince + time.Second
 				}
 			}
 		}
@@ -195,14 +195,14 @@
 		return
 	}
 	c.vacating[best] = true
-	c.touchBlock(best)
+	c.markBlockDirty(best)
 	c.noteShard(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
 	c.log(1, "emptying a block for another team's guarantee", "block", best, "shard", shard, "lost", loss.String())
 	for _, bm := range c.blocks[best].rec.Machines {
 		m := c.machines[bm.Name]
-		for _, k := range sortedAttempts(m) {
+		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
-			if a.sent && a.status != wire.TaskEnded {
+			if a.startSent && a.status != wire.TaskEnded {
 				c.stopAttempt(a)
 				c.noteTask(trail.TaskStopped, a, "its block is emptied")
 			}
--- a/internal/core/progressing.go
+++ b/internal/core/progressing.go
@@ -51,7 +51,7 @@
 // owesEnd tells whether an attempt has completed its task, and that does not stand in the state.
 func (c *Core) owesEnd(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durable(e).Has(a.idx)
+	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durable(e).Has(a.taskIndex)
 }
 
 // keepsEnds tells whether a machine's worker has told ends that do not stand in the state:
@@ -72,18 +72,18 @@
 // hasten has an end written at once that its worker will not tell for long, or no more.
 func (c *Core) hasten(a *attempt) {
 	if c.owesEnd(a) {
-		c.hasty[c.jobs[a.job]] = true
+		c.urgentProgress[c.jobs[a.job]] = true
 	}
 }
 
 // addHasty adds the progress of jobs that cannot wait for others to end.
 func (c *Core) addHasty(b *batch) {
-	for _, e := range sortedJobs(c.hasty) {
+	for _, e := range sortedJobs(c.urgentProgress) {
 		switch {
-		case !c.behind[e]:
-			delete(c.hasty, e) // written, or ended as a whole, or no longer ours
-		case !b.full() && !e.run.writing && c.now-e.run.wrote >= tuning.HastyFlush:
-			e.run.wrote = c.now
+		case !c.pendingProgress[e]:
+			delete(c.urgentProgress, e) // written, or ended as a whole, or no longer ours
+		case !b.full() && !e.run.writeInFlight && c.now-e.run.progressWrittenAt >= tuning.HastyFlush:
+			e.run.progressWrittenAt = c.now
 			b.addProgress(e)
 		}
 	}
--- a/internal/core/progressing_test.go
+++ b/internal/core/progressing_test.go
@@ -118,7 +118,7 @@
 		"lease over": func(w *world, m *host) {
 			name, holder := m.info.Name, w.nodes[w.holderOf(m.info.Name)].core
 			w.hang(m)
-			for end := w.now + 20*sec; !holder.machines[name].over && w.now < end; {
+			for end := w.now + 20*sec; !holder.machines[name].leaseOver && w.now < end; {
 				w.run(20 * time.Millisecond)
 			}
 			w.run(800 * time.Millisecond)
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -50,7 +50,7 @@
 	c := w.nodes["c0"].core
 	m, other := c.machines[a], c.machines[b]
 	for i, lesser := range []bool{true, false, true} {
-		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", idx: i, lesser: lesser, known: true, m: m, created: c.now, running: c.now})
+		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", taskIndex: i, belowUrgent: lesser, sizeKnown: true, machine: m, createdAt: c.now, runningSince: c.now})
 	}
 	for k := range 12 {
 		c.desk.Forget(m)
--- a/internal/core/reaching.go
+++ b/internal/core/reaching.go
@@ -50,25 +50,25 @@
 		return
 	}
 	held, missed := map[int]reach.Crowd{}, map[int]int{}
-	for i := range c.held {
+	for i := range c.heldShards {
 		held[i] = reach.Crowd{}
 	}
 	for _, m := range c.heldMachines() {
 		x, ok := held[m.shard]
-		if ok && !m.drop && !m.fresh && (m.over || m.silent || m.inherited && !m.accounted) {
+		if ok && !m.returning && !m.fresh && (m.leaseOver || m.silent || m.inherited && !m.accounted) {
 			missed[m.shard]++
 		}
-		if !ok || m.over || m.fresh || m.drop || !m.reported && !m.inherited {
+		if !ok || m.leaseOver || m.fresh || m.returning || !m.reported && !m.inherited {
 			continue
 		}
 		x.Of++
-		if m.reported && c.now-m.lastReport < c.freshFor() {
+		if m.reported && c.now-m.lastReport < c.reportMaxAge() {
 			x.Heard++
 		}
 		held[m.shard] = x
 	}
 	c.workers.Watch(c.now, held)
-	c.words.Watch(c.now, missed, c.machinesIn)
+	c.words.Watch(c.now, missed, c.machineCount)
 	for _, name := range c.workers.Probe(c.now, c.words.Sought(c.now, c.mine), c.pickToProbe) {
 		at, _ := c.addrs.Of(name)
 		c.out = append(c.out, Order{Machine: name, Addr: at.Addr, Look: true})
@@ -99,7 +99,7 @@
 // reaches them, by a write of our own. Without it they were sent back to us by everybody
 // they could reach, until their leases were over.
 func (c *Core) giveAway(held map[int]reach.Crowd) {
-	for _, i := range sortedInts(held) {
+	for _, i := range sortedIntKeys(held) {
 		silent := c.workers.Silent(c.now, i)
 		if silent == 0 || c.shards[i] == nil {
 			continue
@@ -177,5 +177,5 @@
 }
 
 func (c *Core) onAdminReach(v AdminReach) {
-	c.answer(v.Req, 200, c.words.View(c.now, c.ways.Judge(c.now), c.ways.Around(c.now), sortedInts(c.held)))
+	c.answer(v.Req, 200, c.words.View(c.now, c.ways.Judge(c.now), c.ways.Around(c.now), sortedIntKeys(c.heldShards)))
 }
--- a/internal/core/settle.go
+++ b/internal/core/reconcile.go
@@ -13,67 +13,67 @@
 // machineGone frees everything that was on a machine that is surely gone, or
 // whose lease is surely over.
 func (c *Core) machineGone(m *machine, why string) {
-	c.dirty = true
-	for _, k := range sortedAttempts(m) {
-		c.attemptGone(m.attempts[k], why)
+	c.placementDue = true
+	for _, k := range sortedAttemptKeys(m) {
+		c.attemptLost(m.attempts[k], why)
 	}
-	c.account(m, why)
+	c.markAccounted(m, why)
 }
 
 // account takes note that what is on a machine is known from now on.
-func (c *Core) account(m *machine, why string) {
+func (c *Core) markAccounted(m *machine, why string) {
 	if m.inherited && !m.accounted {
 		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: why})
-		c.open[m.shard]--
+		c.unaccountedMachines[m.shard]--
 	}
 	m.accounted = true
 	c.roll.Drop(m)
-	c.touch(m)
-	c.settleOn(m)
-	c.settle()
+	c.markDirty(m)
+	c.reconcileJobsOn(m)
+	c.reconcileShards()
 }
 
 // settle lets started tasks go again once every machine inherited with a shard
 // is accounted for.
-func (c *Core) settle() {
-	for _, i := range sortedInts(c.unsettle) {
-		if c.open[i] > 0 {
+func (c *Core) reconcileShards() {
+	for _, i := range sortedIntKeys(c.unreconciledShards) {
+		if c.unaccountedMachines[i] > 0 {
 			continue
 		}
-		delete(c.unsettle, i)
-		c.dirty = true
-		if len(c.unsettle) == 0 {
-			clear(c.waitsOn)
+		delete(c.unreconciledShards, i)
+		c.placementDue = true
+		if len(c.unreconciledShards) == 0 {
+			clear(c.jobsAwaitingMachine)
 		}
-		c.noteShard(trail.Settled, i, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.entered[i]).Seconds())})
-		c.log(1, "all inherited machines accounted for", "shard", i, "after", (c.now - c.entered[i]).String())
+		c.noteShard(trail.Settled, i, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[i]).Seconds())})
+		c.log(1, "all inherited machines accounted for", "shard", i, "after", (c.now - c.shardHeldSince[i]).String())
 		for _, e := range c.jobsByAge() {
 			if e.run != nil && c.shardOf(e.rec.Team) == i {
-				c.settleJob(e, i, true)
+				c.reconcileJob(e, i, true)
 			}
 		}
 	}
 }
 
 // settleOn does the same for jobs of few tasks once a machine of their records is accounted for.
-func (c *Core) settleOn(m *machine) {
-	if !c.unsettle[m.shard] {
+func (c *Core) reconcileJobsOn(m *machine) {
+	if !c.unreconciledShards[m.shard] {
 		return
 	}
-	for _, e := range c.waitsOn[m.name] { // one that has moved here since may be of a job of another shard
-		if c.jobs[e.rec.ID] == e && e.run != nil && e.run.held > 0 && slices.Contains(e.rec.On, m.name) {
-			c.settleJob(e, c.shardOf(e.rec.Team), true)
+	for _, e := range c.jobsAwaitingMachine[m.name] { // one that has moved here since may be of a job of another shard
+		if c.jobs[e.rec.ID] == e && e.run != nil && e.run.inheritedBelow > 0 && slices.Contains(e.rec.On, m.name) {
+			c.reconcileJob(e, c.shardOf(e.rec.Team), true)
 		}
 	}
-	delete(c.waitsOn, m.name)
+	delete(c.jobsAwaitingMachine, m.name)
 }
 
 // awaitOn notes which machines a job of few tasks waits for after a takeover.
-func (c *Core) awaitOn(e *jobEntry) {
-	if e.run.held > 0 {
+func (c *Core) awaitMachines(e *jobEntry) {
+	if e.run.inheritedBelow > 0 {
 		for _, name := range e.rec.On {
-			if name != "" && !slices.Contains(c.waitsOn[name], e) {
-				c.waitsOn[name] = append(c.waitsOn[name], e)
+			if name != "" && !slices.Contains(c.jobsAwaitingMachine[name], e) {
+				c.jobsAwaitingMachine[name] = append(c.jobsAwaitingMachine[name], e)
 				if m := c.machines[name]; m != nil && m.inherited && !m.accounted && e.prio >= urgentRank {
 					c.roll.Add(m, true)
 				}
@@ -83,10 +83,10 @@
 }
 
 // tracked tells whether a job's starts are written down machine by machine.
-func tracked(j *wire.Job) bool { return j.Tasks <= tuning.TrackTasks }
+func tracksMachines(j *wire.Job) bool { return j.Tasks <= tuning.TrackTasks }
 
 // onOf is the machine a tracked job's task was last started on, "" if not known.
-func onOf(j *wire.Job, idx int) string {
+func recordedMachine(j *wire.Job, idx int) string {
 	if idx < len(j.On) {
 		return j.On[idx]
 	}
@@ -96,11 +96,11 @@
 // mayBeOn tells whether a started task may be on a machine of an earlier holder
 // that is not accounted for. A machine that has left the shard was deleted, or
 // promised empty.
-func (c *Core) mayBeOn(e *jobEntry, idx, shard int) bool {
-	if !c.unsettle[shard] {
+func (c *Core) mayRunOnInherited(e *jobEntry, idx, shard int) bool {
+	if !c.unreconciledShards[shard] {
 		return false
 	}
-	on := onOf(&e.rec, idx)
+	on := recordedMachine(&e.rec, idx)
 	if on == "" {
 		return true
 	}
@@ -110,61 +110,61 @@
 
 // settleJob lets the tasks go again that may have been started and are nowhere. They
 // were lost if an earlier holder had them; those we wrote ahead ourselves were not.
-func (c *Core) settleJob(e *jobEntry, shard int, lost bool) {
-	if e.run.held == 0 || c.unsettle[shard] && !tracked(&e.rec) {
+func (c *Core) reconcileJob(e *jobEntry, shard int, lost bool) {
+	if e.run.inheritedBelow == 0 || c.unreconciledShards[shard] && !tracksMachines(&e.rec) {
 		return
 	}
-	c.touchJob(e)
+	c.markJobDirty(e)
 	queued := map[int]bool{}
-	for _, k := range e.run.retry {
+	for _, k := range e.run.retryIndexes {
 		queued[k] = true
 	}
 	open := false
-	for k := 0; k < e.run.held; k++ {
+	for k := 0; k < e.run.inheritedBelow; k++ {
 		if e.run.done.Has(k) || e.run.active[k] != nil || queued[k] {
 			continue
 		}
-		if c.mayBeOn(e, k, shard) {
+		if c.mayRunOnInherited(e, k, shard) {
 			open = true
 			continue
 		}
-		e.run.retry = append(e.run.retry, k)
+		e.run.retryIndexes = append(e.run.retryIndexes, k)
 		if lost {
-			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{Task: wire.TaskName(e.rec.ID, k), Machine: onOf(&e.rec, k), Why: "on no machine after a change of hands"})
+			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{Task: wire.TaskName(e.rec.ID, k), Machine: recordedMachine(&e.rec, k), Why: "on no machine after a change of hands"})
 		}
-		c.dirty = true
+		c.placementDue = true
 	}
 	if !open {
-		e.run.held = 0
+		e.run.inheritedBelow = 0
 	}
 }
 
 // watchMachines notices machines that have gone silent.
-func (c *Core) watchMachines() {
-	for _, i := range sortedInts(c.unsettle) {
-		if _, known := c.prevDead[i]; !known && c.shards[i] != nil {
-			if r := c.shards[i].rec; r.Known && c.allDead(r.Past) {
-				c.prevDead[i] = c.now
+func (c *Core) checkLeases() {
+	for _, i := range sortedIntKeys(c.unreconciledShards) {
+		if _, known := c.previousHolderDeadSince[i]; !known && c.shards[i] != nil {
+			if r := c.shards[i].rec; r.Known && c.allIncarnationsDead(r.Past) {
+				c.previousHolderDeadSince[i] = c.now
 			}
 		}
 	}
-	if c.checking || !c.every("watchMachines", 200*time.Millisecond) {
+	if c.verifyingShard || !c.every("watchMachines", 200*time.Millisecond) {
 		return
 	}
 	c.suspect()
-	c.missing()
+	c.returnMissing()
 	byShard := map[int][]*machine{}
 	for _, m := range c.heldMachines() {
-		if m.over || !c.mine(m.shard) {
+		if m.leaseOver || !c.mine(m.shard) {
 			continue
 		}
 		var since Time
 		if m.accounted || !m.inherited {
-			since = m.lastOK
+			since = m.lastAnswered
 			if !m.reported {
 				if !m.accounted && !m.inherited {
 					m.accounted = true
-					c.touch(m)
+					c.markDirty(m)
 				}
 				continue // never had a 200 from us, and was empty
 			}
@@ -172,23 +172,23 @@
 			// Inherited: the earlier holder may have answered it for as long as
 			// it could go unconfirmed, even after we took over; but not beyond
 			// its death, which its next life proves.
-			since = m.since + c.unconfirmedMax()
-			if at, dead := c.prevDead[m.shard]; dead {
-				since = min(since, max(m.since, at))
+			since = m.heldSince + c.unconfirmedMax()
+			if at, dead := c.previousHolderDeadSince[m.shard]; dead {
+				since = min(since, max(m.heldSince, at))
 			}
-			since = max(m.lastOK, since)
+			since = max(m.lastAnswered, since)
 		}
 		if c.now > since+c.leaseOver() {
 			byShard[m.shard] = append(byShard[m.shard], m)
 		}
 	}
-	for _, i := range sortedInts(byShard) {
+	for _, i := range sortedIntKeys(byShard) {
 		// The lease is over by our count. That nobody else answered meanwhile is
 		// proven by still holding the shard now, in the state itself.
-		c.checking = true
+		c.verifyingShard = true
 		names := byShard[i]
 		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(i)}}}, func(r StateReply) {
-			c.checking = false
+			c.verifyingShard = false
 			if r.Status == 409 {
 				c.refresh(shardKey(i))
 			}
@@ -196,9 +196,9 @@
 				return
 			}
 			for _, m := range names {
-				if c.machines[m.name] == m && c.now > m.lastOK+c.leaseOver() {
-					m.over = true
-					c.touch(m)
+				if c.machines[m.name] == m && c.now > m.lastAnswered+c.leaseOver() {
+					m.leaseOver = true
+					c.markDirty(m)
 					if m.session > 0 {
 						// Its worker kills all and goes on with the next session. A
 						// report of this one that a cut has held back would bring
@@ -210,7 +210,7 @@
 					c.machineGone(m, "lease over")
 				}
 			}
-			c.hold()
+			c.runHolder()
 		})
 		return // one at a time
 	}
@@ -221,21 +221,21 @@
 // a lease would: of some hundred spot machines one is taken every few seconds, so nearly
 // each change of hands had started tasks of every array wait for half a minute. Many
 // missing at a time are a cut or an outage, and are waited for.
-func (c *Core) missing() {
-	for _, i := range sortedInts(c.unsettle) {
-		if n := c.open[i]; n == 0 || c.now-c.entered[i] < tuning.MissingCalled {
+func (c *Core) returnMissing() {
+	for _, i := range sortedIntKeys(c.unreconciledShards) {
+		if n := c.unaccountedMachines[i]; n == 0 || c.now-c.shardHeldSince[i] < tuning.MissingCalled {
 			continue
-		} else if total := c.machinesIn(i); n > max(tuning.MissingFew, total/tuning.MissingShare) {
+		} else if total := c.machineCount(i); n > max(tuning.MissingFew, total/tuning.MissingShare) {
 			continue
 		}
 		for _, m := range c.heldMachines() {
 			// One that was called twice in vain has had its chance; one that we do not know
 			// how to call has it with its next report.
-			waited := c.roll.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.p.Report*3/2)
-			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.drop && waited && c.now-m.trustedAt > tuning.MissingCalled {
-				m.drop = true
-				c.touch(m)
-				c.used[m.block] = true // written with what users wait for
+			waited := c.roll.Tries(m) >= 2 || c.now-c.shardHeldSince[i] > max(tuning.MissingAfter, c.p.Report*3/2)
+			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
+				m.returning = true
+				c.markDirty(m)
+				c.urgentBlocks[m.block] = true // written with what users wait for
 				c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
 				c.log(1, "giving a machine back", "machine", m.name, "why", "missing after a change of hands")
 			}
@@ -244,7 +244,7 @@
 }
 
 // machinesIn counts a shard's machines.
-func (c *Core) machinesIn(shard int) (n int) {
+func (c *Core) machineCount(shard int) (n int) {
 	for _, m := range c.machines {
 		if m.shard == shard {
 			n++
@@ -255,7 +255,7 @@
 
 // allDead tells whether none of these lives can be answering a worker now: a
 // later life of the same node proves it, and this node answers as itself only.
-func (c *Core) allDead(lives []wire.Life) bool {
+func (c *Core) allIncarnationsDead(lives []wire.Life) bool {
 	for _, l := range lives {
 		if n, up := c.nodes[l.Node]; l.Node != c.p.Node && (!up || n.Boot == l.Boot) {
 			return false
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -25,7 +25,7 @@
 		if c == nil {
 			continue
 		}
-		c.update()
+		c.refreshIndexes()
 		w.recountRoom(name, c)
 		w.recountOrder(name, c)
 		in, dropping, home := map[string]string{}, map[string]bool{}, map[string]int{}
@@ -45,15 +45,15 @@
 		use, onTask := map[string]placement.Size{}, map[string]int{}
 		for _, mn := range sortedKeys(c.machines) {
 			m := c.machines[mn]
-			free, _ := c.sizeOf(m.typ)
+			free, _ := c.sizeOf(m.machineType)
 			unknown := m.inherited && !m.accounted
-			for _, k := range sortedAttempts(m) {
+			for _, k := range sortedAttemptKeys(m) {
 				a := m.attempts[k]
 				onTask[k.task]++
 				if a.status == wire.TaskEnded {
 					continue
 				}
-				if !a.known {
+				if !a.sizeKnown {
 					free, unknown = placement.Size{CPUs: -100}, true
 					continue
 				}
@@ -63,7 +63,7 @@
 			if free.CPUs < -50 {
 				free = placement.Size{}
 			}
-			w.same(name+" free "+mn, free, c.free(m), cmpopts.EquateApprox(0, 1e-9))
+			w.same(name+" free "+mn, free, c.freeCapacity(m), cmpopts.EquateApprox(0, 1e-9))
 			if unknown {
 				use = nil // counted as all of the machine; see usage
 				break
@@ -75,7 +75,7 @@
 				w.same(name+" usage of "+t, use[t], got[t], cmpopts.EquateApprox(0, 1e-9))
 			}
 			tasks := map[string]int{}
-			for t, list := range c.onTask {
+			for t, list := range c.attemptsByTask {
 				tasks[t] = len(list)
 			}
 			w.same(name+" attempts by task", onTask, tasks)
@@ -93,35 +93,35 @@
 func (w *world) recountRoom(name string, c *Core) {
 	used, spare, open, most, coming := c.plainUsage(), map[int]int{}, map[int]int{}, map[int]placement.Size{}, map[string]bool{}
 	for _, m := range c.heldMachines() {
-		f, ok := c.room.Of(m)
+		f, ok := c.capacity.Of(m)
 		if !ok {
 			w.t.Fatalf("%v: %s: %s is not in the ledger", w.now, name, m.name)
 		}
 		w.same(name+" usable "+m.name, c.usable(m), f.Usable)
 		w.same(name+" room of "+m.name, c.freeToAll(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
-		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0}, f.Kind)
+		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0}, f.Kind)
 		if c.usable(m) {
 			s := most[m.shard]
 			most[m.shard] = placement.Size{CPUs: max(s.CPUs, f.Free.CPUs), GPUs: max(s.GPUs, f.Free.GPUs), MemGB: max(s.MemGB, f.Free.MemGB)}
 			if !m.spot {
-				urgent, _ := c.reserve.Task(m.shard)
+				urgent, _ := c.urgentReserve.Task(m.shard)
 				spare[m.shard] += c.roomFor(m, urgent)
 			}
 		}
 		if m.inherited && !m.accounted {
 			open[m.shard]++
 		}
-		if !m.drop && !m.notice && !m.over && (!m.reported || !m.accounted) {
+		if !m.returning && !m.terminationNotice && !m.leaseOver && (!m.reported || !m.accounted) {
 			coming[m.name] = true
 		}
 	}
 	for t := range w.teams {
-		w.same(name+" used by "+t, used[t], c.room.Used(t, c.shardOf(t)), cmpopts.EquateApprox(0, 1e-6))
+		w.same(name+" used by "+t, used[t], c.capacity.Used(t, c.shardOf(t)), cmpopts.EquateApprox(0, 1e-6))
 	}
 	for _, i := range c.shardIDs() {
-		w.same(name+" spare room", spare[i], c.room.Spare(i))
-		w.same(name+" most room", most[i], c.room.Most(i))
-		w.same(name+" machines not accounted for", open[i], c.open[i])
+		w.same(name+" spare room", spare[i], c.capacity.Spare(i))
+		w.same(name+" most room", most[i], c.capacity.Most(i))
+		w.same(name+" machines not accounted for", open[i], c.unaccountedMachines[i])
 		newest, cpus := uint64(0), 0.0
 		for _, b := range c.blocks {
 			if b.rec.Shard == i {
@@ -132,7 +132,7 @@
 		w.same(name+" CPUs of a shard", cpus, c.shardCPUs()[i], cmpopts.EquateApprox(0, 1e-9))
 	}
 	got := map[string]bool{}
-	for m := range c.coming {
+	for m := range c.comingMachines {
 		got[m.name] = true
 	}
 	w.same(name+" machines to come", coming, got)
@@ -142,12 +142,12 @@
 // to be written with the jobs.
 func (w *world) recountOrder(name string, c *Core) {
 	delete(c.retryAt, "judge")
-	c.judge()
+	c.refreshLateness()
 	var want, got []string
 	for _, p := range c.plainQueue() {
 		want = append(want, fmt.Sprint(p.e.rec.ID, " ", p.pending, " ", p.within, " ", p.late, " ", p.overdue))
 	}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Place[*jobEntry]) bool {
 		got = append(got, fmt.Sprint(p.Job.ID, " ", p.Job.Pending, " ", p.Within, " ", p.Late, " ", p.Overdue))
 		return true
 	})
@@ -157,7 +157,7 @@
 		if e.run == nil {
 			continue
 		}
-		_, ended, owes := c.owes(e)
+		_, ended, owes := c.unwrittenStarts(e)
 		if owes {
 			owed[e.rec.ID] = true
 		}
@@ -172,8 +172,8 @@
 		}
 		return out
 	}
-	w.same(name+" jobs with starts or ends to write", owed, ids(c.owed))
-	w.same(name+" jobs with progress to write", behind, ids(c.behind))
+	w.same(name+" jobs with starts or ends to write", owed, ids(c.pendingWrites))
+	w.same(name+" jobs with progress to write", behind, ids(c.pendingProgress))
 }
 
 func (w *world) same(what string, want, got any, opts ...cmp.Option) {
@@ -189,13 +189,13 @@
 	u := map[string]placement.Size{}
 	strangers := map[int]placement.Size{}
 	for _, m := range c.heldMachines() {
-		x := c.sumOf(m)
-		n := x.unknown
+		x := c.usageOf(m)
+		n := x.unknownAttempts
 		if m.inherited && !m.accounted {
 			n++ // anything may run there, for any team
 		}
 		if n > 0 {
-			full, _ := c.sizeOf(m.typ)
+			full, _ := c.sizeOf(m.machineType)
 			for range n {
 				strangers[m.shard] = strangers[m.shard].Add(full)
 			}
@@ -275,8 +275,8 @@
 			continue
 		}
 		rest := e.rec.Tasks - e.run.done.Count()
-		pending := len(e.run.retry) + e.rec.Tasks - e.run.next
-		if c.health.Trial(e.rec.ID) { // counts as one task, of which one is tried at a time
+		pending := len(e.run.retryIndexes) + e.rec.Tasks - e.run.nextIndex
+		if c.taskHealth.Trial(e.rec.ID) { // counts as one task, of which one is tried at a time
 			rest = min(rest, 1)
 			if e.rec.Shape != wire.ShapeGang {
 				pending = min(pending, max(0, 1-len(e.run.active)))
@@ -328,7 +328,7 @@
 	}
 	for _, p := range all {
 		if p.pending > 0 {
-			p.overdue = p.e.rec.Started == 0 && p.e.run.next == 0 && float64(p.e.rec.ReadySince())/1000 <= now-tuning.BeginAfter.Seconds()
+			p.overdue = p.e.rec.Started == 0 && p.e.run.nextIndex == 0 && float64(p.e.rec.ReadySince())/1000 <= now-tuning.BeginAfter.Seconds()
 			q = append(q, p)
 		}
 	}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -67,7 +67,7 @@
 	}
 	var open []supply.Open
 	for _, i := range c.shardIDs() {
-		w := c.wantOf(i)
+		w := c.shardDemand(i)
 		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.newestBlock(i) {
 			continue // served, or asked before it knew of what it has
 		}
@@ -98,7 +98,7 @@
 	l := &c.leader
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
-		if !b.rec.Idle || b.rec.Shard == shard || !c.serves(b, n) {
+		if !b.rec.Idle || b.rec.Shard == shard || !c.blockServes(b, n) {
 			continue
 		}
 		rec := b.rec
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -17,14 +17,14 @@
 	m := c.machines[r.Machine]
 	from, passed := c.relays.Through(v.Req)
 	switch { // an older report is a copy: it says of no worker that we reach it
-	case m != nil && c.older(m, r):
+	case m != nil && c.isStaleReport(m, r):
 	case !passed:
-		c.workers.Heard(c.now, c.shardHeld(r.Machine), r.Machine)
+		c.workers.Heard(c.now, c.heldShardOf(r.Machine), r.Machine)
 	case m != nil:
 		c.workers.HeardThrough(c.now, m.shard)
 	}
 	if m == nil {
-		c.redirect(v.Req, r)
+		c.redirectReport(v.Req, r)
 		return
 	}
 	b := c.blocks[m.block]
@@ -33,44 +33,44 @@
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
 	}
-	c.test(m, passed)
-	token := c.tokenOf(m, b)
-	if r.Token > token || c.older(m, r) {
+	c.testDelivery(m, passed)
+	token := c.answerToken(m, b)
+	if r.Token > token || c.isStaleReport(m, r) {
 		// A higher token: someone else is entitled and we have not heard yet.
 		// An older report: delayed on its way, its list is history.
 		c.answer(v.Req, 503, unavailable("report out of date"))
 		return
 	}
-	if !c.proves(m, r) {
-		c.trust(v.Req, m, r, token)
+	if !c.provesCurrent(m, r) {
+		c.answerUnproven(v.Req, m, r, token)
 		return
 	}
-	c.listen(m, r, from.From)
-	c.heardFrom(m, r)
-	c.takeStock(m, r)
+	c.trackDelivery(m, r, from.From)
+	c.applyMachineReport(m, r)
+	c.applyAttemptReports(m, r)
 	if c.cordons[m.name].Drain {
 		c.cordonSeen(m.name)
 	}
-	if !m.accounted && r.Token >= m.takenToken {
-		c.account(m, "report")
+	if !m.accounted && r.Token >= m.takeoverToken {
+		c.markAccounted(m, "report")
 	}
-	if c.dirty { // a slot that this report frees is refilled in its answer
-		c.dirty = false
-		c.place()
+	if c.placementDue { // a slot that this report frees is refilled in its answer
+		c.placementDue = false
+		c.placeTasks()
 	}
 	reply := wire.ReportReply{Token: token, Commands: c.commands(m)}
-	m.lastOK = c.now
-	m.ear.Answered(r, token, from.From, reply.Commands)
+	m.lastAnswered = c.now
+	m.delivery.Answered(r, token, from.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
 	c.desk.Forget(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
-		if !a.sent && a.status == "" {
-			unsent, urgent = true, urgent || !a.lesser
+		if !a.startSent && a.status == "" {
+			unsent, urgent = true, urgent || !a.belowUrgent
 		}
 	}
 	if unsent { // starts that are still being written
-		c.wantReport(m, urgent)
+		c.requestReport(m, urgent)
 	}
 	c.flush()
 }
@@ -80,77 +80,77 @@
 // report proves itself by naming a token that was given after that. Where nothing can be from
 // before it may lack that, for it cost blocks that had just moved a report each, but only if it
 // names no task: a copy that did had the task started anew, which by then was elsewhere.
-func (c *Core) proves(m *machine, r *wire.Report) bool {
-	m.proven = m.proven || r.Token >= m.takenToken
-	return m.proven || !m.inherited && len(r.Attempts) == 0
+func (c *Core) provesCurrent(m *machine, r *wire.Report) bool {
+	m.currentReportsProven = m.currentReportsProven || r.Token >= m.takeoverToken
+	return m.currentReportsProven || !m.inherited && len(r.Attempts) == 0
 }
 
 // trust answers a report that proves nothing, so that the next one can: with our token and
 // no command. It changes nothing else here, and is done a few times only: copies of the last
 // reports of a dead machine would otherwise put off the end of its lease, as we must count
 // it, one after the other.
-func (c *Core) trust(req uint64, m *machine, r *wire.Report, token uint64) {
+func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
+	spent := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
 	if spent && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
 	}
-	m.trusted, m.trustedAt, m.lastOK = m.trusted+1, c.now, c.now
+	m.unprovenAnswers, m.unprovenAnsweredAt, m.lastAnswered = m.unprovenAnswers+1, c.now, c.now
 	c.answer(req, 200, wire.ReportReply{Token: token, Commands: []wire.Command{}})
 }
 
 // test has the next answer to a machine carry a higher token if it is in doubt whether the
 // machine hears: it came by another way, or as late as one that waited in vain.
-func (c *Core) test(m *machine, passed bool) {
+func (c *Core) testDelivery(m *machine, passed bool) {
 	gap := c.now - m.lastReport
-	odd := m.reported && c.now-m.lastOK < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.ear.Test(c.now, odd, c.p.Lease/2) {
-		m.raised = max(m.raised, c.rev)
+	odd := m.reported && c.now-m.lastAnswered < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
+	if m.delivery.Test(c.now, odd, c.p.Lease/2) {
+		m.raisedToken = max(m.raisedToken, c.rev)
 	}
 }
 
 // listen judges by a new report whether its worker hears what it is answered.
-func (c *Core) listen(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.p.Lease && m.reported && !m.over
-	changed := m.ear.Report(r, via, lapsed)
-	if m.ear.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
+func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
+	changed := m.delivery.Report(r, via, lapsed)
+	if m.delivery.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
 		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
 	if changed {
-		c.hearingChanged(m)
+		c.deliveryChanged(m)
 	}
 }
 
-func (c *Core) hearingChanged(m *machine) {
-	c.touch(m)
-	c.dirty = true
+func (c *Core) deliveryChanged(m *machine) {
+	c.markDirty(m)
+	c.placementDue = true
 	kind := trail.MachineHears
-	if m.ear.Deaf() {
+	if m.delivery.Deaf() {
 		kind = trail.MachineDeaf
 	}
 	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
-	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.ear.Deaf())
+	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.delivery.Deaf())
 }
 
 // older tells whether a report is history: a later one of its worker is known.
-func (c *Core) older(m *machine, r *wire.Report) bool {
+func (c *Core) isStaleReport(m *machine, r *wire.Report) bool {
 	return r.Session < m.session || r.Session == m.session && r.Seq <= m.seq
 }
 
 // heardFrom takes what a machine's newest report says of the machine itself.
-func (c *Core) heardFrom(m *machine, r *wire.Report) {
+func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
 		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
 	}
-	if m.over {
-		c.touch(m)
+	if m.leaseOver {
+		c.markDirty(m)
 	}
-	m.session, m.seq, m.lastReport, m.over = r.Session, r.Seq, c.now, false
-	m.addr, m.seenToken = r.Addr, r.Token
-	if c.room.Heard(m, m.name, c.now) {
-		c.touch(m)
+	m.session, m.seq, m.lastReport, m.leaseOver = r.Session, r.Seq, c.now, false
+	m.addr, m.reportedToken = r.Addr, r.Token
+	if c.capacity.Heard(m, m.name, c.now) {
+		c.markDirty(m)
 	}
 	if !m.reported {
 		m.reported = true
@@ -159,22 +159,22 @@
 		}
 		c.boots.Up(c.now, m.name)
 		if m.fresh {
-			c.warm[m.name] = true
+			c.firstUseUnwritten[m.name] = true
 		}
 		m.idleSince = c.now
-		c.touch(m)
+		c.markDirty(m)
 		c.log(2, "machine reports", "machine", m.name, "block", m.block)
 	}
-	if r.NoticeS != nil && !m.notice {
-		m.notice, m.noticeAt = true, c.now+seconds(*r.NoticeS)
-		c.touch(m)
+	if r.NoticeS != nil && !m.terminationNotice {
+		m.terminationNotice, m.terminatesAt = true, c.now+seconds(*r.NoticeS)
+		c.markDirty(m)
 		c.noteMachine(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
 		c.log(1, "machine will be taken", "machine", m.name, "in_s", *r.NoticeS)
 	}
 }
 
 // redirect answers a worker of a block this controller does not hold.
-func (c *Core) redirect(req uint64, r *wire.Report) {
+func (c *Core) redirectReport(req uint64, r *wire.Report) {
 	if c.loaded {
 		if b := c.blockOf(r.Machine); b != nil && c.shards[b.rec.Shard] != nil {
 			s := c.shards[b.rec.Shard]
@@ -193,8 +193,8 @@
 			if _, ours := c.relays.Through(req); holder != "" && holder != c.p.Node && !ours {
 				switch {
 				case c.relay(req, r, holder, s.ver):
-				case c.deaf(holder, b.rec.Shard): // it would wait there in vain
-					c.sendBeside(req, holder)
+				case c.holderUnreachable(holder, b.rec.Shard): // it would wait there in vain
+					c.redirectToRelay(req, holder)
 				default:
 					c.answer(req, 421, wire.Redirect{Holder: holder})
 				}
@@ -213,14 +213,14 @@
 }
 
 // deaf tells whether a holder has said that workers do not reach it.
-func (c *Core) deaf(holder string, shard int) bool {
+func (c *Core) holderUnreachable(holder string, shard int) bool {
 	w := c.wordOf(holder)
 	return w.Lacks || slices.Contains(w.Seeks, shard)
 }
 
 // sendBeside sends a worker to a controller that passes its reports on to a holder whom
 // neither it nor we can reach, if there is one.
-func (c *Core) sendBeside(req uint64, holder string) {
+func (c *Core) redirectToRelay(req uint64, holder string) {
 	for _, n := range sortedKeys(c.nodes) {
 		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
 			c.answer(req, 421, wire.Redirect{Holder: n})
@@ -231,7 +231,7 @@
 }
 
 // takeStock brings the attempts of a machine in line with its newest report.
-func (c *Core) takeStock(m *machine, r *wire.Report) {
+func (c *Core) applyAttemptReports(m *machine, r *wire.Report) {
 	present := map[attemptKey]bool{}
 	for _, t := range r.Attempts {
 		k := attemptKey{t.Task, t.Attempt}
@@ -243,26 +243,26 @@
 				c.log(0, "report names no task", "machine", m.name, "task", t.Task)
 				continue
 			}
-			a = &attempt{key: k, job: job, idx: idx, m: m, sent: true, created: c.now, running: c.now}
+			a = &attempt{key: k, job: job, taskIndex: idx, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
 			if e := c.jobs[job]; e != nil {
-				a.size, a.team, a.known, a.lesser, a.idle = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
-				c.touchJob(e)
+				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
+				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
 					if o := e.run.active[idx]; o != nil {
 						// One of the two is history, told by a delayed report; the
 						// next reports settle which.
-						c.log(0, "task named on two machines", "task", t.Task, "on", o.m.name, "and", m.name)
-						a.stop = o.m.accounted && m.accounted && o.m != m
+						c.log(0, "task named on two machines", "task", t.Task, "on", o.machine.name, "and", m.name)
+						a.stopping = o.machine.accounted && m.accounted && o.machine != m
 					} else {
 						e.run.active[idx] = a
-						e.run.retry = slices.DeleteFunc(e.run.retry, func(k int) bool { return k == idx })
+						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == idx })
 					}
 				}
 			}
 			c.addAttempt(a)
 		}
 		if a.status == t.Status {
-			c.hasProved(a)
+			c.countLongRunning(a)
 			continue
 		}
 		was := a.status
@@ -270,27 +270,27 @@
 		if t.Status == wire.TaskRunning || t.Status == wire.TaskSaving || t.Status == wire.TaskEnded && t.Cause == wire.CauseDone {
 			// After a takeover, what ended meanwhile tells it too: without that, tasks
 			// went where their image was not, and fetched it again.
-			c.hasImage(m, a.job)
+			c.noteImage(m, a.job)
 		}
 		switch t.Status {
 		case wire.TaskRunning:
-			a.running = c.now
+			a.runningSince = c.now
 			c.noteBack(trail.TaskRuns, a)
-			c.log(2, "task runs", "task", a.key.task, "machine", m.name, "after", (c.now - a.created).String())
+			c.log(2, "task runs", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
 		case wire.TaskEnded:
-			m.sum.ok = false
-			c.touch(m)
+			m.usage.valid = false
+			c.markDirty(m)
 			c.attemptEnded(a, was)
 		}
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		if present[k] || (!a.sent && a.status == "") {
+		if present[k] || (!a.startSent && a.status == "") {
 			continue
 		}
 		// A newer report without it: the answer that carried the start was
 		// dropped, the session is over, or it was cleared.
-		c.attemptGone(a, "not on its machine")
+		c.attemptLost(a, "not on its machine")
 	}
 	if len(m.attempts) > 0 {
 		m.idleSince = c.now
@@ -299,7 +299,7 @@
 }
 
 // hasImage notes that a machine has the image of a job whose task ran there.
-func (c *Core) hasImage(m *machine, job string) {
+func (c *Core) noteImage(m *machine, job string) {
 	if e := c.jobs[job]; e != nil && !m.images[e.rec.Image] {
 		m.images[e.rec.Image] = true
 		c.caches.Learned(m.shard)
@@ -312,23 +312,23 @@
 	if e == nil || e.run == nil {
 		return
 	}
-	c.touchJob(e)
+	c.markJobDirty(e)
 	if a.cause == wire.CauseDone {
 		if was == wire.TaskRunning {
-			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.running)
+			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.runningSince)
 		}
-		e.run.done = e.run.done.Add(a.idx)
-		e.run.fails = 0
-		c.sicken(c.health.Completed(a.job, a.m.name))
-		if o := e.run.active[a.idx]; o == a {
-			delete(e.run.active, a.idx)
+		e.run.done = e.run.done.Add(a.taskIndex)
+		e.run.failures = 0
+		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
+		if o := e.run.active[a.taskIndex]; o == a {
+			delete(e.run.active, a.taskIndex)
 		}
-		e.run.retry = slices.DeleteFunc(e.run.retry, func(k int) bool { return k == a.idx })
-		c.log(2, "task done", "task", a.key.task, "machine", a.m.name)
+		e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == a.taskIndex })
+		c.log(2, "task done", "task", a.key.task, "machine", a.machine.name)
 		return
 	}
-	if e.run.active[a.idx] == a {
-		c.endActive(e, a)
+	if e.run.active[a.taskIndex] == a {
+		c.deactivateAttempt(e, a)
 		if a.cause == wire.CauseHalted {
 			c.noteTask(trail.TaskLost, a, "stopped")
 		}
@@ -337,13 +337,13 @@
 		return
 	}
 	c.noteTask(trail.TaskFailed, a, a.cause)
-	c.log(1, "task ended", "task", a.key.task, "machine", a.m.name, "cause", a.cause, "was", was)
+	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", was)
 	if a.cause == wire.CauseError {
 		c.taskFailed(e, a)
 		return
 	}
-	e.run.fails++
-	e.run.notYet = c.now + min(tuning.ErrorBackoff<<min(e.run.fails-1, 10), tuning.ErrorBackoffMax)
+	e.run.failures++
+	e.run.notBefore = c.now + min(tuning.ErrorBackoff<<min(e.run.failures-1, 10), tuning.ErrorBackoffMax)
 }
 
 // commands for a machine, in answer to its report.
@@ -352,7 +352,7 @@
 // startable tells whether a reserved attempt's start is written, so that it may be made.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && !a.stop && !a.m.fresh && e.rec.Started > a.idx && (!tracked(&e.rec) || onOf(&e.rec, a.idx) == a.m.name)
+	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex && (!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
 }
 
 // commandsFor lists commands for a machine; a look changes nothing.
@@ -361,7 +361,7 @@
 	if !m.accounted {
 		return cmds
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		if len(cmds) >= 200 {
 			break // the rest comes with the next report; a reply has its limit
 		}
@@ -371,20 +371,20 @@
 		switch {
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is written, or has no bearing.
-			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.idx) {
-				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.try})
+			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.taskIndex) {
+				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
-		case !live || a.stop:
-			if a.sent {
-				g := a.graceS
+		case !live || a.stopping:
+			if a.startSent {
+				g := a.stopGraceS
 				if !live {
 					g = 0
 				}
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.try, GraceS: &g})
+				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &g})
 			}
 		case a.status == "" && c.startable(a) && !look:
 			if run, now := c.run(a); now {
-				a.sent = true
+				a.startSent = true
 				c.noteBack(trail.TaskAgain, a)
 				cmds = append(cmds, run)
 			}
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -70,10 +70,10 @@
 			continue
 		}
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; onOf(&e.rec, 0) == "" {
+			if e := c.jobs[id]; recordedMachine(&e.rec, 0) == "" {
 				t.Errorf("%s: the successor does not know where it was started", id)
-			} else if onOf(&e.rec, 0) != hung.info.Name && e.run.held > 0 {
-				t.Errorf("%s waits, though %s has been heard of", id, onOf(&e.rec, 0))
+			} else if recordedMachine(&e.rec, 0) != hung.info.Name && e.run.inheritedBelow > 0 {
+				t.Errorf("%s waits, though %s has been heard of", id, recordedMachine(&e.rec, 0))
 			}
 		}
 	}
@@ -115,10 +115,10 @@
 		c.put(key, raw, ver)
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1", Fresh: true}, {Name: "n-2", Fresh: true}}}, 60)
-	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntry + "n-1": {N: 1}}}, 70)
+	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntryPrefix + "n-1": {N: 1}}}, 70)
 	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100)
 	c.rev = 100
-	c.enterShards()
+	c.startHoldingShards()
 	if !c.machines["n-1"].inherited || c.machines["n-1"].fresh || c.machines["n-2"].inherited || !c.machines["n-2"].fresh {
 		t.Fatalf("n-1 %+v, n-2 %+v", c.machines["n-1"], c.machines["n-2"])
 	}
--- a/internal/core/starting.go
+++ b/internal/core/startlog.go
@@ -10,13 +10,13 @@
 )
 
 // machineEntry names a machine among the starts.
-const machineEntry = "m:"
+const machineEntryPrefix = "m:"
 
-var formParams = limits.FormParams{Least: limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2}, Factor: tuning.FormFactor,
+var writeLimitParams = limits.FormParams{Least: limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2}, Factor: tuning.FormFactor,
 	Aside: tuning.FormAside, AsideM: tuning.FormAsideMax, Alone: tuning.FormAlone, Stuck: tuning.FormStuck, Again: tuning.FormAgain}
 
 // refusedForm learns from a write that the state service calls malformed.
-func (c *Core) refusedForm(when []wire.Condition, then []wire.Change, why string) {
+func (c *Core) writeRefused(when []wire.Condition, then []wire.Change, why string) {
 	if strings.Contains(why, "lease") {
 		return // it has ended: its holder takes another
 	}
@@ -26,11 +26,11 @@
 		b := c.form.Bounds()
 		c.log(3, "a write was refused for its form", "kind", w.Kind, "bytes", w.Bytes, "changes", w.Changes, "conditions", w.Conditions, "err", why, "now_bytes", b.ValueBytes, "now_changes", b.Changes)
 	}
-	c.keepTo(c.form.Bounds())
+	c.applyWriteLimits(c.form.Bounds())
 }
 
 // keepTo has all that is written from now on keep to bounds.
-func (c *Core) keepTo(b limits.Bounds) {
+func (c *Core) applyWriteLimits(b limits.Bounds) {
 	c.p.ValueBytes, c.p.TxnOps = b.ValueBytes, b.Changes
 	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: b.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, b.ValueBytes/2))
@@ -38,7 +38,7 @@
 }
 
 // overlay brings a job's record up to what has been written of its starts apart from it.
-func (c *Core) overlay(r *wire.Job) {
+func (c *Core) overlayStarts(r *wire.Job) {
 	if s, ok := c.started.Of(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
 		if s.On != nil {
@@ -48,17 +48,17 @@
 }
 
 // putStarts takes a new record of starts.
-func (c *Core) putStarts(key string, ver uint64, r wire.Starts) error {
+func (c *Core) applyStarts(key string, ver uint64, r wire.Starts) error {
 	changed, err := c.started.Put(key, ver, r)
 	for _, name := range changed {
 		if e := c.jobs[name]; e != nil {
-			c.overlay(&e.rec)
-			c.jobSeen(e)
-		} else if m := c.machines[strings.TrimPrefix(name, machineEntry)]; m != nil {
+			c.overlayStarts(&e.rec)
+			c.jobChanged(e)
+		} else if m := c.machines[strings.TrimPrefix(name, machineEntryPrefix)]; m != nil {
 			m.fresh = false
-			c.touch(m)
+			c.markDirty(m)
 		}
-		if machine, is := strings.CutPrefix(name, machineEntry); is {
+		if machine, is := strings.CutPrefix(name, machineEntryPrefix); is {
 			c.boots.Up(c.now, machine)
 		}
 	}
@@ -66,14 +66,14 @@
 }
 
 // everUsed tells whether it has been written that a fresh machine is one no longer.
-func (c *Core) everUsed(machine string) bool {
-	_, ok := c.started.Of(machineEntry + machine)
+func (c *Core) useRecorded(machine string) bool {
+	_, ok := c.started.Of(machineEntryPrefix + machine)
 	return ok
 }
 
 // stillCounts tells whether an entry of the starts is still needed.
-func (c *Core) stillCounts(name string) bool {
-	machine, is := strings.CutPrefix(name, machineEntry)
+func (c *Core) startEntryNeeded(name string) bool {
+	machine, is := strings.CutPrefix(name, machineEntryPrefix)
 	if !is {
 		return c.jobs[name] != nil
 	}
@@ -91,23 +91,23 @@
 // starts of many jobs, urgent ones first, compared with the shard, the record and each
 // job, so that nothing is started of a job that has ended or been aborted.
 func (c *Core) flushStarts() {
-	if len(c.owed) == 0 && len(c.warm) == 0 {
+	if len(c.pendingWrites) == 0 && len(c.firstUseUnwritten) == 0 {
 		return
 	}
-	c.update()
-	jobs := sortedJobs(c.owed)
+	c.refreshIndexes()
+	jobs := sortedJobs(c.pendingWrites)
 	for _, i := range c.shardIDs() {
 		// Urgent ones, which come first in the list, wait for no others to come along.
-		paced := c.now < c.startsNext[i] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
-		if !c.mine(i) || c.startsBusy[i] || c.now < c.startsAt[i] || paced {
+		paced := c.now < c.startsPacedUntil[i] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
+		if !c.mine(i) || c.startsInFlight[i] || c.now < c.startsRetryAt[i] || paced {
 			continue
 		}
 		var entries []starts.Entry
-		for _, name := range sortedKeys(c.warm) {
+		for _, name := range sortedKeys(c.firstUseUnwritten) {
 			if m := c.machines[name]; m == nil || !m.fresh {
-				delete(c.warm, name)
+				delete(c.firstUseUnwritten, name)
 			} else if m.shard == i {
-				entries = append(entries, starts.Entry{Name: machineEntry + name, Start: wire.Start{}})
+				entries = append(entries, starts.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
 			}
 		}
 		of := map[string]*jobEntry{}
@@ -115,12 +115,12 @@
 			if len(of) >= 4*c.p.TxnOps-2 {
 				break // conditions in one call
 			}
-			started, ended, owes := c.owes(e)
-			if e.run == nil || e.run.writing || ended || !owes || c.shardOf(e.rec.Team) != i || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
+			started, ended, owes := c.unwrittenStarts(e)
+			if e.run == nil || e.run.writeInFlight || ended || !owes || c.shardOf(e.rec.Team) != i || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
 				continue
 			}
 			of[e.rec.ID] = e
-			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startOf(e, started)})
+			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startRecord(e, started)})
 		}
 		if c.form.Alone(c.now) && len(of) > 0 {
 			entries = entries[len(entries)-len(of):][:1] // one by one, to find the one that is refused
@@ -132,21 +132,21 @@
 }
 
 // startOf is what is to be written of a job's starts.
-func (c *Core) startOf(e *jobEntry, started int) wire.Start {
-	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.health.Mistaken(e.rec.ID)}
-	if tracked(&e.rec) {
+func (c *Core) startRecord(e *jobEntry, started int) wire.Start {
+	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.taskHealth.Mistaken(e.rec.ID)}
+	if tracksMachines(&e.rec) {
 		s.On = make([]string, e.rec.Tasks)
 		copy(s.On, e.rec.On)
 		for k, a := range e.run.active {
-			s.On[k] = a.m.name
+			s.On[k] = a.machine.name
 		}
 	}
 	return s
 }
 
 // badNews tells whether it is still to be written that a job fails everywhere.
-func (c *Core) badNews(e *jobEntry) bool {
-	if !c.health.Mistaken(e.rec.ID) {
+func (c *Core) failureUnrecorded(e *jobEntry) bool {
+	if !c.taskHealth.Mistaken(e.rec.ID) {
 		return false
 	}
 	s, _ := c.started.Of(e.rec.ID)
@@ -154,30 +154,30 @@
 }
 
 func (c *Core) writeStarts(i int, entries []starts.Entry, of map[string]*jobEntry) {
-	w := c.started.Plan(i, entries, c.stillCounts)
+	w := c.started.Plan(i, entries, c.startEntryNeeded)
 	when := []wire.Condition{c.shardCond(i), {Key: w.Key, Version: w.Ver}}
 	var busy []*jobEntry
 	for _, x := range entries[:w.Taken] {
 		if e := of[x.Name]; e != nil {
 			when = append(when, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
-			e.run.writing = true
+			e.run.writeInFlight = true
 			busy = append(busy, e)
 		}
 	}
-	c.startsBusy[i] = true
-	c.startsNext[i] = c.now + tuning.StartsEvery
+	c.startsInFlight[i] = true
+	c.startsPacedUntil[i] = c.now + tuning.StartsEvery
 	c.commit(LaneUser, when, []wire.Change{{Put: w.Key, Value: w.Record}}, func(r StateReply) {
-		delete(c.startsBusy, i)
+		delete(c.startsInFlight, i)
 		for _, e := range busy {
 			if e.run != nil {
-				e.run.writing = false
+				e.run.writeInFlight = false
 			}
 		}
 		if r.Status != 200 {
-			c.startsAt[i] = c.now + tuning.StartsAgain
+			c.startsRetryAt[i] = c.now + tuning.StartsAgain
 			c.log(2, "not written", "starts", w.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
-		c.dirty = true
-		c.hold()
+		c.placementDue = true
+		c.runHolder()
 	})
 }
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -101,7 +101,7 @@
 	holder := w.nodes[w.holderOf(name)]
 	hung.Fault.Hung, w.cloud.Trouble.Down = true, true // so that it is not deleted at once
 	w.run(12 * sec)
-	if m := holder.core.machines[name]; m == nil || !m.over {
+	if m := holder.core.machines[name]; m == nil || !m.leaseOver {
 		t.Fatal("the machine's lease should be over, and the machine still held")
 	}
 	var got Answer
@@ -481,8 +481,8 @@
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1"}}}, 95)
 	c.rev = 100
-	c.enterShards()
-	if !c.mine(0) || !c.unsettle[0] || !c.machines["n-1"].inherited {
+	c.startHoldingShards()
+	if !c.mine(0) || !c.unreconciledShards[0] || !c.machines["n-1"].inherited {
 		t.Fatal("the machine un-idled at 95 must be accounted for")
 	}
 }
--- a/internal/core/blame.go
+++ b/internal/core/task_health.go
@@ -18,45 +18,45 @@
 
 // taskFailed weighs who is to blame for a task that failed.
 func (c *Core) taskFailed(e *jobEntry, a *attempt) {
-	was := c.health.Mistaken(a.job)
-	c.sicken(c.health.Failed(c.now, a.job, a.m.name))
-	e.run.notYet = max(e.run.notYet, c.health.NotBefore(a.job))
-	c.touch(a.m)
-	c.touchJob(e)
-	if c.health.Mistaken(a.job) && !was {
-		machines, times := c.health.Failures(a.job)
+	was := c.taskHealth.Mistaken(a.job)
+	c.returnFaulty(c.taskHealth.Failed(c.now, a.job, a.machine.name))
+	e.run.notBefore = max(e.run.notBefore, c.taskHealth.NotBefore(a.job))
+	c.markDirty(a.machine)
+	c.markJobDirty(e)
+	if c.taskHealth.Mistaken(a.job) && !was {
+		machines, times := c.taskHealth.Failures(a.job)
 		c.noteTask(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
 		c.log(1, "job fails everywhere, tried rarely", "job", a.job, "machines", machines, "failures", times)
 	}
 }
 
 // sicken gives back machines that are to blame.
-func (c *Core) sicken(names []string) {
+func (c *Core) returnFaulty(names []string) {
 	for _, n := range names {
 		m := c.machines[n]
-		if m == nil || m.drop {
+		if m == nil || m.returning {
 			continue
 		}
-		_, failures := c.health.Machine(n)
+		_, failures := c.taskHealth.Machine(n)
 		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
 		c.log(1, "machine looks faulty, returning it", "machine", n, "failures", failures)
-		m.drop = true
-		c.touch(m)
+		m.returning = true
+		c.markDirty(m)
 	}
 }
 
 // hasProved counts a replica that has run for long as one that completed: a service
 // never does, and a faulty machine or a mistake shows sooner.
-func (c *Core) hasProved(a *attempt) {
-	if a.proved || a.status != wire.TaskRunning || c.now-a.running < tuning.ProvedAfter {
+func (c *Core) countLongRunning(a *attempt) {
+	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
 		return
 	}
 	if e := c.jobs[a.job]; e != nil && e.rec.Shape == wire.ShapeService {
-		a.proved = true
-		trial := c.health.Trial(a.job)
-		c.sicken(c.health.Completed(a.job, a.m.name))
+		a.countedSound = true
+		trial := c.taskHealth.Trial(a.job)
+		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
 		if trial {
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 }
@@ -64,14 +64,14 @@
 // avoids tells whether a job's tasks keep off a machine: they have failed there, or the
 // machine is suspected and they cannot wait.
 func (c *Core) avoids(e *jobEntry, m *machine) bool {
-	if c.health.Avoids(e.rec.ID, m.name) {
+	if c.taskHealth.Avoids(e.rec.ID, m.name) {
 		return true
 	}
-	if c.health.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notYet+tuning.MistakenFetch {
+	if c.taskHealth.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
 		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
 	}
 	if e.prio >= urgentRank {
-		v, _ := c.health.Machine(m.name)
+		v, _ := c.taskHealth.Machine(m.name)
 		return v != health.Well
 	}
 	return false
@@ -79,9 +79,9 @@
 
 // trials is how many of a job's tasks may be started: of one that has failed on several
 // machines and completed nowhere, one at a time.
-func (c *Core) trials(e *jobEntry) int {
-	n := e.run.pending(&e.rec)
-	if e.rec.Shape != wire.ShapeGang && c.health.Trial(e.rec.ID) {
+func (c *Core) startableTasks(e *jobEntry) int {
+	n := e.run.pendingTasks(&e.rec)
+	if e.rec.Shape != wire.ShapeGang && c.taskHealth.Trial(e.rec.ID) {
 		n = min(n, max(0, 1-len(e.run.active)))
 	}
 	return n
--- a/internal/core/trailing.go
+++ b/internal/core/trailing.go
@@ -27,9 +27,9 @@
 // noteTaken notes a change of hands of ours once it stands in the state, whichever way
 // that is learned first: what follows from it is linked to it.
 func (c *Core) noteTaken(i int) {
-	x, ours := c.taking[i]
+	x, ours := c.takeovers[i]
 	if s := c.shards[i]; ours && s.rec.Holder == x.rec.Holder && s.rec.Boot == x.rec.Boot {
-		delete(c.taking, i)
+		delete(c.takeovers, i)
 		c.noteShard(trail.ShardTaken, i, wire.TrailEvent{Node: x.from, Token: s.ver, Why: "for " + x.rec.Holder})
 	}
 }
@@ -42,7 +42,7 @@
 
 // noteTask is an event about an attempt.
 func (c *Core) noteTask(kind string, a *attempt, why string) {
-	c.noteMachine(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: why})
+	c.noteMachine(kind, a.machine, wire.TrailEvent{Task: a.key.task, Block: a.machine.block, Why: why})
 }
 
 // noteBack tells that a lost task has a machine again, or runs.
@@ -55,7 +55,7 @@
 // noteHeld tells how many started tasks of a job wait until it is known whether
 // they run on machines of an earlier holder.
 func (c *Core) noteHeld(e *jobEntry, shard int) {
-	if n := e.run.held - e.run.done.Count(); e.run.held > 0 && n > 0 {
+	if n := e.run.inheritedBelow - e.run.done.Count(); e.run.inheritedBelow > 0 && n > 0 {
 		c.noteShard(trail.TaskHeld, shard, wire.TrailEvent{Job: e.rec.ID, Count: n, Why: "may run on machines that are not accounted for"})
 	}
 }
@@ -79,9 +79,9 @@
 func (c *Core) suspect() {
 	late := time.Duration(tuning.SuspectReports * float64(c.p.Report))
 	for _, m := range c.heldMachines() {
-		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.mine(m.shard) {
+		if m.reported && !m.silent && !m.leaseOver && c.now-m.lastReport > late && c.mine(m.shard) {
 			m.silent = true
-			c.touch(m) // its worker may tell its ends no more
+			c.markDirty(m) // its worker may tell its ends no more
 			c.noteMachine(trail.MachineSilent, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds())})
 		}
 	}
@@ -163,17 +163,17 @@
 // believe fills in what only the holder knows.
 func (c *Core) believe(out *wire.Believed, m *machine) {
 	out.Held, out.State, out.Session, out.Inherited, out.Accounted = true, m.state(), m.session, m.inherited, m.accounted
-	out.FreeCPUs, out.Images = c.free(m).CPUs, sortedKeys(m.images)
-	_, out.Errors = c.health.Machine(m.name)
+	out.FreeCPUs, out.Images = c.freeCapacity(m).CPUs, sortedKeys(m.images)
+	_, out.Errors = c.taskHealth.Machine(m.name)
 	if m.reported {
-		ago, left := (c.now - m.lastReport).Seconds(), (m.lastOK + c.leaseOver() - c.now).Seconds()
+		ago, left := (c.now - m.lastReport).Seconds(), (m.lastAnswered + c.leaseOver() - c.now).Seconds()
 		out.ReportedS, out.LeaseLeftS = &ago, &left
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		t := wire.BelievedTask{Task: k.task, Attempt: k.try, Status: a.status, ForS: (c.now - a.created).Seconds()}
+		t := wire.BelievedTask{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
 		switch {
-		case t.Status == "" && a.sent:
+		case t.Status == "" && a.startSent:
 			t.Status = "sent"
 		case t.Status == "":
 			t.Status = "reserved"
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -313,7 +313,7 @@
 	if j.Shape != wire.ShapeBatch {
 		n = float64(j.Tasks)
 	}
-	if t.exceeds(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
+	if t.exceededBy(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
 		return fmt.Sprintf("the job needs more than team %q may use", j.Team)
 	}
 	for _, name := range sortedKeys(c.types) {
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -247,18 +247,18 @@
 			m = x
 		}
 	}
-	if m == nil || m.lastOK == 0 {
+	if m == nil || m.lastAnswered == 0 {
 		t.Fatalf("the replicas are not known to %s", next.p.Node)
 	}
 	// What is not its report, or of another's token, accounts for nothing.
 	m.inherited, m.accounted = true, false
-	next.open[m.shard]++
+	next.unaccountedMachines[m.shard]++
 	next.roll.Add(m, false)
 	r, _ := w.machines[m.name].Inspect(w.now)
 	for what, d := range map[string]OrderDone{
 		"another machine's":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"refused":            {Machine: m.name, Status: 409, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
-		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takenToken - 1}},
+		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takeoverToken - 1}},
 		"with a later token": {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: 1 << 40}},
 		"only looked at":     {Machine: m.name, Status: 200, Look: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"older":              {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: 1, Token: r.Token}},
--- a/internal/core/weighing.go
+++ b/internal/core/weighing.go
@@ -12,15 +12,15 @@
 }
 
 func (c *Core) fetcher(m *machine) weights.Machine {
-	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.typ].FetchGBps}
+	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.machineType].FetchGBps}
 }
 
 // weigh tells what the tasks on a machine want of images and have, by its newest report.
 func (c *Core) weigh(m *machine) {
 	var uses []weights.Use
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		if e := c.jobs[a.job]; e != nil && a.sent && a.status != wire.TaskEnded {
+		if e := c.jobs[a.job]; e != nil && a.startSent && a.status != wire.TaskEnded {
 			uses = append(uses, weights.Use{Image: e.rec.Image, GB: e.rec.ImageGB, There: a.status == wire.TaskRunning || a.status == wire.TaskSaving})
 		}
 	}
@@ -29,9 +29,9 @@
 
 // run is the command that starts a reserved attempt, with who hands its image on; false: its fetch waits.
 func (c *Core) run(a *attempt) (wire.Command, bool) {
-	cmd, e, now := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
-	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // a gang begins together
-		cmd.Sources, now = c.weights.Fetch(c.now, c.fetcher(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+	cmd, e, now := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.number}, c.jobs[a.job], true
+	if !a.machine.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // a gang begins together
+		cmd.Sources, now = c.weights.Fetch(c.now, c.fetcher(a.machine), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
 	}
 	return cmd, now
 }
@@ -39,7 +39,7 @@
 // imagesOf lists the images that a shard's machines have.
 func (c *Core) imagesOf(shard int) (has []weights.MachineImages) {
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && !m.drop && len(m.images) > 0 {
+		if m.shard == shard && !m.returning && len(m.images) > 0 {
 			has = append(has, weights.MachineImages{Machine: m.name, Images: sortedKeys(m.images)})
 		}
 	}
@@ -49,13 +49,13 @@
 // tellImages writes which images the machines of a shard have, now and then, and what is planned for those
 // that many fetch.
 func (c *Core) tellImages() {
-	if c.telling || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
+	if c.writingImages || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.imagesOf, c.p.ValueBytes-256); due {
-		c.telling = true
+	if w, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.mine, c.imagesOf, c.p.ValueBytes-256); due {
+		c.writingImages = true
 		c.commit(LaneLater, []wire.Condition{c.shardCond(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
-			c.telling = false
+			c.writingImages = false
 			w.Done(c.now, r.Status == 200)
 		})
 	}
