--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -24,11 +24,11 @@
 // are not accounted for yet, and, if any of the waiting fits at all, on those that have
 // some now.
 func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
-	var list []*machine
-	rooms := map[*machine]supply.Room{}
+	var machines []*machine
+	roomOf := map[*machine]supply.Room{}
 	add := func(m *machine, free placement.Size, doubted bool) {
-		list = append(list, m)
-		rooms[m] = supply.Room{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
+		machines = append(machines, m)
+		roomOf[m] = supply.Room{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
 	}
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
@@ -39,7 +39,7 @@
 			add(m, c.unheld(m, full), doubted[m.name])
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
+	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
 	most := c.capacity.Most(shard)
 	var least *placement.Size
 	c.jobQueue.Walk(func(team string) placement.Size {
@@ -65,22 +65,22 @@
 	if least != nil {
 		c.capacity.Each(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
 	}
-	n := len(list)
+	sorted := len(machines)
 	for m := range c.idleAttempts {
 		if f, ok := c.capacity.Of(m); ok && f.Usable && m.shard == shard {
-			if _, in := rooms[m]; !in {
+			if _, in := roomOf[m]; !in {
 				add(m, f.Free, false)
 			}
-			r := rooms[m]
+			r := roomOf[m]
 			r.Idle = c.idleUsage(m)
 			r.Free = r.Free.Add(r.Idle)
-			rooms[m] = r
+			roomOf[m] = r
 		}
 	}
-	sort.Slice(list[n:], func(i, j int) bool { return list[n+i].name < list[n+j].name })
-	pool := make(supply.Pool, 0, len(list))
-	for _, m := range list {
-		pool = append(pool, rooms[m])
+	sort.Slice(machines[sorted:], func(i, j int) bool { return machines[sorted+i].name < machines[sorted+j].name })
+	pool := make(supply.Pool, 0, len(machines))
+	for _, m := range machines {
+		pool = append(pool, roomOf[m])
 	}
 	return pool
 }
@@ -98,24 +98,24 @@
 // spareNeed is the room for the next urgent tasks that a shard lacks, so that they do
 // not wait for a boot.
 func (c *Core) spareNeed(shard int) (wire.Need, bool) {
-	left := c.spareTarget(shard)
-	if left <= 0 {
+	missing := c.spareTarget(shard)
+	if missing <= 0 {
 		return wire.Need{}, false
 	}
-	left -= c.capacity.Spare(shard)
-	u, rank := c.urgentReserve.Task(shard)
+	missing -= c.capacity.Spare(shard)
+	urgentTask, rank := c.urgentReserve.Task(shard)
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
-			left -= c.roomFor(m, u)
+			missing -= c.roomFor(m, urgentTask)
 		} else if full, ok := c.sizeOf(m.machineType); ok {
-			left -= placement.Beta(full, u) + 1
+			missing -= placement.Beta(full, urgentTask) + 1
 		}
 	}
-	return wire.Need{CPUs: u.CPUs, GPUs: u.GPUs, MemGB: u.MemGB, Tasks: left, Rung: rank}, left > 0 // joins what such a task asks for itself
+	return wire.Need{CPUs: urgentTask.CPUs, GPUs: urgentTask.GPUs, MemGB: urgentTask.MemGB, Tasks: missing, Rung: rank}, missing > 0 // joins what such a task asks for itself
 }
 
 // needs lists the tasks of a shard that no held machine has room for, those
@@ -123,15 +123,15 @@
 func (c *Core) unmetNeeds(shard int) []wire.Need {
 	c.refreshIndexes()
 	var out []wire.Need
-	if n, short := c.spareNeed(shard); short {
-		out = supply.Join(out, n, tuning.NeedsMax)
+	if need, short := c.spareNeed(shard); short {
+		out = supply.Join(out, need, tuning.NeedsMax)
 	}
 	starved := false
 	used := map[string]placement.Size{}
-	var in supply.Pool
+	var pool supply.Pool
 	soon := c.soon(shard)
 	if c.jobQueue.Len() > 0 || soon != nil {
-		in = c.supplyPool(shard, soon)
+		pool = c.supplyPool(shard, soon)
 	}
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
@@ -156,23 +156,23 @@
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
-		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		waits := p.Within && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
-		if left == 0 && !waits {
+		missing := want - pool.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
+		overdue := p.Within && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		if missing == 0 && !overdue {
 			return true
 		}
-		n := supply.NeedOf(j, zone, left, e.rank)
-		if waits {
+		need := supply.NeedOf(j, zone, missing, e.rank)
+		if overdue {
 			// A boot is on its way at best; a borrowed machine is there now.
-			n.Dire, n.Booting, n.Tasks = true, left == 0, max(left, p.Job.Pending)
+			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
-		if p.Within && left > 0 {
+		if p.Within && missing > 0 {
 			starved = true
 			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.DireAfter {
-				n.Dire = true
+				need.Dire = true
 			}
 		}
-		out = supply.Join(out, n, tuning.NeedsMax)
+		out = supply.Join(out, need, tuning.NeedsMax)
 		return true
 	})
 	for _, j := range soon { // after all that could run now
@@ -182,8 +182,8 @@
 		}
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
-		if left := want - in.Take(supply.Ask{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); left > 0 {
-			out = supply.Join(out, supply.NeedOf(j, j.Zone, left, c.ladder.Rank(j)), tuning.NeedsMax)
+		if missing := want - pool.Take(supply.Ask{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
+			out = supply.Join(out, supply.NeedOf(j, j.Zone, missing, c.ladder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -205,8 +205,8 @@
 		}
 		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
 	}
-	n := pace.Places(p.Job.Rest, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
-	return max(0, min(p.Job.Pending, n-len(e.run.active)))
+	places := pace.Places(p.Job.Rest, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
+	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
 var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
@@ -216,50 +216,50 @@
 	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
 		return
 	}
-	var told []wants.Told
-	for _, i := range c.shardIDs() {
-		if !c.mine(i) {
+	var announcements []wants.Told
+	for _, shard := range c.shardIDs() {
+		if !c.mine(shard) {
 			continue
 		}
-		w := wire.Want{Seen: c.newestBlock(i)}
+		demand := wire.Want{Seen: c.newestBlock(shard)}
 		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
-			w.Needs = c.unmetNeeds(i)
-			c.retire(i, len(w.Needs) > 0)
-			if len(w.Needs) == 0 {
-				c.moveOff(i)
+			demand.Needs = c.unmetNeeds(shard)
+			c.retire(shard, len(demand.Needs) > 0)
+			if len(demand.Needs) == 0 {
+				c.moveOff(shard)
 			}
 		}
-		w = limits.Fit(w, c.p.ValueBytes, wants.Shorter)
-		if c.demandPublishers[i] == nil {
-			c.demandPublishers[i] = wants.NewTeller(demandPace)
+		demand = limits.Fit(demand, c.p.ValueBytes, wants.Shorter)
+		if c.demandPublishers[shard] == nil {
+			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
-		c.publishedDemand[i] = w
-		n, tell, write := c.demandPublishers[i].Next(c.now, w, c.wants[i], c.words.Hears(c.now, c.chief.Node))
-		if tell {
-			told = append(told, wants.Told{Shard: i, Token: c.shards[i].ver, N: n, Want: w})
+		c.publishedDemand[shard] = demand
+		number, announce, write := c.demandPublishers[shard].Next(c.now, demand, c.wants[shard], c.words.Hears(c.now, c.chief.Node))
+		if announce {
+			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: demand})
 		}
 		if write {
-			c.log(2, "asking the leader for machines", "shard", i, "needs", len(w.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: wantKey(i), Value: w}}, func(StateReply) { c.changed() })
+			c.log(2, "asking the leader for machines", "shard", shard, "needs", len(demand.Needs))
+			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: demand}}, func(StateReply) { c.changed() })
 		}
 	}
-	if told != nil {
-		for _, n := range sortedKeys(c.p.Nodes) {
-			if n != c.p.Node {
-				c.tell(n, PeerMessage{Wants: told})
+	if announcements != nil {
+		for _, number := range sortedKeys(c.p.Nodes) {
+			if number != c.p.Node {
+				c.tell(number, PeerMessage{Wants: announcements})
 			}
 		}
 	}
 }
 
 // wantOf is what a shard lacks, as far as we know.
-func (c *Core) shardDemand(i int) wire.Want {
-	s := c.shards[i]
+func (c *Core) shardDemand(shard int) wire.Want {
+	entry := c.shards[shard]
 	switch {
-	case s == nil:
+	case entry == nil:
 		return wire.Want{}
-	case c.mine(i):
-		return c.publishedDemand[i]
+	case c.mine(shard):
+		return c.publishedDemand[shard]
 	}
-	return c.peerDemand.Of(c.now, i, s.ver, c.wants[i])
+	return c.peerDemand.Of(c.now, shard, entry.ver, c.wants[shard])
 }
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -148,13 +148,13 @@
 // jobSeen is called for every new version of a live job.
 func (c *Core) jobChanged(e *jobEntry) {
 	c.markJobDirty(e)
-	i := c.shardOf(e.rec.Team)
-	if !c.mine(i) {
+	shard := c.shardOf(e.rec.Team)
+	if !c.mine(shard) {
 		e.run = nil
 		return
 	}
-	fresh := e.run == nil
-	if fresh {
+	firstSeen := e.run == nil
+	if firstSeen {
 		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.rec.Started, done: c.known(e).Clone()}
 		if e.rec.Started > 0 {
 			e.run.inheritedBelow = e.rec.Started
@@ -163,23 +163,23 @@
 				c.taskHealth.Condemn(c.now, e.rec.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.rec.ID)
 			}
-			c.reconcileJob(e, i, true)
+			c.reconcileJob(e, shard, true)
 			c.awaitMachines(e)
-			c.noteHeld(e, i)
+			c.noteHeld(e, shard)
 		}
 	}
 	if e.prio >= urgentRank {
-		if c.urgentReserve.Seen(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
-			c.markShardDirty(i) // room is counted in tasks of this size
+		if c.urgentReserve.Seen(c.now, shard, jobSize(&e.rec), e.rank, firstSeen && e.rec.Started == 0) {
+			c.markShardDirty(shard) // room is counted in tasks of this size
 		}
 	}
 	if e.rec.Started > e.run.nextIndex {
 		// Someone wrote further starts before we took over: a late write of the
 		// earlier holder. Those may have been started.
 		e.run.inheritedBelow, e.run.nextIndex = e.rec.Started, e.rec.Started
-		c.reconcileJob(e, i, c.unreconciledShards[i])
+		c.reconcileJob(e, shard, c.unreconciledShards[shard])
 		c.awaitMachines(e)
-		c.noteHeld(e, i)
+		c.noteHeld(e, shard)
 	}
 	e.run.done = e.run.done.Union(c.known(e))
 }
@@ -254,8 +254,8 @@
 	a.machine.usage.valid = false
 	c.markDirty(a.machine)
 	list := c.attemptsByTask[a.key.task]
-	for i, o := range list {
-		if o == a {
+	for i, other := range list {
+		if other == a {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
@@ -268,33 +268,33 @@
 }
 
 // shardSeen is called for every new version of a shard record.
-func (c *Core) shardChanged(i int, old *shardEntry) {
+func (c *Core) shardChanged(shard int, old *shardEntry) {
 	c.placementDue = true
-	delete(c.yielded, i)
+	delete(c.yielded, shard)
 	if old != nil {
-		c.words.Moved(c.now, &old.rec, &c.shards[i].rec)
+		c.words.Moved(c.now, &old.rec, &c.shards[shard].rec)
 	}
-	named := c.member.Boot() != 0 && c.shards[i].rec.Holder == c.p.Node && c.shards[i].rec.Boot == c.member.Boot()
-	if now := c.shards[i]; old == nil || old.rec.Holder != now.rec.Holder || old.rec.Boot != now.rec.Boot || !slices.Equal(old.rec.Teams, now.rec.Teams) {
-		c.vouch.Granted(shardKey(i), now.ver, named)
+	namesUs := c.member.Boot() != 0 && c.shards[shard].rec.Holder == c.p.Node && c.shards[shard].rec.Boot == c.member.Boot()
+	if current := c.shards[shard]; old == nil || old.rec.Holder != current.rec.Holder || old.rec.Boot != current.rec.Boot || !slices.Equal(old.rec.Teams, current.rec.Teams) {
+		c.vouch.Granted(shardKey(shard), current.ver, namesUs)
 	}
-	if named && c.heldShards[i] && old != nil && duty.Regained(old.rec, c.shards[i].rec) {
-		c.stopHoldingShard(i) // another held it, and what it did is not in our mirror yet
+	if namesUs && c.heldShards[shard] && old != nil && duty.Regained(old.rec, c.shards[shard].rec) {
+		c.stopHoldingShard(shard) // another held it, and what it did is not in our mirror yet
 	}
 	switch {
-	case named && !c.heldShards[i]:
-		c.grantedShards[i] = true
+	case namesUs && !c.heldShards[shard]:
+		c.grantedShards[shard] = true
 		c.startHoldingShards()
-	case named:
+	case namesUs:
 		for _, id := range sortedKeys(c.jobs) { // of a team homed here just now
-			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == i {
+			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == shard {
 				c.jobChanged(e)
 			}
 		}
 	default:
-		delete(c.grantedShards, i)
-		if c.heldShards[i] {
-			c.stopHoldingShard(i)
+		delete(c.grantedShards, shard)
+		if c.heldShards[shard] {
+			c.stopHoldingShard(shard)
 		}
 	}
 }
@@ -304,24 +304,24 @@
 // act on the grant before all that the earlier holder wrote has been seen
 // would mean to start what its last writes say it has started.
 func (c *Core) startHoldingShards() {
-	for _, i := range c.shardIDs() {
-		if !c.grantedShards[i] || c.rev < c.shards[i].ver {
+	for _, shard := range c.shardIDs() {
+		if !c.grantedShards[shard] || c.rev < c.shards[shard].ver {
 			continue
 		}
-		delete(c.grantedShards, i)
-		c.heldShards[i], c.unreconciledShards[i], c.shardHeldSince[i] = true, true, c.now
-		delete(c.previousHolderDeadSince, i)
+		delete(c.grantedShards, shard)
+		c.heldShards[shard], c.unreconciledShards[shard], c.shardHeldSince[shard] = true, true, c.now
+		delete(c.previousHolderDeadSince, shard)
 		for _, id := range c.blockIDs() {
-			if b := c.blocks[id]; b.rec.Shard == i {
+			if b := c.blocks[id]; b.rec.Shard == shard {
 				c.holdMachines(b, !b.rec.Idle)
 			}
 		}
 		c.relook = true
-		c.runs.Import(c.biases[biasKey(i)].Classes)
-		c.noteShard(trail.ShardHeld, i, wire.TrailEvent{Token: c.shards[i].ver})
-		c.log(1, "holding shard", "shard", i, "token", c.shards[i].ver, "teams", len(c.shards[i].rec.Teams))
+		c.runs.Import(c.biases[biasKey(shard)].Classes)
+		c.noteShard(trail.ShardHeld, shard, wire.TrailEvent{Token: c.shards[shard].ver})
+		c.log(1, "holding shard", "shard", shard, "token", c.shards[shard].ver, "teams", len(c.shards[shard].rec.Teams))
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; c.shardOf(e.rec.Team) == i {
+			if e := c.jobs[id]; c.shardOf(e.rec.Team) == shard {
 				c.jobChanged(e)
 			}
 		}
@@ -329,29 +329,29 @@
 	}
 }
 
-func (c *Core) stopHoldingShard(i int) {
-	delete(c.heldShards, i)
-	delete(c.unreconciledShards, i)
-	delete(c.demandPublishers, i)
-	delete(c.places, i)
-	c.weights.Left(i)
+func (c *Core) stopHoldingShard(shard int) {
+	delete(c.heldShards, shard)
+	delete(c.unreconciledShards, shard)
+	delete(c.demandPublishers, shard)
+	delete(c.places, shard)
+	c.weights.Left(shard)
 	for _, m := range c.heldMachines() {
-		if m.shard == i {
+		if m.shard == shard {
 			c.forgetMachine(m)
 		}
 	}
 	for _, e := range c.jobsByAge() {
-		if c.shardOf(e.rec.Team) == i && e.run != nil {
+		if c.shardOf(e.rec.Team) == shard && e.run != nil {
 			e.run = nil
 			c.markJobDirty(e)
 		}
 	}
-	to := c.shards[i].rec.Holder
-	if y, ok := c.yielded[i]; ok { // its record here is older than what a peer has told
-		to = y
+	newHolder := c.shards[shard].rec.Holder
+	if y, ok := c.yielded[shard]; ok { // its record here is older than what a peer has told
+		newHolder = y
 	}
-	c.noteShard(trail.ShardLost, i, wire.TrailEvent{Node: to, Token: c.shards[i].ver})
-	c.log(1, "shard lost", "shard", i, "to", to)
+	c.noteShard(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].ver})
+	c.log(1, "shard lost", "shard", shard, "to", newHolder)
 }
 
 // blockSeen is called for every new version of a block, or its removal.
@@ -361,13 +361,13 @@
 	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
 		c.vouch.Granted(blockKey(id), b.ver, c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard])
 	}
-	now := map[string]bool{}
+	listed := map[string]bool{}
 	if b != nil && c.mine(b.rec.Shard) {
 		// Gained while holding: rented just now, or promised empty by another
 		// shard. Nothing of ours can be on it.
 		c.holdMachines(b, false)
 		for _, bm := range b.rec.Machines {
-			now[bm.Name] = true
+			listed[bm.Name] = true
 		}
 	}
 	if old == nil {
@@ -378,7 +378,7 @@
 		c.markBlockDirty(id)
 	}
 	for _, bm := range old.rec.Machines {
-		if m := c.machines[bm.Name]; m != nil && m.block == id && !now[bm.Name] {
+		if m := c.machines[bm.Name]; m != nil && m.block == id && !listed[bm.Name] {
 			// The leader takes a name out only once the cloud has deleted it, or
 			// the block moved, which only an empty one does.
 			if b != nil && b.rec.Shard != m.shard {
@@ -447,10 +447,10 @@
 func (c *Core) deactivateAttempt(e *jobEntry, a *attempt) {
 	c.markJobDirty(e)
 	delete(e.run.active, a.taskIndex)
-	if o := c.otherAttempt(a); o != nil {
+	if other := c.otherAttempt(a); other != nil {
 		// A delayed report named it on one machine while it was on another:
 		// only when the last of them is gone may it start again.
-		e.run.active[a.taskIndex] = o
+		e.run.active[a.taskIndex] = other
 		return
 	}
 	if !e.run.done.Has(a.taskIndex) {
@@ -462,9 +462,9 @@
 // elsewhere finds another attempt of a's task that may be on a machine.
 func (c *Core) otherAttempt(a *attempt) *attempt {
 	var found *attempt
-	for _, o := range c.attemptsByTask[a.key.task] {
-		if o != a && o.status != wire.TaskEnded && (found == nil || o.machine.name < found.machine.name || o.machine == found.machine && o.key.number < found.key.number) {
-			found = o
+	for _, other := range c.attemptsByTask[a.key.task] {
+		if other != a && other.status != wire.TaskEnded && (found == nil || other.machine.name < found.machine.name || other.machine == found.machine && other.key.number < found.key.number) {
+			found = other
 		}
 	}
 	return found
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -64,9 +64,9 @@
 }
 
 // touchShard does so for all machines of a shard, or of all shards if it is negative.
-func (c *Core) markShardDirty(i int) {
+func (c *Core) markShardDirty(shard int) {
 	for _, m := range c.heldMachines() {
-		if i < 0 || m.shard == i {
+		if shard < 0 || m.shard == shard {
 			c.markDirty(m)
 		}
 	}
@@ -120,19 +120,19 @@
 			c.hasten(a)
 		}
 	}
-	x := c.usageOf(m)
+	usage := c.usageOf(m)
 	full, known := c.sizeOf(m.machineType)
-	n := x.unknownAttempts
+	unknown := usage.unknownAttempts
 	if m.inherited && !m.accounted {
-		n++ // anything may run there, for any team
+		unknown++ // anything may run there, for any team
 	}
 	urgent, _ := c.urgentReserve.Task(m.shard)
-	f := ledger.Facts{Kind: ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0},
-		Usable: usable, Free: c.freeToAll(m), Uses: x.teams, Spare: c.roomFor(m, urgent)}
-	for range n {
-		f.Unknown = f.Unknown.Add(full)
+	facts := ledger.Facts{Kind: ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0},
+		Usable: usable, Free: c.freeToAll(m), Uses: usage.teams, Spare: c.roomFor(m, urgent)}
+	for range unknown {
+		facts.Unknown = facts.Unknown.Add(full)
 	}
-	c.capacity.Put(m, m.name, f)
+	c.capacity.Put(m, m.name, facts)
 	if known && !m.returning && !m.terminationNotice && !m.leaseOver && (!m.reported || !m.accounted) {
 		c.comingMachines[m] = true
 	} else {
@@ -148,15 +148,15 @@
 		return
 	}
 	j, run := &e.rec, e.run
-	q := queue.Job{ID: j.ID, Team: j.Team, Accepted: j.ReadySince(), Number: j.Number, Rank: e.rank, Strict: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
+	queued := queue.Job{ID: j.ID, Team: j.Team, Accepted: j.ReadySince(), Number: j.Number, Rank: e.rank, Strict: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
 		Due: min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due), Pressed: c.crewPressed(j.ID), Turn: objectiveLimits.Turn(objectiveWork(j)), Estimate: j.EstimateS, Ask: jobSize(j), Rest: j.Tasks - run.done.Count(), Pending: c.startableTasks(e),
 		Begun: j.Started > 0 || run.nextIndex > 0}
 	if c.taskHealth.Trial(j.ID) {
-		q.Rest = min(q.Rest, 1) // it keeps no place of others
+		queued.Rest = min(queued.Rest, 1) // it keeps no place of others
 	}
-	c.jobQueue.Put(e, q)
-	_, ended, owes := c.unwrittenStarts(e)
-	if owes {
+	c.jobQueue.Put(e, queued)
+	_, ended, due := c.unwrittenStarts(e)
+	if due {
 		c.pendingWrites[e] = true
 	}
 	if !ended && run.done.Count() > c.durable(e).Count() {
@@ -178,7 +178,7 @@
 func (r *jobRun) pendingTasks(j *wire.Job) int { return len(r.retryIndexes) + j.Tasks - r.nextIndex }
 
 // owes tells what of a job's starts and its end is to be written.
-func (c *Core) unwrittenStarts(e *jobEntry) (started int, ended, owes bool) {
+func (c *Core) unwrittenStarts(e *jobEntry) (started int, ended, due bool) {
 	run := e.run
 	if run.done.Count() >= e.rec.Tasks {
 		return 0, true, true
--- a/internal/core/meeting_ahead_test.go
+++ b/internal/core/meeting_ahead_test.go
@@ -9,7 +9,7 @@
 
 // A wide stage is about to follow another, and its tasks would be late if machines were asked for only
 // then: they are up as it begins. If its holder has just ended it waits for a boot at most. For what is cancelled
-// before it could run nothing is kept. Fails (6 s instead of 4) without soon in needs.
+// before it could run nothing is kept. Fails (6 s instead of 4) without soon in unmetNeeds.
 func TestMachinesAreUpAsAStageBegins(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"", "its holder ends", "cancelled"} {
@@ -78,7 +78,7 @@
 }
 
 // An array beyond its team's guarantee has as many machines asked for as it needs to be done in time, not one
-// place for each task; within the guarantee each task has one. Fails without the pace in deserves.
+// place for each task; within the guarantee each task has one. Fails without the pace in requestedTasks.
 func TestArraysRentByTheirDeadline(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/internal/core/meeting_beliefs_test.go
+++ b/internal/core/meeting_beliefs_test.go
@@ -52,7 +52,7 @@
 // A shard is granted away from a holder that is present in the state, and at that moment a cut
 // leaves it alone with its zone: it may answer its workers until it has gone unconfirmed for
 // too long. Only a later life of it, not that it stood in the state, proves it dead. Fails (ran_twice) without
-// the comparison of lives in allDead.
+// the comparison of lives in allIncarnationsDead.
 func TestAHolderThatIsPresentIsNotTakenForDead(t *testing.T) {
 	t.Parallel()
 	for _, tasks := range []int{3, 9} {
--- a/internal/core/meeting_cancel_test.go
+++ b/internal/core/meeting_cancel_test.go
@@ -25,7 +25,7 @@
 // or wait. cancel_s is 18 s, 8 s over the lease. What is cancelled is gone in time, which the checker
 // judges, also where the next holder hears of it first from a machine; and no start is taken more
 // than half a second after the confirmation (a mirror may lag by so much). It fails without `!live`
-// in commandsFor, and with tasks of unknown jobs left out in takeStock.
+// in commandsFor, and with tasks of unknown jobs left out in applyAttemptReports.
 func TestCancelledWhileHandsChange(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
--- a/internal/core/meeting_hands_test.go
+++ b/internal/core/meeting_hands_test.go
@@ -26,7 +26,7 @@
 // third of all writes is executed late; each life back after 50 to 900 ms. Tokens of each
 // machine rise with each change, nothing runs twice, and all is as before in the end. A shard that
 // comes home by its new holder's own write is taken up only once the mirror has reached that: it fails
-// without `c.rev < c.shards[i].ver` in enterShards (ran_twice, in "home by its own write").
+// without `c.rev < c.shards[i].ver` in startHoldingShards (ran_twice, in "home by its own write").
 func TestHandsThereAndBack(t *testing.T) {
 	t.Parallel()
 	t.Run("home by its own write", comesHome)
--- a/internal/core/meeting_limits_test.go
+++ b/internal/core/meeting_limits_test.go
@@ -13,7 +13,7 @@
 // cancellation or after it. A place counts against its team until what was there is surely
 // gone, also for a holder who never knew the job: the checker judges the limits. Once the
 // trouble is over, what waited is done. It fails without `n++` in refreshMachine (anything may run on
-// a machine that is not accounted for), and with jobGone dropping all attempts.
+// a machine that is not accounted for), and with jobRemoved dropping all attempts.
 func TestAtTheirLimitsWhileCancelled(t *testing.T) {
 	t.Parallel()
 	hows := []string{"hang", "deaf", "apart", "cut off"}
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -21,14 +21,14 @@
 	}
 	known := func(m *machine) bool { _, ok := c.addrs.Of(m.name); return ok }
 	for _, m := range c.roll.Take(c.now, known) {
-		b := c.blocks[m.block]
-		if c.machines[m.name] != m || m.accounted || b == nil || !c.mine(m.shard) {
+		block := c.blocks[m.block]
+		if c.machines[m.name] != m || m.accounted || block == nil || !c.mine(m.shard) {
 			c.roll.Drop(m)
 			continue
 		}
 		at, _ := c.addrs.Of(m.name)
 		c.callWorker(Order{Machine: m.name, Addr: at.Addr, Roll: true,
-			Orders: wire.Orders{Token: c.token(b), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
+			Orders: wire.Orders{Token: c.token(block), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
 	}
 }
 
@@ -99,31 +99,31 @@
 	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
 		return
 	}
-	lack := 0
+	missing := 0
 	for n := range c.blockIn {
 		if _, ok := c.addrs.Of(n); !ok {
-			lack++
+			missing++
 		}
 	}
 	c.retryAt["addrs"] = c.now + tuning.AddrsEvery
-	if lack > 0 {
+	if missing > 0 {
 		c.listing = true
 		c.readAddressPage("", map[string]wire.MachineInfo{})
 	}
 }
 
-func (c *Core) readAddressPage(after string, all map[string]wire.MachineInfo) {
+func (c *Core) readAddressPage(after string, machines map[string]wire.MachineInfo) {
 	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		for _, m := range r.List.Machines {
-			all[m.Name] = m
+			machines[m.Name] = m
 			after = m.Name
 		}
 		if r.Status == 200 && r.List.More && len(r.List.Machines) > 0 {
-			c.readAddressPage(after, all)
+			c.readAddressPage(after, machines)
 			return
 		}
 		if c.listing = false; r.Status == 200 {
-			c.learnAddresses(all)
+			c.learnAddresses(machines)
 		}
 	})
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -20,35 +20,35 @@
 
 // sumOf adds up what is on a machine, if that has changed since.
 func (c *Core) usageOf(m *machine) *machineUsage {
-	x := &m.usage
-	if x.valid && x.sizesVersion == c.sizes {
-		return x
+	usage := &m.usage
+	if usage.valid && usage.sizesVersion == c.sizes {
+		return usage
 	}
 	full, _ := c.sizeOf(m.machineType)
-	*x = machineUsage{valid: true, sizesVersion: c.sizes, free: full}
+	*usage = machineUsage{valid: true, sizesVersion: c.sizes, free: full}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
 		case a.status == wire.TaskEnded:
 			continue
 		case !a.sizeKnown:
-			x.unknownAttempts++
+			usage.unknownAttempts++
 			continue
 		}
-		x.free = x.free.Sub(a.size)
+		usage.free = usage.free.Sub(a.size)
 		i := 0
-		for i < len(x.teams) && x.teams[i].Team != a.team {
+		for i < len(usage.teams) && usage.teams[i].Team != a.team {
 			i++
 		}
-		if i == len(x.teams) {
-			x.teams = append(x.teams, ledger.Use{Team: a.team})
+		if i == len(usage.teams) {
+			usage.teams = append(usage.teams, ledger.Use{Team: a.team})
 		}
-		x.teams[i].Size = x.teams[i].Size.Add(a.size)
+		usage.teams[i].Size = usage.teams[i].Size.Add(a.size)
 	}
-	if x.unknownAttempts > 0 {
-		x.free = placement.Size{} // a stranger of unknown size: leave room for it all
+	if usage.unknownAttempts > 0 {
+		usage.free = placement.Size{} // a stranger of unknown size: leave room for it all
 	}
-	return x
+	return usage
 }
 
 // allows tells whether a job's tasks may run on machines of this type, zone and kind.
@@ -97,19 +97,19 @@
 		return
 	}
 	c.refreshLateness()
-	most := map[int]placement.Size{}
+	largestFree := map[int]placement.Size{}
 	c.jobQueue.Walk(func(team string) placement.Size {
-		i := c.shardOf(team)
-		m, ok := most[i]
+		shard := c.shardOf(team)
+		m, ok := largestFree[shard]
 		if !ok {
-			m = c.capacity.Most(i)
-			most[i] = m
+			m = c.capacity.Most(shard)
+			largestFree[shard] = m
 		}
-		t, u := c.p.Teams[team], c.capacity.Used(team, i)
+		t, u := c.p.Teams[team], c.capacity.Used(team, shard)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
 	}, func(p *queue.Place[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
-			delete(most, c.shardOf(p.Job.Team))
+			delete(largestFree, c.shardOf(p.Job.Team))
 		}
 		return true
 	})
@@ -162,7 +162,7 @@
 		return 0
 	}
 	size, team, zones := jobSize(j), c.limitOf(e), tasksByZone(e)
-	maybe := float64(run.possiblyInherited() + 1)
+	tasksCounted := float64(run.possiblyInherited() + 1)
 	anchor := len(run.active) == 0 && run.done.Count() == 0
 	gang := j.Shape == wire.ShapeGang
 	if gang {
@@ -175,7 +175,7 @@
 		if p.Overdue && placed > 0 {
 			return placed // the others wait for their turn
 		}
-		if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * maybe, GPUs: size.GPUs * maybe})) {
+		if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * tasksCounted, GPUs: size.GPUs * tasksCounted})) {
 			return placed
 		}
 		m, beta := c.chooseMachine(p, shard, size, anchor, zones)
@@ -227,20 +227,20 @@
 		// Back to where it was: its image is there, and that start is written
 		// already. After an outage hundreds start again at once.
 		if m := c.machines[recordedMachine(j, run.retryIndexes[0])]; m != nil {
-			f, ok := c.capacity.Of(m)
-			if ok && f.Usable && f.Shard == shard && kinds(f.Kind) && placement.Fits(f.Free, size) && !c.avoids(e, m) {
-				return m, placement.Beta(f.Free, size)
+			facts, ok := c.capacity.Of(m)
+			if ok && facts.Usable && facts.Shard == shard && kinds(facts.Kind) && placement.Fits(facts.Free, size) && !c.avoids(e, m) {
+				return m, placement.Beta(facts.Free, size)
 			}
 		}
 	}
-	left := []*machine{}
+	leftToOthers := []*machine{}
 	for range tuning.LocalTries {
-		m, beta := c.pickMachine(e, shard, size, anchor, zones, kinds, left)
+		m, beta := c.pickMachine(e, shard, size, anchor, zones, kinds, leftToOthers)
 		// A gang has been found room for as a whole: it leaves none of it.
 		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
 			return m, beta
 		}
-		left = append(left, m)
+		leftToOthers = append(leftToOthers, m)
 	}
 	return nil, 0
 }
@@ -250,7 +250,7 @@
 // task, and where tasks end all the time a place with the image comes soon. For a while
 // only: a job that has been passed over for long takes what there is.
 func (c *Core) leaveToLocalJob(p *queue.Place[*jobEntry], m *machine) bool {
-	run, looked, found := p.Handle.run, 0, false
+	run, examined, found := p.Handle.run, 0, false
 	if run.passedOverSince > 0 && c.now-run.passedOverSince > tuning.LocalWait {
 		return false
 	}
@@ -261,12 +261,12 @@
 		}
 		t, u := c.p.Teams[team], c.capacity.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
-	}, func(o *queue.Place[*jobEntry]) bool {
-		e := o.Handle
-		if looked++; looked > tuning.LocalLook || e.rank < p.Handle.rank {
+	}, func(other *queue.Place[*jobEntry]) bool {
+		e := other.Handle
+		if examined++; examined > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = o != p && e.rank == p.Handle.rank && o.Within == p.Within && o.Late == p.Late && o.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
+		found = other != p && e.rank == p.Handle.rank && other.Within == p.Within && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
 			e.run.pendingTasks(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
@@ -277,22 +277,22 @@
 }
 
 // pick is the heuristic's choice among the machines that the ledger proposes, some apart.
-func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, apart []*machine) (*machine, int) {
+func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
 	j := &e.rec
-	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(apart, m) },
+	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
 	c.candidates = c.candidates[:0]
-	for _, f := range c.foundMachines {
-		cand := placement.Candidate{Free: f.Free, Opens: f.Kind.Opens}
+	for _, found := range c.foundMachines {
+		candidate := placement.Candidate{Free: found.Free, Opens: found.Kind.Opens}
 		if j.Shape == wire.ShapeService {
-			cand.Load = zones[f.Kind.Zone]
+			candidate.Load = zones[found.Kind.Zone]
 		}
-		if f.Handle.images[j.Image] {
-			cand.Better = 1
-		} else if e.prio >= urgentRank && c.weights.Busy(f.Handle.name, j.Image) {
-			cand.Better = -1 // they would share its rate
+		if found.Handle.images[j.Image] {
+			candidate.Better = 1
+		} else if e.prio >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
+			candidate.Better = -1 // they would share its rate
 		}
-		c.candidates = append(c.candidates, cand)
+		c.candidates = append(c.candidates, candidate)
 	}
 	k := placement.Pick(c.candidates, size, anchor)
 	if k < 0 {
@@ -313,9 +313,11 @@
 	if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: n * size.CPUs, GPUs: n * size.GPUs})) {
 		return false
 	}
-	room := map[string]int{}
-	c.capacity.Each(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) { room[k.Zone] += placement.Beta(free, size) + 1 })
-	zone, fits := supply.GangFits(j, waiting, room)
+	placesByZone := map[string]int{}
+	c.capacity.Each(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) {
+		placesByZone[k.Zone] += placement.Beta(free, size) + 1
+	})
+	zone, fits := supply.GangFits(j, waiting, placesByZone)
 	run.zone = cmp.Or(zone, run.zone)
 	return fits
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -36,20 +36,20 @@
 // settle lets started tasks go again once every machine inherited with a shard
 // is accounted for.
 func (c *Core) reconcileShards() {
-	for _, i := range sortedIntKeys(c.unreconciledShards) {
-		if c.unaccountedMachines[i] > 0 {
+	for _, shard := range sortedIntKeys(c.unreconciledShards) {
+		if c.unaccountedMachines[shard] > 0 {
 			continue
 		}
-		delete(c.unreconciledShards, i)
+		delete(c.unreconciledShards, shard)
 		c.placementDue = true
 		if len(c.unreconciledShards) == 0 {
 			clear(c.jobsAwaitingMachine)
 		}
-		c.noteShard(trail.Settled, i, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[i]).Seconds())})
-		c.log(1, "all inherited machines accounted for", "shard", i, "after", (c.now - c.shardHeldSince[i]).String())
+		c.noteShard(trail.Settled, shard, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[shard]).Seconds())})
+		c.log(1, "all inherited machines accounted for", "shard", shard, "after", (c.now - c.shardHeldSince[shard]).String())
 		for _, e := range c.jobsByAge() {
-			if e.run != nil && c.shardOf(e.rec.Team) == i {
-				c.reconcileJob(e, i, true)
+			if e.run != nil && c.shardOf(e.rec.Team) == shard {
+				c.reconcileJob(e, shard, true)
 			}
 		}
 	}
@@ -119,13 +119,13 @@
 	for _, k := range e.run.retryIndexes {
 		queued[k] = true
 	}
-	open := false
+	unresolved := false
 	for k := 0; k < e.run.inheritedBelow; k++ {
 		if e.run.done.Has(k) || e.run.active[k] != nil || queued[k] {
 			continue
 		}
 		if c.mayRunOnInherited(e, k, shard) {
-			open = true
+			unresolved = true
 			continue
 		}
 		e.run.retryIndexes = append(e.run.retryIndexes, k)
@@ -134,17 +134,17 @@
 		}
 		c.placementDue = true
 	}
-	if !open {
+	if !unresolved {
 		e.run.inheritedBelow = 0
 	}
 }
 
 // watchMachines notices machines that have gone silent.
 func (c *Core) checkLeases() {
-	for _, i := range sortedIntKeys(c.unreconciledShards) {
-		if _, known := c.previousHolderDeadSince[i]; !known && c.shards[i] != nil {
-			if r := c.shards[i].rec; r.Known && c.allIncarnationsDead(r.Past) {
-				c.previousHolderDeadSince[i] = c.now
+	for _, shard := range sortedIntKeys(c.unreconciledShards) {
+		if _, known := c.previousHolderDeadSince[shard]; !known && c.shards[shard] != nil {
+			if r := c.shards[shard].rec; r.Known && c.allIncarnationsDead(r.Past) {
+				c.previousHolderDeadSince[shard] = c.now
 			}
 		}
 	}
@@ -182,20 +182,20 @@
 			byShard[m.shard] = append(byShard[m.shard], m)
 		}
 	}
-	for _, i := range sortedIntKeys(byShard) {
+	for _, shard := range sortedIntKeys(byShard) {
 		// The lease is over by our count. That nobody else answered meanwhile is
 		// proven by still holding the shard now, in the state itself.
 		c.verifyingShard = true
-		names := byShard[i]
-		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(i)}}}, func(r StateReply) {
+		expired := byShard[shard]
+		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(shard)}}}, func(r StateReply) {
 			c.verifyingShard = false
 			if r.Status == 409 {
-				c.refresh(shardKey(i))
+				c.refresh(shardKey(shard))
 			}
 			if r.Status != 200 {
 				return
 			}
-			for _, m := range names {
+			for _, m := range expired {
 				if c.machines[m.name] == m && c.now > m.lastAnswered+c.leaseOver() {
 					m.leaseOver = true
 					c.markDirty(m)
@@ -222,17 +222,17 @@
 // each change of hands had started tasks of every array wait for half a minute. Many
 // missing at a time are a cut or an outage, and are waited for.
 func (c *Core) returnMissing() {
-	for _, i := range sortedIntKeys(c.unreconciledShards) {
-		if n := c.unaccountedMachines[i]; n == 0 || c.now-c.shardHeldSince[i] < tuning.MissingCalled {
+	for _, shard := range sortedIntKeys(c.unreconciledShards) {
+		if unaccounted := c.unaccountedMachines[shard]; unaccounted == 0 || c.now-c.shardHeldSince[shard] < tuning.MissingCalled {
 			continue
-		} else if total := c.machineCount(i); n > max(tuning.MissingFew, total/tuning.MissingShare) {
+		} else if total := c.machineCount(shard); unaccounted > max(tuning.MissingFew, total/tuning.MissingShare) {
 			continue
 		}
 		for _, m := range c.heldMachines() {
 			// One that was called twice in vain has had its chance; one that we do not know
 			// how to call has it with its next report.
-			waited := c.roll.Tries(m) >= 2 || c.now-c.shardHeldSince[i] > max(tuning.MissingAfter, c.p.Report*3/2)
-			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
+			waited := c.roll.Tries(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
+			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
 				m.returning = true
 				c.markDirty(m)
 				c.urgentBlocks[m.block] = true // written with what users wait for
@@ -255,9 +255,9 @@
 
 // allDead tells whether none of these lives can be answering a worker now: a
 // later life of the same node proves it, and this node answers as itself only.
-func (c *Core) allIncarnationsDead(lives []wire.Life) bool {
-	for _, l := range lives {
-		if n, up := c.nodes[l.Node]; l.Node != c.p.Node && (!up || n.Boot == l.Boot) {
+func (c *Core) allIncarnationsDead(incarnations []wire.Life) bool {
+	for _, incarnation := range incarnations {
+		if n, up := c.nodes[incarnation.Node]; incarnation.Node != c.p.Node && (!up || n.Boot == incarnation.Boot) {
 			return false
 		}
 	}
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -292,7 +292,7 @@
 		p.work = float64(rest) * e.rec.EstimateS * s.CPUs
 		if e.rec.DueS > 0 {
 			p.due = float64(e.rec.AcceptedMS)/1000 + e.rec.DueS
-			if ready := float64(e.rec.ReadyMS) / 1000; ready > 0 { // in the steps of workOf, to the last bit
+			if ready := float64(e.rec.ReadyMS) / 1000; ready > 0 { // in the steps of objectiveWork, to the last bit
 				p.due = ready + max(math.SmallestNonzeroFloat64, e.rec.DueS-ready+float64(e.rec.AcceptedMS)/1000)
 			}
 		}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -15,10 +15,10 @@
 	r := &v.Report
 	c.addrs.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
-	from, passed := c.relays.Through(v.Req)
+	origin, relayed := c.relays.Through(v.Req)
 	switch { // an older report is a copy: it says of no worker that we reach it
 	case m != nil && c.isStaleReport(m, r):
-	case !passed:
+	case !relayed:
 		c.workers.Heard(c.now, c.heldShardOf(r.Machine), r.Machine)
 	case m != nil:
 		c.workers.HeardThrough(c.now, m.shard)
@@ -33,7 +33,7 @@
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
 	}
-	c.testDelivery(m, passed)
+	c.testDelivery(m, relayed)
 	token := c.answerToken(m, b)
 	if r.Token > token || c.isStaleReport(m, r) {
 		// A higher token: someone else is entitled and we have not heard yet.
@@ -45,7 +45,7 @@
 		c.answerUnproven(v.Req, m, r, token)
 		return
 	}
-	c.trackDelivery(m, r, from.From)
+	c.trackDelivery(m, r, origin.From)
 	c.applyMachineReport(m, r)
 	c.applyAttemptReports(m, r)
 	if c.cordons[m.name].Drain {
@@ -60,7 +60,7 @@
 	}
 	reply := wire.ReportReply{Token: token, Commands: c.commands(m)}
 	m.lastAnswered = c.now
-	m.delivery.Answered(r, token, from.From, reply.Commands)
+	m.delivery.Answered(r, token, origin.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
 	c.desk.Forget(m)
 	unsent, urgent := false, false
@@ -91,8 +91,8 @@
 // it, one after the other.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	spent := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
-	if spent && m.inherited && !m.accounted {
+	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
+	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
 	}
@@ -102,10 +102,10 @@
 
 // test has the next answer to a machine carry a higher token if it is in doubt whether the
 // machine hears: it came by another way, or as late as one that waited in vain.
-func (c *Core) testDelivery(m *machine, passed bool) {
+func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	odd := m.reported && c.now-m.lastAnswered < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.delivery.Test(c.now, odd, c.p.Lease/2) {
+	suspicious := m.reported && c.now-m.lastAnswered < c.p.Lease && (relayed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
+	if m.delivery.Test(c.now, suspicious, c.p.Lease/2) {
 		m.raisedToken = max(m.raisedToken, c.rev)
 	}
 }
@@ -113,11 +113,11 @@
 // listen judges by a new report whether its worker hears what it is answered.
 func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
-	changed := m.delivery.Report(r, via, lapsed)
+	verdictChanged := m.delivery.Report(r, via, lapsed)
 	if m.delivery.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
 		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
-	if changed {
+	if verdictChanged {
 		c.deliveryChanged(m)
 	}
 }
@@ -182,15 +182,15 @@
 			if n, up := c.nodes[holder]; !up || n.Boot != s.rec.Boot {
 				holder = ""
 			}
-			if to, ok := c.yielded[b.rec.Shard]; ok {
-				holder = to
+			if successor, ok := c.yielded[b.rec.Shard]; ok {
+				holder = successor
 			}
 			// What we know of the holder is old: two controllers that a cut had left
 			// without news sent workers to each other until their leases were over.
 			if r.Token > c.rev || c.cutOff() {
 				holder = ""
 			}
-			if _, ours := c.relays.Through(req); holder != "" && holder != c.p.Node && !ours {
+			if _, relayed := c.relays.Through(req); holder != "" && holder != c.p.Node && !relayed {
 				switch {
 				case c.relay(req, r, holder, s.ver):
 				case c.holderUnreachable(holder, b.rec.Shard): // it would wait there in vain
@@ -248,11 +248,11 @@
 				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
 				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
-					if o := e.run.active[idx]; o != nil {
+					if other := e.run.active[idx]; other != nil {
 						// One of the two is history, told by a delayed report; the
 						// next reports settle which.
-						c.log(0, "task named on two machines", "task", t.Task, "on", o.machine.name, "and", m.name)
-						a.stopping = o.machine.accounted && m.accounted && o.machine != m
+						c.log(0, "task named on two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
+						a.stopping = other.machine.accounted && m.accounted && other.machine != m
 					} else {
 						e.run.active[idx] = a
 						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == idx })
@@ -320,7 +320,7 @@
 		e.run.done = e.run.done.Add(a.taskIndex)
 		e.run.failures = 0
 		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
-		if o := e.run.active[a.taskIndex]; o == a {
+		if current := e.run.active[a.taskIndex]; current == a {
 			delete(e.run.active, a.taskIndex)
 		}
 		e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == a.taskIndex })
@@ -356,7 +356,7 @@
 }
 
 // commandsFor lists commands for a machine; a look changes nothing.
-func (c *Core) commandsFor(m *machine, look bool) []wire.Command {
+func (c *Core) commandsFor(m *machine, preview bool) []wire.Command {
 	cmds := []wire.Command{}
 	if !m.accounted {
 		return cmds
@@ -376,13 +376,13 @@
 			}
 		case !live || a.stopping:
 			if a.startSent {
-				g := a.stopGraceS
+				graceS := a.stopGraceS
 				if !live {
-					g = 0
+					graceS = 0
 				}
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &g})
+				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
 			}
-		case a.status == "" && c.startable(a) && !look:
+		case a.status == "" && c.startable(a) && !preview:
 			if run, now := c.run(a); now {
 				a.startSent = true
 				c.noteBack(trail.TaskAgain, a)
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -20,21 +20,21 @@
 	if strings.Contains(why, "lease") {
 		return // it has ended: its holder takes another
 	}
-	w := limits.Describe(when, then)
-	c.out = append(c.out, WriteRefused{Kind: w.Kind})
-	if c.form.Refused(c.now, w, why) {
-		b := c.form.Bounds()
-		c.log(3, "a write was refused for its form", "kind", w.Kind, "bytes", w.Bytes, "changes", w.Changes, "conditions", w.Conditions, "err", why, "now_bytes", b.ValueBytes, "now_changes", b.Changes)
+	write := limits.Describe(when, then)
+	c.out = append(c.out, WriteRefused{Kind: write.Kind})
+	if c.form.Refused(c.now, write, why) {
+		bounds := c.form.Bounds()
+		c.log(3, "a write was refused for its form", "kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", why, "now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
 	}
 	c.applyWriteLimits(c.form.Bounds())
 }
 
 // keepTo has all that is written from now on keep to bounds.
-func (c *Core) applyWriteLimits(b limits.Bounds) {
-	c.p.ValueBytes, c.p.TxnOps = b.ValueBytes, b.Changes
-	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: b.ValueBytes * 7 / 8})
-	c.trail.KeepTo(min(tuning.TrailBytes, b.ValueBytes/2))
-	c.calendar.KeepTo(b.ValueBytes)
+func (c *Core) applyWriteLimits(bounds limits.Bounds) {
+	c.p.ValueBytes, c.p.TxnOps = bounds.ValueBytes, bounds.Changes
+	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
+	c.calendar.KeepTo(bounds.ValueBytes)
 }
 
 // overlay brings a job's record up to what has been written of its starts apart from it.
@@ -58,7 +58,7 @@
 			m.fresh = false
 			c.markDirty(m)
 		}
-		if machine, is := strings.CutPrefix(name, machineEntryPrefix); is {
+		if machine, isMachine := strings.CutPrefix(name, machineEntryPrefix); isMachine {
 			c.boots.Up(c.now, machine)
 		}
 	}
@@ -73,8 +73,8 @@
 
 // stillCounts tells whether an entry of the starts is still needed.
 func (c *Core) startEntryNeeded(name string) bool {
-	machine, is := strings.CutPrefix(name, machineEntryPrefix)
-	if !is {
+	machine, isMachine := strings.CutPrefix(name, machineEntryPrefix)
+	if !isMachine {
 		return c.jobs[name] != nil
 	}
 	if b := c.blockOf(machine); b != nil {
@@ -96,37 +96,37 @@
 	}
 	c.refreshIndexes()
 	jobs := sortedJobs(c.pendingWrites)
-	for _, i := range c.shardIDs() {
+	for _, shard := range c.shardIDs() {
 		// Urgent ones, which come first in the list, wait for no others to come along.
-		paced := c.now < c.startsPacedUntil[i] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
-		if !c.mine(i) || c.startsInFlight[i] || c.now < c.startsRetryAt[i] || paced {
+		paced := c.now < c.startsPacedUntil[shard] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
+		if !c.mine(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
 			continue
 		}
 		var entries []starts.Entry
 		for _, name := range sortedKeys(c.firstUseUnwritten) {
 			if m := c.machines[name]; m == nil || !m.fresh {
 				delete(c.firstUseUnwritten, name)
-			} else if m.shard == i {
+			} else if m.shard == shard {
 				entries = append(entries, starts.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
 			}
 		}
-		of := map[string]*jobEntry{}
+		jobsByID := map[string]*jobEntry{}
 		for _, e := range jobs {
-			if len(of) >= 4*c.p.TxnOps-2 {
+			if len(jobsByID) >= 4*c.p.TxnOps-2 {
 				break // conditions in one call
 			}
-			started, ended, owes := c.unwrittenStarts(e)
-			if e.run == nil || e.run.writeInFlight || ended || !owes || c.shardOf(e.rec.Team) != i || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
+			started, ended, due := c.unwrittenStarts(e)
+			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOf(e.rec.Team) != shard || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
 				continue
 			}
-			of[e.rec.ID] = e
+			jobsByID[e.rec.ID] = e
 			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startRecord(e, started)})
 		}
-		if c.form.Alone(c.now) && len(of) > 0 {
-			entries = entries[len(entries)-len(of):][:1] // one by one, to find the one that is refused
+		if c.form.Alone(c.now) && len(jobsByID) > 0 {
+			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the one that is refused
 		}
 		if len(entries) > 0 {
-			c.writeStarts(i, entries, of)
+			c.writeStarts(shard, entries, jobsByID)
 		}
 	}
 }
@@ -153,29 +153,29 @@
 	return !s.Bad
 }
 
-func (c *Core) writeStarts(i int, entries []starts.Entry, of map[string]*jobEntry) {
-	w := c.started.Plan(i, entries, c.startEntryNeeded)
-	when := []wire.Condition{c.shardCond(i), {Key: w.Key, Version: w.Ver}}
+func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
+	plan := c.started.Plan(shard, entries, c.startEntryNeeded)
+	conditions := []wire.Condition{c.shardCond(shard), {Key: plan.Key, Version: plan.Ver}}
 	var busy []*jobEntry
-	for _, x := range entries[:w.Taken] {
-		if e := of[x.Name]; e != nil {
-			when = append(when, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
+	for _, x := range entries[:plan.Taken] {
+		if e := jobsByID[x.Name]; e != nil {
+			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
 			e.run.writeInFlight = true
 			busy = append(busy, e)
 		}
 	}
-	c.startsInFlight[i] = true
-	c.startsPacedUntil[i] = c.now + tuning.StartsEvery
-	c.commit(LaneUser, when, []wire.Change{{Put: w.Key, Value: w.Record}}, func(r StateReply) {
-		delete(c.startsInFlight, i)
+	c.startsInFlight[shard] = true
+	c.startsPacedUntil[shard] = c.now + tuning.StartsEvery
+	c.commit(LaneUser, conditions, []wire.Change{{Put: plan.Key, Value: plan.Record}}, func(r StateReply) {
+		delete(c.startsInFlight, shard)
 		for _, e := range busy {
 			if e.run != nil {
 				e.run.writeInFlight = false
 			}
 		}
 		if r.Status != 200 {
-			c.startsRetryAt[i] = c.now + tuning.StartsAgain
-			c.log(2, "not written", "starts", w.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
+			c.log(2, "not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
 		c.runHolder()
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -71,8 +71,8 @@
 		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
 	}
 	if e.prio >= urgentRank {
-		v, _ := c.taskHealth.Machine(m.name)
-		return v != health.Well
+		verdict, _ := c.taskHealth.Machine(m.name)
+		return verdict != health.Well
 	}
 	return false
 }
