--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -18,35 +18,41 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// holder is what this controller knows as the holder of shards: the machines
+// holderState is what this controller knows as the holder of shards: the machines
 // of their blocks, and the tasks on them.
 type holderState struct {
-	machines                                    map[string]*machine
-	heldShards                                  map[int]bool // shards this life holds and has taken up
-	grantedShards                               map[int]bool // shards granted, the mirror not there yet
-	unreconciledShards                          map[int]bool // shards taken over, not all machines accounted for yet
-	placementDue                                bool         // a placement pass is due
-	writingJobs, writingProgress, writingImages bool
+	machines map[string]*machine
+
+	heldShards         map[int]bool // held by this incarnation, which has taken them up
+	grantedShards      map[int]bool // granted, but the mirror has not reached the granting write yet
+	unreconciledShards map[int]bool // taken over, and not all machines are accounted for yet
+
+	placementDue                                bool // a placement pass is due
+	writingJobs, writingProgress, writingImages bool // a write of that kind is in flight
 	lastAttemptNumber                           uint64
-	publishedDemand                             map[int]wire.Want
-	demandPublishers                            map[int]*wants.Teller // of held shards
-	peerDemand                                  *wants.Board          // what other holders lack
-	verifyingShard                              bool
-	startsInFlight                              map[int]bool // shards whose starts are being written
-	startsRetryAt                               map[int]Time // when a shard's starts may be written next
-	startsPacedUntil                            map[int]Time // when those that are not urgent may be
-	taskHealth                                  *health.Book
-	firstUseUnwritten                           map[string]bool // machines that are up, and fresh in the state
-	urgentBlocks                                map[string]bool // blocks with fresh machines that are up
-	takeovers                                   map[int]taking
-	shardHeldSince                              map[int]Time      // when a held shard was taken up
-	previousHolderDeadSince                     map[int]Time      // since when the life a shard was taken from is known to be dead
-	vacating                                    map[string]bool   // blocks being emptied for another shard's guarantee
-	idleMarkVersions                            map[string]uint64 // blocks whose mark as idle has been sent, and at which version
-	starvedSince                                map[int]Time      // since when a shard's guaranteed work finds no room
-	urgentReserve                               *supply.Reserve   // room kept for urgent tasks
-
-	machinesByName []*machine            // by name; nil: to be made again
+
+	publishedDemand  map[int]wire.Want     // by held shard: the unmet demand last published
+	demandPublishers map[int]*wants.Teller // by held shard
+	peerDemand       *wants.Board          // unmet demand that other holders have published
+
+	verifyingShard   bool         // a commit that verifies that a shard is still held is in flight
+	startsInFlight   map[int]bool // shards whose starts are being written
+	startsRetryAt    map[int]Time // earliest next write of a shard's starts after a failed one
+	startsPacedUntil map[int]Time // earliest next write of a shard's starts if none is urgent
+
+	taskHealth        *health.Book
+	firstUseUnwritten map[string]bool // machines that are up, but recorded as never used
+	urgentBlocks      map[string]bool // blocks whose records are written with the urgent writes
+	takeovers         map[int]taking
+
+	shardHeldSince          map[int]Time      // when a held shard was taken up
+	previousHolderDeadSince map[int]Time      // since when the previous holder's incarnation is known to be dead
+	vacating                map[string]bool   // blocks being emptied for another shard's guarantee
+	idleMarkVersions        map[string]uint64 // blocks with an idle mark in flight, and the record version it replaces
+	starvedSince            map[int]Time      // since when a shard's guaranteed work finds no free capacity
+	urgentReserve           *supply.Reserve   // capacity kept free for urgent tasks
+
+	machinesByName []*machine            // sorted by name; nil: must be rebuilt
 	attemptsByTask map[string][]*attempt // task -> its attempts on machines
 }
 
@@ -54,55 +60,60 @@
 type machine struct {
 	name, block, machineType, zone string
 	shard                          int
-	spot, base, returning          bool
-	fresh                          bool   // nothing may be started here before the block's record says so
-	heldSince                      Time   // held since
-	takeoverToken                  uint64 // a report carrying this token or a later one accounts for it
-	inherited                      bool   // an earlier holder may have started tasks here
-	accounted                      bool
-	reported                       bool // has ever reported to us
-	session, seq                   uint64
-	lastReport                     Time
-	lastAnswered                   Time // when our last 200 left
-	addr                           string
-	reportedToken                  uint64 // the highest its worker has named
-	currentReportsProven           bool   // has shown what only we can have told it
-	unprovenAnswers                int    // answers given on reports that prove nothing
-	unprovenAnsweredAt             Time
-	delivery                       hearing.Ear
-	raisedToken                    uint64 // token of our last call that was to make it report
-	earlyCallAt                    Time
-	moving                         bool // its replicas are being moved off
-	leaseOver                      bool // its lease is surely over; confirmed by the state
-	silentWithMany                 bool // it fell silent with many others
-	silent                         bool // its reports stay away
-	terminationNotice              bool
-	terminatesAt                   Time
-	attempts                       map[attemptKey]*attempt
-	idleSince                      Time
-	images                         map[string]bool
-	usage                          machineUsage
-	dirty                          bool // see books
+	spot, base, returning          bool // returning: is being given back to the cloud
+
+	fresh         bool   // recorded as never used: nothing may start here before its first use is recorded
+	heldSince     Time   // since when this controller holds it
+	takeoverToken uint64 // a report carrying this token or a later one accounts for it
+	inherited     bool   // an earlier holder may have started tasks here
+	accounted     bool   // the tasks on it are known
+
+	reported             bool   // has ever reported to this controller
+	session, seq         uint64 // of its newest report
+	lastReport           Time
+	lastAnswered         Time // when the last 200 left
+	addr                 string
+	reportedToken        uint64 // the highest token that its worker has named
+	currentReportsProven bool   // has named a token that only this holder can have given it
+	unprovenAnswers      int    // answers given to reports that prove nothing
+	unprovenAnsweredAt   Time   // when the last of these was given
+	delivery             hearing.Ear
+	raisedToken          uint64 // token of the last call that requested an early report
+	earlyCallAt          Time   // when that call was made
+
+	moving            bool // its replicas are being moved elsewhere
+	leaseOver         bool // its lease is certainly over; confirmed by the state service
+	silentWithMany    bool // it fell silent together with many others
+	silent            bool // its reports are overdue
+	terminationNotice bool
+	terminatesAt      Time
+
+	attempts  map[attemptKey]*attempt
+	idleSince Time
+	images    map[string]bool
+	usage     machineUsage
+	dirty     bool // listed in indexes.dirtyMachines
 }
 
-// machineSum is what a machine has left and what each team has on it. It is
-// made again when the machine's attempts or its type have changed.
+// machineUsage is the free capacity of a machine and what each team uses on it. It is
+// computed again after the machine's attempts or the machine types have changed.
 type machineUsage struct {
 	valid           bool
-	sizesVersion    int // state of the machine types it was made with
+	sizesVersion    int // version of the machine types it was computed with
 	free            placement.Size
 	teams           []ledger.Use
 	unknownAttempts int // attempts of unknown size
 }
 
+// attemptKey identifies an attempt.
 type attemptKey struct {
 	task   string
 	number uint64
 }
 
-// attempt is one try of a task on a machine. It counts as possibly there from
-// its reservation until a newer report, a deletion or the end of the lease
-// says otherwise.
+// attempt is one attempt to run a task on a machine. It counts as possibly present there
+// from its reservation until a newer report, a deletion of the machine or the end of the
+// lease says otherwise.
 type attempt struct {
 	key                     attemptKey
 	job                     string
@@ -110,42 +121,70 @@
 	team                    string
 	size                    placement.Size
 	sizeKnown               bool // size and team are known
-	belowUrgent             bool // gives way to urgent work
-	countedSound            bool // a replica that has run for long
-	idlePriority            bool // gives way to all other work
+	belowUrgent             bool // preemptible by urgent work
+	countedSound            bool // a long-running replica that was counted as a completion
+	idlePriority            bool // preemptible by all other work
 	machine                 *machine
 	status                  string // "" until reported
-	cause                   string
+	cause                   string // of its end, as reported
 	startSent               bool
 	stopping                bool
-	stopGraceS              float64
+	stopGraceS              float64 // grace period of the stop, in seconds
 	createdAt, runningSince Time
 }
 
 // jobRun is what the holder knows of a job's tasks.
 type jobRun struct {
-	active            map[int]*attempt
-	retryIndexes      []int // started once, nowhere now, to be started again
-	nextIndex         int   // first index never reserved
-	inheritedBelow    int   // tasks below this may run on inherited machines; 0 once settled
+	active            map[int]*attempt // by task index
+	retryIndexes      []int            // tasks that were started before, run nowhere now and must start again
+	nextIndex         int              // first index never reserved
+	inheritedBelow    int              // tasks below this index may run on inherited machines; 0 once reconciled
 	done              ranges.Set
-	notBefore         Time // after failures: nothing is started before this
+	notBefore         Time // backoff after failures: nothing starts before this time
 	failures          int
-	zone              string // chosen for a gang that must be in one zone
-	waitingSince      Time   // known here, or waiting for room again, since
-	progressWrittenAt Time   // when its progress was last written
-	writeInFlight     bool   // a write of its record is under way
+	zone              string // chosen for a gang that must run in one zone
+	waitingSince      Time   // when the job became known here, or last had a task to start again
+	progressWrittenAt Time
+	writeInFlight     bool // a write of its record is in flight
 
-	passedOverSince Time // since when places without its image have been left to others; 0: not
+	passedOverSince Time // since when machines without its image have been left to other jobs; 0: not
 }
 
 func newHolderState() holderState {
-	return holderState{taskHealth: newHealth(), startsInFlight: map[int]bool{}, startsRetryAt: map[int]Time{}, startsPacedUntil: map[int]Time{}, firstUseUnwritten: map[string]bool{}, takeovers: map[int]taking{}, machines: map[string]*machine{}, attemptsByTask: map[string][]*attempt{}, heldShards: map[int]bool{}, grantedShards: map[int]bool{}, unreconciledShards: map[int]bool{}, publishedDemand: map[int]wire.Want{}, demandPublishers: map[int]*wants.Teller{}, peerDemand: wants.NewBoard(demandPace),
-		urgentBlocks: map[string]bool{}, shardHeldSince: map[int]Time{}, previousHolderDeadSince: map[int]Time{}, vacating: map[string]bool{}, idleMarkVersions: map[string]uint64{}, starvedSince: map[int]Time{},
-		urgentReserve: supply.NewReserve(supply.ReserveLimits{Memory: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
+	return holderState{
+		taskHealth: newHealth(),
+
+		startsInFlight:    map[int]bool{},
+		startsRetryAt:     map[int]Time{},
+		startsPacedUntil:  map[int]Time{},
+		firstUseUnwritten: map[string]bool{},
+
+		takeovers:      map[int]taking{},
+		machines:       map[string]*machine{},
+		attemptsByTask: map[string][]*attempt{},
+
+		heldShards:         map[int]bool{},
+		grantedShards:      map[int]bool{},
+		unreconciledShards: map[int]bool{},
+
+		publishedDemand:  map[int]wire.Want{},
+		demandPublishers: map[int]*wants.Teller{},
+		peerDemand:       wants.NewBoard(demandPace),
+
+		urgentBlocks:            map[string]bool{},
+		shardHeldSince:          map[int]Time{},
+		previousHolderDeadSince: map[int]Time{},
+		vacating:                map[string]bool{},
+		idleMarkVersions:        map[string]uint64{},
+		starvedSince:            map[int]Time{},
+		urgentReserve: supply.NewReserve(supply.ReserveLimits{
+			Memory: tuning.UrgentMemory,
+			Window: tuning.ArrivalWindow,
+		}),
+	}
 }
 
-// jobSeen is called for every new version of a live job.
+// jobChanged is called for every new version of a live job.
 func (c *Core) jobChanged(e *jobEntry) {
 	c.markJobDirty(e)
 	shard := c.shardOf(e.rec.Team)
@@ -159,7 +198,7 @@
 		if e.rec.Started > 0 {
 			e.run.inheritedBelow = e.rec.Started
 			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
-				// Otherwise a whole array that fails everywhere starts anew with each takeover.
+				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
 				c.taskHealth.Condemn(c.now, e.rec.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.rec.ID)
 			}
@@ -170,12 +209,12 @@
 	}
 	if e.prio >= urgentRank {
 		if c.urgentReserve.Seen(c.now, shard, jobSize(&e.rec), e.rank, firstSeen && e.rec.Started == 0) {
-			c.markShardDirty(shard) // room is counted in tasks of this size
+			c.markShardDirty(shard) // free capacity is counted in tasks of this size
 		}
 	}
 	if e.rec.Started > e.run.nextIndex {
-		// Someone wrote further starts before we took over: a late write of the
-		// earlier holder. Those may have been started.
+		// A late write of the earlier holder, from before the takeover, recorded
+		// further starts. Those tasks may have been started.
 		e.run.inheritedBelow, e.run.nextIndex = e.rec.Started, e.rec.Started
 		c.reconcileJob(e, shard, c.unreconciledShards[shard])
 		c.awaitMachines(e)
@@ -184,26 +223,26 @@
 	e.run.done = e.run.done.Union(c.known(e))
 }
 
-// jobGone is called when a job has left the live keys: done or aborted. What
-// of it is still on machines is stopped there and counts until it is gone.
+// jobRemoved is called when a job has left the live keys because it is done or aborted.
+// Its tasks that are still on machines are stopped, and count until they are gone.
 func (c *Core) jobRemoved(e *jobEntry) {
 	c.markJobDirty(e)
 	c.taskHealth.ForgetJob(e.rec.ID)
 	if e.run == nil {
 		return
 	}
-	for _, k := range sortedIntKeys(e.run.active) { // machines are called in the order in which they are asked for
+	for _, k := range sortedIntKeys(e.run.active) { // sorted: workers are called in the order of the requests
 		a := e.run.active[k]
 		if !a.startSent && a.status == "" {
 			c.removeAttempt(a)
 		} else {
-			c.requestReport(a.machine, false) // what of it still runs is stopped, and its place is free sooner
+			c.requestReport(a.machine, false) // its running tasks are stopped and their capacity is free sooner
 		}
 	}
 	e.run = nil
 }
 
-// heldMachines lists the machines of the held blocks by name.
+// heldMachines returns the machines of the held blocks, sorted by name.
 func (c *Core) heldMachines() []*machine {
 	if c.machinesByName == nil {
 		c.machinesByName = slices.AppendSeq(make([]*machine, 0, len(c.machines)), maps.Values(c.machines))
@@ -212,7 +251,7 @@
 	return c.machinesByName
 }
 
-// dropMachine forgets a machine, and the attempts that were on it.
+// forgetMachine removes a machine and the attempts on it from all indexes.
 func (c *Core) forgetMachine(m *machine) {
 	for _, a := range m.attempts {
 		c.removeAttempt(a)
@@ -233,7 +272,8 @@
 	c.machinesByName = nil
 }
 
-// addAttempt and dropAttempt are the only ones to change what is on a machine.
+// addAttempt records an attempt on its machine. Only addAttempt and removeAttempt change
+// the attempts of a machine.
 func (c *Core) addAttempt(a *attempt) {
 	a.machine.attempts[a.key] = a
 	if a.idlePriority {
@@ -244,6 +284,7 @@
 	c.attemptsByTask[a.key.task] = append(c.attemptsByTask[a.key.task], a)
 }
 
+// removeAttempt removes an attempt from its machine.
 func (c *Core) removeAttempt(a *attempt) {
 	if a.machine.attempts[a.key] == a && a.idlePriority {
 		if c.idleAttempts[a.machine]--; c.idleAttempts[a.machine] == 0 {
@@ -267,7 +308,7 @@
 	}
 }
 
-// shardSeen is called for every new version of a shard record.
+// shardChanged is called for every new version of a shard record.
 func (c *Core) shardChanged(shard int, old *shardEntry) {
 	c.placementDue = true
 	delete(c.yielded, shard)
@@ -279,14 +320,14 @@
 		c.vouch.Granted(shardKey(shard), current.ver, namesUs)
 	}
 	if namesUs && c.heldShards[shard] && old != nil && duty.Regained(old.rec, c.shards[shard].rec) {
-		c.stopHoldingShard(shard) // another held it, and what it did is not in our mirror yet
+		c.stopHoldingShard(shard) // another controller held it meanwhile, and its writes are not in the mirror yet
 	}
 	switch {
 	case namesUs && !c.heldShards[shard]:
 		c.grantedShards[shard] = true
 		c.startHoldingShards()
 	case namesUs:
-		for _, id := range sortedKeys(c.jobs) { // of a team homed here just now
+		for _, id := range sortedKeys(c.jobs) { // of a team that was just assigned to this shard
 			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == shard {
 				c.jobChanged(e)
 			}
@@ -299,10 +340,10 @@
 	}
 }
 
-// enterShards takes up shards granted to us, each once the mirror has reached
-// the granting write. Our own commits enter the mirror ahead of the watch; to
-// act on the grant before all that the earlier holder wrote has been seen
-// would mean to start what its last writes say it has started.
+// startHoldingShards takes up shards granted to this controller, each once the mirror has
+// reached the granting write. Its own commits enter the mirror ahead of the watch; acting
+// on the grant before all writes of the earlier holder have arrived would start tasks
+// again that its last writes record as started.
 func (c *Core) startHoldingShards() {
 	for _, shard := range c.shardIDs() {
 		if !c.grantedShards[shard] || c.rev < c.shards[shard].ver {
@@ -329,6 +370,7 @@
 	}
 }
 
+// stopHoldingShard forgets the machines and jobs of a shard that was lost.
 func (c *Core) stopHoldingShard(shard int) {
 	delete(c.heldShards, shard)
 	delete(c.unreconciledShards, shard)
@@ -347,14 +389,14 @@
 		}
 	}
 	newHolder := c.shards[shard].rec.Holder
-	if y, ok := c.yielded[shard]; ok { // its record here is older than what a peer has told
+	if y, ok := c.yielded[shard]; ok { // a peer has announced the change, and the record here is older
 		newHolder = y
 	}
 	c.noteShard(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].ver})
 	c.log(1, "shard lost", "shard", shard, "to", newHolder)
 }
 
-// blockSeen is called for every new version of a block, or its removal.
+// blockChanged is called for every new version of a block, and for its removal.
 func (c *Core) blockChanged(id string, old *blockEntry) {
 	c.placementDue = true
 	b := c.blocks[id]
@@ -363,8 +405,8 @@
 	}
 	listed := map[string]bool{}
 	if b != nil && c.mine(b.rec.Shard) {
-		// Gained while holding: rented just now, or promised empty by another
-		// shard. Nothing of ours can be on it.
+		// A block gained while the shard is held was just rented, or is guaranteed
+		// to be empty by the shard that gave it: no task of this shard can be on it.
 		c.holdMachines(b, false)
 		for _, bm := range b.rec.Machines {
 			listed[bm.Name] = true
@@ -379,8 +421,8 @@
 	}
 	for _, bm := range old.rec.Machines {
 		if m := c.machines[bm.Name]; m != nil && m.block == id && !listed[bm.Name] {
-			// The leader takes a name out only once the cloud has deleted it, or
-			// the block moved, which only an empty one does.
+			// The leader removes a machine from a block's record only once the cloud
+			// has deleted it; otherwise the block has moved, which only an empty one does.
 			if b != nil && b.rec.Shard != m.shard {
 				c.sendToNextHolder(m, b)
 			}
@@ -392,14 +434,19 @@
 	}
 }
 
+// holdMachines adds the machines of a block to those held here, or moves them to the block's
+// shard. inherited: an earlier holder may have started tasks on them.
 func (c *Core) holdMachines(b *blockEntry, inherited bool) {
 	for _, bm := range b.rec.Machines {
 		m := c.machines[bm.Name]
 		if m == nil {
-			m = &machine{name: bm.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
-				shard: b.rec.Shard, heldSince: c.now, takeoverToken: c.token(b), inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
-				attempts: map[attemptKey]*attempt{}, images: map[string]bool{},
-				idleSince: c.now, lastReport: c.now}
+			m = &machine{
+				name: bm.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
+				shard: b.rec.Shard, heldSince: c.now, takeoverToken: c.token(b),
+				inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
+				attempts:  map[attemptKey]*attempt{}, images: map[string]bool{},
+				idleSince: c.now, lastReport: c.now,
+			}
 			for _, image := range c.caches.Of(bm.Name) {
 				m.images[image] = true
 			}
@@ -414,21 +461,22 @@
 			c.unaccountedMachines[b.rec.Shard]++
 		}
 		m.fresh = bm.Fresh && !c.useRecorded(bm.Name)
-		// A block may move between two shards of one holder: a machine left in
-		// its old shard would take that shard's tasks, and lose them from sight
-		// with the next change of hands.
+		// A block may move between two shards of one holder. A machine left in its
+		// old shard would be given tasks of that shard, and they would be lost from
+		// view with the next change of the holder.
 		m.shard, m.base, m.returning = b.rec.Shard, b.rec.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
 		c.markDirty(m)
 	}
 }
 
+// sortedAttemptKeys returns the keys of a machine's attempts, by task and attempt number.
 func sortedAttemptKeys(m *machine) []attemptKey {
 	return slices.SortedFunc(maps.Keys(m.attempts), func(a, b attemptKey) int {
 		return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.number, b.number))
 	})
 }
 
-// attemptGone takes an attempt off its machine; its task is started again
+// attemptLost removes an attempt from its machine. Its task is started again
 // unless it is done.
 func (c *Core) attemptLost(a *attempt, why string) {
 	c.hasten(a)
@@ -443,13 +491,14 @@
 	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", why)
 }
 
-// endActive marks that a's task is nowhere now.
+// deactivateAttempt records that the attempt no longer runs its task. Unless another
+// attempt of the task may be on a machine, the task is queued to start again.
 func (c *Core) deactivateAttempt(e *jobEntry, a *attempt) {
 	c.markJobDirty(e)
 	delete(e.run.active, a.taskIndex)
 	if other := c.otherAttempt(a); other != nil {
-		// A delayed report named it on one machine while it was on another:
-		// only when the last of them is gone may it start again.
+		// A delayed report listed the task on one machine while it was on another:
+		// it may start again only when the last of these attempts is gone.
 		e.run.active[a.taskIndex] = other
 		return
 	}
@@ -459,7 +508,7 @@
 	}
 }
 
-// elsewhere finds another attempt of a's task that may be on a machine.
+// otherAttempt returns another attempt of the same task that may be on a machine, or nil.
 func (c *Core) otherAttempt(a *attempt) *attempt {
 	var found *attempt
 	for _, other := range c.attemptsByTask[a.key.task] {
@@ -470,7 +519,7 @@
 	return found
 }
 
-// hold does the holder's duties.
+// runHolder performs the periodic work of the holder.
 func (c *Core) runHolder() {
 	c.checkLeases()
 	c.vacate()
