--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -221,26 +221,26 @@
 		if !c.mine(shard) {
 			continue
 		}
-		demand := wire.Want{Seen: c.newestBlock(shard)}
+		unmet := wire.Want{Seen: c.newestBlock(shard)}
 		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
-			demand.Needs = c.unmetNeeds(shard)
-			c.retire(shard, len(demand.Needs) > 0)
-			if len(demand.Needs) == 0 {
+			unmet.Needs = c.unmetNeeds(shard)
+			c.retire(shard, len(unmet.Needs) > 0)
+			if len(unmet.Needs) == 0 {
 				c.moveOff(shard)
 			}
 		}
-		demand = limits.Fit(demand, c.p.ValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.p.ValueBytes, wants.Shorter)
 		if c.demandPublishers[shard] == nil {
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
-		c.publishedDemand[shard] = demand
-		number, announce, write := c.demandPublishers[shard].Next(c.now, demand, c.wants[shard], c.words.Hears(c.now, c.chief.Node))
+		c.publishedDemand[shard] = unmet
+		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.wants[shard], c.words.Hears(c.now, c.chief.Node))
 		if announce {
-			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: demand})
+			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: unmet})
 		}
 		if write {
-			c.log(2, "asking the leader for machines", "shard", shard, "needs", len(demand.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: demand}}, func(StateReply) { c.changed() })
+			c.log(2, "asking the leader for machines", "shard", shard, "needs", len(unmet.Needs))
+			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: unmet}}, func(StateReply) { c.changed() })
 		}
 	}
 	if announcements != nil {
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -15,24 +15,27 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// books is what placing and writing ask of machines and jobs, kept up change by
-// change. Whoever changes a machine or a job says so with touch or touchJob; update
-// puts what was touched anew. Nothing here is decided, all of it can be counted afresh.
+// indexes holds what placement and writing need to know of machines and jobs, updated
+// incrementally. Code that changes a machine or a job calls markDirty or markJobDirty;
+// refreshIndexes recomputes the entries marked so. Nothing is decided here: all of it can
+// be recomputed from scratch.
 type indexes struct {
-	objectives          aims.Aims
-	capacity            *ledger.Book[*machine]
-	jobQueue            *queue.Queue[*jobEntry]
-	foundMachines       []ledger.Found[*machine] // kept for the next choice, as is cands
-	candidates          []placement.Candidate
-	dirtyMachines       []*machine
-	dirtyJobs           []*jobEntry
-	comingMachines      map[*machine]bool      // held and not up, or not accounted for: may have room soon
-	pendingWrites       map[*jobEntry]bool     // jobs with starts or their end to write
-	pendingProgress     map[*jobEntry]bool     // jobs with progress to write
-	urgentProgress      map[*jobEntry]bool     // those of them whose machines will be gone, or are
-	idleAttempts        map[*machine]int       // machines with work that gives way to all other, and how many
+	objectives     aims.Aims
+	capacity       *ledger.Book[*machine]
+	jobQueue       *queue.Queue[*jobEntry]
+	foundMachines  []ledger.Found[*machine] // buffer reused between choices, as is candidates
+	candidates     []placement.Candidate
+	dirtyMachines  []*machine
+	dirtyJobs      []*jobEntry
+	comingMachines map[*machine]bool  // held and not up, or not accounted for: may have free capacity soon
+	pendingWrites  map[*jobEntry]bool // jobs whose starts or end must be written
+
+	pendingProgress map[*jobEntry]bool // jobs with progress to write
+	urgentProgress  map[*jobEntry]bool // those of them whose machines are gone, or soon will be
+
+	idleAttempts        map[*machine]int       // machines with attempts of idle priority, and their number
 	unaccountedMachines map[int]int            // by shard: inherited machines not accounted for
-	jobsAwaitingMachine map[string][]*jobEntry // machine -> jobs whose tasks may be on it, after a takeover
+	jobsAwaitingMachine map[string][]*jobEntry // machine -> jobs whose tasks may be on it after a takeover
 }
 
 func newIndexes(teams map[string]Team) indexes {
@@ -40,11 +43,22 @@
 	for n, t := range teams {
 		guarantees[n] = placement.Size{CPUs: t.CPUs, GPUs: t.GPUs}
 	}
-	return indexes{capacity: ledger.New[*machine](), jobQueue: queue.New[*jobEntry](guarantees), comingMachines: map[*machine]bool{}, pendingWrites: map[*jobEntry]bool{},
-		pendingProgress: map[*jobEntry]bool{}, urgentProgress: map[*jobEntry]bool{}, idleAttempts: map[*machine]int{}, unaccountedMachines: map[int]int{}, jobsAwaitingMachine: map[string][]*jobEntry{}}
+	return indexes{
+		capacity:       ledger.New[*machine](),
+		jobQueue:       queue.New[*jobEntry](guarantees),
+		comingMachines: map[*machine]bool{},
+
+		pendingWrites:   map[*jobEntry]bool{},
+		pendingProgress: map[*jobEntry]bool{},
+		urgentProgress:  map[*jobEntry]bool{},
+
+		idleAttempts:        map[*machine]int{},
+		unaccountedMachines: map[int]int{},
+		jobsAwaitingMachine: map[string][]*jobEntry{},
+	}
 }
 
-// touch has a machine's facts put anew before they are next asked for.
+// markDirty marks a machine whose index entries must be recomputed before their next use.
 func (c *Core) markDirty(m *machine) {
 	c.placementDue = true
 	if !m.dirty {
@@ -53,6 +67,7 @@
 	}
 }
 
+// markBlockDirty marks all machines of a block.
 func (c *Core) markBlockDirty(id string) {
 	if b := c.blocks[id]; b != nil {
 		for _, bm := range b.rec.Machines {
@@ -63,7 +78,7 @@
 	}
 }
 
-// touchShard does so for all machines of a shard, or of all shards if it is negative.
+// markShardDirty marks all machines of a shard, or of all shards if shard is negative.
 func (c *Core) markShardDirty(shard int) {
 	for _, m := range c.heldMachines() {
 		if shard < 0 || m.shard == shard {
@@ -72,7 +87,7 @@
 	}
 }
 
-// touchJob has a job's place in the order, and what is to be written of it, made anew.
+// markJobDirty marks a job whose position in the queue and pending writes must be recomputed.
 func (c *Core) markJobDirty(e *jobEntry) {
 	c.placementDue = true
 	if !e.touched {
@@ -81,12 +96,12 @@
 	}
 }
 
-// update brings the books up to date.
+// refreshIndexes recomputes the index entries of all dirty machines and jobs.
 func (c *Core) refreshIndexes() {
 	for _, m := range c.capacity.Silent(c.now - c.reportMaxAge()) {
 		c.markDirty(m)
 	}
-	for len(c.dirtyMachines) > 0 { // a machine that became unusable gives tasks back
+	for len(c.dirtyMachines) > 0 { // loops: a machine that became unusable loses its unsent attempts, which marks it dirty again
 		list := c.dirtyMachines
 		c.dirtyMachines = nil
 		sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
@@ -103,6 +118,8 @@
 	}
 }
 
+// refreshMachine recomputes the index entries of a machine. If it is no longer usable, its
+// attempts whose start was never sent are removed.
 func (c *Core) refreshMachine(m *machine) {
 	if c.machines[m.name] != m {
 		return
@@ -127,8 +144,19 @@
 		unknown++ // anything may run there, for any team
 	}
 	urgent, _ := c.urgentReserve.Task(m.shard)
-	facts := ledger.Facts{Kind: ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0},
-		Usable: usable, Free: c.freeToAll(m), Uses: usage.teams, Spare: c.roomFor(m, urgent)}
+	facts := ledger.Facts{
+		Kind: ledger.Kind{
+			Shard: m.shard,
+			Type:  m.machineType,
+			Zone:  m.zone,
+			Spot:  m.spot,
+			Opens: !m.base && len(m.attempts) == 0,
+		},
+		Usable: usable,
+		Free:   c.freeToAll(m),
+		Uses:   usage.teams,
+		Spare:  c.roomFor(m, urgent),
+	}
 	for range unknown {
 		facts.Unknown = facts.Unknown.Add(full)
 	}
@@ -140,6 +168,7 @@
 	}
 }
 
+// refreshJob recomputes a job's position in the queue and its pending writes.
 func (c *Core) refreshJob(e *jobEntry) {
 	delete(c.pendingWrites, e)
 	delete(c.pendingProgress, e)
@@ -148,11 +177,25 @@
 		return
 	}
 	j, run := &e.rec, e.run
-	queued := queue.Job{ID: j.ID, Team: j.Team, Accepted: j.ReadySince(), Number: j.Number, Rank: e.rank, Strict: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
-		Due: min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due), Pressed: c.crewPressed(j.ID), Turn: objectiveLimits.Turn(objectiveWork(j)), Estimate: j.EstimateS, Ask: jobSize(j), Rest: j.Tasks - run.done.Count(), Pending: c.startableTasks(e),
-		Begun: j.Started > 0 || run.nextIndex > 0}
+	queued := queue.Job{
+		ID:       j.ID,
+		Team:     j.Team,
+		Accepted: j.ReadySince(),
+		Number:   j.Number,
+		Rank:     e.rank,
+		Strict:   j.Zone != "" || j.OneZone,
+		Service:  j.Shape == wire.ShapeService,
+		Due:      min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due),
+		Pressed:  c.crewPressed(j.ID),
+		Turn:     objectiveLimits.Turn(objectiveWork(j)),
+		Estimate: j.EstimateS,
+		Ask:      jobSize(j),
+		Rest:     j.Tasks - run.done.Count(),
+		Pending:  c.startableTasks(e),
+		Begun:    j.Started > 0 || run.nextIndex > 0,
+	}
 	if c.taskHealth.Trial(j.ID) {
-		queued.Rest = min(queued.Rest, 1) // it keeps no place of others
+		queued.Rest = min(queued.Rest, 1) // it reserves no capacity that other jobs could use
 	}
 	c.jobQueue.Put(e, queued)
 	_, ended, due := c.unwrittenStarts(e)
@@ -164,20 +207,27 @@
 	}
 }
 
-var objectiveLimits = aims.Limits{CPUs: tuning.TurnCPUs, Horizon: tuning.IdleHorizon.Seconds(), Least: tuning.IdleLeast.Seconds(), Headroom: tuning.IdleHeadroom}
+var objectiveLimits = aims.Limits{
+	CPUs:     tuning.TurnCPUs,
+	Horizon:  tuning.IdleHorizon.Seconds(),
+	Least:    tuning.IdleLeast.Seconds(),
+	Headroom: tuning.IdleHeadroom,
+}
 
+// objectiveWork returns a job as the objectives see it. Times are in seconds.
 func objectiveWork(j *wire.Job) aims.Work {
 	due, ready := j.DueS, float64(j.ReadySince())/1000
-	if due > 0 && j.ReadyMS > 0 { // it counts from the submission, all else from when the job could run
+	if due > 0 && j.ReadyMS > 0 { // the deadline counts from the submission, all else from when the job could run
 		due = max(math.SmallestNonzeroFloat64, due-ready+float64(j.AcceptedMS)/1000)
 	}
 	return aims.Work{Class: j.Class, Accepted: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, Estimate: j.EstimateS}
 }
 
-// pending is how many tasks are to be started.
+// pendingTasks returns the number of tasks that are still to be started.
 func (r *jobRun) pendingTasks(j *wire.Job) int { return len(r.retryIndexes) + j.Tasks - r.nextIndex }
 
-// owes tells what of a job's starts and its end is to be written.
+// unwrittenStarts returns the number of starts that a job's record should cover, and reports
+// whether the job has ended and whether its starts or its end are due to be written.
 func (c *Core) unwrittenStarts(e *jobEntry) (started int, ended, due bool) {
 	run := e.run
 	if run.done.Count() >= e.rec.Tasks {
@@ -190,7 +240,7 @@
 	return started, false, started > e.rec.Started || c.movedOn(e) || c.failureUnrecorded(e)
 }
 
-// judge decides anew, now and then, which jobs are late.
+// refreshLateness periodically decides again which jobs are late.
 func (c *Core) refreshLateness() {
 	if !c.every("judge", tuning.JudgeEvery) {
 		return
@@ -202,7 +252,7 @@
 	})
 }
 
-// sortedJobs lists jobs of a set by rung, then by age.
+// sortedJobs returns the jobs of a set by tier, then by age.
 func sortedJobs(set map[*jobEntry]bool) []*jobEntry {
 	list := slices.AppendSeq(make([]*jobEntry, 0, len(set)), maps.Keys(set))
 	sort.Slice(list, func(i, j int) bool {
@@ -212,4 +262,5 @@
 	return list
 }
 
+// isOlderJob reports whether a is served before b within the same tier.
 func isOlderJob(a, b *jobEntry) bool { return ladder.Older(&a.rec, &b.rec) }
