--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -10,13 +10,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// onReport answers a worker. Only the holder of its block says 200.
+// onReport answers a worker's report. Only the holder of the machine's block answers 200.
 func (c *Core) onReport(v WorkerReport) {
 	r := &v.Report
 	c.addrs.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
 	origin, relayed := c.relays.Through(v.Req)
-	switch { // an older report is a copy: it says of no worker that we reach it
+	switch { // an older report is a late copy: it does not prove that the worker reaches this controller
 	case m != nil && c.isStaleReport(m, r):
 	case !relayed:
 		c.workers.Heard(c.now, c.heldShardOf(r.Machine), r.Machine)
@@ -29,15 +29,16 @@
 	}
 	b := c.blocks[m.block]
 	if b == nil || !c.mine(m.shard) || !c.confirmed() {
-		// Not sure to be entitled: the worker may find one who is.
+		// The authority to act is not confirmed: the worker may find a controller with it.
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
 	}
 	c.testDelivery(m, relayed)
 	token := c.answerToken(m, b)
 	if r.Token > token || c.isStaleReport(m, r) {
-		// A higher token: someone else is entitled and we have not heard yet.
-		// An older report: delayed on its way, its list is history.
+		// A higher token means that another controller has the authority to act and the
+		// mirror does not show it yet. An older report was delayed in transit, and its
+		// list of attempts is outdated.
 		c.answer(v.Req, 503, unavailable("report out of date"))
 		return
 	}
@@ -54,7 +55,7 @@
 	if !m.accounted && r.Token >= m.takeoverToken {
 		c.markAccounted(m, "report")
 	}
-	if c.placementDue { // a slot that this report frees is refilled in its answer
+	if c.placementDue { // capacity that this report frees is used again in its answer
 		c.placementDue = false
 		c.placeTasks()
 	}
@@ -69,26 +70,28 @@
 			unsent, urgent = true, urgent || !a.belowUrgent
 		}
 	}
-	if unsent { // starts that are still being written
+	if unsent { // their starts are still being written
 		c.requestReport(m, urgent)
 	}
 	c.flush()
 }
 
-// proves tells whether a report is known to be no late copy. Who has held a machine since it
-// was rented knows its reports by their numbers. Who has taken it over knows none: there a
-// report proves itself by naming a token that was given after that. Where nothing can be from
-// before it may lack that, for it cost blocks that had just moved a report each, but only if it
-// names no task: a copy that did had the task started anew, which by then was elsewhere.
+// provesCurrent reports whether a report is known not to be a late copy. A controller that has
+// held a machine since it was rented recognizes copies by their report numbers. One that has
+// taken it over knows no earlier numbers: there a report must name a token that was granted with
+// the takeover or later. On a machine that no earlier holder can have used, a report may lack
+// such a token, because requiring it cost one extra report for each machine of a block that had
+// just moved, but only if it lists no attempt: a late copy that listed one caused its task to be
+// started again although it was running elsewhere by then.
 func (c *Core) provesCurrent(m *machine, r *wire.Report) bool {
 	m.currentReportsProven = m.currentReportsProven || r.Token >= m.takeoverToken
 	return m.currentReportsProven || !m.inherited && len(r.Attempts) == 0
 }
 
-// trust answers a report that proves nothing, so that the next one can: with our token and
-// no command. It changes nothing else here, and is done a few times only: copies of the last
-// reports of a dead machine would otherwise put off the end of its lease, as we must count
-// it, one after the other.
+// answerUnproven answers a report that does not prove that it is current with the token and no
+// command, so that the next report can prove it. It accepts nothing else from the report, and
+// does so only a few times: each answer moves the time at which the machine's lease is certainly
+// over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
 	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
@@ -100,8 +103,9 @@
 	c.answer(req, 200, wire.ReportReply{Token: token, Commands: []wire.Command{}})
 }
 
-// test has the next answer to a machine carry a higher token if it is in doubt whether the
-// machine hears: it came by another way, or as late as one that waited in vain.
+// testDelivery makes the next answer to a machine carry a higher token if it is doubtful whether
+// the worker receives its answers: the report came by another route, or as late as the report of
+// a worker that timed out waiting for an answer.
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
 	suspicious := m.reported && c.now-m.lastAnswered < c.p.Lease && (relayed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
@@ -110,7 +114,7 @@
 	}
 }
 
-// listen judges by a new report whether its worker hears what it is answered.
+// trackDelivery infers from a new report whether its worker receives the answers sent to it.
 func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
 	verdictChanged := m.delivery.Report(r, via, lapsed)
@@ -122,6 +126,7 @@
 	}
 }
 
+// deliveryChanged records that the verdict on whether a worker receives its answers has changed.
 func (c *Core) deliveryChanged(m *machine) {
 	c.markDirty(m)
 	c.placementDue = true
@@ -130,15 +135,15 @@
 		kind = trail.MachineDeaf
 	}
 	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
-	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.delivery.Deaf())
+	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.Deaf())
 }
 
-// older tells whether a report is history: a later one of its worker is known.
+// isStaleReport reports whether this report or a later one of the same worker is already known.
 func (c *Core) isStaleReport(m *machine, r *wire.Report) bool {
 	return r.Session < m.session || r.Session == m.session && r.Seq <= m.seq
 }
 
-// heardFrom takes what a machine's newest report says of the machine itself.
+// applyMachineReport applies what a machine's newest report says about the machine itself.
 func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
@@ -154,7 +159,7 @@
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.p.Nodes) > 1 { // told with the next pings, and forgotten then
+		if len(c.p.Nodes) > 1 { // sent to the peers with the next pings, and forgotten then
 			c.addrs.CameUp(c.now, m.name)
 		}
 		c.boots.Up(c.now, m.name)
@@ -169,11 +174,11 @@
 		m.terminationNotice, m.terminatesAt = true, c.now+seconds(*r.NoticeS)
 		c.markDirty(m)
 		c.noteMachine(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
-		c.log(1, "machine will be taken", "machine", m.name, "in_s", *r.NoticeS)
+		c.log(1, "machine will be terminated by the cloud", "machine", m.name, "in_s", *r.NoticeS)
 	}
 }
 
-// redirect answers a worker of a block this controller does not hold.
+// redirectReport answers a worker of a block that this controller does not hold.
 func (c *Core) redirectReport(req uint64, r *wire.Report) {
 	if c.loaded {
 		if b := c.blockOf(r.Machine); b != nil && c.shards[b.rec.Shard] != nil {
@@ -185,15 +190,15 @@
 			if successor, ok := c.yielded[b.rec.Shard]; ok {
 				holder = successor
 			}
-			// What we know of the holder is old: two controllers that a cut had left
-			// without news sent workers to each other until their leases were over.
+			// The mirror may be out of date: two controllers that a network partition had cut
+			// off from updates redirected workers to each other until their leases were over.
 			if r.Token > c.rev || c.cutOff() {
 				holder = ""
 			}
 			if _, relayed := c.relays.Through(req); holder != "" && holder != c.p.Node && !relayed {
 				switch {
 				case c.relay(req, r, holder, s.ver):
-				case c.holderUnreachable(holder, b.rec.Shard): // it would wait there in vain
+				case c.holderUnreachable(holder, b.rec.Shard): // it would get no answer there
 					c.redirectToRelay(req, holder)
 				default:
 					c.answer(req, 421, wire.Redirect{Holder: holder})
@@ -212,14 +217,15 @@
 	c.answer(req, 503, unavailable("machine not known"))
 }
 
-// deaf tells whether a holder has said that workers do not reach it.
+// holderUnreachable reports whether a holder has announced that workers do not reach it, either
+// none at all or not those of this shard.
 func (c *Core) holderUnreachable(holder string, shard int) bool {
 	w := c.wordOf(holder)
 	return w.Lacks || slices.Contains(w.Seeks, shard)
 }
 
-// sendBeside sends a worker to a controller that passes its reports on to a holder whom
-// neither it nor we can reach, if there is one.
+// redirectToRelay redirects a worker to a controller that can relay its reports to a holder
+// that neither the worker nor this controller can reach, if there is one.
 func (c *Core) redirectToRelay(req uint64, holder string) {
 	for _, n := range sortedKeys(c.nodes) {
 		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
@@ -230,7 +236,7 @@
 	c.answer(req, 503, unavailable("holder does not hear its workers"))
 }
 
-// takeStock brings the attempts of a machine in line with its newest report.
+// applyAttemptReports updates the attempts of a machine from its newest report.
 func (c *Core) applyAttemptReports(m *machine, r *wire.Report) {
 	present := map[attemptKey]bool{}
 	for _, t := range r.Attempts {
@@ -240,7 +246,7 @@
 		if a == nil {
 			job, idx, err := wire.ParseTask(t.Task)
 			if err != nil {
-				c.log(0, "report names no task", "machine", m.name, "task", t.Task)
+				c.log(0, "report contains an invalid task name", "machine", m.name, "task", t.Task)
 				continue
 			}
 			a = &attempt{key: k, job: job, taskIndex: idx, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
@@ -249,9 +255,9 @@
 				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
 					if other := e.run.active[idx]; other != nil {
-						// One of the two is history, told by a delayed report; the
-						// next reports settle which.
-						c.log(0, "task named on two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
+						// One of the two is outdated and comes from a delayed report; the
+						// next reports show which.
+						c.log(0, "task reported by two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
 						a.stopping = other.machine.accounted && m.accounted && other.machine != m
 					} else {
 						e.run.active[idx] = a
@@ -268,15 +274,15 @@
 		was := a.status
 		a.status, a.cause = t.Status, t.Cause
 		if t.Status == wire.TaskRunning || t.Status == wire.TaskSaving || t.Status == wire.TaskEnded && t.Cause == wire.CauseDone {
-			// After a takeover, what ended meanwhile tells it too: without that, tasks
-			// went where their image was not, and fetched it again.
+			// After a takeover, a task that has ended meanwhile shows it as well: without
+			// that, tasks were placed on machines without their image and fetched it again.
 			c.noteImage(m, a.job)
 		}
 		switch t.Status {
 		case wire.TaskRunning:
 			a.runningSince = c.now
 			c.noteBack(trail.TaskRuns, a)
-			c.log(2, "task runs", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
+			c.log(2, "task running", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
 		case wire.TaskEnded:
 			m.usage.valid = false
 			c.markDirty(m)
@@ -288,8 +294,8 @@
 		if present[k] || (!a.startSent && a.status == "") {
 			continue
 		}
-		// A newer report without it: the answer that carried the start was
-		// dropped, the session is over, or it was cleared.
+		// A newer report does not list it: the answer that carried its start was
+		// lost, the session has ended, or the attempt was cleared.
 		c.attemptLost(a, "not on its machine")
 	}
 	if len(m.attempts) > 0 {
@@ -298,7 +304,7 @@
 	c.weigh(m)
 }
 
-// hasImage notes that a machine has the image of a job whose task ran there.
+// noteImage records that a machine has the image of a job, because a task of it ran there.
 func (c *Core) noteImage(m *machine, job string) {
 	if e := c.jobs[job]; e != nil && !m.images[e.rec.Image] {
 		m.images[e.rec.Image] = true
@@ -306,7 +312,7 @@
 	}
 }
 
-// attemptEnded handles an attempt's end as its worker reports it.
+// attemptEnded handles the end of an attempt that its worker has reported. was is the status before.
 func (c *Core) attemptEnded(a *attempt, was string) {
 	e := c.jobs[a.job]
 	if e == nil || e.run == nil {
@@ -346,16 +352,17 @@
 	e.run.notBefore = c.now + min(tuning.ErrorBackoff<<min(e.run.failures-1, 10), tuning.ErrorBackoffMax)
 }
 
-// commands for a machine, in answer to its report.
+// commands returns the commands for a machine, in answer to its report.
 func (c *Core) commands(m *machine) []wire.Command { return c.commandsFor(m, false) }
 
-// startable tells whether a reserved attempt's start is written, so that it may be made.
+// startable reports whether the start of a reserved attempt is recorded in the state service, so that
+// the command may be sent.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
 	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex && (!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
 }
 
-// commandsFor lists commands for a machine; a look changes nothing.
+// commandsFor returns the commands for a machine. A preview changes nothing and leaves out starts.
 func (c *Core) commandsFor(m *machine, preview bool) []wire.Command {
 	cmds := []wire.Command{}
 	if !m.accounted {
@@ -363,14 +370,14 @@
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		if len(cmds) >= 200 {
-			break // the rest comes with the next report; a reply has its limit
+			break // the size of a reply is limited; the rest follows with the next report
 		}
 		a := m.attempts[k]
 		e := c.jobs[a.job]
 		live := e != nil && e.run != nil
 		switch {
 		case a.status == wire.TaskEnded:
-			// Cleared only once the outcome is written, or has no bearing.
+			// Cleared only once the outcome is recorded or no longer matters.
 			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.taskIndex) {
 				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
