--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -10,8 +10,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// machineGone frees everything that was on a machine that is surely gone, or
-// whose lease is surely over.
+// machineGone frees everything that was on a machine that is certainly gone, or
+// whose lease is certainly over.
 func (c *Core) machineGone(m *machine, why string) {
 	c.placementDue = true
 	for _, k := range sortedAttemptKeys(m) {
@@ -20,7 +20,7 @@
 	c.markAccounted(m, why)
 }
 
-// account takes note that what is on a machine is known from now on.
+// markAccounted records that the tasks on a machine are known from now on.
 func (c *Core) markAccounted(m *machine, why string) {
 	if m.inherited && !m.accounted {
 		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: why})
@@ -33,8 +33,8 @@
 	c.reconcileShards()
 }
 
-// settle lets started tasks go again once every machine inherited with a shard
-// is accounted for.
+// reconcileShards ends the reconciliation of each shard whose inherited machines are all
+// accounted for: its started tasks that are on no machine may start again.
 func (c *Core) reconcileShards() {
 	for _, shard := range sortedIntKeys(c.unreconciledShards) {
 		if c.unaccountedMachines[shard] > 0 {
@@ -55,12 +55,13 @@
 	}
 }
 
-// settleOn does the same for jobs of few tasks once a machine of their records is accounted for.
+// reconcileJobsOn does the same for the jobs with few tasks that wait for one machine, once that
+// machine is accounted for.
 func (c *Core) reconcileJobsOn(m *machine) {
 	if !c.unreconciledShards[m.shard] {
 		return
 	}
-	for _, e := range c.jobsAwaitingMachine[m.name] { // one that has moved here since may be of a job of another shard
+	for _, e := range c.jobsAwaitingMachine[m.name] { // the machine may have moved between shards, so the job may belong to another one
 		if c.jobs[e.rec.ID] == e && e.run != nil && e.run.inheritedBelow > 0 && slices.Contains(e.rec.On, m.name) {
 			c.reconcileJob(e, c.shardOf(e.rec.Team), true)
 		}
@@ -68,7 +69,8 @@
 	delete(c.jobsAwaitingMachine, m.name)
 }
 
-// awaitOn notes which machines a job of few tasks waits for after a takeover.
+// awaitMachines indexes the machines that a job with few tasks waits for after a takeover. Those
+// of urgent jobs are queried first.
 func (c *Core) awaitMachines(e *jobEntry) {
 	if e.run.inheritedBelow > 0 {
 		for _, name := range e.rec.On {
@@ -82,10 +84,11 @@
 	}
 }
 
-// tracked tells whether a job's starts are written down machine by machine.
+// tracksMachines reports whether the starts of a job are recorded with their machines.
 func tracksMachines(j *wire.Job) bool { return j.Tasks <= tuning.TrackTasks }
 
-// onOf is the machine a tracked job's task was last started on, "" if not known.
+// recordedMachine returns the machine that a task was last started on according to its job's
+// record, or "" if it is not recorded.
 func recordedMachine(j *wire.Job, idx int) string {
 	if idx < len(j.On) {
 		return j.On[idx]
@@ -93,9 +96,9 @@
 	return ""
 }
 
-// mayBeOn tells whether a started task may be on a machine of an earlier holder
-// that is not accounted for. A machine that has left the shard was deleted, or
-// promised empty.
+// mayRunOnInherited reports whether a started task may be on a machine of an earlier holder
+// that is not accounted for. A machine that has left the shard was deleted, or was
+// guaranteed to be empty.
 func (c *Core) mayRunOnInherited(e *jobEntry, idx, shard int) bool {
 	if !c.unreconciledShards[shard] {
 		return false
@@ -108,8 +111,9 @@
 	return m != nil && m.shard == shard && m.inherited && !m.accounted
 }
 
-// settleJob lets the tasks go again that may have been started and are nowhere. They
-// were lost if an earlier holder had them; those we wrote ahead ourselves were not.
+// reconcileJob queues the tasks to start again that may have been started and are on no
+// machine. They were lost if an earlier holder had started them; those whose starts this
+// controller recorded in advance were not.
 func (c *Core) reconcileJob(e *jobEntry, shard int, lost bool) {
 	if e.run.inheritedBelow == 0 || c.unreconciledShards[shard] && !tracksMachines(&e.rec) {
 		return
@@ -139,7 +143,8 @@
 	}
 }
 
-// watchMachines notices machines that have gone silent.
+// checkLeases finds silent machines whose leases are over by this controller's clock, and
+// frees their tasks once the state service confirms that their shard is still held here.
 func (c *Core) checkLeases() {
 	for _, shard := range sortedIntKeys(c.unreconciledShards) {
 		if _, known := c.previousHolderDeadSince[shard]; !known && c.shards[shard] != nil {
@@ -166,12 +171,12 @@
 					m.accounted = true
 					c.markDirty(m)
 				}
-				continue // never had a 200 from us, and was empty
+				continue // never got a 200 from this controller, and was empty
 			}
 		} else {
-			// Inherited: the earlier holder may have answered it for as long as
-			// it could go unconfirmed, even after we took over; but not beyond
-			// its death, which its next life proves.
+			// Inherited: the earlier holder may have answered it for as long as it
+			// could go without confirmation, even after the takeover, but not after
+			// its process ended, which a later incarnation of its node proves.
 			since = m.heldSince + c.unconfirmedMax()
 			if at, dead := c.previousHolderDeadSince[m.shard]; dead {
 				since = min(since, max(m.heldSince, at))
@@ -183,8 +188,9 @@
 		}
 	}
 	for _, shard := range sortedIntKeys(byShard) {
-		// The lease is over by our count. That nobody else answered meanwhile is
-		// proven by still holding the shard now, in the state itself.
+		// The leases are over by this controller's clock. That no other controller has
+		// answered the workers meanwhile is proven by the state service: it confirms
+		// that the shard is still held here.
 		c.verifyingShard = true
 		expired := byShard[shard]
 		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(shard)}}}, func(r StateReply) {
@@ -200,27 +206,28 @@
 					m.leaseOver = true
 					c.markDirty(m)
 					if m.session > 0 {
-						// Its worker kills all and goes on with the next session. A
-						// report of this one that a cut has held back would bring
-						// tasks that run elsewhere by now back to the machine.
+						// Its worker kills all tasks and continues with the next session.
+						// A report of this session that a network partition has delayed
+						// would bring tasks that run elsewhere by now back to the machine.
 						m.session, m.seq = m.session+1, 0
 					}
 					c.noteMachine(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
-					c.log(1, "machine silent, its lease is over", "machine", m.name, "tasks", len(m.attempts))
+					c.log(1, "machine silent and its lease is over", "machine", m.name, "tasks", len(m.attempts))
 					c.machineGone(m, "lease over")
 				}
 			}
 			c.runHolder()
 		})
-		return // one at a time
+		return // one verification at a time
 	}
 }
 
-// missing gives back the few rented machines that alone keep a shard from being settled,
-// once all others have reported. Their deletion proves at once what else only the end of
-// a lease would: of some hundred spot machines one is taken every few seconds, so nearly
-// each change of hands had started tasks of every array wait for half a minute. Many
-// missing at a time are a cut or an outage, and are waited for.
+// returnMissing gives back the few rented machines that keep a shard from being reconciled
+// once all others have reported. Their deletion proves at once what otherwise only the end of
+// their lease would prove: of some hundred spot machines the cloud terminates one every few
+// seconds, so after nearly every change of a shard's holder the started tasks of all arrays
+// waited for half a minute. Many missing machines at a time indicate a network partition or an
+// outage, so these are waited for.
 func (c *Core) returnMissing() {
 	for _, shard := range sortedIntKeys(c.unreconciledShards) {
 		if unaccounted := c.unaccountedMachines[shard]; unaccounted == 0 || c.now-c.shardHeldSince[shard] < tuning.MissingCalled {
@@ -229,13 +236,13 @@
 			continue
 		}
 		for _, m := range c.heldMachines() {
-			// One that was called twice in vain has had its chance; one that we do not know
-			// how to call has it with its next report.
+			// A machine counts as missing after two calls without a usable answer. One whose
+			// address is not known gets until its next report is overdue.
 			waited := c.roll.Tries(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
 			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
 				m.returning = true
 				c.markDirty(m)
-				c.urgentBlocks[m.block] = true // written with what users wait for
+				c.urgentBlocks[m.block] = true // written with the urgent writes
 				c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
 				c.log(1, "giving a machine back", "machine", m.name, "why", "missing after a change of hands")
 			}
@@ -243,7 +250,7 @@
 	}
 }
 
-// machinesIn counts a shard's machines.
+// machineCount returns the number of held machines of a shard.
 func (c *Core) machineCount(shard int) (n int) {
 	for _, m := range c.machines {
 		if m.shard == shard {
@@ -253,8 +260,9 @@
 	return n
 }
 
-// allDead tells whether none of these lives can be answering a worker now: a
-// later life of the same node proves it, and this node answers as itself only.
+// allIncarnationsDead reports whether none of these incarnations can be answering a worker now.
+// A later incarnation of the same node proves it, and this node itself answers only as its
+// current incarnation.
 func (c *Core) allIncarnationsDead(incarnations []wire.Life) bool {
 	for _, incarnation := range incarnations {
 		if n, up := c.nodes[incarnation.Node]; incarnation.Node != c.p.Node && (!up || n.Boot == incarnation.Boot) {
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -9,27 +9,35 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// machineEntry names a machine among the starts.
+// machineEntryPrefix begins the names of entries of the start log that record the first use of a
+// machine. Other entries are named by their job.
 const machineEntryPrefix = "m:"
 
-var writeLimitParams = limits.FormParams{Least: limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2}, Factor: tuning.FormFactor,
-	Aside: tuning.FormAside, AsideM: tuning.FormAsideMax, Alone: tuning.FormAlone, Stuck: tuning.FormStuck, Again: tuning.FormAgain}
+var writeLimitParams = limits.FormParams{
+	Least:  limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
+	Factor: tuning.FormFactor,
+	Aside:  tuning.FormAside,
+	AsideM: tuning.FormAsideMax,
+	Alone:  tuning.FormAlone,
+	Stuck:  tuning.FormStuck,
+	Again:  tuning.FormAgain,
+}
 
-// refusedForm learns from a write that the state service calls malformed.
+// writeRefused lowers the limits of writes after the state service has refused one as malformed.
 func (c *Core) writeRefused(when []wire.Condition, then []wire.Change, why string) {
 	if strings.Contains(why, "lease") {
-		return // it has ended: its holder takes another
+		return // the state lease has ended: its holder requests another one
 	}
 	write := limits.Describe(when, then)
 	c.out = append(c.out, WriteRefused{Kind: write.Kind})
 	if c.form.Refused(c.now, write, why) {
 		bounds := c.form.Bounds()
-		c.log(3, "a write was refused for its form", "kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", why, "now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
+		c.log(3, "state service refused a write as malformed", "kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", why, "now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
 	}
 	c.applyWriteLimits(c.form.Bounds())
 }
 
-// keepTo has all that is written from now on keep to bounds.
+// applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.p.ValueBytes, c.p.TxnOps = bounds.ValueBytes, bounds.Changes
 	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
@@ -37,7 +45,7 @@
 	c.calendar.KeepTo(bounds.ValueBytes)
 }
 
-// overlay brings a job's record up to what has been written of its starts apart from it.
+// overlayStarts updates a job's record with the starts that were recorded separately, in the start log.
 func (c *Core) overlayStarts(r *wire.Job) {
 	if s, ok := c.started.Of(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
@@ -47,7 +55,7 @@
 	}
 }
 
-// putStarts takes a new record of starts.
+// applyStarts applies a new version of a start log record.
 func (c *Core) applyStarts(key string, ver uint64, r wire.Starts) error {
 	changed, err := c.started.Put(key, ver, r)
 	for _, name := range changed {
@@ -65,13 +73,14 @@
 	return err
 }
 
-// everUsed tells whether it has been written that a fresh machine is one no longer.
+// useRecorded reports whether the start log records the first use of a machine.
 func (c *Core) useRecorded(machine string) bool {
 	_, ok := c.started.Of(machineEntryPrefix + machine)
 	return ok
 }
 
-// stillCounts tells whether an entry of the starts is still needed.
+// startEntryNeeded reports whether an entry of the start log is still needed: that of a job while
+// the job is live, that of a machine while its block records it as never used.
 func (c *Core) startEntryNeeded(name string) bool {
 	machine, isMachine := strings.CutPrefix(name, machineEntryPrefix)
 	if !isMachine {
@@ -87,9 +96,9 @@
 	return false
 }
 
-// flushStarts writes starts before they are made: for each shard one record with the
-// starts of many jobs, urgent ones first, compared with the shard, the record and each
-// job, so that nothing is started of a job that has ended or been aborted.
+// flushStarts records starts before they are made: for each shard one record with the starts
+// of many jobs, urgent ones first. The write is conditional on the versions of the shard, of the
+// record and of each job, so that no task is started of a job that has ended or been aborted.
 func (c *Core) flushStarts() {
 	if len(c.pendingWrites) == 0 && len(c.firstUseUnwritten) == 0 {
 		return
@@ -97,7 +106,7 @@
 	c.refreshIndexes()
 	jobs := sortedJobs(c.pendingWrites)
 	for _, shard := range c.shardIDs() {
-		// Urgent ones, which come first in the list, wait for no others to come along.
+		// Urgent jobs come first in the list; their starts do not wait to share a write with others.
 		paced := c.now < c.startsPacedUntil[shard] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
 		if !c.mine(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
 			continue
@@ -113,7 +122,7 @@
 		jobsByID := map[string]*jobEntry{}
 		for _, e := range jobs {
 			if len(jobsByID) >= 4*c.p.TxnOps-2 {
-				break // conditions in one call
+				break // the number of conditions in one call is limited
 			}
 			started, ended, due := c.unwrittenStarts(e)
 			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOf(e.rec.Team) != shard || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
@@ -123,7 +132,7 @@
 			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startRecord(e, started)})
 		}
 		if c.form.Alone(c.now) && len(jobsByID) > 0 {
-			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the one that is refused
+			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
 		}
 		if len(entries) > 0 {
 			c.writeStarts(shard, entries, jobsByID)
@@ -131,7 +140,7 @@
 	}
 }
 
-// startOf is what is to be written of a job's starts.
+// startRecord returns the entry to be written for a job's starts.
 func (c *Core) startRecord(e *jobEntry, started int) wire.Start {
 	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.taskHealth.Mistaken(e.rec.ID)}
 	if tracksMachines(&e.rec) {
@@ -144,7 +153,8 @@
 	return s
 }
 
-// badNews tells whether it is still to be written that a job fails everywhere.
+// failureUnrecorded reports whether a job fails on all machines and the start log does not record
+// that yet.
 func (c *Core) failureUnrecorded(e *jobEntry) bool {
 	if !c.taskHealth.Mistaken(e.rec.ID) {
 		return false
@@ -153,6 +163,7 @@
 	return !s.Bad
 }
 
+// writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
 func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
 	plan := c.started.Plan(shard, entries, c.startEntryNeeded)
 	conditions := []wire.Condition{c.shardCond(shard), {Key: plan.Key, Version: plan.Ver}}
@@ -175,7 +186,7 @@
 		}
 		if r.Status != 200 {
 			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
-			c.log(2, "not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.log(2, "starts not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
 		c.runHolder()
