--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -15,7 +15,7 @@
 }
 
 func (c *Core) settingsView() wire.SettingsView {
-	return wire.SettingsView{Version: c.ver.Of(wire.KeySettings), Settings: c.settings}
+	return wire.SettingsView{Version: c.versions.Of(wire.KeySettings), Settings: c.settings}
 }
 
 func (c *Core) onAdminSettings(v AdminSettings) {
@@ -32,17 +32,17 @@
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	if v.Patch.Version != c.ver.Of(wire.KeySettings) {
+	if v.Patch.Version != c.versions.Of(wire.KeySettings) {
 		c.answer(v.Req, 409, c.settingsView())
 		return
 	}
 	c.commit(LaneUser, []wire.Condition{{Key: wire.KeySettings, Version: v.Patch.Version}}, []wire.Change{{Put: wire.KeySettings, Value: s}}, func(r StateReply) {
-		c.adminDone(v.Req, r, func() any { return c.settingsView() })
+		c.answerAdminWrite(v.Req, r, func() any { return c.settingsView() })
 	})
 }
 
 // adminDone answers a change by how its write went.
-func (c *Core) adminDone(req uint64, r StateReply, body func() any) {
+func (c *Core) answerAdminWrite(req uint64, r StateReply, body func() any) {
 	switch r.Status {
 	case 200:
 		c.log(1, "changed by an operator", "revision", r.Txn.Revision)
@@ -54,7 +54,7 @@
 	default:
 		c.answer(req, 503, unavailable("state service not reached"))
 	}
-	c.changed()
+	c.mirrorChanged()
 }
 
 func (c *Core) onAdminCordon(v AdminCordon) {
@@ -71,21 +71,21 @@
 	if v.Cordon != nil {
 		ch.Value = wire.Cordon{Drain: v.Cordon.Drain}
 	}
-	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.ver.Of(key)}}, []wire.Change{ch}, func(r StateReply) {
-		c.adminDone(v.Req, r, func() any { return v.Cordon })
+	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.versions.Of(key)}}, []wire.Change{ch}, func(r StateReply) {
+		c.answerAdminWrite(v.Req, r, func() any { return v.Cordon })
 	})
 }
 
 // putCordon takes a machine's cordon, or its end.
-func (c *Core) putCordon(machine string, r wire.Cordon) {
+func (c *Core) applyCordon(machine string, r wire.Cordon) {
 	if c.cordons[machine] = r; r.Lifted {
 		delete(c.cordons, machine)
 	}
-	c.cordonSeen(machine)
+	c.cordonChanged(machine)
 }
 
 // cordonSeen applies a machine's cordon to what this controller holds.
-func (c *Core) cordonSeen(machine string) {
+func (c *Core) cordonChanged(machine string) {
 	m, cordon := c.machines[machine], c.cordons[machine]
 	if m == nil {
 		return
@@ -103,13 +103,13 @@
 }
 
 func (c *Core) onAdminOverview(v AdminOverview) {
-	o := wire.Overview{Node: c.p.Node, Leader: c.chief.Node, Nodes: sortedKeys(c.nodes)}
+	o := wire.Overview{Node: c.params.Node, Leader: c.leaderRecord.Node, Nodes: sortedKeys(c.nodes)}
 	for _, i := range c.shardIDs() {
 		s := c.shards[i]
-		o.Shards = append(o.Shards, wire.ShardView{Shard: i, Holder: s.rec.Holder, Home: s.rec.Home, Token: s.ver, Settled: s.rec.Settled, Teams: s.rec.Teams})
+		o.Shards = append(o.Shards, wire.ShardView{Shard: i, Holder: s.record.Holder, Home: s.record.Home, Token: s.version, Settled: s.record.Settled, Teams: s.record.Teams})
 	}
 	for _, id := range c.blockIDs() {
-		b := c.blocks[id].rec
+		b := c.blocks[id].record
 		bv := wire.BlockView{Block: id, Shard: b.Shard, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Idle: b.Idle}
 		for _, bm := range b.Machines {
 			_, cordoned := c.cordons[bm.Name]
@@ -127,21 +127,21 @@
 	c.update()
 	waiting := map[string]int{}
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
-	for _, t := range sortedKeys(c.p.Teams) {
-		i := c.shardOf(t)
-		v := wire.TeamView{Team: t, Shard: i, Known: c.mine(i), UsedCPU: c.room.Used(t, i).CPUs, CPUs: c.p.Teams[t].CPUs, Waiting: waiting[t]}
-		if most := c.p.Teams[t].CPUsMax; !math.IsInf(most, 1) {
+	for _, t := range sortedKeys(c.params.Teams) {
+		i := c.shardOfTeam(t)
+		v := wire.TeamView{Team: t, Shard: i, Known: c.holdsShard(i), UsedCPU: c.room.Used(t, i).CPUs, CPUs: c.params.Teams[t].CPUs, Waiting: waiting[t]}
+		if most := c.params.Teams[t].CPUsMax; !math.IsInf(most, 1) {
 			v.CPUsMax = most
 		}
 		o.Teams = append(o.Teams, v)
 	}
-	o.Limits = wire.LimitsView{ValueBytes: c.p.ValueBytes, TxnOps: c.p.TxnOps, Stuck: c.form.Stuck(c.now), Refused: c.form.Tell()}
+	o.Limits = wire.LimitsView{ValueBytes: c.params.ValueBytes, TxnOps: c.params.TxnOps, Stuck: c.writeLimits.Stuck(c.now), Refused: c.writeLimits.Tell()}
 	c.answer(v.Req, 200, o)
 }
 
 func (c *Core) holderName(shard int) string {
 	if s := c.shards[shard]; s != nil {
-		return s.rec.Holder
+		return s.record.Holder
 	}
 	return ""
 }
@@ -166,33 +166,33 @@
 func (c *Core) onAdminWhy(v AdminWhy) {
 	e := c.jobs[v.ID]
 	if w := c.waitingAt[v.ID]; w != nil {
-		c.answer(v.Req, 200, wire.Why{Job: v.ID, Holder: c.holderName(c.shardOf(w.rec.Team)), Why: c.whyWaits(v.ID)})
+		c.answer(v.Req, 200, wire.Why{Job: v.ID, Holder: c.holderName(c.shardOfTeam(w.record.Team)), Why: c.whyWaits(v.ID)})
 		return
 	}
 	if e == nil {
 		c.answer(v.Req, 404, wire.Problem{Error: "no such unfinished job"})
 		return
 	}
-	shard := c.shardOf(e.rec.Team)
+	shard := c.shardOfTeam(e.record.Team)
 	w := wire.Why{Job: v.ID, Holder: c.holderName(shard)}
 	if e.run == nil {
 		w.Why = []string{"its holder knows; ask " + w.Holder}
 		c.answer(v.Req, 200, w)
 		return
 	}
-	w.Why = c.why(e, shard)
+	w.Why = c.waitReasons(e, shard)
 	c.answer(v.Req, 200, w)
 }
 
 // why lists what keeps a job's waiting tasks from starting.
-func (c *Core) why(e *jobEntry, shard int) []string {
-	j := &e.rec
+func (c *Core) waitReasons(e *jobEntry, shard int) []string {
+	j := &e.record
 	pending := len(e.run.retry) + j.Tasks - e.run.next
 	if pending == 0 && e.run.held == 0 {
 		return []string{"no task waits"}
 	}
 	var out []string
-	if !c.confirmed() {
+	if !c.authorized() {
 		out = append(out, "the state service has not confirmed this controller lately")
 	}
 	if c.unsettle[shard] && e.run.held > 0 {
@@ -207,7 +207,7 @@
 	if c.now < e.run.notYet {
 		out = append(out, fmt.Sprintf("its tasks failed; next try in %s", e.run.notYet-c.now))
 	}
-	t, size := c.p.Teams[j.Team], jobSize(j)
+	t, size := c.params.Teams[j.Team], jobSize(j)
 	c.update()
 	if u := c.room.Used(j.Team, shard); t.exceeds(u.Add(size)) {
 		out = append(out, fmt.Sprintf("team %s uses %g of at most %g cpus", j.Team, u.CPUs, t.CPUsMax))
--- a/internal/core/blame.go
+++ b/internal/core/blame.go
@@ -25,7 +25,7 @@
 	c.touchJob(e)
 	if c.health.Mistaken(a.job) && !was {
 		machines, times := c.health.Failures(a.job)
-		c.noteTask(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
+		c.recordTaskEvent(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
 		c.log(1, "job fails everywhere, tried rarely", "job", a.job, "machines", machines, "failures", times)
 	}
 }
@@ -38,7 +38,7 @@
 			continue
 		}
 		_, failures := c.health.Machine(n)
-		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
+		c.recordMachineEvent(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
 		c.log(1, "machine looks faulty, returning it", "machine", n, "failures", failures)
 		m.drop = true
 		c.touch(m)
@@ -51,7 +51,7 @@
 	if a.proved || a.status != wire.TaskRunning || c.now-a.running < tuning.ProvedAfter {
 		return
 	}
-	if e := c.jobs[a.job]; e != nil && e.rec.Shape == wire.ShapeService {
+	if e := c.jobs[a.job]; e != nil && e.record.Shape == wire.ShapeService {
 		a.proved = true
 		trial := c.health.Trial(a.job)
 		c.sicken(c.health.Completed(a.job, a.m.name))
@@ -64,13 +64,13 @@
 // avoids tells whether a job's tasks keep off a machine: they have failed there, or the
 // machine is suspected and they cannot wait.
 func (c *Core) avoids(e *jobEntry, m *machine) bool {
-	if c.health.Avoids(e.rec.ID, m.name) {
+	if c.health.Avoids(e.record.ID, m.name) {
 		return true
 	}
-	if c.health.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notYet+tuning.MistakenFetch {
+	if c.health.Mistaken(e.record.ID) && !m.images[e.record.Image] && c.now < e.run.notYet+tuning.MistakenFetch {
 		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
 	}
-	if e.prio >= urgentRank {
+	if e.priority >= urgentRank {
 		v, _ := c.health.Machine(m.name)
 		return v != health.Well
 	}
@@ -80,8 +80,8 @@
 // trials is how many of a job's tasks may be started: of one that has failed on several
 // machines and completed nowhere, one at a time.
 func (c *Core) trials(e *jobEntry) int {
-	n := e.run.pending(&e.rec)
-	if e.rec.Shape != wire.ShapeGang && c.health.Trial(e.rec.ID) {
+	n := e.run.pending(&e.record)
+	if e.record.Shape != wire.ShapeGang && c.health.Trial(e.record.ID) {
 		n = min(n, max(0, 1-len(e.run.active)))
 	}
 	return n
--- a/internal/core/blame_test.go
+++ b/internal/core/blame_test.go
@@ -60,7 +60,7 @@
 	}
 	before := len(w.order)
 	for _, n := range sortedKeys(w.nodes) {
-		if c := w.nodes[n].core; c.mine(c.shardOf("red")) {
+		if c := w.nodes[n].core; c.holdsShard(c.shardOfTeam("red")) {
 			w.kill(n)
 			break
 		}
--- a/internal/core/books.go
+++ b/internal/core/books.go
@@ -55,7 +55,7 @@
 
 func (c *Core) touchBlock(id string) {
 	if b := c.blocks[id]; b != nil {
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			if m := c.machines[bm.Name]; m != nil {
 				c.touch(m)
 			}
@@ -75,8 +75,8 @@
 // touchJob has a job's place in the order, and what is to be written of it, made anew.
 func (c *Core) touchJob(e *jobEntry) {
 	c.dirty = true
-	if !e.touched {
-		e.touched = true
+	if !e.dirty {
+		e.dirty = true
 		c.jobsTouch = append(c.jobsTouch, e)
 	}
 }
@@ -98,7 +98,7 @@
 	list := c.jobsTouch
 	c.jobsTouch = nil
 	for _, e := range list {
-		e.touched = false
+		e.dirty = false
 		c.refreshJob(e)
 	}
 }
@@ -121,7 +121,7 @@
 		}
 	}
 	x := c.sumOf(m)
-	full, known := c.sizeOf(m.typ)
+	full, known := c.machineSize(m.typ)
 	n := x.unknown
 	if m.inherited && !m.accounted {
 		n++ // anything may run there, for any team
@@ -143,11 +143,11 @@
 func (c *Core) refreshJob(e *jobEntry) {
 	delete(c.owed, e)
 	delete(c.behind, e)
-	if e.run == nil || c.jobs[e.rec.ID] != e {
-		c.order.Drop(e.rec.ID)
+	if e.run == nil || c.jobs[e.record.ID] != e {
+		c.order.Drop(e.record.ID)
 		return
 	}
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	q := queue.Job{ID: j.ID, Team: j.Team, Accepted: j.ReadySince(), Number: j.Number, Rank: e.rank, Strict: j.Zone != "" || j.OneZone, Service: j.Shape == wire.ShapeService,
 		Due: min(c.aims.Due(workOf(j)), c.crewDue(j.ID), e.due), Pressed: c.crewPressed(j.ID), Turn: aimLimits.Turn(workOf(j)), Estimate: j.EstimateS, Ask: jobSize(j), Rest: j.Tasks - run.done.Count(), Pending: c.trials(e),
 		Begun: j.Started > 0 || run.next > 0}
@@ -180,25 +180,25 @@
 // owes tells what of a job's starts and its end is to be written.
 func (c *Core) owes(e *jobEntry) (started int, ended, owes bool) {
 	run := e.run
-	if run.done.Count() >= e.rec.Tasks {
+	if run.done.Count() >= e.record.Tasks {
 		return 0, true, true
 	}
-	started = max(e.rec.Started, run.next)
-	if ahead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.rec.Started-run.next < ahead/2 && run.next > 0 {
-		started = max(started, min(e.rec.Tasks, run.next+ahead))
+	started = max(e.record.Started, run.next)
+	if ahead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.record.Started-run.next < ahead/2 && run.next > 0 {
+		started = max(started, min(e.record.Tasks, run.next+ahead))
 	}
-	return started, false, started > e.rec.Started || c.movedOn(e) || c.badNews(e)
+	return started, false, started > e.record.Started || c.movedOn(e) || c.badNews(e)
 }
 
 // judge decides anew, now and then, which jobs are late.
 func (c *Core) judge() {
-	if !c.every("judge", tuning.JudgeEvery) {
+	if !c.dueEvery("judge", tuning.JudgeEvery) {
 		return
 	}
 	have := c.shardCPUs()
 	c.order.Judge(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
-		t := c.p.Teams[team]
-		return min(t.CPUsMax, max(have[c.shardOf(team)], t.CPUs))
+		t := c.params.Teams[team]
+		return min(t.CPUsMax, max(have[c.shardOfTeam(team)], t.CPUs))
 	})
 }
 
@@ -212,4 +212,4 @@
 	return list
 }
 
-func olderJob(a, b *jobEntry) bool { return ladder.Older(&a.rec, &b.rec) }
+func olderJob(a, b *jobEntry) bool { return ladder.Older(&a.record, &b.record) }
--- a/internal/core/booting.go
+++ b/internal/core/booting.go
@@ -26,26 +26,26 @@
 		return
 	}
 	if now != nil {
-		k := boot.Kind{Type: now.rec.Type, Zone: now.rec.Zone, Spot: now.rec.Spot}
-		for _, bm := range now.rec.Machines {
+		k := boot.Kind{Type: now.record.Type, Zone: now.record.Zone, Spot: now.record.Spot}
+		for _, bm := range now.record.Machines {
 			switch m := c.machines[bm.Name]; {
 			case !bm.Fresh: // adopted: when it was rented is not known
-				c.boots.Forget(bm.Name)
+				c.provisioning.Forget(bm.Name)
 			case !c.everUsed(bm.Name) && (m == nil || !m.reported):
-				c.boots.Booked(c.now, bm.Name, k, c.bootOf(k.Type))
+				c.provisioning.Booked(c.now, bm.Name, k, c.bootOf(k.Type))
 			}
 		}
 	}
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if c.blockIn[bm.Name] == "" {
-				c.boots.Gone(c.now, bm.Name)
+		for _, bm := range old.record.Machines {
+			if c.blockOfMachine[bm.Name] == "" {
+				c.provisioning.Gone(c.now, bm.Name)
 			}
 		}
 	}
 }
 
-func (c *Core) bootOf(typ string) time.Duration { return seconds(c.types[typ].BootS) }
+func (c *Core) bootOf(typ string) time.Duration { return seconds(c.machineTypes[typ].BootS) }
 
 // doubted lists the machines of a shard that boot and do not count as room to come.
 func (c *Core) doubted(shard int) map[string]bool {
@@ -58,14 +58,14 @@
 	if len(names) == 0 {
 		return nil
 	}
-	return c.boots.Doubted(c.now, names)
+	return c.provisioning.Doubted(c.now, names)
 }
 
 // neverComes tells why a machine that has not come up is to be given back, or "".
 func (c *Core) neverComes(m *machine) string {
 	switch {
 	case m.reported:
-	case c.boots.Hopeless(c.now, m.name), c.now-m.since > max(seconds(c.types[m.typ].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.provisioning.Hopeless(c.now, m.name), c.now-m.since > max(seconds(c.machineTypes[m.typ].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
 		return "never came up"
 	}
 	return ""
@@ -74,6 +74,6 @@
 // bookedOf notes machines that have just been rented; their blocks are yet to be written.
 func (c *Core) bookedOf(infos []wire.MachineInfo) {
 	for _, m := range infos {
-		c.boots.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootOf(m.Type))
+		c.provisioning.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootOf(m.Type))
 	}
 }
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -33,10 +33,10 @@
 
 // putWaiting takes a new version of a job that waits.
 func (c *Core) putWaiting(r wire.Job, ver uint64) {
-	c.waitingAt[r.ID] = &jobEntry{rec: r, ver: ver}
+	c.waitingAt[r.ID] = &jobEntry{record: r, version: ver}
 	c.chain.Put(r.ID, r.Predecessors, c.demandOf(&r))
 	for _, p := range r.Predecessors {
-		if f, ok := c.finals[p]; ok {
+		if f, ok := c.finalStates[p]; ok {
 			c.chain.End(p, f.Status == wire.JobDone, f.By)
 		}
 	}
@@ -55,8 +55,8 @@
 
 // stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
-	rate, boot := supply.Speeds(c.types, j.Types)
-	s = dependency.Stage{Tasks: j.Tasks, Run: c.runs.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
+	rate, boot := supply.Speeds(c.machineTypes, j.Types)
+	s = dependency.Stage{Tasks: j.Tasks, Run: c.runTimes.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
 	if rate > 0 {
 		s.Fetch = j.ImageGB / rate
 	}
@@ -66,7 +66,7 @@
 // endsIn is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
 func (c *Core) endsIn(id string) float64 {
 	e := c.jobs[id]
-	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
+	if e == nil || e.run == nil || e.run.pending(&e.record) > 0 || e.run.held > 0 {
 		return inf
 	}
 	var last Time
@@ -76,7 +76,7 @@
 		}
 		last = max(last, a.running)
 	}
-	s, _ := c.stageOf(&e.rec)
+	s, _ := c.stageOf(&e.record)
 	return s.Left((c.now - last).Seconds())
 }
 
@@ -84,8 +84,8 @@
 // a boot and would be late if it began then. They are asked for on a rung of normal work.
 func (c *Core) soon(shard int) (list []*wire.Job) {
 	for _, id := range c.chain.Waiting() {
-		j := &c.waitingAt[id].rec
-		if c.shardOf(j.Team) != shard {
+		j := &c.waitingAt[id].record
+		if c.shardOfTeam(j.Team) != shard {
 			continue
 		}
 		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
@@ -98,29 +98,29 @@
 // demandOf is what a job asks of those before it.
 func (c *Core) demandOf(j *wire.Job) dependency.Demand {
 	s, _ := c.stageOf(j)
-	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.ladder.Rank(j), Due: c.aims.Due(workOf(j)), Length: dependency.Length(s)}
+	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.tierOrder.Rank(j), Due: c.aims.Due(workOf(j)), Length: dependency.Length(s)}
 }
 
 // rankJob puts a job on its rung, or on that of a job that needs it: on that one's own once there
 // is little slack, until then among normal work, which goes by due times and stops none of it.
 func (c *Core) rankJob(e *jobEntry) {
-	d := c.chain.Inherited(e.rec.ID)
-	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), d.Due
-	if d.Priority > e.prio {
-		if own := c.demandOf(&e.rec); d.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
-			as := e.rec
+	d := c.chain.Inherited(e.record.ID)
+	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), d.Due
+	if d.Priority > e.priority {
+		if own := c.demandOf(&e.record); d.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+			as := e.record
 			as.Priority = wire.PriorityName(normalRank)
-			d.Priority, d.Rank = min(d.Priority, normalRank), min(d.Rank, c.ladder.Rank(&as))
+			d.Priority, d.Rank = min(d.Priority, normalRank), min(d.Rank, c.tierOrder.Rank(&as))
 		}
 	}
-	e.prio, e.rank = max(e.prio, d.Priority), max(e.rank, d.Rank)
+	e.priority, e.rank = max(e.priority, d.Priority), max(e.rank, d.Rank)
 	if e.run == nil {
 		return
 	}
 	for _, k := range sortedInts(e.run.active) {
-		if a := e.run.active[k]; a.known && (a.lesser != (e.prio < urgentRank) || a.idle != (e.prio <= idleRank)) {
+		if a := e.run.active[k]; a.known && (a.lesser != (e.priority < urgentRank) || a.idle != (e.priority <= idleRank)) {
 			c.dropAttempt(a)
-			a.lesser, a.idle = e.prio < urgentRank, e.prio <= idleRank
+			a.lesser, a.idle = e.priority < urgentRank, e.priority <= idleRank
 			c.addAttempt(a)
 		}
 	}
@@ -139,7 +139,7 @@
 // rankWaiting weighs all that wait anew: the ladder, or what is known of run times, has changed.
 func (c *Core) rankWaiting() {
 	for _, id := range c.chain.Waiting() {
-		r := &c.waitingAt[id].rec
+		r := &c.waitingAt[id].record
 		c.chain.Put(id, r.Predecessors, c.demandOf(r))
 	}
 	for _, id := range c.chain.Waiting() {
@@ -157,14 +157,14 @@
 // keepChains moves the waiting jobs of held shards on: those that are ready to the live ones, those
 // that are cancelled to their end, which follows from another's and is written at leisure.
 func (c *Core) keepChains() {
-	if c.every("rankWaiting", tuning.ChainRank) {
+	if c.dueEvery("rankWaiting", tuning.ChainRank) {
 		c.rankWaiting()
 	}
 	if c.told.Waiting != len(c.waitingAt) {
 		c.told.Waiting = len(c.waitingAt)
-		c.out = append(c.out, c.told)
+		c.effects = append(c.effects, c.told)
 	}
-	if !c.relook || c.moving || c.reading || c.now < c.retryAt["chains"] {
+	if !c.relook || c.moving || c.reading || c.now < c.notBefore["chains"] {
 		return
 	}
 	c.relook = false
@@ -172,7 +172,7 @@
 	var lookUp []string
 	by := map[string]string{}
 	for _, id := range c.chain.Waiting() {
-		if !c.mine(c.shardOf(c.waitingAt[id].rec.Team)) {
+		if !c.holdsShard(c.shardOfTeam(c.waitingAt[id].record.Team)) {
 			continue
 		}
 		switch v := c.chain.Judge(id, c.accepted); v.Outcome {
@@ -194,7 +194,7 @@
 		slices.Sort(lookUp)
 		c.readEnds(slices.Compact(lookUp), func(bool) {
 			c.reading, c.relook = false, true
-			c.changed()
+			c.mirrorChanged()
 		})
 	}
 }
@@ -213,14 +213,14 @@
 		}
 		e := c.waitingAt[id]
 		keys = append(keys, waitingKey(id))
-		b.when = append(b.when, wire.Condition{Key: waitingKey(id), Version: e.ver}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
+		b.when = append(b.when, wire.Condition{Key: waitingKey(id), Version: e.version}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
 		if by != nil {
 			finals[id] = wire.Final{Status: wire.JobAborted, By: by[id]}
 			change.Value = finals[id]
 		} else {
-			rec := e.rec
-			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.topRev
+			rec := e.record
+			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.newestRevision
 			change = wire.Change{Put: jobKey(id), Value: rec}
 		}
 		b.then = append(b.then, wire.Change{Delete: waitingKey(id)}, change)
@@ -230,20 +230,20 @@
 		c.moving, c.relook, c.single = false, true, r.Status == 409
 		for _, id := range sortedKeys(finals) {
 			if r.Status == 200 {
-				c.keepFinal(id, finals[id], r.Txn.Revision)
+				c.cacheFinal(id, finals[id], r.Txn.Revision)
 			}
 		}
 		if r.Status == 200 {
-			c.noteMoved(ids[:len(keys)], by)
+			c.recordDependentsMoved(ids[:len(keys)], by)
 		}
 		if r.Status != 200 {
-			c.retryAt["chains"] = c.now + tuning.RetryAfter/2
+			c.notBefore["chains"] = c.now + tuning.RetryAfter/2
 			for _, k := range keys {
-				c.refresh(k)
+				c.rereadKey(k)
 			}
 		}
 		c.log(2, "waiting jobs moved on", "jobs", len(keys), "cancelled", by != nil, "status", r.Status)
-		c.changed()
+		c.mirrorChanged()
 	})
 }
 
@@ -254,16 +254,16 @@
 		return
 	}
 	id := ids[0]
-	if fin, known := c.finals[id]; known || c.accepted(id) {
+	if fin, known := c.finalStates[id]; known || c.accepted(id) {
 		if known {
 			c.chain.End(id, fin.Status == wire.JobDone, fin.By)
 		}
 		c.readEnds(ids[1:], f)
 		return
 	}
-	c.lookAt(id, []string{finalKey(id)}, func(at found) {
-		if at.fin == nil {
-			c.retryAt["chains"] = c.now + tuning.RetryAfter
+	c.lookUpKeys(id, []string{finalKey(id)}, func(at jobLookup) {
+		if at.final == nil {
+			c.notBefore["chains"] = c.now + tuning.RetryAfter
 			f(false)
 			return
 		}
@@ -277,10 +277,10 @@
 		f(false)
 		return
 	}
-	c.state(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.rev}, func(r StateReply) {
+	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(r StateReply) {
 		if r.Status == 200 {
-			c.follow(&r.Events)
-			c.changed()
+			c.applyEvents(&r.Events)
+			c.mirrorChanged()
 		}
 		f(r.Status == 200 && !c.loading)
 	})
@@ -288,18 +288,18 @@
 
 // judgeWaiting completes a look that has found a job waiting, by a mirror that is as fresh as the
 // look itself: who was told that a job before it is cancelled hears the same of this one.
-func (c *Core) judgeWaiting(id string, at found, fresh bool, f func(found)) {
+func (c *Core) judgeWaiting(id string, at jobLookup, fresh bool, f func(jobLookup)) {
 	if !fresh {
-		f(found{})
+		f(jobLookup{})
 		return
 	}
 	if !c.waitsForOthers(id) {
-		c.look(id, f) // it has moved on meanwhile
+		c.lookUpJob(id, f) // it has moved on meanwhile
 		return
 	}
 	switch v := c.chain.Judge(id, c.accepted); v.Outcome {
 	case dependency.Cancelled:
-		f(found{fin: &wire.Final{Status: wire.JobAborted, By: v.By}, ok: true})
+		f(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: v.By}, ok: true})
 	case dependency.Unknown:
 		c.readEnds(v.LookUp, func(ok bool) { c.judgeWaiting(id, at, ok, f) })
 	default:
@@ -312,7 +312,7 @@
 	refuse := func(status int, why string) {
 		known(func() { c.answer(req, status, wire.Problem{Error: why}) })
 	}
-	if !c.understood(rollout.Chains) {
+	if !c.featureEnabled(rollout.Chains) {
 		refuse(503, "awaits: not before all controllers understand it")
 		return
 	}
@@ -328,21 +328,21 @@
 			return
 		}
 		id := left[0]
-		judge := func(at found) {
+		judge := func(at jobLookup) {
 			switch {
 			case !at.ok:
 				refuse(503, "awaits: "+id+" cannot be looked up now")
 				return
-			case at.job == nil && at.fin == nil:
+			case at.job == nil && at.final == nil:
 				refuse(422, "awaits: "+id+" was never accepted")
 				return
-			case at.fin == nil && at.job.Shape == wire.ShapeService:
+			case at.final == nil && at.job.Shape == wire.ShapeService:
 				refuse(422, "awaits: "+id+" is a service, which is never done")
 				return
-			case at.fin == nil:
+			case at.final == nil:
 				done = false
-			case at.fin.Status != wire.JobDone && by == "":
-				if by = at.fin.By; by == "" {
+			case at.final.Status != wire.JobDone && by == "":
+				if by = at.final.By; by == "" {
 					by = id
 				}
 			}
@@ -350,11 +350,11 @@
 		}
 		// That the mirror knows a job is enough: it was accepted, whatever has become of it.
 		if e := c.jobs[id]; e != nil {
-			judge(found{job: &e.rec, ok: true})
+			judge(jobLookup{job: &e.record, ok: true})
 		} else if e := c.waitingAt[id]; e != nil {
-			judge(found{job: &e.rec, ok: true})
+			judge(jobLookup{job: &e.record, ok: true})
 		} else {
-			c.look(id, judge)
+			c.lookUpJob(id, judge)
 		}
 	}
 	next(job.Predecessors)
@@ -368,11 +368,11 @@
 	switch {
 	case by != "":
 		f := wire.Final{Status: wire.JobAborted, By: by}
-		c.accept(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
+		c.acceptJob(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
 	case done:
-		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.topRev
-		c.accept(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
+		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.newestRevision
+		c.acceptJob(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
 	default:
-		c.accept(req, &job, wire.Change{Put: waitingKey(id), Value: job}, status, known)
+		c.acceptJob(req, &job, wire.Change{Put: waitingKey(id), Value: job}, status, known)
 	}
 }
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -10,21 +10,21 @@
 // onAdminChain draws the chain of a job.
 func (c *Core) onAdminChain(v AdminChain) {
 	if !c.loaded || !wire.ValidJobID(v.ID) {
-		c.answerFound(v.Req, v.ID, found{ok: c.loaded})
+		c.answerLookup(v.Req, v.ID, jobLookup{ok: c.loaded})
 		return
 	}
 	if c.jobs[v.ID] != nil || c.waitsForOthers(v.ID) {
-		c.answer(v.Req, 200, dependency.View(c.p.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
+		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
 		return
 	}
-	c.look(v.ID, func(at found) {
-		if !at.ok || at.fin == nil {
-			c.answerFound(v.Req, v.ID, at)
+	c.lookUpJob(v.ID, func(at jobLookup) {
+		if !at.ok || at.final == nil {
+			c.answerLookup(v.Req, v.ID, at)
 			return
 		}
-		f := at.fin
+		f := at.final
 		seen := map[string]dependency.Seen{v.ID: {Status: finalStatus(v.ID, *f), By: f.By}}
-		c.answer(v.Req, 200, dependency.View(c.p.Node, v.ID, float64(c.wall.UnixMilli())/1000, seen))
+		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, seen))
 	})
 }
 
@@ -53,19 +53,19 @@
 		}
 		e, x := c.jobs[id], dependency.Seen{}
 		if w := c.waitingAt[id]; w != nil {
-			e, x.Waits, x.Status = w, true, c.statusOf(&w.rec)
+			e, x.Waits, x.Status = w, true, c.jobStatus(&w.record)
 			if v := c.chain.Judge(id, c.accepted); v.Outcome == dependency.Cancelled {
 				x.Status.Status, x.By = wire.JobAborted, v.By
 			}
 		} else if e != nil {
-			x.Status = c.statusOf(&e.rec)
-		} else if f, known := c.finals[id]; known {
+			x.Status = c.jobStatus(&e.record)
+		} else if f, known := c.finalStates[id]; known {
 			x.Status, x.By = finalStatus(id, f), f.By
 		}
 		if e != nil {
-			own := c.demandOf(&e.rec)
-			x.Job, x.Length, x.Due, x.Inherited = &e.rec, own.Length, own.Due, c.chain.Inherited(id)
-			todo = append(todo, e.rec.Predecessors...)
+			own := c.demandOf(&e.record)
+			x.Job, x.Length, x.Due, x.Inherited = &e.record, own.Length, own.Due, c.chain.Inherited(id)
+			todo = append(todo, e.record.Predecessors...)
 		}
 		seen[id] = x
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -58,60 +58,60 @@
 
 // Core is one controller's mind.
 type Core struct {
-	p    Params
-	now  Time
-	wall time.Time
-	out  []any
-	seq  uint64
-	life uint64 // tells this life from earlier ones in what peers answer: numbers begin anew
+	params      Params
+	now         Time
+	wall        time.Time
+	effects     []any
+	lastID      uint64
+	incarnation uint64 // tells this life from earlier ones in what peers answer: numbers begin anew
 
-	cloudWait map[uint64]func(CloudReply)
+	cloudCallbacks map[uint64]func(CloudReply)
 
 	// Own presence.
-	member       *membership.Life
-	term         *membership.Term
-	wasConfirmed bool
-	sureSince    Time // since when confirmed, or not, without a break
-	loaded       bool
-	loading      bool
-	watching     bool
-	listSeen     map[string]bool
-	listRev      uint64
-	rev          uint64 // revision the mirror has reached
-	retryAt      map[string]Time
-	jitter       *rand.Rand // seeded by the node's name: spreads retries, repeats in tests
+	presence              *membership.Life
+	term                  *membership.Term
+	wasAuthorized         bool
+	confirmationChangedAt Time // since when confirmed, or not, without a break
+	loaded                bool
+	loading               bool
+	watching              bool
+	listedKeys            map[string]bool
+	listRevision          uint64
+	mirrorRevision        uint64 // revision the mirror has reached
+	notBefore             map[string]Time
+	jitter                *rand.Rand // seeded by the node's name: spreads retries, repeats in tests
 
-	trail                *trail.Trail
-	trailRead, trailBusy bool // the record of earlier lives has been read; a call for it is under way
+	trail                         *trail.Trail
+	trailLoaded, trailCallPending bool // the record of earlier lives has been read; a call for it is under way
 
 	mirror
 	rollout *rollout.Book // what the controllers understand
 	holder
 	books
-	desk     *prompt.Desk[*machine]       // workers to call directly
-	roll     *takeover.Roll[*machine]     // machines to be accounted for
-	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
-	kept     map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
-	runs     *forecast.Book
-	calendar *calendar.Book // the crews, and what is planned for their departures
-	weights  *weights.Book  // images that many machines want
+	callQueue         *prompt.Desk[*machine]       // workers to call directly
+	pendingMachines   *takeover.Roll[*machine]     // machines to be accounted for
+	reservations      map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
+	limitReservations map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
+	runTimes          *forecast.Book
+	calendar          *calendar.Book // the crews, and what is planned for their departures
+	weights           *weights.Book  // images that many machines want
 	chaining
-	addrs   *takeover.Book // where workers listen
-	listing bool           // the cloud's list is being read for that
-	users
-	peers
-	ways    *reach.Ways[StateReply]
-	probing bool // the link to the state service is being tried, while calls go around it
-	reaching
-	leader leaderState
-	form   *limits.Form // what the state service takes
+	workerAddresses *takeover.Book // where workers listen
+	listingMachines bool           // the cloud's list is being read for that
+	userState
+	peerState
+	stateRoutes  *reach.Ways[StateReply]
+	probingState bool // the link to the state service is being tried, while calls go around it
+	reachability
+	leader      leaderState
+	writeLimits *limits.Form // what the state service takes
 }
 
 // New returns a core that has yet to read the state.
 func New(p Params) *Core {
-	c := &Core{p: p,
-		cloudWait: map[uint64]func(CloudReply){},
-		retryAt:   map[string]Time{},
+	c := &Core{params: p,
+		cloudCallbacks: map[uint64]func(CloudReply){},
+		notBefore:      map[string]Time{},
 	}
 	seed := fnv.New64a()
 	_, _ = seed.Write([]byte(p.Node))
@@ -120,33 +120,33 @@
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.Nodes), c.nodes)
 	c.holder = newHolder()
-	c.started, c.boots, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
+	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
 	c.books = newBooks(p.Teams)
 	c.aims = p.Aims
-	c.desk = newDesk(p)
-	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.caches)
-	c.kept = map[string]hold.Hold{}
-	c.places = map[int]*hold.Book[*machine]{}
-	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
-	c.roll, c.addrs = newRoll(), takeover.NewBook()
-	c.users = newUsers()
-	c.peers = newPeers(p)
-	c.ways = newWays()
-	c.reaching = newReaching(p, c.nodes)
+	c.callQueue = newDesk(p)
+	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.imageCaches)
+	c.limitReservations = map[string]hold.Hold{}
+	c.reservations = map[int]*hold.Book[*machine]{}
+	c.runTimes = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
+	c.pendingMachines, c.workerAddresses = newRoll(), takeover.NewBook()
+	c.userState = newUserState()
+	c.peerState = newPeerState(p)
+	c.stateRoutes = newStateRouter()
+	c.reachability = newReachability(p, c.nodes)
 	// What may go unconfirmed spans several renewals.
-	c.member = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
+	c.presence = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4)})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.ListLag)
-	c.form = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
-	c.keepTo(c.form.Bounds())
+	c.writeLimits = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
+	c.keepTo(c.writeLimits.Bounds())
 	return c
 }
 
 // Step takes one input at a steady time (and time of day) and returns effects.
 func (c *Core) Step(now Time, wall time.Time, in any) []any {
-	c.now, c.wall, c.out = now, wall, nil
-	if c.life == 0 {
-		c.life = uint64(wall.UnixNano())
+	c.now, c.wall, c.effects = now, wall, nil
+	if c.incarnation == 0 {
+		c.incarnation = uint64(wall.UnixNano())
 	}
 	switch v := in.(type) {
 	case Tick:
@@ -196,23 +196,23 @@
 	case StateDone:
 		c.onStateDone(v)
 	case CloudDone:
-		if f := c.cloudWait[v.ID]; f != nil {
-			delete(c.cloudWait, v.ID)
+		if f := c.cloudCallbacks[v.ID]; f != nil {
+			delete(c.cloudCallbacks, v.ID)
 			f(v.Reply)
 		}
 	}
-	return c.out
+	return c.effects
 }
 
-func (c *Core) cloud(call CloudCall, f func(CloudReply)) {
-	c.seq++
-	call.ID = c.seq
+func (c *Core) callCloud(call CloudCall, f func(CloudReply)) {
+	c.lastID++
+	call.ID = c.lastID
 	sent := c.now
-	c.cloudWait[call.ID] = func(r CloudReply) {
-		c.cloudSeen(call, sent, r)
+	c.cloudCallbacks[call.ID] = func(r CloudReply) {
+		c.recordCloudOutcome(call, sent, r)
 		f(r)
 	}
-	c.out = append(c.out, call)
+	c.effects = append(c.effects, call)
 }
 
 func (c *Core) answer(req uint64, status int, body any) {
@@ -221,65 +221,65 @@
 		if r, ok := body.(wire.ReportReply); ok {
 			ans.Token, ans.Commands = r.Token, r.Commands
 		}
-		c.tell(x.From, PeerMessage{Answer: ans})
+		c.sendToPeer(x.From, PeerMessage{Answer: ans})
 		return
 	}
 	a := Answer{Req: req, Status: status, Body: body}
 	if status == 503 || status == 429 {
 		a.RetryAfter = tuning.RetryHint
 	}
-	c.out = append(c.out, a)
+	c.effects = append(c.effects, a)
 }
 
 func (c *Core) log(level int, msg string, kv ...any) {
-	c.out = append(c.out, Log{Level: level, Msg: msg, KV: kv})
+	c.effects = append(c.effects, Log{Level: level, Msg: msg, KV: kv})
 }
 
 // every tells whether a repeated duty is due, and if so sets its next time.
-func (c *Core) every(name string, d time.Duration) bool {
-	if c.now < c.retryAt[name] {
+func (c *Core) dueEvery(name string, d time.Duration) bool {
+	if c.now < c.notBefore[name] {
 		return false
 	}
-	c.retryAt[name] = c.now + d
+	c.notBefore[name] = c.now + d
 	return true
 }
 
 func (c *Core) tick() {
-	c.keepWays()
-	c.keepPresence()
-	c.keepMirror()
-	c.keepVersions()
-	c.tellPeers()
-	c.giveUpRelays()
-	c.askAll()
+	c.maintainStateRoute()
+	c.maintainPresence()
+	c.maintainMirror()
+	c.publishVersions()
+	c.pingPeers()
+	c.expireRelays()
+	c.answerPolls()
 	if !c.loaded {
 		return
 	}
-	if ok := c.confirmed(); ok != c.wasConfirmed {
-		c.wasConfirmed, c.sureSince = ok, c.now
+	if ok := c.authorized(); ok != c.wasAuthorized {
+		c.wasAuthorized, c.confirmationChangedAt = ok, c.now
 		kind := trail.Unconfirmed
 		if ok {
 			kind = trail.Confirmed
 		}
-		c.note(wire.TrailEvent{Kind: kind})
-		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.member.LastRenewed()).String(), "watched_ago", (c.now - c.member.LastWatched()).String())
+		c.recordEvent(wire.TrailEvent{Kind: kind})
+		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.presence.LastRenewed()).String(), "watched_ago", (c.now - c.presence.LastWatched()).String())
 	}
 	c.lead()
 	c.followAddrs()
-	c.watchReach()
+	c.updateReachability()
 	c.hold()
-	c.keepTrail()
+	c.persistTrail()
 }
 
 // keepPresence holds a grant, and this node's key on it.
-func (c *Core) keepPresence() {
+func (c *Core) maintainPresence() {
 	sent := c.now
-	if c.member.WantsGrant(c.now) {
-		c.state(StateCall{Op: OpGrant}, func(r StateReply) {
+	if c.presence.WantsGrant(c.now) {
+		c.callState(StateCall{Op: OpGrant}, func(r StateReply) {
 			if r.Status != 200 {
 				r.Lease = 0
 			}
-			news := c.member.Granted(c.now, sent, r.Lease)
+			news := c.presence.Granted(c.now, sent, r.Lease)
 			switch {
 			case r.Lease == 0 && news:
 				c.log(0, "no grant from the state service", "status", r.Status, "err", r.Err)
@@ -287,15 +287,15 @@
 				c.log(1, "grants again from the state service")
 			}
 			if r.Lease != 0 {
-				c.keepPresence()
+				c.maintainPresence()
 			}
 		})
-	} else if c.member.WantsWrite(c.now) {
+	} else if c.presence.WantsWrite(c.now) {
 		c.writePresence()
 	}
-	if g, due := c.member.WantsExtend(c.now); due {
-		c.state(StateCall{Op: OpExtend, Lease: g}, func(r StateReply) {
-			switch c.member.Extended(c.now, sent, g, r.Status) {
+	if g, due := c.presence.WantsExtend(c.now); due {
+		c.callState(StateCall{Op: OpExtend, Lease: g}, func(r StateReply) {
+			switch c.presence.Extended(c.now, sent, g, r.Status) {
 			case membership.Ended:
 				c.log(0, "grant ended, taking another", "grant", g)
 			case membership.Unanswered:
@@ -309,49 +309,49 @@
 // stands there, the write of an earlier life that is executed late fails. It once replaced the
 // key and took it along when its own grant ended, and a controller that ran was taken for gone.
 func (c *Core) writePresence() {
-	g, key := c.member.Grant(), wire.PrefixNode+c.p.Node
-	c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
-		if r.Status != 200 && r.Status != 404 || c.member.Grant() != g {
+	g, key := c.presence.Grant(), wire.PrefixNode+c.params.Node
+	c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
+		if r.Status != 200 && r.Status != 404 || c.presence.Grant() != g {
 			return
 		}
-		c.learn(key, r)
-		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: r.Item.Version}}, []wire.Change{{Put: key, Value: wire.Node{Boot: c.member.Boot(), Zone: c.p.Zone, Features: c.p.Features}, Lease: g}}, func(r StateReply) {
-			if c.member.Wrote(c.now, g, r.Status) {
-				c.retake()
-				c.log(1, "present", "node", c.p.Node, "boot", c.member.Boot(), "grant", g)
+		c.applyRead(key, r)
+		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: r.Item.Version}}, []wire.Change{{Put: key, Value: wire.Node{Boot: c.presence.Boot(), Zone: c.params.Zone, Features: c.params.Features}, Lease: g}}, func(r StateReply) {
+			if c.presence.Wrote(c.now, g, r.Status) {
+				c.reclaimShards()
+				c.log(1, "present", "node", c.params.Node, "boot", c.presence.Boot(), "grant", g)
 			}
 		})
 	})
 }
 
 // keepMirror reads all live keys once and then follows their changes.
-func (c *Core) keepMirror() {
-	if c.member.Boot() == 0 {
+func (c *Core) maintainMirror() {
+	if c.presence.Boot() == 0 {
 		return
 	}
-	if !c.loaded && !c.loading && c.every("load", tuning.RetryAfter) {
-		c.loading, c.listSeen, c.listRev = true, map[string]bool{}, 0
+	if !c.loaded && !c.loading && c.dueEvery("load", tuning.RetryAfter) {
+		c.loading, c.listedKeys, c.listRevision = true, map[string]bool{}, 0
 		c.loadPage("", c.now)
 	}
-	if c.loaded && !c.watching && c.now >= c.retryAt["watch"] {
+	if c.loaded && !c.watching && c.now >= c.notBefore["watch"] {
 		c.watching = true
 		sent := c.now
-		c.state(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.rev, Hold: min(tuning.WatchHold, c.unconfirmedMax()/4)}, func(r StateReply) {
+		c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision, Hold: min(tuning.WatchHold, c.maxUnconfirmed()/4)}, func(r StateReply) {
 			c.watching = false
 			switch r.Status {
 			case 200:
-				c.member.Watched(sent)
-				c.follow(&r.Events)
-				c.keepMirror()
-				c.changed()
+				c.presence.Watched(sent)
+				c.applyEvents(&r.Events)
+				c.maintainMirror()
+				c.mirrorChanged()
 			case 410:
 				c.log(1, "watch too old, reading all keys again")
-				c.loading, c.listSeen, c.listRev = true, map[string]bool{}, 0
+				c.loading, c.listedKeys, c.listRevision = true, map[string]bool{}, 0
 				c.watching = true // until the list is read
 				c.loadPage("", c.now)
 			default:
 				c.log(2, "watch failed", "status", r.Status, "err", r.Err)
-				c.retryAt["watch"] = c.now + tuning.RetryAfter
+				c.notBefore["watch"] = c.now + tuning.RetryAfter
 			}
 		})
 	}
@@ -359,125 +359,125 @@
 
 // follow applies changes. Two calls may tell of them, and the later answer of the one may
 // come before the earlier one of the other: each event counts with its own revision.
-func (c *Core) follow(ev *wire.Events) {
+func (c *Core) applyEvents(ev *wire.Events) {
 	for _, e := range ev.Events {
 		if e.Put != "" {
-			c.put(e.Put, e.Value, e.Version)
+			c.applyPut(e.Put, e.Value, e.Version)
 		} else {
-			c.remove(e.Delete, e.Version)
+			c.applyDelete(e.Delete, e.Version)
 		}
 	}
-	c.rev = max(c.rev, ev.Revision)
-	c.ver.Forget(c.rev, c.oldestCall)
+	c.mirrorRevision = max(c.mirrorRevision, ev.Revision)
+	c.versions.Forget(c.mirrorRevision, c.oldestCall)
 	c.enterShards()
 }
 
 func (c *Core) loadPage(after string, began Time) {
-	c.state(StateCall{Op: OpList, Key: wire.LivePrefix, After: after}, func(r StateReply) {
+	c.callState(StateCall{Op: OpList, Key: wire.LivePrefix, After: after}, func(r StateReply) {
 		if r.Status != 200 {
 			c.loading, c.watching = false, false
 			if c.loaded {
-				c.retryAt["watch"] = c.now + tuning.RetryAfter
+				c.notBefore["watch"] = c.now + tuning.RetryAfter
 			}
 			c.log(0, "state not readable", "status", r.Status, "err", r.Err)
 			return
 		}
-		if c.listRev == 0 {
-			c.listRev = r.List.Revision
+		if c.listRevision == 0 {
+			c.listRevision = r.List.Revision
 		}
 		last := after
 		for _, it := range r.List.Items {
-			c.listSeen[it.Key] = true
-			c.put(it.Key, it.Value, it.Version)
+			c.listedKeys[it.Key] = true
+			c.applyPut(it.Key, it.Value, it.Version)
 			last = it.Key
 		}
 		if r.List.More && len(r.List.Items) > 0 {
 			c.loadPage(last, began)
 			return
 		}
-		for _, k := range c.ver.Keys() {
-			if !c.listSeen[k] {
-				c.remove(k, c.listRev)
+		for _, k := range c.versions.Keys() {
+			if !c.listedKeys[k] {
+				c.applyDelete(k, c.listRevision)
 			}
 		}
 		// Changes made while the pages were read come again with the watch.
-		c.ver.Read(c.listRev)
-		c.rev, c.loading, c.watching, c.listSeen = c.listRev, false, false, nil
-		c.member.Watched(began)
+		c.versions.Read(c.listRevision)
+		c.mirrorRevision, c.loading, c.watching, c.listedKeys = c.listRevision, false, false, nil
+		c.presence.Watched(began)
 		c.enterShards()
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
 				c.followBoots(nil, c.blocks[id])
 			}
-			c.note(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
-			c.log(1, "state read", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.rev)
-			c.retake()
+			c.recordEvent(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
+			c.log(1, "state read", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.mirrorRevision)
+			c.reclaimShards()
 		}
-		c.keepMirror()
-		c.changed()
+		c.maintainMirror()
+		c.mirrorChanged()
 	})
 }
 
 // retake claims what this node's earlier life held. That life is dead, so no
 // one else can act for it, and its workers' leases are running out. It is present first: a
 // record of an earlier life in its place would prove to others that this one is dead.
-func (c *Core) retake() {
-	if !c.loaded || !c.member.Here() {
+func (c *Core) reclaimShards() {
+	if !c.loaded || !c.presence.Here() {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if e := c.shards[i]; e.rec.Holder == c.p.Node && e.rec.Boot != c.member.Boot() {
-			c.takeShard(i, c.p.Node, c.member.Boot())
+		if e := c.shards[i]; e.record.Holder == c.params.Node && e.record.Boot != c.presence.Boot() {
+			c.assignShard(i, c.params.Node, c.presence.Boot())
 		}
 	}
 	c.lead()
 }
 
 // takeShard writes a new holder; the write's revision is the shard's token.
-func (c *Core) takeShard(i int, node string, boot uint64, when ...wire.Condition) {
+func (c *Core) assignShard(i int, node string, boot uint64, when ...wire.Condition) {
 	e := c.shards[i]
-	rec := duty.NextHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
+	rec := duty.NextHolder(e.record, node, boot, tuning.PastLives, c.params.ValueBytes)
 	key := shardKey(i)
-	if !c.every("take:"+key, tuning.RetryAfter) {
+	if !c.dueEvery("take:"+key, tuning.RetryAfter) {
 		return
 	}
-	from := e.rec.Holder
-	c.taking[i] = taking{rec, from}
-	c.commit(LaneFirst, append(when, wire.Condition{Key: key, Version: e.ver}), []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
+	from := e.record.Holder
+	c.taking[i] = pendingTransfer{rec, from}
+	c.commit(LaneFirst, append(when, wire.Condition{Key: key, Version: e.version}), []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
 		if r.Status == 200 {
-			c.noteTaken(i)
+			c.recordShardTaken(i)
 		}
 		c.log(1, "shard taken", "shard", i, "holder", node, "from", from, "status", r.Status)
-		c.changed()
+		c.mirrorChanged()
 	})
 }
 
 // commit writes a transaction; on success the mirror is brought up at once, on
 // a conflict the failed keys are read again.
 func (c *Core) commit(lane int, when []wire.Condition, then []wire.Change, f func(StateReply)) {
-	c.state(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: when, Then: then}}, func(r StateReply) {
+	c.callState(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: when, Then: then}}, func(r StateReply) {
 		switch r.Status {
 		case 400:
 			c.refusedForm(when, then, r.Err)
 		case 200:
 			for _, ch := range then {
-				c.form.Taken(limits.KindOf(ch.Put))
+				c.writeLimits.Taken(limits.KindOf(ch.Put))
 				if ch.Delete != "" {
-					c.remove(ch.Delete, r.Txn.Revision)
+					c.applyDelete(ch.Delete, r.Txn.Revision)
 				} else if raw, err := wire.Marshal(ch.Value); err == nil {
-					c.put(ch.Put, raw, r.Txn.Revision)
+					c.applyPut(ch.Put, raw, r.Txn.Revision)
 				}
 			}
 		case 409:
 			for _, k := range r.Txn.Failed {
-				c.refresh(k)
+				c.rereadKey(k)
 			}
 		case 0:
 			// The write may have happened: learn what stands there now.
 			for _, ch := range then {
 				if k := ch.Put + ch.Delete; strings.HasPrefix(k, wire.LivePrefix) {
-					c.refresh(k)
+					c.rereadKey(k)
 				}
 			}
 		}
@@ -485,8 +485,8 @@
 	})
 }
 
-func (c *Core) sizeOf(typ string) (placement.Size, bool) {
-	t, ok := c.types[typ]
+func (c *Core) machineSize(typ string) (placement.Size, bool) {
+	t, ok := c.machineTypes[typ]
 	return placement.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB}, ok
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -266,7 +266,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.put(wire.PrefixNode+"ghost", raw, 1) // seen once, removed unseen
+	c.applyPut(wire.PrefixNode+"ghost", raw, 1) // seen once, removed unseen
 	w.store.Trouble.TooOld = true
 	w.run(6 * sec)
 	if _, ok := c.nodes["ghost"]; ok {
@@ -284,16 +284,16 @@
 
 // born gives a core that no world drives its first grant.
 func (c *Core) born(boot uint64) {
-	c.member.WantsGrant(0)
-	c.member.Granted(0, 0, boot)
+	c.presence.WantsGrant(0)
+	c.presence.Granted(0, 0, boot)
 }
 
 // sure has the state service confirm a core at a time.
 func (c *Core) sure(at Time) {
-	if g := c.member.Grant(); g != 0 {
-		c.member.Hurry(at)
-		c.member.WantsExtend(at)
-		c.member.Extended(at, at, g, 200)
+	if g := c.presence.Grant(); g != 0 {
+		c.presence.Hurry(at)
+		c.presence.WantsExtend(at)
+		c.presence.Extended(at, at, g, 200)
 	}
-	c.member.Watched(at)
+	c.presence.Watched(at)
 }
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -29,7 +29,7 @@
 func (w crewWork) Jobs() iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
 		for _, e := range w.c.jobsByAge() {
-			if !yield(&e.rec) {
+			if !yield(&e.record) {
 				return
 			}
 		}
@@ -38,25 +38,25 @@
 
 func (w crewWork) Left(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
-	left := e.rec.Tasks - w.c.known(e).Count()
+	left := e.record.Tasks - w.c.known(e).Count()
 	if e.run != nil {
-		left = e.rec.Tasks - e.run.done.Count()
+		left = e.record.Tasks - e.run.done.Count()
 	}
-	return left, w.c.runs.Typical(e.rec.Class, e.rec.EstimateS)
+	return left, w.c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 }
 
 func (w crewWork) CPUs(team, zone string) (have float64) {
-	i := w.c.shardOf(team)
+	i := w.c.shardOfTeam(team)
 	for _, id := range w.c.blockIDs() {
-		if b := w.c.blocks[id]; b.rec.Shard == i && (zone == "" || b.rec.Zone == zone) {
-			have += w.c.blockCPUs(&b.rec)
+		if b := w.c.blocks[id]; b.record.Shard == i && (zone == "" || b.record.Zone == zone) {
+			have += w.c.blockCPUs(&b.record)
 		}
 	}
-	return min(have, w.c.p.Teams[team].CPUsMax)
+	return min(have, w.c.params.Teams[team].CPUsMax)
 }
 
 func (w crewWork) Ended(job string) (bool, string) {
-	return w.c.jobs[job] != nil, w.c.finals[job].Status
+	return w.c.jobs[job] != nil, w.c.finalStates[job].Status
 }
 
 // crewDue is by when a departure wants a job done.
@@ -71,20 +71,20 @@
 
 // planCrews plans the departures of the crews whose teams are served here, and writes how they went.
 func (c *Core) planCrews() {
-	if c.calendar.Idle() || !c.confirmed() || !c.every("crews", tuning.CrewEvery) {
+	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
 		return
 	}
-	served := func(team string) bool { i := c.shardOf(team); return i >= 0 && c.mine(i) }
+	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
 	for _, e := range events {
-		name, shard, o := e.Crew.Rec.Name, c.shardOf(e.Crew.Rec.Team), e.Outcome
+		name, shard, o := e.Crew.Rec.Name, c.shardOfTeam(e.Crew.Rec.Team), e.Outcome
 		if o == nil {
-			c.noteShard(trail.CrewMiss, shard, wire.TrailEvent{Count: e.Plan.Miss, Why: name + ": " + e.Plan.Say})
+			c.recordShardEvent(trail.CrewMiss, shard, wire.TrailEvent{Count: e.Plan.Miss, Why: name + ": " + e.Plan.Say})
 			c.log(1, "departure", "crew", name, "plan", e.Plan.Say)
 			continue
 		}
-		c.noteShard(trail.CrewLeft, shard, wire.TrailEvent{Count: o.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, o.Met, o.Jobs, o.LateS)})
-		c.putCrew(calendar.Entry{Rec: e.Rec, Ver: e.Crew.Ver}, c.shardCond(shard), func(StateReply) {})
+		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{Count: o.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, o.Met, o.Jobs, o.LateS)})
+		c.putCrew(calendar.Entry{Rec: e.Rec, Ver: e.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
@@ -107,13 +107,13 @@
 // rentAhead has the leader book machines for work that crews expect: the names stand in the
 // record before anything is asked, so whoever leads asks for the same and no more.
 func (c *Core) rentAhead() {
-	if len(c.calendar.Names()) == 0 || len(c.types) == 0 || !c.every("ahead", tuning.CrewEvery) {
+	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewEvery) {
 		return
 	}
 	l := &c.leader
 	for _, name := range c.calendar.Names() {
 		x, leaves, booked, ok := c.calendar.Expects(name, c.wall)
-		shard := c.shardOf(x.Rec.Team)
+		shard := c.shardOfTeam(x.Rec.Team)
 		if !ok || shard < 0 {
 			continue
 		}
@@ -135,19 +135,19 @@
 func (c *Core) planAhead(x *calendar.Entry, leaves time.Time, shard int) {
 	e := x.Rec.Expect
 	n := wire.Need{Zone: x.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
-	offers := supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
+	offers := supply.Offers(c.machineTypes, n, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
 	factor := 1.0
 	for _, class := range x.Rec.Classes {
-		factor = max(factor, c.runs.Factor(class))
+		factor = max(factor, c.runTimes.Factor(class))
 	}
-	o, t := &offers[0], c.types[offers[0].Type]
-	rec, due := c.calendar.Ahead(x, c.wall, leaves, calendar.Accepted(x, leaves, crewWork{c}), c.p.Teams[x.Rec.Team].CPUsMax,
+	o, t := &offers[0], c.machineTypes[offers[0].Type]
+	rec, due := c.calendar.Ahead(x, c.wall, leaves, calendar.Accepted(x, leaves, crewWork{c}), c.params.Teams[x.Rec.Team].CPUsMax,
 		wire.CrewBooking{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, t.CPUs, factor, seconds(t.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCond(), func(StateReply) { c.changed() })
+		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCond(), func(StateReply) { c.mirrorChanged() })
 	}
 }
 
@@ -160,17 +160,17 @@
 
 // awaitsCrew tells whether machines of a shard were rented ahead of a departure that is to come.
 func (c *Core) awaitsCrew(shard int) bool {
-	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOf(team) == shard })
+	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOfTeam(team) == shard })
 }
 
 // tellBias writes how far estimates are off, when it has changed.
 func (c *Core) tellBias() {
-	if !c.every("bias", tuning.BiasEvery) {
+	if !c.dueEvery("bias", tuning.BiasEvery) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if was := c.biases[biasKey(i)]; c.mine(i) && c.runs.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.Shorter)}}, func(StateReply) {})
+		if was := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.ValueBytes, forecast.Shorter)}}, func(StateReply) {})
 		}
 	}
 }
@@ -202,21 +202,21 @@
 			c.answer(v.Req, 200, view(x))
 		default:
 			c.commit(LaneUser, []wire.Condition{{Key: key, Version: v.Ver}}, []wire.Change{{Delete: key}}, func(r StateReply) {
-				c.adminDone(v.Req, r, func() any { return view(x) })
+				c.answerAdminWrite(v.Req, r, func() any { return view(x) })
 			})
 		}
 		return
 	}
-	team := func(t string) bool { _, ok := c.p.Teams[t]; return ok }
+	team := func(t string) bool { _, ok := c.params.Teams[t]; return ok }
 	zone := func(z string) bool {
-		for _, t := range c.types {
+		for _, t := range c.machineTypes {
 			if slices.Contains(t.Zones, z) {
 				return true
 			}
 		}
 		return false
 	}
-	switch to, err := c.calendar.Revise(v.Name, v.Patch.Crew, c.wall, c.p.Node, team, zone); {
+	switch to, err := c.calendar.Revise(v.Name, v.Patch.Crew, c.wall, c.params.Node, team, zone); {
 	case err != nil:
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 	case v.Patch.DryRun:
@@ -225,7 +225,7 @@
 		c.answer(v.Req, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	default:
 		c.commit(LaneUser, []wire.Condition{{Key: key, Version: to.Ver}}, []wire.Change{{Put: key, Value: to.Rec}}, func(r StateReply) {
-			c.adminDone(v.Req, r, func() any { return view(&calendar.Entry{Rec: to.Rec, Ver: r.Txn.Revision}) })
+			c.answerAdminWrite(v.Req, r, func() any { return view(&calendar.Entry{Rec: to.Rec, Ver: r.Txn.Revision}) })
 		})
 	}
 }
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -13,7 +13,7 @@
 // what tasks and users wait for, then the rest, so that a short write limit
 // never keeps a start behind progress.
 func (c *Core) flush() {
-	if !c.every("flush", tuning.Tick) {
+	if !c.dueEvery("flush", tuning.Tick) {
 		return
 	}
 	c.flushStarts()
@@ -36,8 +36,8 @@
 
 // newBatch begins a short write: what users wait for gets in between.
 func (c *Core) newBatch() *batch {
-	b := &batch{c: c, max: c.form.Bounds().Short(tuning.ShortOps), shard: map[int]bool{}}
-	if c.form.Alone(c.now) {
+	b := &batch{c: c, max: c.writeLimits.Bounds().Short(tuning.ShortOps), shard: map[int]bool{}}
+	if c.writeLimits.Alone(c.now) {
 		b.max = 2
 	}
 	return b
@@ -48,7 +48,7 @@
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
 	if !b.shard[shard] {
 		b.shard[shard] = true
-		b.when = append(b.when, b.c.shardCond(shard))
+		b.when = append(b.when, b.c.shardUnchanged(shard))
 	}
 	if cond != nil {
 		b.when = append(b.when, *cond)
@@ -60,15 +60,15 @@
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
 	e.run.writing = true
-	b.add(b.c.shardOf(e.rec.Team), &wire.Condition{Key: jobKey(e.rec.ID), Version: e.ver}, changes...)
+	b.add(b.c.shardOfTeam(e.record.Team), &wire.Condition{Key: jobKey(e.record.ID), Version: e.version}, changes...)
 }
 
 // addBlock adds a block's new record.
 func (b *batch) addBlock(x *blockEntry, rec wire.Block) {
-	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.ver}, wire.Change{Put: blockKey(x.id), Value: rec})
-	if rec.Idle && !x.rec.Idle {
+	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.version}, wire.Change{Put: blockKey(x.id), Value: rec})
+	if rec.Idle && !x.record.Idle {
 		b.idle = append(b.idle, x.id)
-		b.c.offered[x.id] = x.ver
+		b.c.offered[x.id] = x.version
 		b.c.touchBlock(x.id)
 	}
 }
@@ -77,7 +77,7 @@
 // executed late: only a newer version of its record, or a refusal, ends that.
 func (c *Core) offering(b *blockEntry) bool {
 	ver, sent := c.offered[b.id]
-	return sent && ver == b.ver
+	return sent && ver == b.version
 }
 
 // withdraw ends the offer of blocks whose mark was refused.
@@ -109,7 +109,7 @@
 		if r.Status == 200 {
 			written(r.Txn.Revision)
 		} else {
-			c.retryAt[duty] = c.now + tuning.RetryAfter/2
+			c.notBefore[duty] = c.now + tuning.RetryAfter/2
 			c.log(2, "not written", "changes", len(b.then), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.dirty = true
@@ -119,7 +119,7 @@
 
 // flushJobs writes ends of jobs, urgent ones first, and blocks that cannot wait.
 func (c *Core) flushJobs() {
-	if c.flushing || c.now < c.retryAt["flushJobs"] {
+	if c.flushing || c.now < c.notBefore["flushJobs"] {
 		return
 	}
 	b := c.newBatch() // short, so that acceptances get in between
@@ -130,21 +130,21 @@
 		if b.full() {
 			break
 		}
-		if e.run.writing || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
+		if e.run.writing || c.writeLimits.Aside(c.now, limits.Final, jobKey(e.record.ID)) {
 			continue
 		}
 		if _, ended, _ := c.owes(e); !ended {
 			continue
 		}
-		id, f := e.rec.ID, wire.Final{Status: wire.JobDone, Done: e.rec.Tasks}
+		id, f := e.record.ID, wire.Final{Status: wire.JobDone, Done: e.record.Tasks}
 		finals[id] = f
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
 	for _, id := range sortedKeys(c.used) {
 		x := c.blocks[id]
-		if x == nil || !c.mine(x.rec.Shard) {
+		if x == nil || !c.holdsShard(x.record.Shard) {
 			delete(c.used, id)
-		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		} else if !b.full() && !c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
 			if rec, change := c.markBlock(x); change {
 				b.addBlock(x, rec)
 			} else {
@@ -154,16 +154,16 @@
 	}
 	for _, i := range c.shardIDs() {
 		s := c.shards[i]
-		if !c.mine(i) || c.unsettle[i] || s.rec.Settled || b.full() {
+		if !c.holdsShard(i) || c.unsettle[i] || s.record.Settled || b.full() {
 			continue
 		}
-		rec := s.rec
+		rec := s.record
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
 	b.send(LaneUser, &c.flushing, "flushJobs", func(rev uint64) {
 		for _, id := range sortedKeys(finals) {
-			c.keepFinal(id, finals[id], rev)
+			c.cacheFinal(id, finals[id], rev)
 			c.log(1, "job done", "job", id)
 		}
 	})
@@ -171,8 +171,8 @@
 
 // markBlock is a block's record as it should stand.
 func (c *Core) markBlock(x *blockEntry) (rec wire.Block, change bool) {
-	rec, change = x.rec, c.offering(x) // its mark may come late: a write of ours forestalls it
-	rec.Machines = append([]wire.BlockMachine(nil), x.rec.Machines...)
+	rec, change = x.record, c.offering(x) // its mark may come late: a write of ours forestalls it
+	rec.Machines = append([]wire.BlockMachine(nil), x.record.Machines...)
 	for k := range rec.Machines {
 		m, bm := c.machines[rec.Machines[k].Name], &rec.Machines[k]
 		if m == nil {
@@ -193,9 +193,9 @@
 
 // movedOn tells whether a tracked job has a task on another machine than written.
 func (c *Core) movedOn(e *jobEntry) bool {
-	if tracked(&e.rec) {
+	if tracked(&e.record) {
 		for k, a := range e.run.active {
-			if onOf(&e.rec, k) != a.m.name {
+			if onOf(&e.record, k) != a.m.name {
 				return true
 			}
 		}
@@ -205,13 +205,13 @@
 
 // flushLater writes marks on blocks and the progress of jobs.
 func (c *Core) flushLater() {
-	if c.flushingLater || !c.every("flushLater", tuning.LaterEvery) {
+	if c.flushingLater || !c.dueEvery("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
 		x := c.blocks[id]
-		if !c.mine(x.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		if !c.holdsShard(x.record.Shard) || c.used[id] || b.full() || c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
 		if rec, change := c.markBlock(x); change {
@@ -227,7 +227,7 @@
 			break
 		}
 		// Progress of a job that still has starts to write goes with them.
-		if e.run.writing || c.now-e.run.wrote < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
+		if e.run.writing || c.now-e.run.wrote < pause || c.writeLimits.Aside(c.now, limits.Job, jobKey(e.record.ID)) {
 			continue
 		}
 		e.run.wrote = c.now
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -128,7 +128,7 @@
 			if len(fit.Needs) < 8 {
 				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
-			w.put(wantKey(0), fit)
+			w.put(demandKey(0), fit)
 
 			tr := trail.New(trail.Limits{Events: tuning.TrailEvents, Bytes: min(tuning.TrailBytes, bytes/2)})
 			for k := range machines {
@@ -233,9 +233,9 @@
 		job.Done = append(job.Done, [2]int{k, k + 1})
 	}
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, TxnOps: 4, ValueBytes: bytes})
-	e := &jobEntry{rec: job, run: &jobRun{done: job.Done}}
+	e := &jobEntry{record: job, run: &jobRun{done: job.Done}}
 	b := c.newBatch()
-	c.shards[0], c.teamHome["red"] = &shardEntry{}, 0
+	c.shards[0], c.teamShards["red"] = &shardEntry{}, 0
 	b.addProgress(e)
 	for _, ch := range b.then {
 		w.put(ch.Put, ch.Value)
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -38,7 +38,7 @@
 	health                           *health.Book
 	warm                             map[string]bool // machines that are up, and fresh in the state
 	used                             map[string]bool // blocks with fresh machines that are up
-	taking                           map[int]taking
+	taking                           map[int]pendingTransfer
 	entered                          map[int]Time      // when a held shard was taken up
 	prevDead                         map[int]Time      // since when the life a shard was taken from is known to be dead
 	vacating                         map[string]bool   // blocks being emptied for another shard's guarantee
@@ -140,7 +140,7 @@
 }
 
 func newHolder() holder {
-	return holder{health: newHealth(), startsBusy: map[int]bool{}, startsAt: map[int]Time{}, startsNext: map[int]Time{}, warm: map[string]bool{}, taking: map[int]taking{}, machines: map[string]*machine{}, onTask: map[string][]*attempt{}, held: map[int]bool{}, pending: map[int]bool{}, unsettle: map[int]bool{}, wantSent: map[int]wire.Want{}, tellers: map[int]*wants.Teller{}, lacks: wants.NewBoard(wantPace),
+	return holder{health: newHealth(), startsBusy: map[int]bool{}, startsAt: map[int]Time{}, startsNext: map[int]Time{}, warm: map[string]bool{}, taking: map[int]pendingTransfer{}, machines: map[string]*machine{}, onTask: map[string][]*attempt{}, held: map[int]bool{}, pending: map[int]bool{}, unsettle: map[int]bool{}, wantSent: map[int]wire.Want{}, tellers: map[int]*wants.Teller{}, lacks: wants.NewBoard(wantPace),
 		used: map[string]bool{}, entered: map[int]Time{}, prevDead: map[int]Time{}, vacating: map[string]bool{}, offered: map[string]uint64{}, dire: map[int]Time{},
 		reserve: supply.NewReserve(supply.ReserveLimits{Memory: tuning.UrgentMemory, Window: tuning.ArrivalWindow})}
 }
@@ -148,38 +148,38 @@
 // jobSeen is called for every new version of a live job.
 func (c *Core) jobSeen(e *jobEntry) {
 	c.touchJob(e)
-	i := c.shardOf(e.rec.Team)
-	if !c.mine(i) {
+	i := c.shardOfTeam(e.record.Team)
+	if !c.holdsShard(i) {
 		e.run = nil
 		return
 	}
 	fresh := e.run == nil
 	if fresh {
-		e.run = &jobRun{since: c.now, active: map[int]*attempt{}, next: e.rec.Started, done: c.known(e).Clone()}
-		if e.rec.Started > 0 {
-			e.run.held = e.rec.Started
-			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
+		e.run = &jobRun{since: c.now, active: map[int]*attempt{}, next: e.record.Started, done: c.known(e).Clone()}
+		if e.record.Started > 0 {
+			e.run.held = e.record.Started
+			if s, _ := c.startLog.Of(e.record.ID); s.Bad && len(e.run.done) == 0 {
 				// Otherwise a whole array that fails everywhere starts anew with each takeover.
-				c.health.Condemn(c.now, e.rec.ID)
-				e.run.notYet = c.health.NotBefore(e.rec.ID)
+				c.health.Condemn(c.now, e.record.ID)
+				e.run.notYet = c.health.NotBefore(e.record.ID)
 			}
 			c.settleJob(e, i, true)
 			c.awaitOn(e)
-			c.noteHeld(e, i)
+			c.recordHeldTasks(e, i)
 		}
 	}
-	if e.prio >= urgentRank {
-		if c.reserve.Seen(c.now, i, jobSize(&e.rec), e.rank, fresh && e.rec.Started == 0) {
+	if e.priority >= urgentRank {
+		if c.reserve.Seen(c.now, i, jobSize(&e.record), e.rank, fresh && e.record.Started == 0) {
 			c.touchShard(i) // room is counted in tasks of this size
 		}
 	}
-	if e.rec.Started > e.run.next {
+	if e.record.Started > e.run.next {
 		// Someone wrote further starts before we took over: a late write of the
 		// earlier holder. Those may have been started.
-		e.run.held, e.run.next = e.rec.Started, e.rec.Started
+		e.run.held, e.run.next = e.record.Started, e.record.Started
 		c.settleJob(e, i, c.unsettle[i])
 		c.awaitOn(e)
-		c.noteHeld(e, i)
+		c.recordHeldTasks(e, i)
 	}
 	e.run.done = e.run.done.Union(c.known(e))
 }
@@ -188,7 +188,7 @@
 // of it is still on machines is stopped there and counts until it is gone.
 func (c *Core) jobGone(e *jobEntry) {
 	c.touchJob(e)
-	c.health.ForgetJob(e.rec.ID)
+	c.health.ForgetJob(e.record.ID)
 	if e.run == nil {
 		return
 	}
@@ -222,14 +222,14 @@
 	}
 	delete(c.machines, m.name)
 	delete(c.coming, m)
-	if b := c.places[m.shard]; b != nil {
+	if b := c.reservations[m.shard]; b != nil {
 		b.Drop(m)
 	}
 	c.health.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
 	c.room.Drop(m)
-	c.desk.Forget(m)
-	c.roll.Drop(m)
+	c.callQueue.Forget(m)
+	c.pendingMachines.Drop(m)
 	c.machineList = nil
 }
 
@@ -270,15 +270,15 @@
 // shardSeen is called for every new version of a shard record.
 func (c *Core) shardSeen(i int, old *shardEntry) {
 	c.dirty = true
-	delete(c.yielded, i)
+	delete(c.yieldedTo, i)
 	if old != nil {
-		c.words.Moved(c.now, &old.rec, &c.shards[i].rec)
+		c.assignments.Moved(c.now, &old.record, &c.shards[i].record)
 	}
-	named := c.member.Boot() != 0 && c.shards[i].rec.Holder == c.p.Node && c.shards[i].rec.Boot == c.member.Boot()
-	if now := c.shards[i]; old == nil || old.rec.Holder != now.rec.Holder || old.rec.Boot != now.rec.Boot || !slices.Equal(old.rec.Teams, now.rec.Teams) {
-		c.vouch.Granted(shardKey(i), now.ver, named)
+	named := c.presence.Boot() != 0 && c.shards[i].record.Holder == c.params.Node && c.shards[i].record.Boot == c.presence.Boot()
+	if now := c.shards[i]; old == nil || old.record.Holder != now.record.Holder || old.record.Boot != now.record.Boot || !slices.Equal(old.record.Teams, now.record.Teams) {
+		c.confirmation.Granted(shardKey(i), now.version, named)
 	}
-	if named && c.held[i] && old != nil && duty.Regained(old.rec, c.shards[i].rec) {
+	if named && c.held[i] && old != nil && duty.Regained(old.record, c.shards[i].record) {
 		c.leaveShard(i) // another held it, and what it did is not in our mirror yet
 	}
 	switch {
@@ -287,7 +287,7 @@
 		c.enterShards()
 	case named:
 		for _, id := range sortedKeys(c.jobs) { // of a team homed here just now
-			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == i {
+			if e := c.jobs[id]; e.run == nil && c.shardOfTeam(e.record.Team) == i {
 				c.jobSeen(e)
 			}
 		}
@@ -305,23 +305,23 @@
 // would mean to start what its last writes say it has started.
 func (c *Core) enterShards() {
 	for _, i := range c.shardIDs() {
-		if !c.pending[i] || c.rev < c.shards[i].ver {
+		if !c.pending[i] || c.mirrorRevision < c.shards[i].version {
 			continue
 		}
 		delete(c.pending, i)
 		c.held[i], c.unsettle[i], c.entered[i] = true, true, c.now
 		delete(c.prevDead, i)
 		for _, id := range c.blockIDs() {
-			if b := c.blocks[id]; b.rec.Shard == i {
-				c.holdBlock(b, !b.rec.Idle)
+			if b := c.blocks[id]; b.record.Shard == i {
+				c.holdBlock(b, !b.record.Idle)
 			}
 		}
 		c.relook = true
-		c.runs.Import(c.biases[biasKey(i)].Classes)
-		c.noteShard(trail.ShardHeld, i, wire.TrailEvent{Token: c.shards[i].ver})
-		c.log(1, "holding shard", "shard", i, "token", c.shards[i].ver, "teams", len(c.shards[i].rec.Teams))
+		c.runTimes.Import(c.biases[biasKey(i)].Classes)
+		c.recordShardEvent(trail.ShardHeld, i, wire.TrailEvent{Token: c.shards[i].version})
+		c.log(1, "holding shard", "shard", i, "token", c.shards[i].version, "teams", len(c.shards[i].record.Teams))
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; c.shardOf(e.rec.Team) == i {
+			if e := c.jobs[id]; c.shardOfTeam(e.record.Team) == i {
 				c.jobSeen(e)
 			}
 		}
@@ -333,7 +333,7 @@
 	delete(c.held, i)
 	delete(c.unsettle, i)
 	delete(c.tellers, i)
-	delete(c.places, i)
+	delete(c.reservations, i)
 	c.weights.Left(i)
 	for _, m := range c.heldMachines() {
 		if m.shard == i {
@@ -341,16 +341,16 @@
 		}
 	}
 	for _, e := range c.jobsByAge() {
-		if c.shardOf(e.rec.Team) == i && e.run != nil {
+		if c.shardOfTeam(e.record.Team) == i && e.run != nil {
 			e.run = nil
 			c.touchJob(e)
 		}
 	}
-	to := c.shards[i].rec.Holder
-	if y, ok := c.yielded[i]; ok { // its record here is older than what a peer has told
+	to := c.shards[i].record.Holder
+	if y, ok := c.yieldedTo[i]; ok { // its record here is older than what a peer has told
 		to = y
 	}
-	c.noteShard(trail.ShardLost, i, wire.TrailEvent{Node: to, Token: c.shards[i].ver})
+	c.recordShardEvent(trail.ShardLost, i, wire.TrailEvent{Node: to, Token: c.shards[i].version})
 	c.log(1, "shard lost", "shard", i, "to", to)
 }
 
@@ -358,33 +358,33 @@
 func (c *Core) blockSeen(id string, old *blockEntry) {
 	c.dirty = true
 	b := c.blocks[id]
-	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
-		c.vouch.Granted(blockKey(id), b.ver, c.held[b.rec.Shard] || c.pending[b.rec.Shard])
+	if b != nil && (old == nil || old.record.Shard != b.record.Shard) {
+		c.confirmation.Granted(blockKey(id), b.version, c.held[b.record.Shard] || c.pending[b.record.Shard])
 	}
 	now := map[string]bool{}
-	if b != nil && c.mine(b.rec.Shard) {
+	if b != nil && c.holdsShard(b.record.Shard) {
 		// Gained while holding: rented just now, or promised empty by another
 		// shard. Nothing of ours can be on it.
 		c.holdBlock(b, false)
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			now[bm.Name] = true
 		}
 	}
 	if old == nil {
 		return
 	}
-	if _, sent := c.offered[id]; sent || b != nil && b.rec.Idle != old.rec.Idle {
+	if _, sent := c.offered[id]; sent || b != nil && b.record.Idle != old.record.Idle {
 		delete(c.offered, id)
 		c.touchBlock(id)
 	}
-	for _, bm := range old.rec.Machines {
+	for _, bm := range old.record.Machines {
 		if m := c.machines[bm.Name]; m != nil && m.block == id && !now[bm.Name] {
 			// The leader takes a name out only once the cloud has deleted it, or
 			// the block moved, which only an empty one does.
-			if b != nil && b.rec.Shard != m.shard {
+			if b != nil && b.record.Shard != m.shard {
 				c.passOn(m, b)
 			}
-			c.noteMachine(trail.MachineGone, m, wire.TrailEvent{Count: len(m.attempts), Why: "left its block"})
+			c.recordMachineEvent(trail.MachineGone, m, wire.TrailEvent{Count: len(m.attempts), Why: "left its block"})
 			c.machineGone(m, "deleted")
 			c.dropMachine(m)
 			delete(c.vacating, id)
@@ -393,31 +393,31 @@
 }
 
 func (c *Core) holdBlock(b *blockEntry, inherited bool) {
-	for _, bm := range b.rec.Machines {
+	for _, bm := range b.record.Machines {
 		m := c.machines[bm.Name]
 		if m == nil {
-			m = &machine{name: bm.Name, block: b.id, typ: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
-				shard: b.rec.Shard, since: c.now, takenToken: c.token(b), inherited: inherited && !bm.Empty && (!bm.Fresh || c.everUsed(bm.Name)),
+			m = &machine{name: bm.Name, block: b.id, typ: b.record.Type, zone: b.record.Zone, spot: b.record.Spot,
+				shard: b.record.Shard, since: c.now, takenToken: c.fencingToken(b), inherited: inherited && !bm.Empty && (!bm.Fresh || c.everUsed(bm.Name)),
 				attempts: map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now}
-			for _, image := range c.caches.Of(bm.Name) {
+			for _, image := range c.imageCaches.Of(bm.Name) {
 				m.images[image] = true
 			}
 			c.machines[bm.Name] = m
 			c.machineList = nil
 			if m.inherited {
 				c.open[m.shard]++
-				c.roll.Add(m, false)
+				c.pendingMachines.Add(m, false)
 			}
-		} else if m.shard != b.rec.Shard && m.inherited && !m.accounted {
+		} else if m.shard != b.record.Shard && m.inherited && !m.accounted {
 			c.open[m.shard]--
-			c.open[b.rec.Shard]++
+			c.open[b.record.Shard]++
 		}
 		m.fresh = bm.Fresh && !c.everUsed(bm.Name)
 		// A block may move between two shards of one holder: a machine left in
 		// its old shard would take that shard's tasks, and lose them from sight
 		// with the next change of hands.
-		m.shard, m.base, m.drop = b.rec.Shard, b.rec.Base, m.drop || bm.Drop || c.cordons[bm.Name].Drain
+		m.shard, m.base, m.drop = b.record.Shard, b.record.Base, m.drop || bm.Drop || c.cordons[bm.Name].Drain
 		c.touch(m)
 	}
 }
@@ -439,7 +439,7 @@
 		return
 	}
 	c.endActive(e, a)
-	c.noteTask(trail.TaskLost, a, why)
+	c.recordTaskEvent(trail.TaskLost, a, why)
 	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.try, "machine", a.m.name, "why", why)
 }
 
--- a/internal/core/holding.go
+++ b/internal/core/holding.go
@@ -17,7 +17,7 @@
 
 // unheld is what others than those it is held for see of a machine's room.
 func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
-	if b := c.places[m.shard]; b != nil {
+	if b := c.reservations[m.shard]; b != nil {
 		if h, is := b.Of(m); is {
 			return free.Sub(h.Size)
 		}
@@ -29,28 +29,28 @@
 
 // heldSoon counts the places of a job that are free before a rented machine would be.
 func (c *Core) heldSoon(shard int, j *wire.Job) int {
-	b := c.places[shard]
+	b := c.reservations[shard]
 	if b == nil || b.Len() == 0 {
 		return 0
 	}
-	_, boot := supply.Speeds(c.types, j.Types)
+	_, boot := supply.Speeds(c.machineTypes, j.Types)
 	return b.Within(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
 // planHolds keeps places for jobs whose tasks fit nowhere (package hold).
 func (c *Core) planHolds() {
-	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
+	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if !c.mine(i) {
+		if !c.holdsShard(i) {
 			continue
 		}
 		asks, least := c.fitNowhere(i)
-		b := c.places[i]
+		b := c.reservations[i]
 		if b == nil {
 			b = hold.New[*machine](holdLimits)
-			c.places[i] = b
+			c.reservations[i] = b
 		}
 		if len(asks) == 0 && b.Len() == 0 {
 			c.keepLimits(i, nil)
@@ -66,7 +66,7 @@
 		c.keepLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Of(m); is {
-				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
+				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
 				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.At - c.now).String())
 			}
 			c.touch(m)
@@ -84,24 +84,24 @@
 	least = anyRoom("")
 	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.Ask
 		least = lesser(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
+		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.record.ID) {
 			return true // urgent work makes room for itself
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
 			used[team] = c.room.Used(team, shard)
 		}
-		n := placement.Under(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
+		n := placement.Under(c.params.Teams[team].CPUsMax, c.params.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
 		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
+			asks = append(asks, hold.Ask[*machine]{Job: e.record.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.record, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
@@ -110,16 +110,16 @@
 
 // keepLimits keeps parts of the limits of a shard's teams.
 func (c *Core) keepLimits(shard int, asks []hold.Ask[*machine]) {
-	for _, t := range c.shards[shard].rec.Teams {
-		delete(c.kept, t)
+	for _, t := range c.shards[shard].record.Teams {
+		delete(c.limitReservations, t)
 	}
-	maps.Copy(c.kept, hold.Kept(asks))
+	maps.Copy(c.limitReservations, hold.Kept(asks))
 }
 
 // limitOf is a team's limit as a job of it finds it.
 func (c *Core) limitOf(e *jobEntry) Team {
-	t := c.p.Teams[e.rec.Team]
-	if h, is := c.kept[e.rec.Team]; is && h.Job != e.rec.ID && e.prio < urgentRank {
+	t := c.params.Teams[e.record.Team]
+	if h, is := c.limitReservations[e.record.Team]; is && h.Job != e.record.ID && e.priority < urgentRank {
 		t.CPUsMax, t.GPUsMax = t.CPUsMax-h.Size.CPUs, t.GPUsMax-h.Size.GPUs
 	}
 	return t
@@ -129,11 +129,11 @@
 func (c *Core) holdable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
 	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
 	if !x.Up {
-		full, known := c.sizeOf(m.typ)
+		full, known := c.machineSize(m.typ)
 		if !known || m.reported || m.inherited || !c.coming[m] {
 			return list
 		}
-		x.Free, x.Ready = full, m.since+seconds(c.types[m.typ].BootS*1.2)
+		x.Free, x.Ready = full, m.since+seconds(c.machineTypes[m.typ].BootS*1.2)
 	}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
@@ -154,10 +154,10 @@
 	if e == nil || a.stop {
 		return c.now + seconds(a.graceS), true
 	}
-	if e.rec.EstimateS <= 0 {
+	if e.record.EstimateS <= 0 {
 		return 0, false
 	}
-	runs := c.runs.Typical(e.rec.Class, e.rec.EstimateS)
+	runs := c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 		return max(a.running+runs, c.now+runs/8), true // one that should be over ends some time
 	}
@@ -166,8 +166,8 @@
 
 // fetches is how long a machine fetches a job's image, alone.
 func (c *Core) fetches(e *jobEntry, m *machine) time.Duration {
-	if rate := c.types[m.typ].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
-		return seconds(e.rec.ImageGB / rate)
+	if rate := c.machineTypes[m.typ].FetchGBps; rate > 0 && !m.images[e.record.Image] {
+		return seconds(e.record.ImageGB / rate)
 	}
 	return 0
 }
@@ -176,9 +176,9 @@
 // served. Urgent tasks that found nothing else take any of them; until its task fits a place
 // is lent to tasks that surely end before.
 func (c *Core) placeHeld() {
-	for _, i := range sortedInts(c.places) {
-		b := c.places[i]
-		if b.Len() == 0 || !c.mine(i) {
+	for _, i := range sortedInts(c.reservations) {
+		b := c.reservations[i]
+		if b.Len() == 0 || !c.holdsShard(i) {
 			continue
 		}
 		c.update()
@@ -202,7 +202,7 @@
 
 // takes tells whether a job's next task may be placed on a machine now, holds apart.
 func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
-	size, j := jobSize(&e.rec), &e.rec
+	size, j := jobSize(&e.record), &e.record
 	f, ok := c.room.Of(m)
 	n := float64(e.run.unseen() + 1)
 	return ok && f.Usable && placement.Fits(c.free(m), size) && c.kinds(e, zonesOf(e))(f.Kind) && !c.avoids(e, m) &&
@@ -212,17 +212,17 @@
 // urgentFirst has urgent tasks that wait take held places.
 func (c *Core) urgentFirst(shard int, b *hold.Book[*machine]) {
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
-		if e.prio < urgentRank || b.Len() == 0 {
-			return b.Len() > 0 && !c.ladder.Plain() // by priority the order begins with them
+		if e.priority < urgentRank || b.Len() == 0 {
+			return b.Len() > 0 && !c.tierOrder.Plain() // by priority the order begins with them
 		}
 		for _, m := range b.Held() {
-			if c.trials(e) == 0 || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) {
+			if c.trials(e) == 0 || e.record.Shape == wire.ShapeGang || c.barred(e, shard) {
 				break
 			}
 			if c.usable(m) && c.takes(e, m, shard) {
@@ -238,7 +238,7 @@
 func (c *Core) lend(m *machine, shard int, h hold.Hold) {
 	looked := 0
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return c.free(m)
@@ -247,8 +247,8 @@
 		if looked++; looked > tuning.HoldLook {
 			return false
 		}
-		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.barred(e, shard) ||
-			c.now+c.runs.Surely(e.rec.Class, e.rec.EstimateS) > h.At {
+		if e.record.EstimateS <= 0 || !m.images[e.record.Image] || e.record.Shape != wire.ShapeBatch || c.barred(e, shard) ||
+			c.now+c.runTimes.Surely(e.record.Class, e.record.EstimateS) > h.At {
 			return true
 		}
 		for c.trials(e) > 0 && c.takes(e, m, shard) {
--- a/internal/core/holding_test.go
+++ b/internal/core/holding_test.go
@@ -62,7 +62,7 @@
 				}
 				for _, n := range w.nodes {
 					if n.core != nil {
-						for _, b := range n.core.places {
+						for _, b := range n.core.reservations {
 							held = max(held, b.Len())
 						}
 					}
@@ -75,7 +75,7 @@
 			w.calm(t)
 			w.run(60 * sec)
 			for _, n := range w.nodes {
-				for i, b := range n.core.places {
+				for i, b := range n.core.reservations {
 					if b.Len() > 0 {
 						t.Errorf("%s still holds %d places in shard %d", n.name, b.Len(), i)
 					}
@@ -98,7 +98,7 @@
 	at := ""
 	held := func() bool {
 		n := w.nodes[w.shardRec("red").Holder]
-		b := n.core.places[n.core.shardOf("red")]
+		b := n.core.reservations[n.core.shardOfTeam("red")]
 		for _, m := range b.Held() {
 			if n.core.free(m).CPUs >= 2 {
 				at = m.name
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -19,34 +19,34 @@
 	if c.vacating[b.id] {
 		return c.empty(b, 0)
 	}
-	if c.wantedHere(b.rec.Shard) {
+	if c.wantedHere(b.record.Shard) {
 		return false
 	}
 	asked := false
 	for _, i := range c.shardIDs() {
-		if i != b.rec.Shard {
+		if i != b.record.Shard {
 			for _, n := range c.wantOf(i).Needs {
 				asked = asked || c.serves(b, n)
 			}
 		}
 	}
-	return asked && c.empty(b, tuning.IdleOffer) && c.spareBeyond(b.rec.Shard, c.machinesOf(b)...)
+	return asked && c.empty(b, tuning.IdleOffer) && c.spareBeyond(b.record.Shard, c.machinesOf(b)...)
 }
 
 // empty tells whether nothing has been on a block for a while.
 func (c *Core) empty(b *blockEntry, since time.Duration) bool {
-	for _, bm := range b.rec.Machines {
+	for _, bm := range b.record.Machines {
 		m := c.machines[bm.Name]
 		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
 			return false
 		}
 	}
-	return len(b.rec.Machines) > 0
+	return len(b.record.Machines) > 0
 }
 
 // machinesOf lists the held machines of a block.
 func (c *Core) machinesOf(b *blockEntry) (ms []*machine) {
-	for _, bm := range b.rec.Machines {
+	for _, bm := range b.record.Machines {
 		if m := c.machines[bm.Name]; m != nil {
 			ms = append(ms, m)
 		}
@@ -56,7 +56,7 @@
 
 // spareTarget is for how many urgent tasks a shard keeps room.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.Speeds(c.types, nil)
+	_, boot := supply.Speeds(c.machineTypes, nil)
 	return c.reserve.Target(c.now, shard, boot)
 }
 
@@ -90,7 +90,7 @@
 // around them have ended, each holds a machine alone. So many at a time as are a small
 // share of the shard: one at a time, a fleet's tail was paid for ten minutes.
 func (c *Core) moveOff(shard int) {
-	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+	if c.unsettle[shard] || !c.dueEvery(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
 	var in []*machine
@@ -113,7 +113,7 @@
 				x.Stays = true
 				break
 			}
-			j := &c.jobs[a.job].rec
+			j := &c.jobs[a.job].record
 			x.Moves = append(x.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allows(j, o) }})
 		}
 		list = append(list, x)
@@ -131,7 +131,7 @@
 // movable tells whether a task is a replica that has run for a while and is bound to no zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stop &&
+	return e != nil && e.run != nil && e.record.Shape == wire.ShapeService && !e.record.OneZone && !e.record.Spread && !a.stop &&
 		a.status == wire.TaskRunning && c.now-a.running >= tuning.MoveAfter
 }
 
@@ -145,7 +145,7 @@
 			silent++
 		}
 	}
-	cut := dutyLimits.Many(silent, c.machinesIn(shard))
+	cut := assignmentLimits.Many(silent, c.machinesIn(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.drop {
 			continue
@@ -154,12 +154,12 @@
 		why := c.neverComes(m)
 		switch {
 		case why != "":
-		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
+		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.confirmationChangedAt) > seconds(c.settings.SilentDropS):
 			// A rented one costs as much as another; while not sure to be entitled we take no report.
 			why = "silent"
 		case m.ear.Deaf() && !m.base && !cut:
 			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
-		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
+		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.params.Report:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
@@ -170,7 +170,7 @@
 		if why != "" {
 			m.drop = true
 			c.touch(m)
-			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
+			c.recordMachineEvent(trail.MachineReturned, m, wire.TrailEvent{Why: why})
 			c.log(1, "giving a machine back", "machine", m.name, "why", why)
 		}
 	}
--- a/internal/core/laddering.go
+++ b/internal/core/laddering.go
@@ -9,7 +9,7 @@
 
 // putLadder takes a new ladder: every job has its rung by it from now on.
 func (c *Core) putLadder(r wire.Ladder) {
-	c.rungs, c.ladder = r, ladder.Of(r)
+	c.tierRecord, c.tierOrder = r, ladder.Of(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
 		c.touchJob(e)
@@ -18,7 +18,7 @@
 }
 
 func (c *Core) ladderView() wire.LadderView {
-	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Rungs()}
+	return wire.LadderView{Version: c.versions.Of(wire.KeyLadder), Ladder: c.tierRecord, All: c.tierOrder.Rungs()}
 }
 
 func (c *Core) onAdminLadder(v AdminLadder) {
@@ -30,14 +30,14 @@
 		c.answer(v.Req, 200, c.ladderView())
 		return
 	}
-	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
+	known := func(team string) bool { _, ok := c.params.Teams[team]; return ok }
 	if err := ladder.Check(v.Patch.Rungs, known); err != nil {
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	ver := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(ladder.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, ladder.Shorter)
-	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
+	ver := c.versions.Of(wire.KeyLadder)
+	rec := limits.Fit(ladder.Revise(c.tierRecord, ver, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.ValueBytes, ladder.Shorter)
+	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
@@ -48,7 +48,7 @@
 		c.answer(v.Req, 409, c.ladderView())
 	default:
 		c.commit(LaneUser, []wire.Condition{{Key: wire.KeyLadder, Version: ver}}, []wire.Change{{Put: wire.KeyLadder, Value: rec}}, func(r StateReply) {
-			c.adminDone(v.Req, r, func() any { return c.ladderView() })
+			c.answerAdminWrite(v.Req, r, func() any { return c.ladderView() })
 		})
 	}
 }
@@ -60,9 +60,9 @@
 	}
 	jobs := make([]*wire.Job, 0, len(c.jobs))
 	for _, e := range c.jobsByAge() {
-		jobs = append(jobs, &e.rec)
+		jobs = append(jobs, &e.record)
 	}
-	list, digest := c.ladder.Order(jobs)
-	c.answer(v.Req, 200, wire.OrderView{Node: c.p.Node, Revision: c.rev, Version: c.ver.Of(wire.KeyLadder), Digest: digest, Count: len(list),
+	list, digest := c.tierOrder.Order(jobs)
+	c.answer(v.Req, 200, wire.OrderView{Node: c.params.Node, Revision: c.mirrorRevision, Version: c.versions.Of(wire.KeyLadder), Digest: digest, Count: len(list),
 		Jobs: list[:min(len(list), tuning.OrderAnswer)]})
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -42,33 +42,33 @@
 
 // leading tells whether this life of this controller is the leader.
 func (c *Core) leading() bool {
-	return c.chief.Node == c.p.Node && c.chief.Boot == c.member.Boot() && c.member.Boot() != 0
+	return c.leaderRecord.Node == c.params.Node && c.leaderRecord.Boot == c.presence.Boot() && c.presence.Boot() != 0
 }
 
 // lead claims leadership where it is free, and does the leader's duties.
 func (c *Core) lead() {
 	l := &c.leader
-	began, ended := c.term.Led(c.now, c.leading(), c.ver.Of(wire.KeyLeader))
+	began, ended := c.term.Led(c.now, c.leading(), c.versions.Of(wire.KeyLeader))
 	if !c.leading() {
 		if ended {
-			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
+			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
 			c.log(1, "no longer leading")
-			l.reset(c.p.ListLag)
+			l.reset(c.params.ListLag)
 		}
 		// Free, or held by this node's earlier life, which is dead.
-		if c.term.Claims(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Here()) {
-			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.Grant()}}, func(r StateReply) {
+		if c.term.Claims(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Here()) {
+			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
+				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()}, Lease: c.presence.Grant()}}, func(r StateReply) {
 					c.term.Answered()
-					c.changed()
+					c.mirrorChanged()
 				})
 		}
 		return
 	}
 	if began {
-		l.reset(c.p.ListLag)
-		c.note(wire.TrailEvent{Kind: trail.Leading, Token: c.ver.Of(wire.KeyLeader)})
-		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
+		l.reset(c.params.ListLag)
+		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
+		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
 	}
 	for n := range c.nodes {
 		if _, ok := l.nodeUp[n]; !ok {
@@ -88,7 +88,7 @@
 }
 
 func (c *Core) leaderCond() wire.Condition {
-	return wire.Condition{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}
+	return wire.Condition{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}
 }
 
 // fenced tells whether blocks may be formed: no write of ours that forms others can be executed
@@ -97,14 +97,14 @@
 // names, it put them into two blocks, each with a holder. So after one without an answer the
 // leader record is written anew, which fails whatever compares the old one.
 func (c *Core) fenced() bool {
-	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Here())
+	ok, renew := c.term.Fenced(c.now, c.mirrorRevision, c.presence.Here())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.Grant()}}, func(r StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.leaderRecord, Lease: c.presence.Grant()}}, func(r StateReply) {
 		c.term.Renewed(r.Status == 200, r.Txn.Revision)
-		c.changed()
+		c.mirrorChanged()
 	})
 	return false
 }
@@ -112,13 +112,13 @@
 // homeShards makes the shards, and hands those of dead controllers on whole.
 func (c *Core) homeShards() {
 	l := &c.leader
-	names := sortedKeys(c.p.Nodes)
+	names := sortedKeys(c.params.Nodes)
 	if len(c.shards) < len(names) {
-		if l.writing || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
+		if l.writing || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
 			return
 		}
 		guarantees := map[string]float64{}
-		for n, t := range c.p.Teams {
+		for n, t := range c.params.Teams {
 			guarantees[n] = t.CPUs
 		}
 		teams := duty.ShareTeams(guarantees, len(names))
@@ -126,12 +126,12 @@
 		var then []wire.Change
 		when = append(when, c.leaderCond())
 		for i, n := range names {
-			if c.shards[i] != nil || len(then) >= c.p.TxnOps {
+			if c.shards[i] != nil || len(then) >= c.params.TxnOps {
 				continue
 			}
 			holder := n
 			if _, up := c.nodes[n]; !up {
-				holder = c.p.Node
+				holder = c.params.Node
 			}
 			when = append(when, wire.Condition{Key: shardKey(i)})
 			then = append(then, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
@@ -142,28 +142,28 @@
 			if r.Status == 200 {
 				l.founded = c.now
 			}
-			c.changed()
+			c.mirrorChanged()
 		})
 		return
 	}
-	held := c.shardsHeld()
+	held := c.shardCounts()
 	for _, i := range c.shardIDs() {
 		s := c.shards[i]
-		n, up := c.nodes[s.rec.Holder]
+		n, up := c.nodes[s.record.Holder]
 		to := ""
 		switch {
-		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeUp[s.rec.Holder] > tuning.GrantTTL):
+		case !up || (n.Boot != s.record.Boot && c.now-l.nodeUp[s.record.Holder] > tuning.GrantTTL):
 			// Dead, or back without having retaken it. All of it goes to one successor.
-			to = duty.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
-		case s.rec.Home != s.rec.Holder:
-			if at, here := l.nodeUp[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
-				to = s.rec.Home
+			to = duty.Successor(s.record.Home, c.params.Nodes, c.assignments.Members(c.now, c.self(), i, held))
+		case s.record.Home != s.record.Holder:
+			if at, here := l.nodeUp[s.record.Home]; here && c.assignments.GoesHome(c.now, c.self(), i, &s.record, at, held[s.record.Home]) {
+				to = s.record.Home
 			}
 		}
-		if to != "" && (to != s.rec.Holder || c.nodes[to].Boot != s.rec.Boot) {
+		if to != "" && (to != s.record.Holder || c.nodes[to].Boot != s.record.Boot) {
 			// A leader that has stood still believes so until it hears otherwise: without the
 			// comparison it took its shard back from its successor, for 10 ms.
-			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCond())
+			c.assignShard(i, to, c.nodes[to].Boot, c.leaderCond())
 			held[to]++
 		}
 	}
@@ -172,23 +172,23 @@
 
 // addTeams homes teams that the settings have gained.
 func (c *Core) addTeams() {
-	for _, t := range sortedKeys(c.p.Teams) {
-		if c.shardOf(t) >= 0 {
+	for _, t := range sortedKeys(c.params.Teams) {
+		if c.shardOfTeam(t) >= 0 {
 			continue
 		}
-		if !c.every("addTeams", tuning.RetryAfter) {
+		if !c.dueEvery("addTeams", tuning.RetryAfter) {
 			return
 		}
 		best := 0
 		for _, i := range c.shardIDs() {
-			if len(c.shards[i].rec.Teams) < len(c.shards[best].rec.Teams) {
+			if len(c.shards[i].record.Teams) < len(c.shards[best].record.Teams) {
 				best = i
 			}
 		}
 		s := c.shards[best]
-		rec := s.rec
+		rec := s.record
 		rec.Teams = append(append([]string(nil), rec.Teams...), t)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCond(), {Key: shardKey(best), Version: s.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
+		c.commit(LaneFirst, []wire.Condition{c.leaderCond(), {Key: shardKey(best), Version: s.version}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.mirrorChanged() })
 		return
 	}
 }
@@ -198,20 +198,20 @@
 	l := &c.leader
 	l.backoff = min(max(2*l.backoff, tuning.RetryAfter), tuning.CloudBackoffMax)
 	l.cloudAt = c.now + time.Duration(float64(l.backoff)*(1-tuning.Jitter*c.jitter.Float64()))
-	c.note(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
+	c.recordEvent(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
 	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", l.backoff.String())
 }
 
 func (c *Core) readTypes() {
 	l := &c.leader
-	if l.typing || c.now < l.cloudAt || !c.every("types", tuning.TypesEvery) {
+	if l.typing || c.now < l.cloudAt || !c.dueEvery("types", tuning.TypesEvery) {
 		return
 	}
 	l.typing = true
-	c.cloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
 		l.typing = false
 		if r.Status != 200 {
-			c.retryAt["types"] = c.now + tuning.RetryAfter
+			c.notBefore["types"] = c.now + tuning.RetryAfter
 			c.cloudFailed("machine types", r)
 			return
 		}
@@ -220,7 +220,7 @@
 			return
 		}
 		for len(r.Types) > 0 {
-			n := min(len(r.Types), c.p.TxnOps)
+			n := min(len(r.Types), c.params.TxnOps)
 			var then []wire.Change
 			for _, t := range r.Types[:n] {
 				then = append(then, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
@@ -228,9 +228,9 @@
 			r.Types = r.Types[n:]
 			c.commit(LaneUser, []wire.Condition{c.leaderCond()}, then, func(r StateReply) {
 				if r.Status != 200 {
-					c.retryAt["types"] = c.now + tuning.RetryAfter
+					c.notBefore["types"] = c.now + tuning.RetryAfter
 				}
-				c.changed()
+				c.mirrorChanged()
 			})
 		}
 	})
@@ -238,7 +238,7 @@
 
 // blockOf finds a machine's block.
 func (c *Core) blockOf(name string) *blockEntry {
-	if id, ok := c.blockIn[name]; ok {
+	if id, ok := c.blockOfMachine[name]; ok {
 		return c.blocks[id]
 	}
 	return nil
@@ -248,7 +248,7 @@
 // that failed or have left it are cleared away.
 func (c *Core) readMachines() {
 	l := &c.leader
-	if l.listing || c.now < l.cloudAt || !c.every("list", tuning.ListEvery) {
+	if l.listing || c.now < l.cloudAt || !c.dueEvery("list", tuning.ListEvery) {
 		return
 	}
 	l.listing = true
@@ -257,7 +257,7 @@
 
 func (c *Core) listPage(after string, all map[string]wire.MachineInfo) {
 	l := &c.leader
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		if r.Status != 200 {
 			l.listing = false
 			c.cloudFailed("machine list", r)
@@ -279,7 +279,7 @@
 		c.learnAddrs(all)
 		in := map[string]bool{}
 		for _, b := range c.blocks {
-			for _, bm := range b.rec.Machines {
+			for _, bm := range b.record.Machines {
 				in[bm.Name] = true
 			}
 		}
@@ -291,7 +291,7 @@
 // surprise is a report of a machine in no block, told by its worker.
 func (c *Core) surprise(r *wire.Report) {
 	if c.leading() && r.Addr != "" && c.leader.known.Came(c.now, r.Machine) {
-		c.out = append(c.out, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
+		c.effects = append(c.effects, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
 
@@ -310,15 +310,15 @@
 	var then []wire.Change
 	done := map[string]bool{}
 	for _, n := range l.known.AllGone() {
-		id, in := c.blockIn[n]
-		if !in || done[id] || len(then) >= c.p.TxnOps {
+		id, in := c.blockOfMachine[n]
+		if !in || done[id] || len(then) >= c.params.TxnOps {
 			continue
 		}
 		done[id] = true
 		b := c.blocks[id]
-		rec := b.rec
+		rec := b.record
 		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return l.known.Gone(bm.Name) })
-		when = append(when, wire.Condition{Key: blockKey(id), Version: b.ver})
+		when = append(when, wire.Condition{Key: blockKey(id), Version: b.version})
 		if len(rec.Machines) == 0 {
 			then = append(then, wire.Change{Delete: blockKey(id)})
 		} else {
@@ -327,7 +327,7 @@
 	}
 	if len(then) > 0 {
 		l.writing = true
-		c.commit(LaneLater, when, then, func(r StateReply) { l.writing = false; c.changed() })
+		c.commit(LaneLater, when, then, func(r StateReply) { l.writing = false; c.mirrorChanged() })
 		return true
 	}
 	l.known.Forget(c.now)
@@ -341,19 +341,19 @@
 	if l.writing {
 		return
 	}
-	if l.known.AnyGone() && c.every("gone", 100*time.Millisecond) && c.takeOutGone() {
+	if l.known.AnyGone() && c.dueEvery("gone", 100*time.Millisecond) && c.takeOutGone() {
 		return
 	}
 	if l.deleting || c.now < l.cloudAt {
 		return
 	}
-	names := l.known.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
+	names := l.known.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
 	l.deleting = true
 	c.log(1, "deleting machines", "names", fmt.Sprint(names))
-	c.cloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
 		l.deleting = false
 		if r.Status != 200 {
 			c.cloudFailed("delete", r)
@@ -361,7 +361,7 @@
 		}
 		l.backoff = 0
 		l.known.Deleted(c.now, names)
-		c.changed()
+		c.mirrorChanged()
 	})
 }
 
@@ -370,11 +370,11 @@
 	l := &c.leader
 	// Without the machine types all blocks weigh nothing, and all standing machines
 	// went to one shard.
-	if l.writing || !l.known.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.fenced() {
+	if l.writing || !l.known.Strangers() || len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) || !c.dueEvery("adopt", 200*time.Millisecond) || !c.fenced() {
 		return
 	}
 	// Lists lag by up to twice the usual time.
-	first := l.founded > 0 && c.now-l.founded < 2*c.p.ListLag && (len(c.blocks) == 0 || l.standing)
+	first := l.founded > 0 && c.now-l.founded < 2*c.params.ListLag && (len(c.blocks) == 0 || l.standing)
 	infos := l.known.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
 	if l.standing = first && len(infos) > 0; len(infos) == 0 {
 		return
--- a/internal/core/masks_test.go
+++ b/internal/core/masks_test.go
@@ -330,19 +330,19 @@
 	w.lost["c2"] = true
 	w.run(5 * sec)
 	c := w.nodes["c2"].core
-	if !c.workers.Lacks(c.now) {
+	if !c.workerReach.Lacks(c.now) {
 		t.Fatal("c2 should know that no worker reaches it")
 	}
 	name := w.order[0]
 	before, _ := w.machines[name].Inspect(w.now)
-	c.out = nil
+	c.effects = nil
 	c.callWorker(Order{Machine: name, Addr: name + ":1", Orders: wire.Orders{Token: before.Token, Session: before.Session, Commands: []wire.Command{}}, Roll: true})
-	if len(c.out) != 1 {
-		t.Fatalf("%d effects", len(c.out))
+	if len(c.effects) != 1 {
+		t.Fatalf("%d effects", len(c.effects))
 	}
-	sent, ok := c.out[0].(PeerSend)
+	sent, ok := c.effects[0].(PeerSend)
 	if !ok || sent.Msg.Order == nil || sent.Msg.Order.For != "c2" {
-		t.Fatalf("not through a peer: %+v", c.out[0])
+		t.Fatalf("not through a peer: %+v", c.effects[0])
 	}
 	sent.Msg.From = "c2"
 	n := w.nodes[sent.To]
--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -131,15 +131,15 @@
 				t.Fatalf("%s: %s does not know %s", when, n, ids[0])
 			}
 			as := wire.Job{Class: "any", Team: "red", Shape: wire.ShapeBatch, Priority: priority}
-			if e.prio != wire.PriorityRank(priority) || e.rank != c.ladder.Rank(&as) {
-				t.Errorf("%s: %s: priority %d, rung %d, want those of an %s job", when, n, e.prio, e.rank, priority)
+			if e.priority != wire.PriorityRank(priority) || e.rank != c.tierOrder.Rank(&as) {
+				t.Errorf("%s: %s: priority %d, rung %d, want those of an %s job", when, n, e.priority, e.rank, priority)
 			}
-			if last := float64(c.waitingAt[ids[4]].rec.AcceptedMS)/1000 + 200; e.due >= last-4*sec.Seconds() || e.due < last-120 {
+			if last := float64(c.waitingAt[ids[4]].record.AcceptedMS)/1000 + 200; e.due >= last-4*sec.Seconds() || e.due < last-120 {
 				t.Errorf("%s: %s: due at %.1f, the last job at %.1f", when, n, e.due, last)
 			}
 			out = append(out, fmt.Sprintf("%.3f", e.due))
 			for _, a := range e.runActive() {
-				if a.idle || a.lesser != (e.prio < urgentRank) {
+				if a.idle || a.lesser != (e.priority < urgentRank) {
 					t.Errorf("%s: %s: a task that runs gives way: to normal work %v, to urgent %v", when, n, a.idle, a.lesser)
 				}
 			}
@@ -370,7 +370,7 @@
 	w.until(30*sec, func() bool {
 		e := w.nodes["c1"].core
 		at = w.now
-		return e.finals[ids[0]].Status != "" || e.jobs[ids[0]] == nil
+		return e.finalStates[ids[0]].Status != "" || e.jobs[ids[0]] == nil
 	})
 	w2 := staffed(t, 930+uint64(k), 1)
 	w2.chain()
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -101,7 +101,7 @@
 	w, _ := runningServices(t, 740)
 	rec := w.shardRec("red")
 	holder := w.nodes[rec.Holder].core
-	i := holder.shardOf("red")
+	i := holder.shardOfTeam("red")
 	if !holder.held[i] || holder.unsettle[i] {
 		t.Fatal("the shard should be held, and settled")
 	}
@@ -112,7 +112,7 @@
 	back := other
 	back.Holder, back.Boot, back.Past = rec.Holder, rec.Boot, append(other.Past, wire.Life{Node: "c9", Boot: 1})
 	w.set(shardKey(i), back)
-	holder.learn(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
+	holder.applyRead(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
 	if holder.held[i] {
 		t.Error("acts for the shard as if nobody else had held it")
 	}
@@ -155,7 +155,7 @@
 	w.noAnswer = func(node string, v StateCall) (time.Duration, bool) {
 		for _, ch := range v.Txn.Then {
 			rec, ok := ch.Value.(wire.Shard)
-			if !ok || rec.Holder != node || w.nodes[node].core.member.Boot() != rec.Boot {
+			if !ok || rec.Holder != node || w.nodes[node].core.presence.Boot() != rec.Boot {
 				continue
 			}
 			var there wire.Node
--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -252,11 +252,11 @@
 	t.Parallel()
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Lease: 10 * sec, Cancel: 40 * sec})
 	c.born(1)
-	c.loaded, c.rev = true, 10
+	c.loaded, c.mirrorRevision = true, 10
 	said := func() (at uint64) {
-		c.out = nil
+		c.effects = nil
 		c.onPeer(PeerMessage{From: "b", Nonce: 1})
-		for _, e := range c.out {
+		for _, e := range c.effects {
 			if v, ok := e.(PeerSend); ok && v.Msg.Reply {
 				for _, n := range v.Msg.Statement.News {
 					at = max(at, n.Revision)
@@ -270,7 +270,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.put(key, raw, ver)
+		c.applyPut(key, raw, ver)
 	}
 	shard := wire.Shard{Holder: "b", Boot: 5, Teams: []string{"red"}}
 	block := wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1"}}}
@@ -289,8 +289,8 @@
 		{"a shard goes to another", func(ver uint64) { shard.Holder = "a"; put(shardKey(0), shard, ver) }, true},
 	} {
 		before := said()
-		ver := c.rev + 10
-		c.rev = ver
+		ver := c.mirrorRevision + 10
+		c.mirrorRevision = ver
 		s.do(ver)
 		if got := said(); s.new && got != ver || !s.new && got != before {
 			t.Errorf("%s at %d: said %d, before %d", s.what, ver, got, before)
@@ -316,7 +316,7 @@
 		w.run(sec)
 		lags := 0
 		for _, n := range sortedKeys(w.nodes) {
-			if c := w.nodes[n].core; c.rev < w.nodes["c0"].core.topRev || c.rev < w.nodes["c1"].core.topRev {
+			if c := w.nodes[n].core; c.mirrorRevision < w.nodes["c0"].core.newestRevision || c.mirrorRevision < w.nodes["c1"].core.newestRevision {
 				lags++
 			}
 		}
@@ -345,13 +345,13 @@
 	t.Parallel()
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
 	c.born(7)
-	c.loaded, c.rev = true, 70
+	c.loaded, c.mirrorRevision = true, 70
 	put := func(key string, v any, ver uint64) {
 		raw, err := wire.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.put(key, raw, ver)
+		c.applyPut(key, raw, ver)
 	}
 	block := func(shard int, m string) wire.Block {
 		return wire.Block{Shard: shard, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: m}}}
@@ -366,7 +366,7 @@
 		t.Fatal(err)
 	}
 	put(jobKey("job-000001"), rec, 65)
-	if !c.mine(0) || c.jobs["job-000001"] == nil {
+	if !c.holdsShard(0) || c.jobs["job-000001"] == nil {
 		t.Fatal("the shard should be held, and the job be there")
 	}
 	for _, n := range []struct {
@@ -384,7 +384,7 @@
 		{"what is no shard", membership.Entry{Key: "live/other", Revision: 90}, true},
 		{"a job that is over", membership.Entry{Key: jobKey("job-000001"), Revision: 90}, false},
 	} {
-		if got := c.takeNews([]membership.Entry{n.e}); got != n.want {
+		if got := c.applyPeerUpdates([]membership.Entry{n.e}); got != n.want {
 			t.Errorf("%s: against us: %v", n.what, got)
 		}
 	}
@@ -392,14 +392,14 @@
 		t.Error("a job that is over lives on")
 	}
 	// What was vouched for before we gained a block says nothing of that.
-	c.nonce++
-	c.vouch.Pinged(90*sec, c.nonce)
+	c.pingNonce++
+	c.confirmation.Pinged(90*sec, c.pingNonce)
 	c.sure(80 * sec)
 	c.now = 91 * sec
-	c.onPeer(PeerMessage{From: "b", Nonce: c.nonce, Reply: true, UpMS: 91000, Revision: 500, Statement: &membership.Statement{}})
-	before := c.vouch.Until()
+	c.onPeer(PeerMessage{From: "b", Nonce: c.pingNonce, Reply: true, UpMS: 91000, Revision: 500, Statement: &membership.Statement{}})
+	before := c.confirmation.Until()
 	put(blockKey("y"), block(0, "n-2"), 71)
-	if before != 90*sec || c.vouch.Until() != 0 {
-		t.Errorf("vouched until %v, and %v once another block is ours", before, c.vouch.Until())
+	if before != 90*sec || c.confirmation.Until() != 0 {
+		t.Errorf("vouched until %v, and %v once another block is ours", before, c.confirmation.Until())
 	}
 }
--- a/internal/core/meeting_late_test.go
+++ b/internal/core/meeting_late_test.go
@@ -126,7 +126,7 @@
 func (w *world) absentNodes() (out []string) {
 	for _, n := range sortedKeys(w.nodes) {
 		var r wire.Node
-		if c := w.nodes[n].core; c != nil && (wire.Unmarshal(w.key(wire.PrefixNode+n).Value, &r) != nil || r.Boot != c.member.Boot()) {
+		if c := w.nodes[n].core; c != nil && (wire.Unmarshal(w.key(wire.PrefixNode+n).Value, &r) != nil || r.Boot != c.presence.Boot()) {
 			out = append(out, n)
 		}
 	}
@@ -160,9 +160,9 @@
 					t.Errorf("seed %d: %v are up and not present", seed, a)
 				}
 				for _, n := range sortedKeys(w.nodes) {
-					r := wire.Reach{Boot: w.nodes[n].core.member.Boot()} // none: nothing to tell
+					r := wire.Reach{Boot: w.nodes[n].core.presence.Boot()} // none: nothing to tell
 					_ = wire.Unmarshal(w.key(wire.PrefixReach+n).Value, &r)
-					if own := w.nodes[n].core.ownWord(); !wire.Same(r, own) {
+					if own := w.nodes[n].core.ownReach(); !wire.Same(r, own) {
 						t.Errorf("seed %d: the word of %s is %+v, it says %+v", seed, n, r, own)
 					}
 				}
@@ -270,7 +270,7 @@
 		for range 60 {
 			w.run(200 * time.Millisecond)
 			var r wire.Node
-			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.member.Here() && (err != nil || r.Boot != w.nodes["c1"].core.member.Boot()) {
+			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.presence.Here() && (err != nil || r.Boot != w.nodes["c1"].core.presence.Boot()) {
 				t.Errorf("%v late: at %v another life is present, or none: %+v", late, w.now, r)
 				break
 			}
--- a/internal/core/meeting_reports_test.go
+++ b/internal/core/meeting_reports_test.go
@@ -204,8 +204,8 @@
 						for _, n := range sortedKeys(w.nodes) {
 							if c := w.nodes[n].core; c != nil {
 								for _, i := range sortedInts(c.held) {
-									if key := fmt.Sprint(n, i); held[key] != c.shards[i].ver {
-										held[key] = c.shards[i].ver
+									if key := fmt.Sprint(n, i); held[key] != c.shards[i].version {
+										held[key] = c.shards[i].version
 										w.at(after*time.Millisecond, flood)
 									}
 								}
--- a/internal/core/meeting_stream_test.go
+++ b/internal/core/meeting_stream_test.go
@@ -97,8 +97,8 @@
 	w.store.Scan(wire.PrefixJob, func(it wire.Item) { t.Errorf("%s stands among the live jobs", it.Key) })
 	for _, n := range sortedKeys(w.nodes) {
 		c := w.nodes[n].core
-		if len(c.jobs)+len(c.onTask)+len(c.counts)+len(c.owed)+len(c.behind)+len(c.polls)+len(c.asked) > 0 {
-			t.Errorf("%s keeps jobs %d, tasks %d, counts %d, owed %d, behind %d, polls %d, %d", n, len(c.jobs), len(c.onTask), len(c.counts), len(c.owed), len(c.behind), len(c.polls), len(c.asked))
+		if len(c.jobs)+len(c.onTask)+len(c.peerJobCounts)+len(c.owed)+len(c.behind)+len(c.pendingReads)+len(c.pendingPolls) > 0 {
+			t.Errorf("%s keeps jobs %d, tasks %d, counts %d, owed %d, behind %d, polls %d, %d", n, len(c.jobs), len(c.onTask), len(c.peerJobCounts), len(c.owed), len(c.behind), len(c.pendingReads), len(c.pendingPolls))
 		}
 	}
 }
--- a/internal/core/meeting_takeovers_test.go
+++ b/internal/core/meeting_takeovers_test.go
@@ -80,13 +80,13 @@
 	} {
 		c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
 		c.born(7)
-		c.loaded, c.rev = true, 70
+		c.loaded, c.mirrorRevision = true, 70
 		put := func(key string, v any, ver uint64) {
 			raw, err := wire.Marshal(v)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.put(key, raw, ver)
+			c.applyPut(key, raw, ver)
 		}
 		shard := func(s wire.Shard) wire.Shard {
 			if s.Holder, s.Boot = "a", 7; s.Teams == nil {
@@ -101,11 +101,11 @@
 			t.Fatalf("%s: the machine should be ours since it was rented: %+v", x.name, m)
 		}
 		put(shardKey(0), shard(x.now), 90)
-		if away := !c.mine(0); away != x.inherited {
+		if away := !c.holdsShard(0); away != x.inherited {
 			t.Errorf("%s: held before the mirror is there: %v", x.name, !away)
 		}
-		c.follow(&wire.Events{Revision: 95})
-		if m := c.machines["n-1"]; !c.mine(0) || m == nil || m.inherited != x.inherited {
+		c.applyEvents(&wire.Events{Revision: 95})
+		if m := c.machines["n-1"]; !c.holdsShard(0) || m == nil || m.inherited != x.inherited {
 			t.Errorf("%s: to be accounted for anew, want %v: %+v", x.name, x.inherited, m)
 		}
 	}
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -29,12 +29,12 @@
 	}
 	before.Seq += 50 // it is newer than all that has been heard here
 	done := OrderDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
-	if w.step(w.nodes[c.p.Node], done); x.accounted {
+	if w.step(w.nodes[c.params.Node], done); x.accounted {
 		t.Error("an answer given under an earlier grant accounts for the machine")
 	}
 	before.Token, done.Token = x.takenToken, x.takenToken
 	done.Report = before
-	if w.step(w.nodes[c.p.Node], done); !x.accounted {
+	if w.step(w.nodes[c.params.Node], done); !x.accounted {
 		t.Error("an answer that names our grant does not account for the machine")
 	}
 }
--- a/internal/core/meeting_zones_test.go
+++ b/internal/core/meeting_zones_test.go
@@ -210,7 +210,7 @@
 	w.outage(80 * sec)
 	w.run(80 * sec)
 	for _, n := range sortedKeys(w.nodes) {
-		if w.nodes[n].core.confirmed() {
+		if w.nodes[n].core.authorized() {
 			t.Fatalf("%s is sure to be entitled", n)
 		}
 		w.silence(n, false)
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -19,139 +19,139 @@
 
 // mirror is this controller's copy of the live keys, in revision order.
 type mirror struct {
-	caches   *weights.Caches // which images machines have, as holders last wrote
-	ver      *records.Versions
-	jobs     map[string]*jobEntry
-	blocks   map[string]*blockEntry
-	shards   map[int]*shardEntry
-	nodes    map[string]wire.Node
-	wants    map[int]wire.Want
-	types    map[string]wire.MachineType
-	chief    wire.Leader
-	settings wire.Settings
-	cordons  map[string]wire.Cordon
-	ladder   *ladder.Ladder
-	rungs    wire.Ladder // the record that it was read from
-	started  *starts.Book
-	progress *progress.Book
-	boots    *boot.Book
-	biases   map[string]wire.Bias // by key
+	imageCaches  *weights.Caches // which images machines have, as holders last wrote
+	versions     *records.Versions
+	jobs         map[string]*jobEntry
+	blocks       map[string]*blockEntry
+	shards       map[int]*shardEntry
+	nodes        map[string]wire.Node
+	demands      map[int]wire.Want
+	machineTypes map[string]wire.MachineType
+	leaderRecord wire.Leader
+	settings     wire.Settings
+	cordons      map[string]wire.Cordon
+	tierOrder    *ladder.Ladder
+	tierRecord   wire.Ladder // the record that it was read from
+	startLog     *starts.Book
+	progress     *progress.Book
+	provisioning *boot.Book
+	biases       map[string]wire.Bias // by key
 
 	// Kept up with the records, so that a report or a poll costs the same
 	// however many machines there are; the tests count them afresh.
-	blockIn   map[string]string      // machine -> its block
-	dropping  map[string]bool        // machines marked to be deleted
-	teamHome  map[string]int         // team -> its shard
-	shardList []int                  // in order; nil: to be made again
-	blockList []string               // in order; nil: to be made again
-	jobList   []*jobEntry            // by acceptance; nil: to be made again
-	sizes     int                    // counts changes of machine types
-	shardHas  map[int]map[string]int // shard -> machines of each type in its blocks
-	newest    map[int]uint64         // shard -> latest revision of its blocks; absent: to be looked for
+	blockOfMachine    map[string]string      // machine -> its block
+	markedForDeletion map[string]bool        // machines marked to be deleted
+	teamShards        map[string]int         // team -> its shard
+	sortedShards      []int                  // in order; nil: to be made again
+	sortedBlocks      []string               // in order; nil: to be made again
+	sortedJobs        []*jobEntry            // by acceptance; nil: to be made again
+	sizeGeneration    int                    // counts changes of machine types
+	machineCounts     map[int]map[string]int // shard -> machines of each type in its blocks
+	blockRevisions    map[int]uint64         // shard -> latest revision of its blocks; absent: to be looked for
 }
 
 type shardEntry struct {
-	rec wire.Shard
-	ver uint64
+	record  wire.Shard
+	version uint64
 }
 
 type blockEntry struct {
-	id  string
-	rec wire.Block
-	ver uint64
+	id      string
+	record  wire.Block
+	version uint64
 }
 
 type jobEntry struct {
-	rec  wire.Job
-	ver  uint64
-	prio int
-	rank int     // of its rung
-	due  float64 // seconds of the day's time by when those that need it need it done; +Inf: none
-	run  *jobRun // nil unless this controller holds the job's shard
-
-	touched bool // see books
+	record   wire.Job
+	version  uint64
+	priority int
+	rank     int     // of its rung
+	due      float64 // seconds of the day's time by when those that need it need it done; +Inf: none
+	run      *jobRun // nil unless this controller holds the job's shard
+
+	dirty bool // see books
 }
 
 func newMirror() mirror {
-	return mirror{ver: records.New(), jobs: map[string]*jobEntry{},
+	return mirror{versions: records.New(), jobs: map[string]*jobEntry{},
 		blocks: map[string]*blockEntry{}, shards: map[int]*shardEntry{}, nodes: map[string]wire.Node{},
-		wants: map[int]wire.Want{}, types: map[string]wire.MachineType{},
-		settings: defaultSettings(), ladder: ladder.Of(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
-		blockIn: map[string]string{}, dropping: map[string]bool{}, shardHas: map[int]map[string]int{}, newest: map[int]uint64{}, teamHome: map[string]int{}, caches: weights.NewCaches(tuning.CachesEvery)}
+		demands: map[int]wire.Want{}, machineTypes: map[string]wire.MachineType{},
+		settings: defaultSettings(), tierOrder: ladder.Of(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
+		blockOfMachine: map[string]string{}, markedForDeletion: map[string]bool{}, machineCounts: map[int]map[string]int{}, blockRevisions: map[int]uint64{}, teamShards: map[string]int{}, imageCaches: weights.NewCaches(tuning.CachesEvery)}
 }
 
-func shardKey(i int) string { return wire.PrefixShard + strconv.Itoa(i) }
-func wantKey(i int) string  { return wire.PrefixWant + strconv.Itoa(i) }
+func shardKey(i int) string  { return wire.PrefixShard + strconv.Itoa(i) }
+func demandKey(i int) string { return wire.PrefixWant + strconv.Itoa(i) }
 
 func (m *mirror) shardIDs() []int {
-	if m.shardList == nil {
-		m.shardList = sortedInts(m.shards)
+	if m.sortedShards == nil {
+		m.sortedShards = sortedInts(m.shards)
 	}
-	return m.shardList
+	return m.sortedShards
 }
 
 func (m *mirror) blockIDs() []string {
-	if m.blockList == nil {
-		m.blockList = sortedKeys(m.blocks)
+	if m.sortedBlocks == nil {
+		m.sortedBlocks = sortedKeys(m.blocks)
 	}
-	return m.blockList
+	return m.sortedBlocks
 }
 
 // jobsByAge lists the live jobs in the order they were accepted.
 func (m *mirror) jobsByAge() []*jobEntry {
-	if m.jobList == nil {
-		m.jobList = make([]*jobEntry, 0, len(m.jobs))
+	if m.sortedJobs == nil {
+		m.sortedJobs = make([]*jobEntry, 0, len(m.jobs))
 		for _, e := range m.jobs {
-			m.jobList = append(m.jobList, e)
+			m.sortedJobs = append(m.sortedJobs, e)
 		}
-		sort.Slice(m.jobList, func(i, j int) bool { return olderJob(m.jobList[i], m.jobList[j]) })
+		sort.Slice(m.sortedJobs, func(i, j int) bool { return olderJob(m.sortedJobs[i], m.sortedJobs[j]) })
 	}
-	return m.jobList
+	return m.sortedJobs
 }
 
 // listJob keeps the list of jobs in step with one that came or went.
-func (m *mirror) listJob(e *jobEntry, in bool) {
-	if m.jobList == nil {
+func (m *mirror) updateSortedJobs(e *jobEntry, in bool) {
+	if m.sortedJobs == nil {
 		return
 	}
-	i := sort.Search(len(m.jobList), func(i int) bool { return !olderJob(m.jobList[i], e) })
+	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !olderJob(m.sortedJobs[i], e) })
 	switch {
 	case in:
-		m.jobList = slices.Insert(m.jobList, i, e)
-	case i < len(m.jobList) && m.jobList[i] == e:
-		m.jobList = slices.Delete(m.jobList, i, i+1)
+		m.sortedJobs = slices.Insert(m.sortedJobs, i, e)
+	case i < len(m.sortedJobs) && m.sortedJobs[i] == e:
+		m.sortedJobs = slices.Delete(m.sortedJobs, i, i+1)
 	default:
-		m.jobList = nil // its age was changed under it; made again when asked for
+		m.sortedJobs = nil // its age was changed under it; made again when asked for
 	}
 }
 
 // indexBlock keeps the machine indexes in step with a block's record.
 func (m *mirror) indexBlock(id string, old, now *blockEntry) {
 	if (old == nil) != (now == nil) {
-		m.blockList = nil
+		m.sortedBlocks = nil
 	}
 	m.countBlock(old, -1)
 	m.countBlock(now, 1)
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if m.blockIn[bm.Name] == id {
-				delete(m.blockIn, bm.Name)
-				delete(m.dropping, bm.Name)
+		for _, bm := range old.record.Machines {
+			if m.blockOfMachine[bm.Name] == id {
+				delete(m.blockOfMachine, bm.Name)
+				delete(m.markedForDeletion, bm.Name)
 			}
 		}
 	}
 	if now != nil {
-		for _, bm := range now.rec.Machines {
-			m.blockIn[bm.Name] = id
+		for _, bm := range now.record.Machines {
+			m.blockOfMachine[bm.Name] = id
 			if bm.Drop {
-				m.dropping[bm.Name] = true
+				m.markedForDeletion[bm.Name] = true
 			}
 		}
 	}
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if m.blockIn[bm.Name] == "" {
-				m.caches.Gone(bm.Name)
+		for _, bm := range old.record.Machines {
+			if m.blockOfMachine[bm.Name] == "" {
+				m.imageCaches.Gone(bm.Name)
 			}
 		}
 	}
@@ -162,41 +162,41 @@
 	if b == nil {
 		return
 	}
-	has := m.shardHas[b.rec.Shard]
+	has := m.machineCounts[b.record.Shard]
 	if has == nil {
 		has = map[string]int{}
-		m.shardHas[b.rec.Shard] = has
+		m.machineCounts[b.record.Shard] = has
 	}
-	has[b.rec.Type] += n * len(b.rec.Machines)
-	newest, known := m.newest[b.rec.Shard]
+	has[b.record.Type] += n * len(b.record.Machines)
+	newest, known := m.blockRevisions[b.record.Shard]
 	switch {
-	case n < 0 && b.ver == newest:
-		delete(m.newest, b.rec.Shard)
+	case n < 0 && b.version == newest:
+		delete(m.blockRevisions, b.record.Shard)
 	case n > 0 && known:
-		m.newest[b.rec.Shard] = max(newest, b.ver)
+		m.blockRevisions[b.record.Shard] = max(newest, b.version)
 	}
 }
 
 // indexTeams finds each team's shard; the first one that names it counts.
 func (m *mirror) indexTeams() {
-	m.shardList = nil
-	clear(m.teamHome)
+	m.sortedShards = nil
+	clear(m.teamShards)
 	for _, i := range m.shardIDs() {
-		for _, t := range m.shards[i].rec.Teams {
-			if _, known := m.teamHome[t]; !known {
-				m.teamHome[t] = i
+		for _, t := range m.shards[i].record.Teams {
+			if _, known := m.teamShards[t]; !known {
+				m.teamShards[t] = i
 			}
 		}
 	}
 }
 
 // oldestCall is the first call of the state service that is under way.
-func (c *Core) oldestCall() uint64 { return c.ways.Oldest(c.seq + 1) }
+func (c *Core) oldestCall() uint64 { return c.stateRoutes.Oldest(c.lastID + 1) }
 
 // put applies a write. Older news of the same key changes nothing, whichever
 // way it came: watch, list, read or own commit.
-func (c *Core) put(key string, raw wire.Raw, ver uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.ver.News(key, ver) {
+func (c *Core) applyPut(key string, raw wire.Raw, ver uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.News(key, ver) {
 		return
 	}
 	fail := func(err error) { c.log(0, "stored record not readable", "key", key, "err", err.Error()) }
@@ -211,10 +211,10 @@
 	case key == wire.KeyLeader:
 		var r wire.Leader
 		if read(&r) {
-			if r != c.chief {
+			if r != c.leaderRecord {
 				c.log(1, "leader", "node", r.Node, "boot", r.Boot)
 			}
-			c.chief = r
+			c.leaderRecord = r
 		}
 	case key == wire.KeySettings:
 		r := defaultSettings()
@@ -229,7 +229,7 @@
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		var r wire.Cordon
 		if read(&r) {
-			c.putCordon(key[len(wire.PrefixCordon):], r)
+			c.applyCordon(key[len(wire.PrefixCordon):], r)
 		}
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		var r wire.Crew
@@ -244,7 +244,7 @@
 	case strings.HasPrefix(key, wire.PrefixReach):
 		var r wire.Reach
 		if read(&r) {
-			c.words.Wrote(key[len(wire.PrefixReach):], r)
+			c.assignments.Wrote(key[len(wire.PrefixReach):], r)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
 		var r wire.Node
@@ -259,27 +259,27 @@
 	case strings.HasPrefix(key, wire.PrefixType):
 		var r wire.MachineType
 		if read(&r) {
-			c.putType(r)
+			c.applyMachineType(r)
 		}
 	default:
-		c.putWork(key, ver, read, fail)
+		c.applyWorkPut(key, ver, read, fail)
 	}
-	c.ver.Put(key, ver)
+	c.versions.Put(key, ver)
 }
 
 // putWork applies a write of a job, a shard, or what hangs on one.
-func (c *Core) putWork(key string, ver uint64, read func(any) bool, fail func(error)) {
+func (c *Core) applyWorkPut(key string, ver uint64, read func(any) bool, fail func(error)) {
 	switch {
 	case strings.HasPrefix(key, wire.PrefixJob):
 		var r wire.Job
 		if read(&r) {
-			c.ver.Put(key, ver)
-			c.putJob(r, ver)
+			c.versions.Put(key, ver)
+			c.applyJob(r, ver)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
 		var r wire.Job
 		if read(&r) {
-			c.ver.Put(key, ver)
+			c.versions.Put(key, ver)
 			c.putWaiting(r, ver)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
@@ -288,17 +288,17 @@
 		if err != nil {
 			fail(err)
 		} else if read(&r) {
-			c.ver.Put(key, ver)
+			c.versions.Put(key, ver)
 			old := c.shards[i]
 			c.shards[i] = &shardEntry{r, ver}
-			c.noteTaken(i)
+			c.recordShardTaken(i)
 			c.indexTeams()
 			c.shardSeen(i, old)
 		}
 	case strings.HasPrefix(key, wire.PrefixStart):
 		var r wire.Starts
 		if read(&r) {
-			c.ver.Put(key, ver)
+			c.versions.Put(key, ver)
 			if err := c.putStarts(key, ver, r); err != nil {
 				fail(err)
 			}
@@ -318,14 +318,14 @@
 		if err != nil {
 			fail(err)
 		} else if read(&r) {
-			c.wants[i] = r
+			c.demands[i] = r
 		}
 	case strings.HasPrefix(key, wire.PrefixCache):
 		var r wire.Cache
 		if read(&r) {
 			for _, name := range r.Names() {
-				if images, _ := r.Of(name); c.blockIn[name] != "" {
-					c.caches.Read(name, images)
+				if images, _ := r.Of(name); c.blockOfMachine[name] != "" {
+					c.imageCaches.Read(name, images)
 				}
 			}
 		}
@@ -340,7 +340,7 @@
 		var r wire.Block
 		if read(&r) {
 			id := key[len(wire.PrefixBlock):]
-			c.ver.Put(key, ver)
+			c.versions.Put(key, ver)
 			old := c.blocks[id]
 			c.blocks[id] = &blockEntry{id, r, ver}
 			c.indexBlock(id, old, c.blocks[id])
@@ -350,65 +350,65 @@
 	}
 }
 
-func (c *Core) putJob(r wire.Job, ver uint64) {
+func (c *Core) applyJob(r wire.Job, ver uint64) {
 	e := c.jobs[r.ID]
 	if e == nil {
-		e = &jobEntry{rec: r}
+		e = &jobEntry{record: r}
 		c.jobs[r.ID] = e
-		c.listJob(e, true)
-	} else if e.rec.ReadySince() != r.ReadySince() || e.rec.Number != r.Number {
-		c.jobList = nil
+		c.updateSortedJobs(e, true)
+	} else if e.record.ReadySince() != r.ReadySince() || e.record.Number != r.Number {
+		c.sortedJobs = nil
 	}
 	c.overlay(&r)
-	e.rec, e.ver = r, ver
+	e.record, e.version = r, ver
 	c.rankJob(e)
 	c.jobSeen(e)
 }
 
-func (c *Core) putType(r wire.MachineType) {
-	old, known := c.types[r.Name]
-	c.types[r.Name] = r
+func (c *Core) applyMachineType(r wire.MachineType) {
+	old, known := c.machineTypes[r.Name]
+	c.machineTypes[r.Name] = r
 	if !known || old.CPUs != r.CPUs || old.GPUs != r.GPUs || old.MemoryGB != r.MemoryGB {
-		c.sizes++ // prices are read every minute, and weigh nothing here
+		c.sizeGeneration++ // prices are read every minute, and weigh nothing here
 		c.touchShard(-1)
 	}
 }
 
 // remove applies a deletion known at revision rev.
-func (c *Core) remove(key string, rev uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.ver.Remove(key, rev, c.seq) {
+func (c *Core) applyDelete(key string, rev uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.Remove(key, rev, c.lastID) {
 		return
 	}
 	switch {
 	case key == wire.KeyLeader:
-		c.chief = wire.Leader{}
+		c.leaderRecord = wire.Leader{}
 		c.log(1, "no leader")
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
 		c.putLadder(wire.Ladder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
-		c.putCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
+		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		c.calendar.Remove(key[len(wire.PrefixCrew):])
 	case strings.HasPrefix(key, wire.PrefixReach):
-		c.words.Withdrew(key[len(wire.PrefixReach):])
+		c.assignments.Withdrew(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
-		c.note(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
+		c.recordEvent(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
 		c.log(1, "controller gone", "node", key[len(wire.PrefixNode):])
 	case strings.HasPrefix(key, wire.PrefixVersion):
 		c.rollout.Remember(key[len(wire.PrefixVersion):], wire.Version{})
 	case strings.HasPrefix(key, wire.PrefixType):
-		delete(c.types, key[len(wire.PrefixType):])
-		c.sizes++
+		delete(c.machineTypes, key[len(wire.PrefixType):])
+		c.sizeGeneration++
 		c.touchShard(-1)
 	case strings.HasPrefix(key, wire.PrefixJob):
 		id := key[len(wire.PrefixJob):]
 		if e := c.jobs[id]; e != nil {
 			delete(c.jobs, id)
-			delete(c.counts, id)
-			c.listJob(e, false)
+			delete(c.peerJobCounts, id)
+			c.updateSortedJobs(e, false)
 			c.jobGone(e)
 			c.lookOver(id)
 		}
@@ -418,7 +418,7 @@
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
 		if i, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
-			delete(c.wants, i)
+			delete(c.demands, i)
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		id := key[len(wire.PrefixBlock):]
@@ -433,24 +433,24 @@
 }
 
 // refresh reads one live key into the mirror.
-func (c *Core) refresh(key string) {
+func (c *Core) rereadKey(key string) {
 	if !strings.HasPrefix(key, wire.LivePrefix) {
 		return
 	}
-	c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) { c.learn(key, r); c.changed() })
+	c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) { c.applyRead(key, r); c.mirrorChanged() })
 }
 
-func (c *Core) learn(key string, r StateReply) {
+func (c *Core) applyRead(key string, r StateReply) {
 	switch r.Status {
 	case 200:
-		c.put(key, r.Item.Value, r.Item.Version)
+		c.applyPut(key, r.Item.Value, r.Item.Version)
 	case 404:
-		c.remove(key, r.List.Revision)
+		c.applyDelete(key, r.List.Revision)
 	}
 }
 
 // changed lets the leader and the holder act on a changed mirror.
-func (c *Core) changed() {
+func (c *Core) mirrorChanged() {
 	if c.loaded {
 		c.lead()
 		c.hold()
@@ -458,43 +458,43 @@
 }
 
 // shardOf returns the shard that a team is homed in, or -1.
-func (c *Core) shardOf(team string) int {
-	if i, ok := c.teamHome[team]; ok {
+func (c *Core) shardOfTeam(team string) int {
+	if i, ok := c.teamShards[team]; ok {
 		return i
 	}
 	return -1
 }
 
 // mine tells whether this life of this controller holds a shard and has taken it up.
-func (c *Core) mine(i int) bool {
+func (c *Core) holdsShard(i int) bool {
 	return c.held[i]
 }
 
 // token of a block: the write that last granted it, be it the shard's takeover
 // or the block's own record. Revisions are unique and rise.
-func (c *Core) token(b *blockEntry) uint64 {
-	t := b.ver
-	if s := c.shards[b.rec.Shard]; s != nil && s.ver > t {
-		t = s.ver
+func (c *Core) fencingToken(b *blockEntry) uint64 {
+	t := b.version
+	if s := c.shards[b.record.Shard]; s != nil && s.version > t {
+		t = s.version
 	}
 	return t
 }
 
 // shardCond holds as long as a shard has not changed hands, or otherwise.
-func (c *Core) shardCond(i int) wire.Condition {
-	return wire.Condition{Key: shardKey(i), Version: c.shards[i].ver}
+func (c *Core) shardUnchanged(i int) wire.Condition {
+	return wire.Condition{Key: shardKey(i), Version: c.shards[i].version}
 }
 
 // newestBlock is the latest revision of a shard's blocks.
-func (c *Core) newestBlock(shard int) uint64 {
-	newest, known := c.newest[shard]
+func (c *Core) latestBlockRevision(shard int) uint64 {
+	newest, known := c.blockRevisions[shard]
 	if !known {
 		for _, b := range c.blocks {
-			if b.rec.Shard == shard {
-				newest = max(newest, b.ver)
+			if b.record.Shard == shard {
+				newest = max(newest, b.version)
 			}
 		}
-		c.newest[shard] = newest
+		c.blockRevisions[shard] = newest
 	}
 	return newest
 }
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -33,7 +33,7 @@
 		if m.shard == shard {
 			// What is on a machine not accounted for is not known: it may be empty,
 			// so only what finds no room even then is asked for.
-			full, _ := c.sizeOf(m.typ)
+			full, _ := c.machineSize(m.typ)
 			add(m, c.unheld(m, full), doubted[m.name])
 		}
 	}
@@ -41,7 +41,7 @@
 	most := c.room.Most(shard)
 	var least *placement.Size
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return most
@@ -109,7 +109,7 @@
 		}
 		if m.reported {
 			left -= c.roomFor(m, u)
-		} else if full, ok := c.sizeOf(m.typ); ok {
+		} else if full, ok := c.machineSize(m.typ); ok {
 			left -= placement.Beta(full, u) + 1
 		}
 	}
@@ -132,16 +132,16 @@
 		in = c.supplies(shard, soon)
 	}
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return anyRoom(team)
 	}, func(p *queue.Place[*jobEntry]) bool {
-		e, j := p.Handle, &p.Handle.rec
-		if e.run == nil || c.health.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
+		e, j := p.Handle, &p.Handle.record
+		if e.run == nil || c.health.Trial(j.ID) || c.writeLimits.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
 		}
-		size, team := jobSize(j), c.p.Teams[j.Team]
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		zone := j.Zone
 		if j.OneZone {
 			for _, a := range e.run.active {
@@ -154,8 +154,8 @@
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.deserves(p))
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
-		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		waits := p.Within && e.prio >= urgentRank && c.now-e.run.since > tuning.DireAfter
+		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.priority >= urgentRank, Idle: e.priority <= idleRank}, want)
+		waits := p.Within && e.priority >= urgentRank && c.now-e.run.since > tuning.DireAfter
 		if left == 0 && !waits {
 			return true
 		}
@@ -174,14 +174,14 @@
 		return true
 	})
 	for _, j := range soon { // after all that could run now
-		size, team := jobSize(j), c.p.Teams[j.Team]
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.room.Used(j.Team, shard)
 		}
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
 		if left := want - in.Take(supply.Ask{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); left > 0 {
-			out = supply.Join(out, supply.NeedOf(j, j.Zone, left, c.ladder.Rank(j)), tuning.NeedsMax)
+			out = supply.Join(out, supply.NeedOf(j, j.Zone, left, c.tierOrder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.dire[shard]; !starved {
@@ -197,11 +197,11 @@
 // is as many as are needed in time.
 func (c *Core) deserves(p *queue.Place[*jobEntry]) int {
 	e, pace, run := p.Handle, aimLimits, p.Job.Estimate
-	if e.prio > idleRank {
-		if e.prio >= urgentRank || p.Within || p.Job.Service || e.rec.DueS <= 0 {
+	if e.priority > idleRank {
+		if e.priority >= urgentRank || p.Within || p.Job.Service || e.record.DueS <= 0 {
 			return p.Job.Pending
 		}
-		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
+		pace.Headroom, run = tuning.DueHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
 	}
 	n := pace.Places(p.Job.Rest, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, n-len(e.run.active)))
@@ -211,40 +211,40 @@
 
 // tellWants tells what each held shard lacks, for the leader and the other holders.
 func (c *Core) tellWants() {
-	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
+	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
 		return
 	}
 	var told []wants.Told
 	for _, i := range c.shardIDs() {
-		if !c.mine(i) {
+		if !c.holdsShard(i) {
 			continue
 		}
-		w := wire.Want{Seen: c.newestBlock(i)}
-		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
+		w := wire.Want{Seen: c.latestBlockRevision(i)}
+		if !c.writeLimits.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
 			w.Needs = c.needs(i)
 			c.retire(i, len(w.Needs) > 0)
 			if len(w.Needs) == 0 {
 				c.moveOff(i)
 			}
 		}
-		w = limits.Fit(w, c.p.ValueBytes, wants.Shorter)
+		w = limits.Fit(w, c.params.ValueBytes, wants.Shorter)
 		if c.tellers[i] == nil {
 			c.tellers[i] = wants.NewTeller(wantPace)
 		}
 		c.wantSent[i] = w
-		n, tell, write := c.tellers[i].Next(c.now, w, c.wants[i], c.words.Hears(c.now, c.chief.Node))
+		n, tell, write := c.tellers[i].Next(c.now, w, c.demands[i], c.assignments.Hears(c.now, c.leaderRecord.Node))
 		if tell {
-			told = append(told, wants.Told{Shard: i, Token: c.shards[i].ver, N: n, Want: w})
+			told = append(told, wants.Told{Shard: i, Token: c.shards[i].version, N: n, Want: w})
 		}
 		if write {
 			c.log(2, "asking the leader for machines", "shard", i, "needs", len(w.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: wantKey(i), Value: w}}, func(StateReply) { c.changed() })
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{Put: demandKey(i), Value: w}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if told != nil {
-		for _, n := range sortedKeys(c.p.Nodes) {
-			if n != c.p.Node {
-				c.tell(n, PeerMessage{Wants: told})
+		for _, n := range sortedKeys(c.params.Nodes) {
+			if n != c.params.Node {
+				c.sendToPeer(n, PeerMessage{Wants: told})
 			}
 		}
 	}
@@ -256,8 +256,8 @@
 	switch {
 	case s == nil:
 		return wire.Want{}
-	case c.mine(i):
+	case c.holdsShard(i):
 		return c.wantSent[i]
 	}
-	return c.lacks.Of(c.now, i, s.ver, c.wants[i])
+	return c.lacks.Of(c.now, i, s.version, c.demands[i])
 }
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -14,13 +14,13 @@
 	for upper := range 3 {
 		c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
 		c.born(7)
-		c.loaded, c.rev, c.now, c.wall = true, 90, 60*sec, time.UnixMilli(1e12)
+		c.loaded, c.mirrorRevision, c.now, c.wall = true, 90, 60*sec, time.UnixMilli(1e12)
 		put := func(key string, v any, ver uint64) {
 			raw, err := wire.Marshal(v)
 			if err != nil {
 				t.Fatal(err)
 			}
-			c.put(key, raw, ver)
+			c.applyPut(key, raw, ver)
 		}
 		put(wire.KeyLeader, wire.Leader{Node: "a", Boot: 7}, 10)
 		put(wire.PrefixType+"std", wire.MachineType{Name: "std", CPUs: 4, MemoryGB: 16, Price: 1, BootS: 5, Zones: []string{"n"}}, 11)
@@ -30,9 +30,9 @@
 			if i == upper {
 				n.Rung = 3
 			}
-			put(wantKey(i), wire.Want{Needs: []wire.Need{n}, Seen: 80}, uint64(30+i))
+			put(demandKey(i), wire.Want{Needs: []wire.Need{n}, Seen: 80}, uint64(30+i))
 		}
-		c.out = nil
+		c.effects = nil
 		c.serveWants()
 		if len(c.leader.renting) != 1 || !c.leader.renting[upper] {
 			t.Errorf("shard %d asks for the upper rung, served are %v", upper, c.leader.renting)
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -136,8 +136,8 @@
 		_ = wire.Unmarshal(it.Value, &r)
 		if i, err := strconv.Atoi(strings.TrimPrefix(it.Key, wire.PrefixShard)); err == nil && slices.Contains(r.Teams, "red") == own {
 			w := wire.Want{Seen: 1 << 40, Needs: []wire.Need{{CPUs: 4, MemGB: 4, Tasks: 1, Zone: s.other.info.Zone, Dire: true}}}
-			s.set(wantKey(i), w)
-			s.at(3*sec, func() { s.set(wantKey(i), wire.Want{Seen: 1 << 40}) })
+			s.set(demandKey(i), w)
+			s.at(3*sec, func() { s.set(demandKey(i), wire.Want{Seen: 1 << 40}) })
 		}
 	})
 }
@@ -245,7 +245,7 @@
 		}
 		for _, e := range c.jobsByAge() {
 			if e.run != nil {
-				put(e.rec.ID, e.run.done, e.run.retry, e.run.next, e.run.held, sortedInts(e.run.active))
+				put(e.record.ID, e.run.done, e.run.retry, e.run.next, e.run.held, sortedInts(e.run.active))
 			}
 		}
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -13,65 +13,65 @@
 )
 
 // peers is what is known from the other controllers.
-type peers struct {
-	nonce   uint64
-	vouch   *membership.Vouching
-	counts  map[string]JobCount
-	yielded map[int]string // shards a peer holds under a later token than we have heard of
-	relays  *relay.Book    // reports passed on, by us and to us
-	topRev  uint64         // newest revision known, ahead of the watch or not
+type peerState struct {
+	pingNonce      uint64
+	confirmation   *membership.Vouching
+	peerJobCounts  map[string]JobCount
+	yieldedTo      map[int]string // shards a peer holds under a later token than we have heard of
+	relays         *relay.Book    // reports passed on, by us and to us
+	newestRevision uint64         // newest revision known, ahead of the watch or not
 }
 
-func newPeers(p Params) peers {
+func newPeerState(p Params) peerState {
 	var others []string
 	for _, n := range sortedKeys(p.Nodes) {
 		if n != p.Node {
 			others = append(others, n)
 		}
 	}
-	return peers{vouch: membership.New(others, tuning.PeerPings, tuning.PeerNews), yielded: map[int]string{}, counts: map[string]JobCount{},
+	return peerState{confirmation: membership.New(others, tuning.PeerPings, tuning.PeerNews), yieldedTo: map[int]string{}, peerJobCounts: map[string]JobCount{},
 		relays: relay.New(relay.Limits{Lease: p.Lease, For: tuning.RelayFor, Reports: tuning.RelayReports, Wait: tuning.RelayWait})}
 }
 
-func (c *Core) knows(rev uint64) { c.topRev = max(c.topRev, rev) }
+func (c *Core) noteRevision(rev uint64) { c.newestRevision = max(c.newestRevision, rev) }
 
 // tell sends a message, with what every message says of its sender.
-func (c *Core) tell(to string, m PeerMessage) {
-	m.From, m.Boot, m.Revision, m.UpMS = c.p.Node, c.member.Boot(), c.topRev, c.now.Milliseconds()
-	m.Way = c.ways.Offer(c.now, to)
-	c.out = append(c.out, PeerSend{To: to, Msg: m})
+func (c *Core) sendToPeer(to string, m PeerMessage) {
+	m.From, m.Boot, m.Revision, m.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
+	m.Way = c.stateRoutes.Offer(c.now, to)
+	c.effects = append(c.effects, PeerSend{To: to, Msg: m})
 }
 
 // tellPeers pings every other controller; holders add their jobs' progress.
-func (c *Core) tellPeers() {
-	if c.member.Boot() == 0 || len(c.p.Nodes) < 2 || !c.every("peers", tuning.PeerEvery) {
+func (c *Core) pingPeers() {
+	if c.presence.Boot() == 0 || len(c.params.Nodes) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
 		return
 	}
-	c.nonce++
-	c.vouch.Pinged(c.now, c.nonce)
+	c.pingNonce++
+	c.confirmation.Pinged(c.now, c.pingNonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
 		if e := c.jobs[id]; e.run != nil && len(jobs) < tuning.PeerJobs {
-			running, done := e.run.count()
+			running, done := e.run.taskCounts()
 			jobs = append(jobs, JobCount{ID: id, Running: running, Done: done})
 		}
 	}
 	var holds []HeldShard
 	for _, i := range sortedInts(c.held) {
-		holds = append(holds, HeldShard{Shard: i, Token: c.shards[i].ver})
+		holds = append(holds, HeldShard{Shard: i, Token: c.shards[i].version})
 	}
 	c.relays.Forget(c.now)
-	word, addrs := c.ownWord(), c.newAddrs()
-	for _, n := range sortedKeys(c.p.Nodes) {
-		if n != c.p.Node {
-			c.tell(n, PeerMessage{Nonce: c.nonce, Mirror: c.rev, Jobs: jobs, Holds: holds, Word: &word, Addrs: addrs})
+	word, addrs := c.ownReach(), c.recentWorkerAddresses()
+	for _, n := range sortedKeys(c.params.Nodes) {
+		if n != c.params.Node {
+			c.sendToPeer(n, PeerMessage{Nonce: c.pingNonce, Mirror: c.mirrorRevision, Jobs: jobs, Holds: holds, Word: &word, Addrs: addrs})
 		}
 	}
 }
 
 // newAddrs are the workers that have come up since the last few pings.
-func (c *Core) newAddrs() (out []WorkerAddr) {
-	for _, name := range c.addrs.News(c.now, tuning.AddrsFor, tuning.AddrsMost) {
+func (c *Core) recentWorkerAddresses() (out []WorkerAddr) {
+	for _, name := range c.workerAddresses.News(c.now, tuning.AddrsFor, tuning.AddrsMost) {
 		if m := c.machines[name]; m != nil {
 			out = append(out, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
@@ -81,23 +81,23 @@
 
 // giveUpRelays answers reports that were passed on to a holder that keeps silent. A late
 // answer of the holder is dropped then, as one that the worker did not wait for.
-func (c *Core) giveUpRelays() {
+func (c *Core) expireRelays() {
 	for _, req := range c.relays.GiveUp(c.now) {
 		c.answer(req, 503, unavailable("holder does not answer"))
 	}
 }
 
 func (c *Core) onPeer(m PeerMessage) {
-	if _, known := c.p.Nodes[m.From]; !known || m.From == c.p.Node || m.UpMS < 0 {
+	if _, known := c.params.Nodes[m.From]; !known || m.From == c.params.Node || m.UpMS < 0 {
 		c.log(1, "message from no controller of this deployment", "from", m.From)
 		return
 	}
-	c.ways.Offered(c.now, m.From, m.Way)
+	c.stateRoutes.Offered(c.now, m.From, m.Way)
 	switch {
 	case m.Order != nil:
 		v := *m.Order
 		v.For = m.From
-		c.out = append(c.out, v)
+		c.effects = append(c.effects, v)
 		return
 	case m.Ordered != nil:
 		c.onOrderDone(*m.Ordered)
@@ -117,8 +117,8 @@
 		}
 		return
 	case m.Relay != nil:
-		c.seq++
-		req := 1<<63 | c.seq
+		c.lastID++
+		req := 1<<63 | c.lastID
 		c.relays.Take(req, relay.Taken{From: m.From, ID: m.Relay.ID})
 		c.onReport(WorkerReport{Req: req, Report: m.Relay.Report})
 		return
@@ -135,70 +135,70 @@
 	if m.Nonce == 0 {
 		return // of a kind that this version does not know: pings are numbered
 	}
-	c.yieldTo(m)
+	c.yieldShards(m)
 	for _, a := range m.Addrs {
-		c.addrs.Learn(a.Machine, a.Addr, a.Session)
+		c.workerAddresses.Learn(a.Machine, a.Addr, a.Session)
 	}
 	if m.Word != nil {
-		c.words.Spoke(c.now, m.From, *m.Word)
+		c.assignments.Spoke(c.now, m.From, *m.Word)
 	}
 	if !m.Reply {
 		for _, j := range m.Jobs {
 			if e := c.jobs[j.ID]; e != nil && e.run == nil {
-				c.counts[j.ID] = j
+				c.peerJobCounts[j.ID] = j
 			}
 		}
-		s := c.vouch.Answer(m.From, m.Mirror)
-		c.tell(m.From, PeerMessage{Nonce: m.Nonce, Reply: true, Statement: &s})
+		s := c.confirmation.Answer(m.From, m.Mirror)
+		c.sendToPeer(m.From, PeerMessage{Nonce: m.Nonce, Reply: true, Statement: &s})
 		return
 	}
-	if _, ok := c.vouch.Sent(m.Nonce); !ok {
+	if _, ok := c.confirmation.Sent(m.Nonce); !ok {
 		return // not ours, or too old to mean anything
 	}
-	c.words.Answered(c.now, m.From)
+	c.assignments.Answered(c.now, m.From)
 	up := time.Duration(float64(m.UpMS)*(1-tuning.Drift)) * time.Millisecond
 	p := membership.Peer{Name: m.From, Since: c.now - up, Revision: m.Revision, Statement: m.Statement}
 	if m.Statement != nil {
-		p.Against = c.takeNews(m.Statement.News)
+		p.Against = c.applyPeerUpdates(m.Statement.News)
 	}
-	c.vouch.Heard(m.Nonce, p, c.rev, c.lastConfirmed())
+	c.confirmation.Heard(m.Nonce, p, c.mirrorRevision, c.lastConfirmed())
 }
 
 // takeNews takes what a peer says that it knows and our mirror may lack, and tells whether
 // something that we hold was granted anew.
-func (c *Core) takeNews(news []membership.Entry) (against bool) {
+func (c *Core) applyPeerUpdates(news []membership.Entry) (against bool) {
 	for _, e := range news {
 		switch id, isBlock := strings.CutPrefix(e.Key, wire.PrefixBlock); {
 		case strings.HasPrefix(e.Key, wire.PrefixJob):
 			// Final states are never taken back, so this is news of the job like any, and its
 			// tasks end. The watch may tell of it only after an outage.
 			if j := c.jobs[strings.TrimPrefix(e.Key, wire.PrefixJob)]; j != nil && j.run != nil {
-				c.log(1, "job over, by a peer's word", "job", j.rec.ID, "revision", e.Revision, "mirror", c.rev)
+				c.log(1, "job over, by a peer's word", "job", j.record.ID, "revision", e.Revision, "mirror", c.mirrorRevision)
 			}
-			c.remove(e.Key, e.Revision)
-		case e.Revision <= c.rev:
+			c.applyDelete(e.Key, e.Revision)
+		case e.Revision <= c.mirrorRevision:
 		case isBlock:
-			if b := c.blocks[id]; b != nil && b.ver < e.Revision {
-				against = against || c.held[b.rec.Shard] || c.pending[b.rec.Shard]
+			if b := c.blocks[id]; b != nil && b.version < e.Revision {
+				against = against || c.held[b.record.Shard] || c.pending[b.record.Shard]
 			}
 		default:
 			i, err := strconv.Atoi(strings.TrimPrefix(e.Key, wire.PrefixShard))
 			s := c.shards[i]
-			against = against || err != nil || s != nil && s.ver < e.Revision && (c.held[i] || c.pending[i])
+			against = against || err != nil || s != nil && s.version < e.Revision && (c.held[i] || c.pending[i])
 		}
 	}
 	return against
 }
 
 // yieldTo stops acting for shards that a peer holds under a later token.
-func (c *Core) yieldTo(m PeerMessage) {
+func (c *Core) yieldShards(m PeerMessage) {
 	for _, h := range m.Holds {
 		// A peer that holds our shard under a later token has read the grant
 		// in the state; we cannot, or have not yet. To go on answering would keep
 		// the workers from it for as long as we may go unconfirmed.
-		if s := c.shards[h.Shard]; s != nil && c.held[h.Shard] && h.Token > s.ver {
-			c.yielded[h.Shard] = m.From
-			c.noteShard(trail.ShardYielded, h.Shard, wire.TrailEvent{Node: m.From, Token: h.Token})
+		if s := c.shards[h.Shard]; s != nil && c.held[h.Shard] && h.Token > s.version {
+			c.yieldedTo[h.Shard] = m.From
+			c.recordShardEvent(trail.ShardYielded, h.Shard, wire.TrailEvent{Node: m.From, Token: h.Token})
 			c.log(1, "shard yielded to a later token", "shard", h.Shard, "to", m.From, "token", h.Token)
 			c.leaveShard(h.Shard)
 		}
@@ -206,44 +206,44 @@
 }
 
 // relay passes a report on to its holder, for a worker that may be cut off from it.
-func (c *Core) relay(req uint64, r *wire.Report, holder string, granted uint64) bool {
-	if !c.near(holder) || !c.relays.Passes(c.now, r.Machine, r.Token < granted, c.wordOf(holder).Lacks) {
+func (c *Core) relayReport(req uint64, r *wire.Report, holder string, granted uint64) bool {
+	if !c.peerResponsive(holder) || !c.relays.Passes(c.now, r.Machine, r.Token < granted, c.reachOf(holder).Lacks) {
 		return false
 	}
-	c.seq++
-	c.relays.Pass(c.now, c.seq, req)
-	c.tell(holder, PeerMessage{Relay: &RelayReport{ID: c.seq, Report: *r}})
+	c.lastID++
+	c.relays.Pass(c.now, c.lastID, req)
+	c.sendToPeer(holder, PeerMessage{Relay: &RelayReport{ID: c.lastID, Report: *r}})
 	return true
 }
 
 // lastConfirmed is when the state service last confirmed our entitlement.
-func (c *Core) lastConfirmed() Time { return c.member.LastConfirmed() }
+func (c *Core) lastConfirmed() Time { return c.presence.LastConfirmed() }
 
 // confirmedAt is until when we are sure that nobody has acted against us: the
 // state service said so, or every peer has vouched for it. An outage that all
 // share costs no entitlement; one that only we see does.
-func (c *Core) confirmedAt() Time { return max(c.lastConfirmed(), c.vouch.Until()) }
+func (c *Core) lastAuthorized() Time { return max(c.lastConfirmed(), c.confirmation.Until()) }
 
 // unconfirmedMax is how long workers may be answered without confirmation from
 // the state service: an abort missed meanwhile still ends within cancel_s,
 // since the workers' leases run out in the rest. It had a floor of half a lease:
 // with the two times close, tasks outlived cancel_s by that.
-func (c *Core) unconfirmedMax() time.Duration {
-	return membership.Unconfirmed(c.p.Lease, c.p.Cancel)
+func (c *Core) maxUnconfirmed() time.Duration {
+	return membership.Unconfirmed(c.params.Lease, c.params.Cancel)
 }
 
 // leaseOver is how long after a 200 left the worker's lease is surely over.
-func (c *Core) leaseOver() time.Duration {
-	return membership.LeaseOver(c.p.Lease)
+func (c *Core) leaseBound() time.Duration {
+	return membership.LeaseOver(c.params.Lease)
 }
 
 // confirmed tells whether the entitlement was confirmed recently enough.
-func (c *Core) confirmed() bool {
-	return c.loaded && c.now-c.confirmedAt() < c.unconfirmedMax()
+func (c *Core) authorized() bool {
+	return c.loaded && c.now-c.lastAuthorized() < c.maxUnconfirmed()
 }
 
 // count gives a job's running and done tasks.
-func (r *jobRun) count() (running, done int) {
+func (r *jobRun) taskCounts() (running, done int) {
 	for _, a := range r.active {
 		if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 			running++
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -21,11 +21,11 @@
 // sumOf adds up what is on a machine, if that has changed since.
 func (c *Core) sumOf(m *machine) *machineSum {
 	x := &m.sum
-	if x.ok && x.sizes == c.sizes {
+	if x.ok && x.sizes == c.sizeGeneration {
 		return x
 	}
-	full, _ := c.sizeOf(m.typ)
-	*x = machineSum{ok: true, sizes: c.sizes, free: full}
+	full, _ := c.machineSize(m.typ)
+	*x = machineSum{ok: true, sizes: c.sizeGeneration, free: full}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		switch {
@@ -67,13 +67,13 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.ear.Deaf() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.ear.Deaf() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.record.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.freshFor()
 }
 
 // freshFor is how long after its last report a machine is given tasks: two reports
 // may be late, or one lost.
-func (c *Core) freshFor() time.Duration { return 2*c.p.Report + tuning.FreshMargin }
+func (c *Core) freshFor() time.Duration { return 2*c.params.Report + tuning.FreshMargin }
 
 // urgentRank is the lowest priority that is served ahead of room and cost.
 var urgentRank = wire.PriorityRank("urgent")
@@ -89,7 +89,7 @@
 
 // place is one Pogonip pass over the waiting jobs.
 func (c *Core) place() {
-	if !c.confirmed() || len(c.machines) == 0 {
+	if !c.authorized() || len(c.machines) == 0 {
 		return
 	}
 	c.update()
@@ -99,17 +99,17 @@
 	c.judge()
 	most := map[int]placement.Size{}
 	c.order.Walk(func(team string) placement.Size {
-		i := c.shardOf(team)
+		i := c.shardOfTeam(team)
 		m, ok := most[i]
 		if !ok {
 			m = c.room.Most(i)
 			most[i] = m
 		}
-		t, u := c.p.Teams[team], c.room.Used(team, i)
+		t, u := c.params.Teams[team], c.room.Used(team, i)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
 	}, func(p *queue.Place[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
-			delete(most, c.shardOf(p.Job.Team))
+			delete(most, c.shardOfTeam(p.Job.Team))
 		}
 		return true
 	})
@@ -118,7 +118,7 @@
 
 // zonesOf counts a job's tasks by zone, where its placement hangs on that.
 func zonesOf(e *jobEntry) map[string]int {
-	if j := &e.rec; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
+	if j := &e.record; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
 		return nil
 	}
 	zones := map[string]int{}
@@ -130,7 +130,7 @@
 
 // kinds tells which kinds of machines a job's next task may be placed on.
 func (c *Core) kinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
-	return supply.Kinds(&e.rec, e.run.zone, zones)
+	return supply.Kinds(&e.record, e.run.zone, zones)
 }
 
 // unseen counts a job's tasks that may run on machines of an earlier holder: they count
@@ -148,7 +148,7 @@
 // barred tells whether nothing of a job may be placed now: it pauses after failures, or
 // where its other tasks are, on which its places hang, is not known yet.
 func (c *Core) barred(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	return run == nil || c.now < run.notYet ||
 		c.unsettle[shard] && run.held > 0 && j.Tasks > 1 && (j.OneZone || j.Spread || j.Shape == wire.ShapeService)
 }
@@ -156,8 +156,8 @@
 // placeJob starts as many of a job's waiting tasks as fit, and says how many.
 func (c *Core) placeJob(p *queue.Place[*jobEntry]) (placed int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
-	shard := c.shardOf(j.Team)
+	j, run := &e.record, e.run
+	shard := c.shardOfTeam(j.Team)
 	if c.barred(e, shard) {
 		return 0
 	}
@@ -196,7 +196,7 @@
 // placeOn reserves a machine for a job's next task, under a try of its own or, a gang's,
 // under that of the others.
 func (c *Core) placeOn(e *jobEntry, m *machine, own bool) {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	run.passedOver = 0
 	idx := run.next
 	if len(run.retry) > 0 {
@@ -207,21 +207,21 @@
 	if own {
 		c.tryNo++
 	}
-	a := &attempt{key: attemptKey{wire.TaskName(j.ID, idx), c.member.Boot()<<24 | c.tryNo}, job: j.ID, idx: idx, team: j.Team,
-		size: jobSize(j), known: true, lesser: e.prio < urgentRank, idle: e.prio <= idleRank, m: m, created: c.now, running: c.now}
+	a := &attempt{key: attemptKey{wire.TaskName(j.ID, idx), c.presence.Boot()<<24 | c.tryNo}, job: j.ID, idx: idx, team: j.Team,
+		size: jobSize(j), known: true, lesser: e.priority < urgentRank, idle: e.priority <= idleRank, m: m, created: c.now, running: c.now}
 	c.addAttempt(a)
 	c.touchJob(e)
 	run.active[idx] = a
 	m.idleSince = c.now
 	c.refreshMachine(m)
-	c.wantReport(m, e.prio >= urgentRank)
+	c.wantReport(m, e.priority >= urgentRank)
 }
 
 // choose picks the machine of a job's next task among those the ledger proposes, nil if
 // none has room, and tells its beta.
 func (c *Core) choose(p *queue.Place[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	kinds := c.kinds(e, zones)
 	if len(run.retry) > 0 && tracked(j) {
 		// Back to where it was: its image is there, and that start is written
@@ -237,7 +237,7 @@
 	for range tuning.LocalTries {
 		m, beta := c.pick(e, shard, size, anchor, zones, kinds, left)
 		// A gang has been found room for as a whole: it leaves none of it.
-		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocal(p, m) {
+		if m == nil || m.images[j.Image] || anchor || e.priority >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocal(p, m) {
 			return m, beta
 		}
 		left = append(left, m)
@@ -256,18 +256,18 @@
 	}
 	free := c.free(m)
 	c.order.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != m.shard {
+		if c.shardOfTeam(team) != m.shard {
 			return placement.Size{CPUs: -1}
 		}
-		t, u := c.p.Teams[team], c.room.Used(team, m.shard)
+		t, u := c.params.Teams[team], c.room.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
 	}, func(o *queue.Place[*jobEntry]) bool {
 		e := o.Handle
 		if looked++; looked > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = o != p && e.rank == p.Handle.rank && o.Within == p.Within && o.Late == p.Late && o.Overdue == p.Overdue && !c.barred(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
-			e.run.pending(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && zonesOf(e) == nil
+		found = o != p && e.rank == p.Handle.rank && o.Within == p.Within && o.Late == p.Late && o.Overdue == p.Overdue && !c.barred(e, m.shard) && e.record.Shape != wire.ShapeGang &&
+			e.run.pending(&e.record) > 0 && m.images[e.record.Image] && c.takes(e, m, m.shard) && zonesOf(e) == nil
 		return !found
 	})
 	if found && run.passedOver == 0 {
@@ -278,7 +278,7 @@
 
 // pick is the heuristic's choice among the machines that the ledger proposes, some apart.
 func (c *Core) pick(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, apart []*machine) (*machine, int) {
-	j := &e.rec
+	j := &e.record
 	c.found = c.room.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(apart, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.found[:0])
 	c.cands = c.cands[:0]
@@ -289,7 +289,7 @@
 		}
 		if f.Handle.images[j.Image] {
 			cand.Better = 1
-		} else if e.prio >= urgentRank && c.weights.Busy(f.Handle.name, j.Image) {
+		} else if e.priority >= urgentRank && c.weights.Busy(f.Handle.name, j.Image) {
 			cand.Better = -1 // they would share its rate
 		}
 		c.cands = append(c.cands, cand)
@@ -306,8 +306,8 @@
 // of a gang would only wait on its machines. On a yes for a gang bound to one
 // zone, the anchor's choice binds the rest, so each zone is tried alone.
 func (c *Core) gangFits(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
-	size, team := jobSize(j), c.p.Teams[j.Team]
+	j, run := &e.record, e.run
+	size, team := jobSize(j), c.params.Teams[j.Team]
 	waiting := len(run.retry) + j.Tasks - run.next
 	n := float64(waiting)
 	if team.exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: n * size.CPUs, GPUs: n * size.GPUs})) {
@@ -326,8 +326,8 @@
 
 // serves tells whether a block's machines could hold a task of a need.
 func (c *Core) serves(b *blockEntry, n wire.Need) bool {
-	full, ok := c.sizeOf(b.rec.Type)
-	return ok && supply.AllowsType(n.Types, b.rec.Type) && (n.Zone == "" || n.Zone == b.rec.Zone) && (!b.rec.Spot || n.Spot) &&
+	full, ok := c.machineSize(b.record.Type)
+	return ok && supply.AllowsType(n.Types, b.record.Type) && (n.Zone == "" || n.Zone == b.record.Zone) && (!b.record.Spot || n.Spot) &&
 		placement.Fits(full, needSize(n))
 }
 
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -19,21 +19,21 @@
 // served together, each on a machine of its own choice where the least running time is
 // lost: served one by one, each waited until the one before had its machine.
 func (c *Core) preempt() {
-	if !c.confirmed() || !c.every("preempt", tuning.PreemptEvery) {
+	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
 		return
 	}
 	var list []*jobEntry
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
-		upper := e.prio >= urgentRank || c.ladder.Named(e.rank)
-		if !upper && (e.prio <= idleRank || len(c.idlers) == 0) {
-			return !c.ladder.Plain() // nothing gives way to it; by priority the order begins with urgent jobs
+		upper := e.priority >= urgentRank || c.tierOrder.Named(e.rank)
+		if !upper && (e.priority <= idleRank || len(c.idlers) == 0) {
+			return !c.tierOrder.Plain() // nothing gives way to it; by priority the order begins with urgent jobs
 		}
-		if !upper && !p.Within || c.health.Trial(e.rec.ID) {
+		if !upper && !p.Within || c.health.Trial(e.record.ID) {
 			return true
 		}
 		// For a part of a gang no work is stopped: the rest may find no room.
-		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
+		if !c.barred(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
 			list = append(list, e)
 		}
 		return true
@@ -52,10 +52,10 @@
 		}
 	}
 	for _, e := range list {
-		i := c.shardOf(e.rec.Team)
-		used := c.room.Used(e.rec.Team, i)
-		for n := e.run.pending(&e.rec); n > 0; n-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, by[i]) {
+		i := c.shardOfTeam(e.record.Team)
+		used := c.room.Used(e.record.Team, i)
+		for n := e.run.pending(&e.record); n > 0; n-- {
+			if used = used.Add(jobSize(&e.record)); c.params.Teams[e.record.Team].exceeds(used) || !c.preemptFor(e, by[i]) {
 				break
 			}
 		}
@@ -67,7 +67,7 @@
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
+		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].record.Shape != wire.ShapeGang:
 			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.sent:
 		case a.stop || c.jobs[a.job] == nil:
@@ -84,18 +84,18 @@
 // there will be room.
 func (c *Core) preemptFor(e *jobEntry, in []*clearing.Machine[*machine, *attempt]) bool {
 	kinds := c.kinds(e, zonesOf(e))
-	stop, ok := clearing.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
+	stop, ok := clearing.Choose(in, jobSize(&e.record), e.priority >= urgentRank, func(m *machine) bool {
 		return kinds(ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
 	for _, v := range stop {
 		a := v.Handle
 		if v.Unsent { // never told to anybody, so nowhere
-			c.attemptGone(a, "its place goes to "+e.rec.ID)
+			c.attemptGone(a, "its place goes to "+e.record.ID)
 			continue
 		}
 		c.stopAttempt(a)
-		c.noteTask(trail.TaskStopped, a, "for "+e.rec.ID+", which goes before it")
-		c.log(1, "stopping a task for work that goes before it", "task", a.key.task, "machine", a.m.name, "for", e.rec.ID)
+		c.recordTaskEvent(trail.TaskStopped, a, "for "+e.record.ID+", which goes before it")
+		c.log(1, "stopping a task for work that goes before it", "task", a.key.task, "machine", a.m.name, "for", e.record.ID)
 	}
 	return ok
 }
@@ -104,8 +104,8 @@
 func (c *Core) stopAttempt(a *attempt) {
 	a.stop = true
 	c.wantReport(a.m, true)
-	if e := c.jobs[a.job]; e != nil && e.rec.CheckpointEvery > 0 {
-		a.graceS = e.rec.SaveS
+	if e := c.jobs[a.job]; e != nil && e.record.CheckpointEvery > 0 {
+		a.graceS = e.record.SaveS
 	}
 }
 
@@ -113,7 +113,7 @@
 // The shard that is furthest beyond its guarantee gives way, with the block
 // where least is lost.
 func (c *Core) vacate() {
-	if !c.every("vacate", 200*time.Millisecond) || !c.confirmed() {
+	if !c.dueEvery("vacate", 200*time.Millisecond) || !c.authorized() {
 		return
 	}
 	dire := false
@@ -124,7 +124,7 @@
 			}
 			dire = true
 			k := supply.Borrower(c.richness("", c.shardCPUs()), i)
-			if k < 0 || !c.mine(k) {
+			if k < 0 || !c.holdsShard(k) {
 				continue
 			}
 			c.vacateFor(k, n)
@@ -141,9 +141,9 @@
 // shardCPUs sums up the machines of each shard's blocks.
 func (c *Core) shardCPUs() map[int]float64 {
 	have := map[int]float64{}
-	for i, types := range c.shardHas {
+	for i, types := range c.machineCounts {
 		for _, t := range sortedKeys(types) {
-			full, _ := c.sizeOf(t)
+			full, _ := c.machineSize(t)
 			have[i] += full.CPUs * float64(types[t])
 		}
 	}
@@ -151,15 +151,15 @@
 }
 
 func (c *Core) blockCPUs(b *wire.Block) float64 {
-	full, _ := c.sizeOf(b.Type)
+	full, _ := c.machineSize(b.Type)
 	return full.CPUs * float64(len(b.Machines))
 }
 
 // guarantee sums up the guarantees of a shard's teams.
 func (c *Core) guarantee(shard int) float64 {
 	g := 0.0
-	for _, t := range c.shards[shard].rec.Teams {
-		g += c.p.Teams[t].CPUs
+	for _, t := range c.shards[shard].record.Teams {
+		g += c.params.Teams[t].CPUs
 	}
 	return g
 }
@@ -168,19 +168,19 @@
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
-		if b.rec.Shard != shard || !c.serves(b, n) {
+		if b.record.Shard != shard || !c.serves(b, n) {
 			continue
 		}
-		full, _ := c.sizeOf(b.rec.Type)
-		x := disruption.Block{Name: id, Emptied: c.vacating[id] || b.rec.Idle, Holds: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
-		for _, bm := range b.rec.Machines {
+		full, _ := c.machineSize(b.record.Type)
+		x := disruption.Block{Name: id, Emptied: c.vacating[id] || b.record.Idle, Holds: len(b.record.Machines) * (placement.Beta(full, needSize(n)) + 1)}
+		for _, bm := range b.record.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
 				x.Fixed = true
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > n.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > n.Rung) {
 					x.Fixed = true
 				}
 				if a.status != wire.TaskEnded {
@@ -196,15 +196,15 @@
 	}
 	c.vacating[best] = true
 	c.touchBlock(best)
-	c.noteShard(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
+	c.recordShardEvent(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
 	c.log(1, "emptying a block for another team's guarantee", "block", best, "shard", shard, "lost", loss.String())
-	for _, bm := range c.blocks[best].rec.Machines {
+	for _, bm := range c.blocks[best].record.Machines {
 		m := c.machines[bm.Name]
 		for _, k := range sortedAttempts(m) {
 			a := m.attempts[k]
 			if a.sent && a.status != wire.TaskEnded {
 				c.stopAttempt(a)
-				c.noteTask(trail.TaskStopped, a, "its block is emptied")
+				c.recordTaskEvent(trail.TaskStopped, a, "its block is emptied")
 			}
 		}
 	}
--- a/internal/core/progressing.go
+++ b/internal/core/progressing.go
@@ -9,13 +9,13 @@
 
 // known is which of a job's tasks stand as done in the state, as far as this version reads it.
 func (c *Core) known(e *jobEntry) ranges.Set {
-	return ranges.Set(e.rec.Done).Union(c.progress.Of(e.rec.ID))
+	return ranges.Set(e.record.Done).Union(c.progress.Of(e.record.ID))
 }
 
 // durable is which of a job's tasks whoever takes it over knows as done.
 func (c *Core) durable(e *jobEntry) ranges.Set {
-	if !c.understood(rollout.ProgressRecords) {
-		return e.rec.Done
+	if !c.featureEnabled(rollout.ProgressRecords) {
+		return e.record.Done
 	}
 	return c.known(e)
 }
@@ -24,14 +24,14 @@
 // been written before stays: the tasks are cleared from their workers, and whoever took the
 // job over would start them again.
 func (b *batch) addProgress(e *jobEntry) {
-	c, rec, further := b.c, e.rec, b.max-len(b.then)
-	if !c.understood(rollout.ProgressRecords) {
+	c, rec, further := b.c, e.record, b.max-len(b.then)
+	if !c.featureEnabled(rollout.ProgressRecords) {
 		further = 0
 	}
 	p := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
 		rec.Done = done
 		raw, err := wire.Marshal(rec)
-		return err == nil && wire.FitsIn(raw, c.p.ValueBytes)
+		return err == nil && wire.FitsIn(raw, c.params.ValueBytes)
 	}, further)
 	var changes []wire.Change
 	if rec.Done = p.Record.Clone(); p.Put {
@@ -92,10 +92,10 @@
 // tidyDone removes what tells of done tasks of a job that is over: its own record is gone for
 // good, which the write compares.
 func (c *Core) tidyDone() {
-	if c.leader.tidying || !c.every("tidyDone", tuning.TidyEvery) {
+	if c.leader.tidying || !c.dueEvery("tidyDone", tuning.TidyEvery) {
 		return
 	}
-	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.p.TxnOps/2)
+	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.TxnOps/2)
 	if id == "" {
 		return
 	}
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -53,13 +53,13 @@
 		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", idx: i, lesser: lesser, known: true, m: m, created: c.now, running: c.now})
 	}
 	for k := range 12 {
-		c.desk.Forget(m)
-		c.desk.Forget(other)
-		c.desk.Want(c.now, other, false)
+		c.callQueue.Forget(m)
+		c.callQueue.Forget(other)
+		c.callQueue.Want(c.now, other, false)
 		r, _ := w.machines[a].Inspect(w.now)
 		r.Seq += uint64(50 + k)
 		c.Step(c.now+sec, c.wall, WorkerReport{Req: uint64(1000 + k), Report: r})
-		if calls := c.desk.Take(c.now, func(*machine) prompt.Verdict { return prompt.Call }); len(calls) != 2 || calls[0] != m {
+		if calls := c.callQueue.Take(c.now, func(*machine) prompt.Verdict { return prompt.Call }); len(calls) != 2 || calls[0] != m {
 			t.Fatalf("%d are called, the machine with an urgent start not first", len(calls))
 		}
 	}
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -30,7 +30,7 @@
 		w.recountOrder(name, c)
 		in, dropping, home := map[string]string{}, map[string]bool{}, map[string]int{}
 		for _, id := range sortedKeys(c.blocks) {
-			for _, bm := range c.blocks[id].rec.Machines {
+			for _, bm := range c.blocks[id].record.Machines {
 				in[bm.Name] = id
 				if bm.Drop {
 					dropping[bm.Name] = true
@@ -38,14 +38,14 @@
 			}
 		}
 		for i := len(c.shards) - 1; i >= 0; i-- {
-			for _, t := range c.shards[i].rec.Teams {
+			for _, t := range c.shards[i].record.Teams {
 				home[t] = i
 			}
 		}
 		use, onTask := map[string]placement.Size{}, map[string]int{}
 		for _, mn := range sortedKeys(c.machines) {
 			m := c.machines[mn]
-			free, _ := c.sizeOf(m.typ)
+			free, _ := c.machineSize(m.typ)
 			unknown := m.inherited && !m.accounted
 			for _, k := range sortedAttempts(m) {
 				a := m.attempts[k]
@@ -80,9 +80,9 @@
 			}
 			w.same(name+" attempts by task", onTask, tasks)
 		}
-		w.same(name+" blocks of machines", in, c.blockIn)
-		w.same(name+" machines to delete", dropping, c.dropping)
-		w.same(name+" shards of teams", home, c.teamHome)
+		w.same(name+" blocks of machines", in, c.blockOfMachine)
+		w.same(name+" machines to delete", dropping, c.markedForDeletion)
+		w.same(name+" shards of teams", home, c.teamShards)
 		w.same(name+" blocks", sortedKeys(c.blocks), c.blockIDs(), cmpopts.EquateEmpty())
 		w.same(name+" jobs", len(c.jobs), len(c.jobsByAge()))
 		w.same(name+" machines", len(c.machines), len(c.heldMachines()))
@@ -116,7 +116,7 @@
 		}
 	}
 	for t := range w.teams {
-		w.same(name+" used by "+t, used[t], c.room.Used(t, c.shardOf(t)), cmpopts.EquateApprox(0, 1e-6))
+		w.same(name+" used by "+t, used[t], c.room.Used(t, c.shardOfTeam(t)), cmpopts.EquateApprox(0, 1e-6))
 	}
 	for _, i := range c.shardIDs() {
 		w.same(name+" spare room", spare[i], c.room.Spare(i))
@@ -124,11 +124,11 @@
 		w.same(name+" machines not accounted for", open[i], c.open[i])
 		newest, cpus := uint64(0), 0.0
 		for _, b := range c.blocks {
-			if b.rec.Shard == i {
-				newest, cpus = max(newest, b.ver), cpus+c.blockCPUs(&b.rec)
+			if b.record.Shard == i {
+				newest, cpus = max(newest, b.version), cpus+c.blockCPUs(&b.record)
 			}
 		}
-		w.same(name+" newest block", newest, c.newestBlock(i))
+		w.same(name+" newest block", newest, c.latestBlockRevision(i))
 		w.same(name+" CPUs of a shard", cpus, c.shardCPUs()[i], cmpopts.EquateApprox(0, 1e-9))
 	}
 	got := map[string]bool{}
@@ -141,11 +141,11 @@
 // recountOrder compares the order of service with one that is sorted afresh, and what is
 // to be written with the jobs.
 func (w *world) recountOrder(name string, c *Core) {
-	delete(c.retryAt, "judge")
+	delete(c.notBefore, "judge")
 	c.judge()
 	var want, got []string
 	for _, p := range c.plainQueue() {
-		want = append(want, fmt.Sprint(p.e.rec.ID, " ", p.pending, " ", p.within, " ", p.late, " ", p.overdue))
+		want = append(want, fmt.Sprint(p.e.record.ID, " ", p.pending, " ", p.within, " ", p.late, " ", p.overdue))
 	}
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
 		got = append(got, fmt.Sprint(p.Job.ID, " ", p.Job.Pending, " ", p.Within, " ", p.Late, " ", p.Overdue))
@@ -159,16 +159,16 @@
 		}
 		_, ended, owes := c.owes(e)
 		if owes {
-			owed[e.rec.ID] = true
+			owed[e.record.ID] = true
 		}
-		if !ended && e.run.done.Count() > ranges.Count(e.rec.Done) {
-			behind[e.rec.ID] = true
+		if !ended && e.run.done.Count() > ranges.Count(e.record.Done) {
+			behind[e.record.ID] = true
 		}
 	}
 	ids := func(set map[*jobEntry]bool) map[string]bool {
 		out := map[string]bool{}
 		for e := range set {
-			out[e.rec.ID] = true
+			out[e.record.ID] = true
 		}
 		return out
 	}
@@ -195,7 +195,7 @@
 			n++ // anything may run there, for any team
 		}
 		if n > 0 {
-			full, _ := c.sizeOf(m.typ)
+			full, _ := c.machineSize(m.typ)
 			for range n {
 				strangers[m.shard] = strangers[m.shard].Add(full)
 			}
@@ -205,8 +205,8 @@
 		}
 	}
 	if len(strangers) > 0 {
-		for team := range c.p.Teams {
-			u[team] = u[team].Add(strangers[c.shardOf(team)])
+		for team := range c.params.Teams {
+			u[team] = u[team].Add(strangers[c.shardOfTeam(team)])
 		}
 	}
 	return u
@@ -216,9 +216,9 @@
 func (c *Core) plainInherited(id string) (prio, rank int, due float64) {
 	prio, rank, due = -1, -1, math.Inf(1)
 	for _, e := range c.waitingAt {
-		if slices.Contains(e.rec.Predecessors, id) {
-			p, r, d := c.plainInherited(e.rec.ID)
-			own := c.chain.Own(e.rec.ID)
+		if slices.Contains(e.record.Predecessors, id) {
+			p, r, d := c.plainInherited(e.record.ID)
+			own := c.chain.Own(e.record.ID)
 			prio, rank, due = max(prio, own.Priority, p), max(rank, own.Rank, r), min(due, min(own.Due, d)-own.Length)
 		}
 	}
@@ -229,16 +229,16 @@
 // with little slack, as normal work at the most before. What is little is looked at every few
 // seconds.
 func (c *Core) plainlyRanked(e *jobEntry, prio, rank int, due float64) bool {
-	as := e.rec
+	as := e.record
 	as.Priority = "normal"
-	own, base := wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec)
-	little := e.prio == max(own, prio) && e.rank == max(base, rank)
-	much := e.prio == max(own, min(prio, 1)) && e.rank == max(base, min(rank, c.ladder.Rank(&as)))
+	own, base := wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record)
+	little := e.priority == max(own, prio) && e.rank == max(base, rank)
+	much := e.priority == max(own, min(prio, 1)) && e.rank == max(base, min(rank, c.tierOrder.Rank(&as)))
 	if prio <= own {
 		much = little
 	}
 	late := tuning.ChainRank.Seconds() + 1
-	switch slack := due - c.demandOf(&e.rec).Length - float64(c.wall.UnixMilli())/1000 - tuning.ChainSlack.Seconds(); {
+	switch slack := due - c.demandOf(&e.record).Length - float64(c.wall.UnixMilli())/1000 - tuning.ChainSlack.Seconds(); {
 	case slack > late:
 		return much
 	case slack < -late:
@@ -274,38 +274,38 @@
 		if e.run == nil {
 			continue
 		}
-		rest := e.rec.Tasks - e.run.done.Count()
-		pending := len(e.run.retry) + e.rec.Tasks - e.run.next
-		if c.health.Trial(e.rec.ID) { // counts as one task, of which one is tried at a time
+		rest := e.record.Tasks - e.run.done.Count()
+		pending := len(e.run.retry) + e.record.Tasks - e.run.next
+		if c.health.Trial(e.record.ID) { // counts as one task, of which one is tried at a time
 			rest = min(rest, 1)
-			if e.rec.Shape != wire.ShapeGang {
+			if e.record.Shape != wire.ShapeGang {
 				pending = min(pending, max(0, 1-len(e.run.active)))
 			}
 		}
-		team := c.p.Teams[e.rec.Team]
-		d := demand[e.rec.Team]
-		s := jobSize(&e.rec)
+		team := c.params.Teams[e.record.Team]
+		d := demand[e.record.Team]
+		s := jobSize(&e.record)
 		d = d.Add(placement.Size{CPUs: s.CPUs * float64(rest), GPUs: s.GPUs * float64(rest)})
-		demand[e.rec.Team] = d
+		demand[e.record.Team] = d
 		p := placing{e: e, pending: pending, due: math.Inf(1)}
 		p.within = d.CPUs <= team.CPUs+1e-6 && d.GPUs <= team.GPUs+1e-6
-		p.work = float64(rest) * e.rec.EstimateS * s.CPUs
-		if e.rec.DueS > 0 {
-			p.due = float64(e.rec.AcceptedMS)/1000 + e.rec.DueS
-			if ready := float64(e.rec.ReadyMS) / 1000; ready > 0 { // in the steps of workOf, to the last bit
-				p.due = ready + max(math.SmallestNonzeroFloat64, e.rec.DueS-ready+float64(e.rec.AcceptedMS)/1000)
+		p.work = float64(rest) * e.record.EstimateS * s.CPUs
+		if e.record.DueS > 0 {
+			p.due = float64(e.record.AcceptedMS)/1000 + e.record.DueS
+			if ready := float64(e.record.ReadyMS) / 1000; ready > 0 { // in the steps of workOf, to the last bit
+				p.due = ready + max(math.SmallestNonzeroFloat64, e.record.DueS-ready+float64(e.record.AcceptedMS)/1000)
 			}
 		}
-		prio, rank, due := c.plainInherited(e.rec.ID)
+		prio, rank, due := c.plainInherited(e.record.ID)
 		p.due = min(p.due, due)
 		if !c.plainlyRanked(e, prio, rank, due) {
 			p.strict = -1 // shows as a difference
 		}
-		if e.rec.Zone != "" || e.rec.OneZone {
+		if e.record.Zone != "" || e.record.OneZone {
 			p.strict = 1
 		}
-		if e.rec.Shape == wire.ShapeService {
-			services[e.rec.Team] += s.CPUs * float64(rest)
+		if e.record.Shape == wire.ShapeService {
+			services[e.record.Team] += s.CPUs * float64(rest)
 		}
 		if p.pending > 0 {
 			waiting++
@@ -317,18 +317,18 @@
 	}
 	for i := range all {
 		if p := &all[i]; !math.IsInf(p.due, 1) {
-			byTeam[p.e.rec.Team] = append(byTeam[p.e.rec.Team], p)
+			byTeam[p.e.record.Team] = append(byTeam[p.e.record.Team], p)
 		}
 	}
 	have := c.shardCPUs()
 	now := float64(c.wall.UnixMilli()) / 1000
 	for _, team := range sortedKeys(byTeam) {
-		t := c.p.Teams[team]
-		markLate(byTeam[team], now, max(1, min(t.CPUsMax, max(have[c.shardOf(team)], t.CPUs))-services[team]))
+		t := c.params.Teams[team]
+		markLate(byTeam[team], now, max(1, min(t.CPUsMax, max(have[c.shardOfTeam(team)], t.CPUs))-services[team]))
 	}
 	for _, p := range all {
 		if p.pending > 0 {
-			p.overdue = p.e.rec.Started == 0 && p.e.run.next == 0 && float64(p.e.rec.ReadySince())/1000 <= now-tuning.BeginAfter.Seconds()
+			p.overdue = p.e.record.Started == 0 && p.e.run.next == 0 && float64(p.e.record.ReadySince())/1000 <= now-tuning.BeginAfter.Seconds()
 			q = append(q, p)
 		}
 	}
@@ -359,7 +359,7 @@
 
 // turn orders jobs due at the same time: those with less work need not wait for long.
 func turn(e *jobEntry) float64 {
-	return float64(e.rec.ReadySince())/1000 + float64(e.rec.Tasks)*e.rec.EstimateS*e.rec.CPUs/tuning.TurnCPUs
+	return float64(e.record.ReadySince())/1000 + float64(e.record.Tasks)*e.record.EstimateS*e.record.CPUs/tuning.TurnCPUs
 }
 
 // markLate finds the jobs of one team to give up being on time for, so that as
@@ -376,7 +376,7 @@
 	var kept []*placing
 	t := now
 	for _, p := range ps {
-		if now+p.e.rec.EstimateS > p.due && p.pending > 0 {
+		if now+p.e.record.EstimateS > p.due && p.pending > 0 {
 			p.late = true
 			continue
 		}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -25,10 +25,10 @@
 			if done != nil {
 				done(allOK && len(rest) == 0)
 			}
-			c.changed()
+			c.mirrorChanged()
 			return
 		}
-		n := min(len(rest), c.form.Bounds().Short(tuning.ShortOps))
+		n := min(len(rest), c.writeLimits.Bounds().Short(tuning.ShortOps))
 		when := []wire.Condition{c.leaderCond()}
 		var then []wire.Change
 		for k := range rest[:n] {
@@ -53,7 +53,7 @@
 // richness is what each shard has for its teams' guarantees, as machines of a zone see it.
 func (c *Core) richness(zone string, have map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
-		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
+		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.params.Nodes[c.shards[i].record.Holder] == zone})
 	}
 	return list
 }
@@ -62,13 +62,13 @@
 // first, then rented ones.
 func (c *Core) serveWants() {
 	l := &c.leader
-	if l.writing || len(c.types) == 0 {
+	if l.writing || len(c.machineTypes) == 0 {
 		return
 	}
 	var open []supply.Open
 	for _, i := range c.shardIDs() {
 		w := c.wantOf(i)
-		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.newestBlock(i) {
+		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.latestBlockRevision(i) {
 			continue // served, or asked before it knew of what it has
 		}
 		// Rented and not yet in a block: the holder does not know of them. To wait for
@@ -86,7 +86,7 @@
 // booked is the room of a shard's machines that are rented and stand in no block yet.
 func (c *Core) booked(shard int) (p supply.Pool) {
 	for _, info := range c.leader.booked[shard] {
-		if full, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
+		if full, ok := c.machineSize(info.Type); ok && c.blockOf(info.Name) == nil {
 			p = append(p, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: full})
 		}
 	}
@@ -98,22 +98,22 @@
 	l := &c.leader
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
-		if !b.rec.Idle || b.rec.Shard == shard || !c.serves(b, n) {
+		if !b.record.Idle || b.record.Shard == shard || !c.serves(b, n) {
 			continue
 		}
-		rec := b.rec
+		rec := b.record
 		rec.Shard, rec.Idle = shard, false
-		from := b.rec.Shard
+		from := b.record.Shard
 		l.writing = true
 		l.renting[shard] = true
-		c.commit(LaneUser, []wire.Condition{c.leaderCond(), {Key: blockKey(id), Version: b.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
+		c.commit(LaneUser, []wire.Condition{c.leaderCond(), {Key: blockKey(id), Version: b.version}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
 			l.writing = false
 			delete(l.renting, shard)
 			if r.Status == 200 {
-				c.noteShard(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
+				c.recordShardEvent(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
 			}
 			c.log(1, "idle block moved", "block", id, "from", from, "to", shard, "status", r.Status)
-			c.changed()
+			c.mirrorChanged()
 		})
 		return true
 	}
@@ -129,13 +129,13 @@
 	}
 	var offers []supply.Offer
 	var asks []boot.Ask
-	for _, o := range supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
+	for _, o := range supply.Offers(c.machineTypes, n, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= l.pause[o.Key()] {
 			offers = append(offers, o)
 			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
 		}
 	}
-	k, count := c.boots.Choose(c.now, asks)
+	k, count := c.provisioning.Choose(c.now, asks)
 	if k < 0 {
 		return false
 	}
@@ -146,9 +146,9 @@
 func (c *Core) rentOf(shard int, o *supply.Offer, count int, n wire.Need) {
 	l := &c.leader
 	l.bookings++
-	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), l.bookings), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
+	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.params.Node, c.presence.Boot(), l.bookings), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
 	l.renting[shard] = true
-	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", n.Tasks, n.CPUs)})
+	c.recordShardEvent(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", n.Tasks, n.CPUs)})
 	c.log(1, "renting", "shard", shard, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "booking", req.Request)
 	c.book(shard, o.Key(), req, 0)
 }
@@ -158,7 +158,7 @@
 func (c *Core) book(shard int, key string, req wire.RentRequest, tries int) {
 	l := &c.leader
 	term := c.term.Since()
-	c.cloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
 		if !c.leading() || c.term.Since() != term {
 			return // the next leader finds the machines in the list
 		}
@@ -181,7 +181,7 @@
 		case r.Status == 503 && r.Err == "no capacity":
 			l.pause[key] = c.now + tuning.NoCapacityPause
 			delete(l.renting, shard)
-			c.noteShard(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
+			c.recordShardEvent(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
 			c.log(1, "no capacity", "type", req.Type, "zone", req.Zone, "spot", req.Spot)
 			c.lead()
 		case r.Status == 400:
@@ -208,7 +208,7 @@
 	l := &c.leader
 	for _, shard := range c.shardIDs() {
 		infos := l.booked[shard]
-		if len(infos) == 0 || l.writing || !c.every("booked", 50*time.Millisecond) || !c.fenced() {
+		if len(infos) == 0 || l.writing || !c.dueEvery("booked", 50*time.Millisecond) || !c.fenced() {
 			continue
 		}
 		var rest []wire.MachineInfo
@@ -225,7 +225,7 @@
 		to := shard
 		c.writeBlocks(rest, false, true, func(b *wire.Block) { b.Shard = to }, func(ok bool) {
 			if !ok { // tried again with what still stands in no block
-				c.retryAt["booked"] = c.now + tuning.RetryAfter
+				c.notBefore["booked"] = c.now + tuning.RetryAfter
 			}
 		})
 	}
