--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -13,22 +13,22 @@
 // onReport answers a worker. Only the holder of its block says 200.
 func (c *Core) onReport(v WorkerReport) {
 	r := &v.Report
-	c.addrs.Learn(r.Machine, r.Addr, r.Session)
+	c.workerAddresses.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
 	from, passed := c.relays.Through(v.Req)
 	switch { // an older report is a copy: it says of no worker that we reach it
 	case m != nil && c.older(m, r):
 	case !passed:
-		c.workers.Heard(c.now, c.shardHeld(r.Machine), r.Machine)
+		c.workerReach.Heard(c.now, c.shardHeld(r.Machine), r.Machine)
 	case m != nil:
-		c.workers.HeardThrough(c.now, m.shard)
+		c.workerReach.HeardThrough(c.now, m.shard)
 	}
 	if m == nil {
 		c.redirect(v.Req, r)
 		return
 	}
 	b := c.blocks[m.block]
-	if b == nil || !c.mine(m.shard) || !c.confirmed() {
+	if b == nil || !c.holdsShard(m.shard) || !c.authorized() {
 		// Not sure to be entitled: the worker may find one who is.
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
@@ -49,7 +49,7 @@
 	c.heardFrom(m, r)
 	c.takeStock(m, r)
 	if c.cordons[m.name].Drain {
-		c.cordonSeen(m.name)
+		c.cordonChanged(m.name)
 	}
 	if !m.accounted && r.Token >= m.takenToken {
 		c.account(m, "report")
@@ -62,7 +62,7 @@
 	m.lastOK = c.now
 	m.ear.Answered(r, token, from.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
-	c.desk.Forget(m)
+	c.callQueue.Forget(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
 		if !a.sent && a.status == "" {
@@ -91,7 +91,7 @@
 // it, one after the other.
 func (c *Core) trust(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
+	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.pendingMachines.Tries(m) > 1)
 	if spent && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -104,18 +104,18 @@
 // machine hears: it came by another way, or as late as one that waited in vain.
 func (c *Core) test(m *machine, passed bool) {
 	gap := c.now - m.lastReport
-	odd := m.reported && c.now-m.lastOK < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.ear.Test(c.now, odd, c.p.Lease/2) {
-		m.raised = max(m.raised, c.rev)
+	odd := m.reported && c.now-m.lastOK < c.params.Lease && (passed || gap > max(tuning.DeafGap, c.params.Report*5/4+time.Second))
+	if m.ear.Test(c.now, odd, c.params.Lease/2) {
+		m.raised = max(m.raised, c.mirrorRevision)
 	}
 }
 
 // listen judges by a new report whether its worker hears what it is answered.
 func (c *Core) listen(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.p.Lease && m.reported && !m.over
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.params.Lease && m.reported && !m.over
 	changed := m.ear.Report(r, via, lapsed)
-	if m.ear.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
-		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
+	if m.ear.Missed() && r.Addr != "" && !c.workerReach.Lacks(c.now) {
+		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
 	if changed {
 		c.hearingChanged(m)
@@ -129,7 +129,7 @@
 	if m.ear.Deaf() {
 		kind = trail.MachineDeaf
 	}
-	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
+	c.recordMachineEvent(kind, m, wire.TrailEvent{Count: len(m.attempts)})
 	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.ear.Deaf())
 }
 
@@ -142,7 +142,7 @@
 func (c *Core) heardFrom(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
-		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
+		c.recordMachineEvent(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
 	}
 	if m.over {
 		c.touch(m)
@@ -154,10 +154,10 @@
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.p.Nodes) > 1 { // told with the next pings, and forgotten then
-			c.addrs.CameUp(c.now, m.name)
+		if len(c.params.Nodes) > 1 { // told with the next pings, and forgotten then
+			c.workerAddresses.CameUp(c.now, m.name)
 		}
-		c.boots.Up(c.now, m.name)
+		c.provisioning.Up(c.now, m.name)
 		if m.fresh {
 			c.warm[m.name] = true
 		}
@@ -168,7 +168,7 @@
 	if r.NoticeS != nil && !m.notice {
 		m.notice, m.noticeAt = true, c.now+seconds(*r.NoticeS)
 		c.touch(m)
-		c.noteMachine(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
+		c.recordMachineEvent(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
 		c.log(1, "machine will be taken", "machine", m.name, "in_s", *r.NoticeS)
 	}
 }
@@ -176,24 +176,24 @@
 // redirect answers a worker of a block this controller does not hold.
 func (c *Core) redirect(req uint64, r *wire.Report) {
 	if c.loaded {
-		if b := c.blockOf(r.Machine); b != nil && c.shards[b.rec.Shard] != nil {
-			s := c.shards[b.rec.Shard]
-			holder := s.rec.Holder
-			if n, up := c.nodes[holder]; !up || n.Boot != s.rec.Boot {
+		if b := c.blockOf(r.Machine); b != nil && c.shards[b.record.Shard] != nil {
+			s := c.shards[b.record.Shard]
+			holder := s.record.Holder
+			if n, up := c.nodes[holder]; !up || n.Boot != s.record.Boot {
 				holder = ""
 			}
-			if to, ok := c.yielded[b.rec.Shard]; ok {
+			if to, ok := c.yieldedTo[b.record.Shard]; ok {
 				holder = to
 			}
 			// What we know of the holder is old: two controllers that a cut had left
 			// without news sent workers to each other until their leases were over.
-			if r.Token > c.rev || c.cutOff() {
+			if r.Token > c.mirrorRevision || c.stateUnreachable() {
 				holder = ""
 			}
-			if _, ours := c.relays.Through(req); holder != "" && holder != c.p.Node && !ours {
+			if _, ours := c.relays.Through(req); holder != "" && holder != c.params.Node && !ours {
 				switch {
-				case c.relay(req, r, holder, s.ver):
-				case c.deaf(holder, b.rec.Shard): // it would wait there in vain
+				case c.relayReport(req, r, holder, s.version):
+				case c.deaf(holder, b.record.Shard): // it would wait there in vain
 					c.sendBeside(req, holder)
 				default:
 					c.answer(req, 421, wire.Redirect{Holder: holder})
@@ -204,8 +204,8 @@
 			return
 		}
 		c.surprise(r)
-		if c.chief.Node != "" && c.chief.Node != c.p.Node {
-			c.answer(req, 421, wire.Redirect{Holder: c.chief.Node})
+		if c.leaderRecord.Node != "" && c.leaderRecord.Node != c.params.Node {
+			c.answer(req, 421, wire.Redirect{Holder: c.leaderRecord.Node})
 			return
 		}
 	}
@@ -214,7 +214,7 @@
 
 // deaf tells whether a holder has said that workers do not reach it.
 func (c *Core) deaf(holder string, shard int) bool {
-	w := c.wordOf(holder)
+	w := c.reachOf(holder)
 	return w.Lacks || slices.Contains(w.Seeks, shard)
 }
 
@@ -222,7 +222,7 @@
 // neither it nor we can reach, if there is one.
 func (c *Core) sendBeside(req uint64, holder string) {
 	for _, n := range sortedKeys(c.nodes) {
-		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
+		if n != c.params.Node && n != holder && !c.reachOf(n).Lacks && !slices.Contains(c.reachOf(n).Apart, holder) {
 			c.answer(req, 421, wire.Redirect{Holder: n})
 			return
 		}
@@ -245,7 +245,7 @@
 			}
 			a = &attempt{key: k, job: job, idx: idx, m: m, sent: true, created: c.now, running: c.now}
 			if e := c.jobs[job]; e != nil {
-				a.size, a.team, a.known, a.lesser, a.idle = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
+				a.size, a.team, a.known, a.lesser, a.idle = jobSize(&e.record), e.record.Team, true, e.priority < urgentRank, e.priority <= idleRank
 				c.touchJob(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
 					if o := e.run.active[idx]; o != nil {
@@ -275,7 +275,7 @@
 		switch t.Status {
 		case wire.TaskRunning:
 			a.running = c.now
-			c.noteBack(trail.TaskRuns, a)
+			c.recordTaskRecovery(trail.TaskRuns, a)
 			c.log(2, "task runs", "task", a.key.task, "machine", m.name, "after", (c.now - a.created).String())
 		case wire.TaskEnded:
 			m.sum.ok = false
@@ -300,9 +300,9 @@
 
 // hasImage notes that a machine has the image of a job whose task ran there.
 func (c *Core) hasImage(m *machine, job string) {
-	if e := c.jobs[job]; e != nil && !m.images[e.rec.Image] {
-		m.images[e.rec.Image] = true
-		c.caches.Learned(m.shard)
+	if e := c.jobs[job]; e != nil && !m.images[e.record.Image] {
+		m.images[e.record.Image] = true
+		c.imageCaches.Learned(m.shard)
 	}
 }
 
@@ -315,7 +315,7 @@
 	c.touchJob(e)
 	if a.cause == wire.CauseDone {
 		if was == wire.TaskRunning {
-			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.running)
+			c.runTimes.Ran(e.record.Class, e.record.EstimateS, c.now-a.running)
 		}
 		e.run.done = e.run.done.Add(a.idx)
 		e.run.fails = 0
@@ -330,13 +330,13 @@
 	if e.run.active[a.idx] == a {
 		c.endActive(e, a)
 		if a.cause == wire.CauseHalted {
-			c.noteTask(trail.TaskLost, a, "stopped")
+			c.recordTaskEvent(trail.TaskLost, a, "stopped")
 		}
 	}
 	if a.cause == wire.CauseHalted {
 		return
 	}
-	c.noteTask(trail.TaskFailed, a, a.cause)
+	c.recordTaskEvent(trail.TaskFailed, a, a.cause)
 	c.log(1, "task ended", "task", a.key.task, "machine", a.m.name, "cause", a.cause, "was", was)
 	if a.cause == wire.CauseError {
 		c.taskFailed(e, a)
@@ -352,7 +352,7 @@
 // startable tells whether a reserved attempt's start is written, so that it may be made.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && !a.stop && !a.m.fresh && e.rec.Started > a.idx && (!tracked(&e.rec) || onOf(&e.rec, a.idx) == a.m.name)
+	return e != nil && e.run != nil && !a.stop && !a.m.fresh && e.record.Started > a.idx && (!tracked(&e.record) || onOf(&e.record, a.idx) == a.m.name)
 }
 
 // commandsFor lists commands for a machine; a look changes nothing.
@@ -385,7 +385,7 @@
 		case a.status == "" && c.startable(a) && !look:
 			if run, now := c.run(a); now {
 				a.sent = true
-				c.noteBack(trail.TaskAgain, a)
+				c.recordTaskRecovery(trail.TaskAgain, a)
 				cmds = append(cmds, run)
 			}
 		}
--- a/internal/core/rollcall.go
+++ b/internal/core/rollcall.go
@@ -16,19 +16,19 @@
 // no command. After a cut they may be answered by a former holder for as long as it may
 // go unconfirmed, and by nobody who can reach us: the roll does not wait for them to come.
 func (c *Core) callRoll() {
-	if c.roll.Len() == 0 || !c.confirmed() {
+	if c.pendingMachines.Len() == 0 || !c.authorized() {
 		return
 	}
-	known := func(m *machine) bool { _, ok := c.addrs.Of(m.name); return ok }
-	for _, m := range c.roll.Take(c.now, known) {
+	known := func(m *machine) bool { _, ok := c.workerAddresses.Of(m.name); return ok }
+	for _, m := range c.pendingMachines.Take(c.now, known) {
 		b := c.blocks[m.block]
-		if c.machines[m.name] != m || m.accounted || b == nil || !c.mine(m.shard) {
-			c.roll.Drop(m)
+		if c.machines[m.name] != m || m.accounted || b == nil || !c.holdsShard(m.shard) {
+			c.pendingMachines.Drop(m)
 			continue
 		}
-		at, _ := c.addrs.Of(m.name)
+		at, _ := c.workerAddresses.Of(m.name)
 		c.callWorker(Order{Machine: m.name, Addr: at.Addr, Roll: true,
-			Orders: wire.Orders{Token: c.token(b), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
+			Orders: wire.Orders{Token: c.fencingToken(b), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
 	}
 }
 
@@ -39,15 +39,15 @@
 func (c *Core) onOrderDone(v OrderDone) {
 	r := &v.Report
 	if v.Status != 0 && r.Machine == v.Machine {
-		c.addrs.Learn(r.Machine, r.Addr, r.Session)
+		c.workerAddresses.Learn(r.Machine, r.Addr, r.Session)
 		if !v.Through {
-			c.workers.Answered(c.now, c.shardHeld(v.Machine), v.Machine)
+			c.workerReach.Answered(c.now, c.shardHeld(v.Machine), v.Machine)
 		}
 	}
-	if v.For != "" && v.For != c.p.Node {
+	if v.For != "" && v.For != c.params.Node {
 		to := v.For
 		v.For, v.Through = "", true
-		c.tell(to, PeerMessage{Ordered: &v})
+		c.sendToPeer(to, PeerMessage{Ordered: &v})
 		return
 	}
 	m := c.machines[v.Machine]
@@ -57,12 +57,12 @@
 	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.ear.Unanswered() {
 		c.hearingChanged(m)
 	}
-	if v.Look || m == nil || m.accounted || !c.mine(m.shard) {
+	if v.Look || m == nil || m.accounted || !c.holdsShard(m.shard) {
 		return // it has reported by itself meanwhile, or is no longer ours
 	}
 	b := c.blocks[m.block]
-	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takenToken || c.older(m, r) || r.Token > c.tokenOf(m, b) {
-		c.roll.Failed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
+	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.authorized() || r.Token < m.takenToken || c.older(m, r) || r.Token > c.tokenOf(m, b) {
+		c.pendingMachines.Failed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
 		return
 	}
 	m.proven = true
@@ -86,34 +86,34 @@
 // learnAddrs takes note of where a list says that workers listen.
 func (c *Core) learnAddrs(list map[string]wire.MachineInfo) {
 	for n, i := range list {
-		if c.blockIn[n] != "" || c.leader.known.Stranger(n) {
-			c.addrs.Learn(n, i.Addr, 0)
+		if c.blockOfMachine[n] != "" || c.leader.known.Stranger(n) {
+			c.workerAddresses.Learn(n, i.Addr, 0)
 		}
 	}
-	c.addrs.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockIn[n] != "" })
+	c.workerAddresses.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockOfMachine[n] != "" })
 }
 
 // followAddrs has the addresses at hand before they are needed. Only the leader reads the
 // list for what it decides; the others read it for the addresses that they lack.
 func (c *Core) followAddrs() {
-	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
+	if c.leading() || c.listingMachines || c.now < c.notBefore["addrs"] {
 		return
 	}
 	lack := 0
-	for n := range c.blockIn {
-		if _, ok := c.addrs.Of(n); !ok {
+	for n := range c.blockOfMachine {
+		if _, ok := c.workerAddresses.Of(n); !ok {
 			lack++
 		}
 	}
-	c.retryAt["addrs"] = c.now + tuning.AddrsEvery
+	c.notBefore["addrs"] = c.now + tuning.AddrsEvery
 	if lack > 0 {
-		c.listing = true
+		c.listingMachines = true
 		c.addrsPage("", map[string]wire.MachineInfo{})
 	}
 }
 
 func (c *Core) addrsPage(after string, all map[string]wire.MachineInfo) {
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		for _, m := range r.List.Machines {
 			all[m.Name] = m
 			after = m.Name
@@ -122,7 +122,7 @@
 			c.addrsPage(after, all)
 			return
 		}
-		if c.listing = false; r.Status == 200 {
+		if c.listingMachines = false; r.Status == 200 {
 			c.learnAddrs(all)
 		}
 	})
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -30,7 +30,7 @@
 func (w *world) wantOn(when string, on bool) {
 	w.t.Helper()
 	for _, n := range sortedKeys(w.nodes) {
-		if c := w.nodes[n].core; c != nil && c.understood(rollout.Chains) != on {
+		if c := w.nodes[n].core; c != nil && c.featureEnabled(rollout.Chains) != on {
 			w.t.Fatalf("%s: %s has chains on: %v; lack %v", when, n, !on, c.rollout.Lack(rollout.Chains))
 		}
 	}
@@ -102,7 +102,7 @@
 		if hit := kindOfWrite(v) == "version" && node == "c1" && !held; !hit {
 			return 0, false
 		}
-		held, was = true, w.nodes["c1"].core.member.Boot()
+		held, was = true, w.nodes["c1"].core.presence.Boot()
 		w.older("c1")
 		w.at(0, func() { w.kill("c1"); w.start("c1") })
 		return 6 * time.Second, true
@@ -142,21 +142,21 @@
 	c := New(Params{Node: "c0", Zone: "n", Nodes: map[string]string{"c0": "n"}, TxnOps: 8, ValueBytes: 8192})
 	keys := map[string]bool{}
 	for i, r := range records {
-		c.put(r.Key, r.Value, uint64(i)+1)
+		c.applyPut(r.Key, r.Value, uint64(i)+1)
 		if strings.HasPrefix(r.Key, wire.LivePrefix) {
 			keys[r.Key] = true
 		}
 	}
-	for _, e := range c.out {
+	for _, e := range c.effects {
 		if l, is := e.(Log); is && l.Level == 0 {
 			t.Errorf("%s %v", l.Msg, l.KV)
 		}
 	}
-	if len(c.jobs) == 0 || len(c.blocks) == 0 || len(c.shards) == 0 || len(c.wants) == 0 || len(c.nodes) == 0 || len(c.types) == 0 || len(c.calendar.Names()) == 0 || c.caches.Len() == 0 {
+	if len(c.jobs) == 0 || len(c.blocks) == 0 || len(c.shards) == 0 || len(c.demands) == 0 || len(c.nodes) == 0 || len(c.machineTypes) == 0 || len(c.calendar.Names()) == 0 || c.imageCaches.Len() == 0 {
 		t.Errorf("of %d records: %d jobs, %d blocks, %d shards, %d wants, %d controllers, %d types, %d crews, images of %d machines", len(records),
-			len(c.jobs), len(c.blocks), len(c.shards), len(c.wants), len(c.nodes), len(c.types), len(c.calendar.Names()), c.caches.Len())
+			len(c.jobs), len(c.blocks), len(c.shards), len(c.demands), len(c.nodes), len(c.machineTypes), len(c.calendar.Names()), c.imageCaches.Len())
 	}
-	if got := c.ver.Keys(); len(got) != len(keys) {
+	if got := c.versions.Keys(); len(got) != len(keys) {
 		t.Errorf("%d keys are known, of %d", len(got), len(keys))
 	}
 	if lack := c.rollout.Lack(rollout.Chains); len(lack) == 0 {
@@ -171,7 +171,7 @@
 	w := newWorld(t, 393, 3)
 	w.run(10 * time.Second)
 	c := w.nodes["c0"].core
-	for _, e := range c.Step(w.now, time.UnixMilli(1e12).Add(w.now), Peer{Msg: PeerMessage{From: "c1", Boot: 2, Revision: c.rev}}) {
+	for _, e := range c.Step(w.now, time.UnixMilli(1e12).Add(w.now), Peer{Msg: PeerMessage{From: "c1", Boot: 2, Revision: c.mirrorRevision}}) {
 		if p, is := e.(PeerSend); is {
 			t.Errorf("it is answered: %+v", p)
 		}
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -49,7 +49,7 @@
 	for _, team := range sortedKeys(w.teams) {
 		n := 0
 		for _, m := range w.nodes[w.shardRec(team).Holder].core.machines {
-			if slices.Contains(w.nodes[w.shardRec(team).Holder].core.shards[m.shard].rec.Teams, team) {
+			if slices.Contains(w.nodes[w.shardRec(team).Holder].core.shards[m.shard].record.Teams, team) {
 				n++
 			}
 		}
--- a/internal/core/settle.go
+++ b/internal/core/settle.go
@@ -23,11 +23,11 @@
 // account takes note that what is on a machine is known from now on.
 func (c *Core) account(m *machine, why string) {
 	if m.inherited && !m.accounted {
-		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: why})
+		c.recordMachineEvent(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: why})
 		c.open[m.shard]--
 	}
 	m.accounted = true
-	c.roll.Drop(m)
+	c.pendingMachines.Drop(m)
 	c.touch(m)
 	c.settleOn(m)
 	c.settle()
@@ -45,10 +45,10 @@
 		if len(c.unsettle) == 0 {
 			clear(c.waitsOn)
 		}
-		c.noteShard(trail.Settled, i, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.entered[i]).Seconds())})
+		c.recordShardEvent(trail.Settled, i, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.entered[i]).Seconds())})
 		c.log(1, "all inherited machines accounted for", "shard", i, "after", (c.now - c.entered[i]).String())
 		for _, e := range c.jobsByAge() {
-			if e.run != nil && c.shardOf(e.rec.Team) == i {
+			if e.run != nil && c.shardOfTeam(e.record.Team) == i {
 				c.settleJob(e, i, true)
 			}
 		}
@@ -61,8 +61,8 @@
 		return
 	}
 	for _, e := range c.waitsOn[m.name] { // one that has moved here since may be of a job of another shard
-		if c.jobs[e.rec.ID] == e && e.run != nil && e.run.held > 0 && slices.Contains(e.rec.On, m.name) {
-			c.settleJob(e, c.shardOf(e.rec.Team), true)
+		if c.jobs[e.record.ID] == e && e.run != nil && e.run.held > 0 && slices.Contains(e.record.On, m.name) {
+			c.settleJob(e, c.shardOfTeam(e.record.Team), true)
 		}
 	}
 	delete(c.waitsOn, m.name)
@@ -71,11 +71,11 @@
 // awaitOn notes which machines a job of few tasks waits for after a takeover.
 func (c *Core) awaitOn(e *jobEntry) {
 	if e.run.held > 0 {
-		for _, name := range e.rec.On {
+		for _, name := range e.record.On {
 			if name != "" && !slices.Contains(c.waitsOn[name], e) {
 				c.waitsOn[name] = append(c.waitsOn[name], e)
-				if m := c.machines[name]; m != nil && m.inherited && !m.accounted && e.prio >= urgentRank {
-					c.roll.Add(m, true)
+				if m := c.machines[name]; m != nil && m.inherited && !m.accounted && e.priority >= urgentRank {
+					c.pendingMachines.Add(m, true)
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 	if !c.unsettle[shard] {
 		return false
 	}
-	on := onOf(&e.rec, idx)
+	on := onOf(&e.record, idx)
 	if on == "" {
 		return true
 	}
@@ -111,7 +111,7 @@
 // settleJob lets the tasks go again that may have been started and are nowhere. They
 // were lost if an earlier holder had them; those we wrote ahead ourselves were not.
 func (c *Core) settleJob(e *jobEntry, shard int, lost bool) {
-	if e.run.held == 0 || c.unsettle[shard] && !tracked(&e.rec) {
+	if e.run.held == 0 || c.unsettle[shard] && !tracked(&e.record) {
 		return
 	}
 	c.touchJob(e)
@@ -130,7 +130,7 @@
 		}
 		e.run.retry = append(e.run.retry, k)
 		if lost {
-			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{Task: wire.TaskName(e.rec.ID, k), Machine: onOf(&e.rec, k), Why: "on no machine after a change of hands"})
+			c.recordShardEvent(trail.TaskLost, shard, wire.TrailEvent{Task: wire.TaskName(e.record.ID, k), Machine: onOf(&e.record, k), Why: "on no machine after a change of hands"})
 		}
 		c.dirty = true
 	}
@@ -143,19 +143,19 @@
 func (c *Core) watchMachines() {
 	for _, i := range sortedInts(c.unsettle) {
 		if _, known := c.prevDead[i]; !known && c.shards[i] != nil {
-			if r := c.shards[i].rec; r.Known && c.allDead(r.Past) {
+			if r := c.shards[i].record; r.Known && c.allDead(r.Past) {
 				c.prevDead[i] = c.now
 			}
 		}
 	}
-	if c.checking || !c.every("watchMachines", 200*time.Millisecond) {
+	if c.checking || !c.dueEvery("watchMachines", 200*time.Millisecond) {
 		return
 	}
-	c.suspect()
+	c.detectSilentMachines()
 	c.missing()
 	byShard := map[int][]*machine{}
 	for _, m := range c.heldMachines() {
-		if m.over || !c.mine(m.shard) {
+		if m.over || !c.holdsShard(m.shard) {
 			continue
 		}
 		var since Time
@@ -172,13 +172,13 @@
 			// Inherited: the earlier holder may have answered it for as long as
 			// it could go unconfirmed, even after we took over; but not beyond
 			// its death, which its next life proves.
-			since = m.since + c.unconfirmedMax()
+			since = m.since + c.maxUnconfirmed()
 			if at, dead := c.prevDead[m.shard]; dead {
 				since = min(since, max(m.since, at))
 			}
 			since = max(m.lastOK, since)
 		}
-		if c.now > since+c.leaseOver() {
+		if c.now > since+c.leaseBound() {
 			byShard[m.shard] = append(byShard[m.shard], m)
 		}
 	}
@@ -187,16 +187,16 @@
 		// proven by still holding the shard now, in the state itself.
 		c.checking = true
 		names := byShard[i]
-		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(i)}}}, func(r StateReply) {
+		c.callState(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardUnchanged(i)}}}, func(r StateReply) {
 			c.checking = false
 			if r.Status == 409 {
-				c.refresh(shardKey(i))
+				c.rereadKey(shardKey(i))
 			}
 			if r.Status != 200 {
 				return
 			}
 			for _, m := range names {
-				if c.machines[m.name] == m && c.now > m.lastOK+c.leaseOver() {
+				if c.machines[m.name] == m && c.now > m.lastOK+c.leaseBound() {
 					m.over = true
 					c.touch(m)
 					if m.session > 0 {
@@ -205,7 +205,7 @@
 						// tasks that run elsewhere by now back to the machine.
 						m.session, m.seq = m.session+1, 0
 					}
-					c.noteMachine(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
+					c.recordMachineEvent(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
 					c.log(1, "machine silent, its lease is over", "machine", m.name, "tasks", len(m.attempts))
 					c.machineGone(m, "lease over")
 				}
@@ -231,12 +231,12 @@
 		for _, m := range c.heldMachines() {
 			// One that was called twice in vain has had its chance; one that we do not know
 			// how to call has it with its next report.
-			waited := c.roll.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.p.Report*3/2)
+			waited := c.pendingMachines.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.params.Report*3/2)
 			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.drop && waited && c.now-m.trustedAt > tuning.MissingCalled {
 				m.drop = true
 				c.touch(m)
 				c.used[m.block] = true // written with what users wait for
-				c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
+				c.recordMachineEvent(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
 				c.log(1, "giving a machine back", "machine", m.name, "why", "missing after a change of hands")
 			}
 		}
@@ -257,7 +257,7 @@
 // later life of the same node proves it, and this node answers as itself only.
 func (c *Core) allDead(lives []wire.Life) bool {
 	for _, l := range lives {
-		if n, up := c.nodes[l.Node]; l.Node != c.p.Node && (!up || n.Boot == l.Boot) {
+		if n, up := c.nodes[l.Node]; l.Node != c.params.Node && (!up || n.Boot == l.Boot) {
 			return false
 		}
 	}
--- a/internal/core/starting.go
+++ b/internal/core/starting.go
@@ -21,25 +21,25 @@
 		return // it has ended: its holder takes another
 	}
 	w := limits.Describe(when, then)
-	c.out = append(c.out, WriteRefused{Kind: w.Kind})
-	if c.form.Refused(c.now, w, why) {
-		b := c.form.Bounds()
+	c.effects = append(c.effects, WriteRefused{Kind: w.Kind})
+	if c.writeLimits.Refused(c.now, w, why) {
+		b := c.writeLimits.Bounds()
 		c.log(3, "a write was refused for its form", "kind", w.Kind, "bytes", w.Bytes, "changes", w.Changes, "conditions", w.Conditions, "err", why, "now_bytes", b.ValueBytes, "now_changes", b.Changes)
 	}
-	c.keepTo(c.form.Bounds())
+	c.keepTo(c.writeLimits.Bounds())
 }
 
 // keepTo has all that is written from now on keep to bounds.
 func (c *Core) keepTo(b limits.Bounds) {
-	c.p.ValueBytes, c.p.TxnOps = b.ValueBytes, b.Changes
-	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: b.ValueBytes * 7 / 8})
+	c.params.ValueBytes, c.params.TxnOps = b.ValueBytes, b.Changes
+	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: b.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, b.ValueBytes/2))
 	c.calendar.KeepTo(b.ValueBytes)
 }
 
 // overlay brings a job's record up to what has been written of its starts apart from it.
 func (c *Core) overlay(r *wire.Job) {
-	if s, ok := c.started.Of(r.ID); ok {
+	if s, ok := c.startLog.Of(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
 		if s.On != nil {
 			r.On = s.On
@@ -49,17 +49,17 @@
 
 // putStarts takes a new record of starts.
 func (c *Core) putStarts(key string, ver uint64, r wire.Starts) error {
-	changed, err := c.started.Put(key, ver, r)
+	changed, err := c.startLog.Put(key, ver, r)
 	for _, name := range changed {
 		if e := c.jobs[name]; e != nil {
-			c.overlay(&e.rec)
+			c.overlay(&e.record)
 			c.jobSeen(e)
 		} else if m := c.machines[strings.TrimPrefix(name, machineEntry)]; m != nil {
 			m.fresh = false
 			c.touch(m)
 		}
 		if machine, is := strings.CutPrefix(name, machineEntry); is {
-			c.boots.Up(c.now, machine)
+			c.provisioning.Up(c.now, machine)
 		}
 	}
 	return err
@@ -67,7 +67,7 @@
 
 // everUsed tells whether it has been written that a fresh machine is one no longer.
 func (c *Core) everUsed(machine string) bool {
-	_, ok := c.started.Of(machineEntry + machine)
+	_, ok := c.startLog.Of(machineEntry + machine)
 	return ok
 }
 
@@ -78,7 +78,7 @@
 		return c.jobs[name] != nil
 	}
 	if b := c.blockOf(machine); b != nil {
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			if bm.Name == machine {
 				return bm.Fresh
 			}
@@ -98,8 +98,8 @@
 	jobs := sortedJobs(c.owed)
 	for _, i := range c.shardIDs() {
 		// Urgent ones, which come first in the list, wait for no others to come along.
-		paced := c.now < c.startsNext[i] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
-		if !c.mine(i) || c.startsBusy[i] || c.now < c.startsAt[i] || paced {
+		paced := c.now < c.startsNext[i] && !(len(jobs) > 0 && jobs[0].priority >= urgentRank)
+		if !c.holdsShard(i) || c.startsBusy[i] || c.now < c.startsAt[i] || paced {
 			continue
 		}
 		var entries []starts.Entry
@@ -112,17 +112,17 @@
 		}
 		of := map[string]*jobEntry{}
 		for _, e := range jobs {
-			if len(of) >= 4*c.p.TxnOps-2 {
+			if len(of) >= 4*c.params.TxnOps-2 {
 				break // conditions in one call
 			}
 			started, ended, owes := c.owes(e)
-			if e.run == nil || e.run.writing || ended || !owes || c.shardOf(e.rec.Team) != i || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
+			if e.run == nil || e.run.writing || ended || !owes || c.shardOfTeam(e.record.Team) != i || c.writeLimits.Aside(c.now, limits.Start, jobKey(e.record.ID)) {
 				continue
 			}
-			of[e.rec.ID] = e
-			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startOf(e, started)})
+			of[e.record.ID] = e
+			entries = append(entries, starts.Entry{Name: e.record.ID, Start: c.startOf(e, started)})
 		}
-		if c.form.Alone(c.now) && len(of) > 0 {
+		if c.writeLimits.Alone(c.now) && len(of) > 0 {
 			entries = entries[len(entries)-len(of):][:1] // one by one, to find the one that is refused
 		}
 		if len(entries) > 0 {
@@ -133,10 +133,10 @@
 
 // startOf is what is to be written of a job's starts.
 func (c *Core) startOf(e *jobEntry, started int) wire.Start {
-	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.health.Mistaken(e.rec.ID)}
-	if tracked(&e.rec) {
-		s.On = make([]string, e.rec.Tasks)
-		copy(s.On, e.rec.On)
+	s := wire.Start{Started: max(started, e.record.Started), Bad: c.health.Mistaken(e.record.ID)}
+	if tracked(&e.record) {
+		s.On = make([]string, e.record.Tasks)
+		copy(s.On, e.record.On)
 		for k, a := range e.run.active {
 			s.On[k] = a.m.name
 		}
@@ -146,20 +146,20 @@
 
 // badNews tells whether it is still to be written that a job fails everywhere.
 func (c *Core) badNews(e *jobEntry) bool {
-	if !c.health.Mistaken(e.rec.ID) {
+	if !c.health.Mistaken(e.record.ID) {
 		return false
 	}
-	s, _ := c.started.Of(e.rec.ID)
+	s, _ := c.startLog.Of(e.record.ID)
 	return !s.Bad
 }
 
 func (c *Core) writeStarts(i int, entries []starts.Entry, of map[string]*jobEntry) {
-	w := c.started.Plan(i, entries, c.stillCounts)
-	when := []wire.Condition{c.shardCond(i), {Key: w.Key, Version: w.Ver}}
+	w := c.startLog.Plan(i, entries, c.stillCounts)
+	when := []wire.Condition{c.shardUnchanged(i), {Key: w.Key, Version: w.Ver}}
 	var busy []*jobEntry
 	for _, x := range entries[:w.Taken] {
 		if e := of[x.Name]; e != nil {
-			when = append(when, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
+			when = append(when, wire.Condition{Key: jobKey(x.Name), Version: e.version})
 			e.run.writing = true
 			busy = append(busy, e)
 		}
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -51,7 +51,7 @@
 	}
 	holder := ""
 	for _, n := range sortedKeys(w.nodes) {
-		if w.nodes[n].core.mine(w.nodes[n].core.shardOf("red")) {
+		if w.nodes[n].core.holdsShard(w.nodes[n].core.shardOfTeam("red")) {
 			holder = n
 		}
 	}
@@ -66,14 +66,14 @@
 	w.run(6 * sec) // taken over, all but one machine known, its lease still running
 	for _, n := range sortedKeys(w.nodes) {
 		c := w.nodes[n].core
-		if c == nil || !c.mine(c.shardOf("red")) {
+		if c == nil || !c.holdsShard(c.shardOfTeam("red")) {
 			continue
 		}
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; onOf(&e.rec, 0) == "" {
+			if e := c.jobs[id]; onOf(&e.record, 0) == "" {
 				t.Errorf("%s: the successor does not know where it was started", id)
-			} else if onOf(&e.rec, 0) != hung.info.Name && e.run.held > 0 {
-				t.Errorf("%s waits, though %s has been heard of", id, onOf(&e.rec, 0))
+			} else if onOf(&e.record, 0) != hung.info.Name && e.run.held > 0 {
+				t.Errorf("%s waits, though %s has been heard of", id, onOf(&e.record, 0))
 			}
 		}
 	}
@@ -93,7 +93,7 @@
 	rev := uint64(0)
 	for _, n := range w.nodes {
 		if n.core != nil {
-			rev = max(rev, n.core.rev)
+			rev = max(rev, n.core.mirrorRevision)
 		}
 	}
 	return rev
@@ -112,12 +112,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.put(key, raw, ver)
+		c.applyPut(key, raw, ver)
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1", Fresh: true}, {Name: "n-2", Fresh: true}}}, 60)
 	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntry + "n-1": {N: 1}}}, 70)
 	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100)
-	c.rev = 100
+	c.mirrorRevision = 100
 	c.enterShards()
 	if !c.machines["n-1"].inherited || c.machines["n-1"].fresh || c.machines["n-2"].inherited || !c.machines["n-2"].fresh {
 		t.Fatalf("n-1 %+v, n-2 %+v", c.machines["n-1"], c.machines["n-2"])
@@ -137,8 +137,8 @@
 	w.run(2 * sec)
 	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newBoots()
 	c := w.nodes["c1"].core
-	if !c.loaded || c.boots.Fresh(c.now, kind) != without.Fresh(0, kind) {
-		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.boots.Fresh(c.now, kind), without.Fresh(0, kind))
+	if !c.loaded || c.provisioning.Fresh(c.now, kind) != without.Fresh(0, kind) {
+		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.Fresh(c.now, kind), without.Fresh(0, kind))
 	}
 	w.absent = 100 // what is rented from now on never comes
 	for i := range 3 {
@@ -148,7 +148,7 @@
 	w.kill("c1")
 	w.start("c1")
 	w.run(12 * sec) // twice a usual boot
-	if c := w.nodes["c1"].core; c.boots.Fresh(c.now, kind) >= without.Fresh(0, kind) {
-		t.Errorf("machines that do not come are not seen: chance %v", c.boots.Fresh(c.now, kind))
+	if c := w.nodes["c1"].core; c.provisioning.Fresh(c.now, kind) >= without.Fresh(0, kind) {
+		t.Errorf("machines that do not come are not seen: chance %v", c.provisioning.Fresh(c.now, kind))
 	}
 }
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -22,7 +22,7 @@
 		var got Answer
 		c := w.nodes[n].core
 		for p := range w.nodes {
-			c.words.Answered(c.now-time.Hour, p) // no peer in reach to pass it on to
+			c.assignments.Answered(c.now-time.Hour, p) // no peer in reach to pass it on to
 		}
 		w.ask(n, func(q uint64) any {
 			return WorkerReport{Req: q, Report: wire.Report{Machine: name, Type: "std", Zone: "n", Session: 9, Seq: 1}}
@@ -293,7 +293,7 @@
 	t.Parallel()
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
 	c.born(7)
-	c.loaded, c.rev = true, 50
+	c.loaded, c.mirrorRevision = true, 50
 	s := spec("job-000001", "red", wire.ShapeService, 1)
 	rec, err := s.Validate()
 	if err != nil {
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	c.put(jobKey("job-000001"), raw, 40)
+	c.applyPut(jobKey("job-000001"), raw, 40)
 	step(Tick{}) // opens a watch
 	watch := calls[OpWatch]
 	step(Poll{Req: 1, ID: "job-000001"})
@@ -338,8 +338,8 @@
 		}
 	}
 	step(StateDone{ID: watch, Reply: StateReply{Status: 200, Events: wire.Events{Revision: 70}}})
-	if c.ver.Remembered() > 0 {
-		t.Errorf("nothing older can come any more, and %d removals are remembered", c.ver.Remembered())
+	if c.versions.Remembered() > 0 {
+		t.Errorf("nothing older can come any more, and %d removals are remembered", c.versions.Remembered())
 	}
 }
 
@@ -399,14 +399,14 @@
 	t.Parallel()
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Lease: 10 * sec, Cancel: 40 * sec})
 	c.born(1)
-	c.loaded, c.rev = true, 100
+	c.loaded, c.mirrorRevision = true, 100
 	c.sure(50 * sec)
 	at := func(now Time, up time.Duration, rev uint64) bool {
 		c.now = now
-		c.retryAt["peers"] = 0
-		c.tellPeers()
-		c.onPeer(PeerMessage{From: "b", Nonce: c.nonce, Reply: true, UpMS: up.Milliseconds(), Revision: rev})
-		return c.confirmed()
+		c.notBefore["peers"] = 0
+		c.pingPeers()
+		c.onPeer(PeerMessage{From: "b", Nonce: c.pingNonce, Reply: true, UpMS: up.Milliseconds(), Revision: rev})
+		return c.authorized()
 	}
 	if !at(80*sec, 500*sec, 100) {
 		t.Error("a peer with no newer revision should cover")
@@ -417,8 +417,8 @@
 	if at(116*sec, 20*sec, 90) {
 		t.Error("a restarted peer must not cover")
 	}
-	c.onPeer(PeerMessage{From: "b", Nonce: c.nonce - 40, Reply: true, UpMS: 1 << 30})
-	if c.confirmed() {
+	c.onPeer(PeerMessage{From: "b", Nonce: c.pingNonce - 40, Reply: true, UpMS: 1 << 30})
+	if c.authorized() {
 		t.Error("an answer to a long forgotten ping must not cover")
 	}
 }
@@ -465,24 +465,24 @@
 	t.Parallel()
 	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
 	c.born(7)
-	c.loaded, c.rev = true, 90
+	c.loaded, c.mirrorRevision = true, 90
 	put := func(key string, v any, ver uint64) {
 		raw, err := wire.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.put(key, raw, ver)
+		c.applyPut(key, raw, ver)
 	}
 	put(shardKey(0), wire.Shard{Holder: "b", Boot: 5, Teams: []string{"red"}}, 50)
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Idle: true, Machines: []wire.BlockMachine{{Name: "n-1"}}}, 60)
 	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100) // own commit
-	if c.mine(0) {
+	if c.holdsShard(0) {
 		t.Fatal("taken up before revision 100 has been seen")
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1"}}}, 95)
-	c.rev = 100
+	c.mirrorRevision = 100
 	c.enterShards()
-	if !c.mine(0) || !c.unsettle[0] || !c.machines["n-1"].inherited {
+	if !c.holdsShard(0) || !c.unsettle[0] || !c.machines["n-1"].inherited {
 		t.Fatal("the machine un-idled at 95 must be accounted for")
 	}
 }
--- a/internal/core/trailing.go
+++ b/internal/core/trailing.go
@@ -10,107 +10,107 @@
 )
 
 // note puts an event on the trail.
-func (c *Core) note(e wire.TrailEvent) { c.trail.Add(c.now, c.wall, e) }
+func (c *Core) recordEvent(e wire.TrailEvent) { c.trail.Add(c.now, c.wall, e) }
 
 // noteShard is an event about a shard.
-func (c *Core) noteShard(kind string, shard int, e wire.TrailEvent) {
+func (c *Core) recordShardEvent(kind string, shard int, e wire.TrailEvent) {
 	e.Kind, e.Shard = kind, &shard
-	c.note(e)
+	c.recordEvent(e)
 }
 
 // taking is a change of a shard's hands that we have sent to be written.
-type taking struct {
-	rec  wire.Shard
-	from string
+type pendingTransfer struct {
+	record wire.Shard
+	from   string
 }
 
 // noteTaken notes a change of hands of ours once it stands in the state, whichever way
 // that is learned first: what follows from it is linked to it.
-func (c *Core) noteTaken(i int) {
+func (c *Core) recordShardTaken(i int) {
 	x, ours := c.taking[i]
-	if s := c.shards[i]; ours && s.rec.Holder == x.rec.Holder && s.rec.Boot == x.rec.Boot {
+	if s := c.shards[i]; ours && s.record.Holder == x.record.Holder && s.record.Boot == x.record.Boot {
 		delete(c.taking, i)
-		c.noteShard(trail.ShardTaken, i, wire.TrailEvent{Node: x.from, Token: s.ver, Why: "for " + x.rec.Holder})
+		c.recordShardEvent(trail.ShardTaken, i, wire.TrailEvent{Node: x.from, Token: s.version, Why: "for " + x.record.Holder})
 	}
 }
 
 // noteMachine is an event about a held machine.
-func (c *Core) noteMachine(kind string, m *machine, e wire.TrailEvent) {
+func (c *Core) recordMachineEvent(kind string, m *machine, e wire.TrailEvent) {
 	e.Machine = m.name
-	c.noteShard(kind, m.shard, e)
+	c.recordShardEvent(kind, m.shard, e)
 }
 
 // noteTask is an event about an attempt.
-func (c *Core) noteTask(kind string, a *attempt, why string) {
-	c.noteMachine(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: why})
+func (c *Core) recordTaskEvent(kind string, a *attempt, why string) {
+	c.recordMachineEvent(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: why})
 }
 
 // noteBack tells that a lost task has a machine again, or runs.
-func (c *Core) noteBack(kind string, a *attempt) {
+func (c *Core) recordTaskRecovery(kind string, a *attempt) {
 	if c.trail.WasLost(a.key.task) {
-		c.noteTask(kind, a, "")
+		c.recordTaskEvent(kind, a, "")
 	}
 }
 
 // noteHeld tells how many started tasks of a job wait until it is known whether
 // they run on machines of an earlier holder.
-func (c *Core) noteHeld(e *jobEntry, shard int) {
+func (c *Core) recordHeldTasks(e *jobEntry, shard int) {
 	if n := e.run.held - e.run.done.Count(); e.run.held > 0 && n > 0 {
-		c.noteShard(trail.TaskHeld, shard, wire.TrailEvent{Job: e.rec.ID, Count: n, Why: "may run on machines that are not accounted for"})
+		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{Job: e.record.ID, Count: n, Why: "may run on machines that are not accounted for"})
 	}
 }
 
 // noteMoved tells that jobs wait no longer, and counts them: all that they await is done, or one of
 // these is cancelled.
-func (c *Core) noteMoved(ids []string, by map[string]string) {
+func (c *Core) recordDependentsMoved(ids []string, by map[string]string) {
 	for _, id := range ids {
 		if by != nil {
 			c.told.Cancelled++
-			c.note(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + by[id]})
+			c.recordEvent(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + by[id]})
 		} else {
 			c.told.Released++
-			c.note(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
+			c.recordEvent(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
 		}
 	}
-	c.out = append(c.out, c.told)
+	c.effects = append(c.effects, c.told)
 }
 
 // suspect notices machines whose reports stay away, long before their lease is over.
-func (c *Core) suspect() {
-	late := time.Duration(tuning.SuspectReports * float64(c.p.Report))
+func (c *Core) detectSilentMachines() {
+	late := time.Duration(tuning.SuspectReports * float64(c.params.Report))
 	for _, m := range c.heldMachines() {
-		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.mine(m.shard) {
+		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
 			c.touch(m) // its worker may tell its ends no more
-			c.noteMachine(trail.MachineSilent, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds())})
+			c.recordMachineEvent(trail.MachineSilent, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds())})
 		}
 	}
 }
 
 // keepTrail writes what is lasting of the trail, so that it outlives this process. It
 // goes with what can wait, and compares nothing: no decision hangs on it.
-func (c *Core) keepTrail() {
-	key := wire.PrefixTrail + c.p.Node
+func (c *Core) persistTrail() {
+	key := wire.PrefixTrail + c.params.Node
 	switch {
-	case c.trailBusy || !c.confirmed() || !c.every("trail", time.Second):
-	case !c.trailRead:
-		c.trailBusy = true
-		c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
-			c.trailBusy = false
+	case c.trailCallPending || !c.authorized() || !c.dueEvery("trail", time.Second):
+	case !c.trailLoaded:
+		c.trailCallPending = true
+		c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
+			c.trailCallPending = false
 			var rec wire.TrailRecord
 			if r.Status == 200 && wire.Unmarshal(r.Item.Value, &rec) == nil {
-				c.trail.Earlier(rec, c.member.Boot())
+				c.trail.Earlier(rec, c.presence.Boot())
 			}
-			c.trailRead = r.Status == 200 || r.Status == 404
+			c.trailLoaded = r.Status == 200 || r.Status == 404
 		})
 	default:
-		rec, due := c.trail.Record(c.now, c.member.Boot())
+		rec, due := c.trail.Record(c.now, c.presence.Boot())
 		if !due {
 			return
 		}
-		c.trailBusy = true
+		c.trailCallPending = true
 		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
-			if c.trailBusy = false; r.Status != 200 {
+			if c.trailCallPending = false; r.Status != 200 {
 				c.trail.Failed(c.now)
 			}
 		})
@@ -119,17 +119,17 @@
 
 func (c *Core) onAdminTrail(v AdminTrail) {
 	v.Query.Most = max(1, min(v.Query.Most, tuning.TrailAnswer))
-	if v.Node == "" || v.Node == c.p.Node {
-		t := wire.Trail{Node: c.p.Node, Boot: c.member.Boot()}
+	if v.Node == "" || v.Node == c.params.Node {
+		t := wire.Trail{Node: c.params.Node, Boot: c.presence.Boot()}
 		t.Events, t.Next, t.Missed = c.trail.Events(v.Query)
 		c.answer(v.Req, 200, t)
 		return
 	}
-	if _, known := c.p.Nodes[v.Node]; !known {
+	if _, known := c.params.Nodes[v.Node]; !known {
 		c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("no controller %q", v.Node)})
 		return
 	}
-	c.state(StateCall{Op: OpGet, Key: wire.PrefixTrail + v.Node}, func(r StateReply) {
+	c.callState(StateCall{Op: OpGet, Key: wire.PrefixTrail + v.Node}, func(r StateReply) {
 		var rec wire.TrailRecord
 		switch {
 		case r.Status == 404:
@@ -151,22 +151,22 @@
 		return
 	}
 	_, cordoned := c.cordons[v.Machine]
-	out := wire.Believed{Machine: v.Machine, Node: c.p.Node, Holder: c.holderName(b.rec.Shard), Block: b.id, Shard: b.rec.Shard, Token: c.token(b),
-		Type: b.rec.Type, Zone: b.rec.Zone, Spot: b.rec.Spot, State: "held by " + c.holderName(b.rec.Shard), Cordoned: cordoned,
+	out := wire.Believed{Machine: v.Machine, Node: c.params.Node, Holder: c.holderName(b.record.Shard), Block: b.id, Shard: b.record.Shard, Token: c.fencingToken(b),
+		Type: b.record.Type, Zone: b.record.Zone, Spot: b.record.Spot, State: "held by " + c.holderName(b.record.Shard), Cordoned: cordoned,
 		Images: []string{}, Attempts: []wire.BelievedTask{}, Trail: c.trail.Last(trail.Query{Machine: v.Machine, Most: tuning.TrailOfMachine})}
-	if m := c.machines[v.Machine]; m != nil && c.mine(m.shard) {
-		c.believe(&out, m)
+	if m := c.machines[v.Machine]; m != nil && c.holdsShard(m.shard) {
+		c.fillMachineView(&out, m)
 	}
 	c.answer(v.Req, 200, out)
 }
 
 // believe fills in what only the holder knows.
-func (c *Core) believe(out *wire.Believed, m *machine) {
+func (c *Core) fillMachineView(out *wire.Believed, m *machine) {
 	out.Held, out.State, out.Session, out.Inherited, out.Accounted = true, m.state(), m.session, m.inherited, m.accounted
 	out.FreeCPUs, out.Images = c.free(m).CPUs, sortedKeys(m.images)
 	_, out.Errors = c.health.Machine(m.name)
 	if m.reported {
-		ago, left := (c.now - m.lastReport).Seconds(), (m.lastOK + c.leaseOver() - c.now).Seconds()
+		ago, left := (c.now - m.lastReport).Seconds(), (m.lastOK + c.leaseBound() - c.now).Seconds()
 		out.ReportedS, out.LeaseLeftS = &ago, &left
 	}
 	for _, k := range sortedAttempts(m) {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -13,31 +13,31 @@
 )
 
 // users holds what is needed to answer users.
-type users struct {
-	finals   map[string]wire.Final
-	finalAge []string // oldest first
-	polls    map[string][]uint64
-	asked    []Poll // wait for the next look at the changes
-	asking   int    // looks under way
+type userState struct {
+	finalStates       map[string]wire.Final
+	finalOrder        []string // oldest first
+	pendingReads      map[string][]uint64
+	pendingPolls      []Poll // wait for the next look at the changes
+	pollReadsInFlight int    // looks under way
 }
 
-func newUsers() users {
-	return users{finals: map[string]wire.Final{}, polls: map[string][]uint64{}}
+func newUserState() userState {
+	return userState{finalStates: map[string]wire.Final{}, pendingReads: map[string][]uint64{}}
 }
 
 // keepFinal remembers a state that can never change again, and the revision at which it was
 // written. No user is told that a job is over before: what peers are told rests on it.
-func (c *Core) keepFinal(id string, f wire.Final, rev uint64) {
-	if _, ok := c.finals[id]; ok {
+func (c *Core) cacheFinal(id string, f wire.Final, rev uint64) {
+	if _, ok := c.finalStates[id]; ok {
 		return
 	}
-	c.vouch.Over(jobKey(id), rev)
-	c.finals[id] = f
+	c.confirmation.Over(jobKey(id), rev)
+	c.finalStates[id] = f
 	c.chain.End(id, f.Status == wire.JobDone, f.By)
-	c.finalAge = append(c.finalAge, id)
-	if len(c.finalAge) > tuning.FinalCache {
-		delete(c.finals, c.finalAge[0])
-		c.finalAge = c.finalAge[1:]
+	c.finalOrder = append(c.finalOrder, id)
+	if len(c.finalOrder) > tuning.FinalCache {
+		delete(c.finalStates, c.finalOrder[0])
+		c.finalOrder = c.finalOrder[1:]
 	}
 }
 
@@ -45,54 +45,54 @@
 
 // found is what a look at the state has shown of a job: its live record, or its final state, or
 // neither; ok false: the state service could not tell.
-type found struct {
-	job *wire.Job
-	key string // where the live record stands, and its version
-	ver uint64
-	fin *wire.Final
-	ok  bool
+type jobLookup struct {
+	job     *wire.Job
+	key     string // where the live record stands, and its version
+	version uint64
+	final   *wire.Final
+	ok      bool
 }
 
 // look finds a job freshly. Jobs move from the key of those that wait for others to the live one
 // and on to the final one, and never back, so the keys are read in this order. One that is
 // cancelled with a job before it is over, whatever stands of it.
-func (c *Core) look(id string, f func(found)) {
-	if fin, ok := c.finals[id]; ok {
-		f(found{fin: &fin, ok: true})
+func (c *Core) lookUpJob(id string, f func(jobLookup)) {
+	if fin, ok := c.finalStates[id]; ok {
+		f(jobLookup{final: &fin, ok: true})
 		return
 	}
 	keys := []string{jobKey(id), finalKey(id)}
-	if c.jobs[id] == nil && (!c.loaded || c.understood(rollout.Chains) || len(c.waitingAt) > 0) {
+	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingAt) > 0) {
 		keys = append([]string{waitingKey(id)}, keys...)
 	}
-	c.lookAt(id, keys, f)
+	c.lookUpKeys(id, keys, f)
 }
 
-func (c *Core) lookAt(id string, keys []string, f func(found)) {
-	c.state(StateCall{Op: OpGet, Key: keys[0]}, func(r StateReply) {
-		c.learn(keys[0], r)
+func (c *Core) lookUpKeys(id string, keys []string, f func(jobLookup)) {
+	c.callState(StateCall{Op: OpGet, Key: keys[0]}, func(r StateReply) {
+		c.applyRead(keys[0], r)
 		switch {
 		case r.Status == 404 && len(keys) > 1:
-			c.lookAt(id, keys[1:], f)
+			c.lookUpKeys(id, keys[1:], f)
 		case r.Status == 404:
-			f(found{ok: true})
+			f(jobLookup{ok: true})
 		case r.Status != 200:
-			f(found{})
+			f(jobLookup{})
 		case len(keys) == 1:
 			var fin wire.Final
 			if err := wire.Unmarshal(r.Item.Value, &fin); err != nil {
-				f(found{})
+				f(jobLookup{})
 				return
 			}
-			c.keepFinal(id, fin, r.Item.Version)
-			f(found{fin: &fin, ok: true})
+			c.cacheFinal(id, fin, r.Item.Version)
+			f(jobLookup{final: &fin, ok: true})
 		default:
 			j := &wire.Job{}
 			if err := wire.Unmarshal(r.Item.Value, j); err != nil {
-				f(found{})
+				f(jobLookup{})
 				return
 			}
-			at := found{job: j, key: keys[0], ver: r.Item.Version, ok: true}
+			at := jobLookup{job: j, key: keys[0], version: r.Item.Version, ok: true}
 			if keys[0] != waitingKey(id) {
 				f(at)
 				return
@@ -102,11 +102,11 @@
 	})
 }
 
-func (c *Core) statusOf(j *wire.Job) wire.JobStatus {
+func (c *Core) jobStatus(j *wire.Job) wire.JobStatus {
 	done, running := ranges.Count(j.Done), 0
 	if e := c.jobs[j.ID]; e != nil && e.run != nil {
-		running, done = e.run.count()
-	} else if n, ok := c.counts[j.ID]; ok {
+		running, done = e.run.taskCounts()
+	} else if n, ok := c.peerJobCounts[j.ID]; ok {
 		running, done = n.Running, max(done, n.Done) // as its holder last told
 	}
 	done = max(0, min(done, j.Tasks-1)) // done as a whole is said only once it is written
@@ -127,31 +127,31 @@
 		c.answer(v.Req, 404, wire.Problem{Error: "no such job"})
 		return
 	}
-	if f, ok := c.finals[v.ID]; ok {
+	if f, ok := c.finalStates[v.ID]; ok {
 		c.answer(v.Req, 200, finalStatus(v.ID, f))
 		return
 	}
-	if c.cutOff() {
+	if c.stateUnreachable() {
 		c.answer(v.Req, 503, unavailable("state service not reached"))
 		return
 	}
 	if !c.loaded || c.loading {
-		c.readFor(v)
+		c.readJobForPoll(v)
 		return
 	}
-	c.asked = append(c.asked, v)
-	c.askAll()
+	c.pendingPolls = append(c.pendingPolls, v)
+	c.answerPolls()
 }
 
 // readFor answers a poll by a read of its own. One read serves all polls for the job
 // that came before it was sent.
-func (c *Core) readFor(v Poll) {
-	if reqs, busy := c.polls[v.ID]; busy {
-		c.polls[v.ID] = append(reqs, v.Req)
+func (c *Core) readJobForPoll(v Poll) {
+	if reqs, busy := c.pendingReads[v.ID]; busy {
+		c.pendingReads[v.ID] = append(reqs, v.Req)
 		return
 	}
-	c.polls[v.ID] = nil
-	c.pollRead(v.ID, []uint64{v.Req})
+	c.pendingReads[v.ID] = nil
+	c.readJobForPolls(v.ID, []uint64{v.Req})
 }
 
 // askAll answers all polls that wait with one call: it asks for the changes that the
@@ -159,71 +159,71 @@
 // mirror holds all that was written before the call was sent, so nothing older is
 // answered than anybody has been told. A read for each poll was most of what a large
 // fleet asked of the state service, and took its limit from the renewals of grants.
-func (c *Core) askAll() {
-	if len(c.asked) == 0 || c.asking > 0 && c.now < c.retryAt["ask again"] || !c.every("ask", tuning.AskEvery) {
+func (c *Core) answerPolls() {
+	if len(c.pendingPolls) == 0 || c.pollReadsInFlight > 0 && c.now < c.notBefore["ask again"] || !c.dueEvery("ask", tuning.AskEvery) {
 		return
 	}
-	batch := c.asked
-	c.asked, c.asking, c.retryAt["ask again"] = nil, c.asking+1, c.now+tuning.AskAgain
-	c.state(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.rev}, func(r StateReply) {
-		c.asking--
+	batch := c.pendingPolls
+	c.pendingPolls, c.pollReadsInFlight, c.notBefore["ask again"] = nil, c.pollReadsInFlight+1, c.now+tuning.AskAgain
+	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(r StateReply) {
+		c.pollReadsInFlight--
 		if r.Status == 200 {
-			c.follow(&r.Events)
+			c.applyEvents(&r.Events)
 		}
 		for _, v := range batch {
-			f, known := c.finals[v.ID]
+			f, known := c.finalStates[v.ID]
 			e := c.jobs[v.ID]
 			switch {
 			case known:
 				c.answer(v.Req, 200, finalStatus(v.ID, f))
 			case r.Status == 200 && e == nil && !c.loading && c.waitsForOthers(v.ID):
-				c.judgeWaiting(v.ID, found{job: &wire.Job{ID: v.ID, Tasks: 1}, ok: true}, true, func(at found) { c.answerFound(v.Req, v.ID, at) })
+				c.judgeWaiting(v.ID, jobLookup{job: &wire.Job{ID: v.ID, Tasks: 1}, ok: true}, true, func(at jobLookup) { c.answerLookup(v.Req, v.ID, at) })
 			case r.Status == 410 || r.Status == 200 && (e == nil || c.loading):
-				c.readFor(v) // ended, never accepted, or the mirror is being read anew
+				c.readJobForPoll(v) // ended, never accepted, or the mirror is being read anew
 			case r.Status == 200:
-				c.answer(v.Req, 200, c.statusOf(&e.rec))
+				c.answer(v.Req, 200, c.jobStatus(&e.record))
 			default:
 				c.answer(v.Req, 503, unavailable("state not readable"))
 			}
 		}
 		if r.Status == 200 {
-			c.changed()
+			c.mirrorChanged()
 		}
-		c.askAll()
+		c.answerPolls()
 	})
 }
 
-func (c *Core) pollRead(id string, reqs []uint64) {
-	c.look(id, func(at found) {
+func (c *Core) readJobForPolls(id string, reqs []uint64) {
+	c.lookUpJob(id, func(at jobLookup) {
 		for _, q := range reqs {
-			c.answerFound(q, id, at)
+			c.answerLookup(q, id, at)
 		}
 		// Those that came while the read was under way need a fresh one.
-		if next := c.polls[id]; len(next) > 0 {
-			c.polls[id] = nil
-			c.pollRead(id, next)
+		if next := c.pendingReads[id]; len(next) > 0 {
+			c.pendingReads[id] = nil
+			c.readJobForPolls(id, next)
 		} else {
-			delete(c.polls, id)
+			delete(c.pendingReads, id)
 		}
 	})
 }
 
 // answerFound answers a question about a job by what a look has shown.
-func (c *Core) answerFound(req uint64, id string, at found) {
+func (c *Core) answerLookup(req uint64, id string, at jobLookup) {
 	switch {
 	case !at.ok:
 		c.answer(req, 503, unavailable("state not readable"))
-	case at.fin != nil:
-		c.answer(req, 200, finalStatus(id, *at.fin))
+	case at.final != nil:
+		c.answer(req, 200, finalStatus(id, *at.final))
 	case at.job != nil:
-		c.answer(req, 200, c.statusOf(at.job))
+		c.answer(req, 200, c.jobStatus(at.job))
 	default:
 		c.answer(req, 404, wire.Problem{Error: "no such job"})
 	}
 }
 
 func (c *Core) onReady(v Ready) {
-	if c.loaded && len(c.types) > 0 && c.confirmed() && !c.cutOff() {
+	if c.loaded && len(c.machineTypes) > 0 && c.authorized() && !c.stateUnreachable() {
 		c.answer(v.Req, 200, map[string]string{"status": "ready"})
 		return
 	}
@@ -236,21 +236,21 @@
 		return
 	}
 	id := *v.Spec.ID
-	if f, ok := c.finals[id]; ok {
+	if f, ok := c.finalStates[id]; ok {
 		c.answer(v.Req, 200, finalStatus(id, f))
 		return
 	}
-	if c.cutOff() {
+	if c.stateUnreachable() {
 		c.answer(v.Req, 503, unavailable("state service not reached"))
 		return
 	}
 	known := func(otherwise func()) {
-		c.look(id, func(at found) {
-			if at.ok && at.job == nil && at.fin == nil {
+		c.lookUpJob(id, func(at jobLookup) {
+			if at.ok && at.job == nil && at.final == nil {
 				otherwise()
 				return
 			}
-			c.answerFound(v.Req, id, at)
+			c.answerLookup(v.Req, id, at)
 		})
 	}
 	job, err := v.Spec.Validate()
@@ -259,20 +259,20 @@
 		known(func() { c.answer(v.Req, 400, wire.Problem{Error: err.Error()}) })
 		return
 	}
-	if !c.loaded || len(c.types) == 0 { // of some types alone, too, nothing follows
+	if !c.loaded || len(c.machineTypes) == 0 { // of some types alone, too, nothing follows
 		known(func() { c.answer(v.Req, 503, unavailable("machine types not known yet")) })
 		return
 	}
-	if why := c.never(&job); why != "" {
+	if why := c.impossibleReason(&job); why != "" {
 		known(func() { c.answer(v.Req, 422, wire.Problem{Error: why}) })
 		return
 	}
-	if c.now-c.member.LastRenewed() > 2*tuning.GrantTTL {
+	if c.now-c.presence.LastRenewed() > 2*tuning.GrantTTL {
 		c.answer(v.Req, 503, unavailable("state service not reached"))
 		return
 	}
-	job.AcceptedMS, job.Number = c.wall.UnixMilli(), c.topRev
-	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, c.p.ValueBytes-min(1024, c.p.ValueBytes/2)) { // room for its progress
+	job.AcceptedMS, job.Number = c.wall.UnixMilli(), c.newestRevision
+	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, c.params.ValueBytes-min(1024, c.params.ValueBytes/2)) { // room for its progress
 		known(func() { c.answer(v.Req, 422, wire.Problem{Error: "job description too large to keep"}) })
 		return
 	}
@@ -280,18 +280,18 @@
 		c.acceptDependent(v.Req, job, known)
 		return
 	}
-	c.accept(v.Req, &job, wire.Change{Put: jobKey(id), Value: job}, wire.JobStatus{ID: id, Status: wire.JobQueued}, known)
+	c.acceptJob(v.Req, &job, wire.Change{Put: jobKey(id), Value: job}, wire.JobStatus{ID: id, Status: wire.JobQueued}, known)
 }
 
 // accept writes a job that nobody knows yet, and answers its user.
-func (c *Core) accept(req uint64, job *wire.Job, change wire.Change, status wire.JobStatus, known func(otherwise func())) {
+func (c *Core) acceptJob(req uint64, job *wire.Job, change wire.Change, status wire.JobStatus, known func(otherwise func())) {
 	when := []wire.Condition{{Key: jobKey(job.ID)}, {Key: finalKey(job.ID)}, {Key: waitingKey(job.ID)}}
 	c.commit(LaneUser, when, []wire.Change{change}, func(r StateReply) {
 		switch r.Status {
 		case 200:
 			c.log(1, "job accepted", "job", job.ID, "team", job.Team, "class", job.Class, "tasks", job.Tasks)
 			c.answer(req, 201, status)
-			c.changed()
+			c.mirrorChanged()
 		case 409, 0:
 			// Known already, or no answer: what is stored decides.
 			known(func() { c.answer(req, 503, unavailable("not accepted, try again")) })
@@ -304,8 +304,8 @@
 }
 
 // never tells why a job can never run, or "".
-func (c *Core) never(j *wire.Job) string {
-	t, ok := c.p.Teams[j.Team]
+func (c *Core) impossibleReason(j *wire.Job) string {
+	t, ok := c.params.Teams[j.Team]
 	if !ok {
 		return fmt.Sprintf("owner: team %q is not known", j.Team)
 	}
@@ -316,9 +316,9 @@
 	if t.exceeds(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
 		return fmt.Sprintf("the job needs more than team %q may use", j.Team)
 	}
-	for _, name := range sortedKeys(c.types) {
-		mt := c.types[name]
-		full, _ := c.sizeOf(name)
+	for _, name := range sortedKeys(c.machineTypes) {
+		mt := c.machineTypes[name]
+		full, _ := c.machineSize(name)
 		if supply.AllowsType(j.Types, name) && placement.Fits(full, jobSize(j)) && (j.Zone == "" || slices.Contains(mt.Zones, j.Zone)) {
 			return ""
 		}
@@ -331,33 +331,33 @@
 		c.answer(v.Req, 404, wire.Problem{Error: "no such job"})
 		return
 	}
-	if c.cutOff() {
+	if c.stateUnreachable() {
 		c.answer(v.Req, 503, unavailable("state service not reached"))
 		return
 	}
-	c.abort(v, 5)
+	c.abortJob(v, 5)
 }
 
 // abort moves a live job to its final state; a conflict with the holder's
 // progress is tried again on what then stands.
-func (c *Core) abort(v Abort, tries int) {
-	c.look(v.ID, func(at found) {
+func (c *Core) abortJob(v Abort, tries int) {
+	c.lookUpJob(v.ID, func(at jobLookup) {
 		if !at.ok || at.job == nil || tries == 0 {
 			if at.ok && at.job != nil {
 				at.ok = false
 			}
-			c.answerFound(v.Req, v.ID, at)
+			c.answerLookup(v.Req, v.ID, at)
 			return
 		}
 		f := wire.Final{Status: wire.JobAborted, Done: ranges.Count(at.job.Done)}
-		c.end(LaneUser, v.ID, at.key, at.ver, f, func(status int) {
+		c.finishJob(LaneUser, v.ID, at.key, at.version, f, func(status int) {
 			switch status {
 			case 200:
 				c.log(1, "job aborted", "job", v.ID)
 				c.answer(v.Req, 200, finalStatus(v.ID, f))
-				c.changed()
+				c.mirrorChanged()
 			case 409, 0:
-				c.abort(v, tries-1)
+				c.abortJob(v, tries-1)
 			default:
 				c.answer(v.Req, 503, unavailable("state service not reached"))
 			}
@@ -366,11 +366,11 @@
 }
 
 // end moves a job's record, of the version that stands at a key, to its final state.
-func (c *Core) end(lane int, id, key string, ver uint64, f wire.Final, done func(status int)) {
+func (c *Core) finishJob(lane int, id, key string, ver uint64, f wire.Final, done func(status int)) {
 	c.commit(lane, []wire.Condition{{Key: key, Version: ver}, {Key: finalKey(id)}},
 		[]wire.Change{{Delete: key}, {Put: finalKey(id), Value: f}}, func(r StateReply) {
 			if r.Status == 200 {
-				c.keepFinal(id, f, r.Txn.Revision)
+				c.cacheFinal(id, f, r.Txn.Revision)
 			}
 			done(r.Status)
 		})
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -66,7 +66,7 @@
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 3))
 	w.run(40 * sec)
 	c := w.nodes[holder].core
-	if via := c.ways.Around(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
+	if via := c.stateRoutes.Around(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
 		t.Errorf("%s goes through %q, confirmed %v ago", holder, via, c.now-c.lastConfirmed())
 	}
 	if w.check.Final("job-000001") == "" {
@@ -248,12 +248,12 @@
 		}
 	}
 	if m == nil || m.lastOK == 0 {
-		t.Fatalf("the replicas are not known to %s", next.p.Node)
+		t.Fatalf("the replicas are not known to %s", next.params.Node)
 	}
 	// What is not its report, or of another's token, accounts for nothing.
 	m.inherited, m.accounted = true, false
 	next.open[m.shard]++
-	next.roll.Add(m, false)
+	next.pendingMachines.Add(m, false)
 	r, _ := w.machines[m.name].Inspect(w.now)
 	for what, d := range map[string]OrderDone{
 		"another machine's":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
@@ -306,23 +306,23 @@
 	t.Parallel()
 	w := newWorld(t, 52, 3)
 	w.run(25 * sec)
-	leader := w.nodes["c0"].core.chief.Node
+	leader := w.nodes["c0"].core.leaderRecord.Node
 	c := w.nodes[leader].core
 	i := c.shardIDs()[0]
 	for _, x := range c.shardIDs() {
-		if c.shards[x].rec.Home == leader {
+		if c.shards[x].record.Home == leader {
 			i = x
 		}
 	}
 	// Another leads by now and holds this one's shard; only the latter is known here.
-	rec := c.shards[i].rec
+	rec := c.shards[i].record
 	rec.Holder, rec.Settled = "c0", true
 	if leader == "c0" {
 		rec.Holder = "c1"
 	}
 	rec.Boot = c.nodes[rec.Holder].Boot
-	c.shards[i] = &shardEntry{rec, c.shards[i].ver}
-	c.retryAt = map[string]Time{}
+	c.shards[i] = &shardEntry{rec, c.shards[i].version}
+	c.notBefore = map[string]Time{}
 	out := c.Step(c.now, time.UnixMilli(1e12), Tick{})
 	found := false
 	for _, e := range out {
@@ -331,7 +331,9 @@
 			continue
 		}
 		found = true
-		if !slices.ContainsFunc(call.Txn.If, func(x wire.Condition) bool { return x.Key == wire.KeyLeader && x.Version == c.ver.Of(wire.KeyLeader) }) {
+		if !slices.ContainsFunc(call.Txn.If, func(x wire.Condition) bool {
+			return x.Key == wire.KeyLeader && x.Version == c.versions.Of(wire.KeyLeader)
+		}) {
 			t.Errorf("the shard is moved without comparing the leader: %+v", call.Txn.If)
 		}
 	}
@@ -403,13 +405,13 @@
 	// They may have been heard on the way to their holder: that is not what is tested.
 	for _, n := range w.nodes {
 		if n.core != holder {
-			n.core.addrs = takeover.NewBook()
+			n.core.workerAddresses = takeover.NewBook()
 		}
 	}
 	w.run(700 * time.Millisecond) // a ping, and no list
 	for _, name := range names {
 		for _, n := range sortedKeys(w.nodes) {
-			if _, known := w.nodes[n].core.addrs.Of(name); !known {
+			if _, known := w.nodes[n].core.workerAddresses.Of(name); !known {
 				t.Errorf("%s does not know where %s listens", n, name)
 			}
 		}
--- a/internal/core/weighing.go
+++ b/internal/core/weighing.go
@@ -12,7 +12,7 @@
 }
 
 func (c *Core) fetcher(m *machine) weights.Machine {
-	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.typ].FetchGBps}
+	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.machineTypes[m.typ].FetchGBps}
 }
 
 // weigh tells what the tasks on a machine want of images and have, by its newest report.
@@ -21,7 +21,7 @@
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		if e := c.jobs[a.job]; e != nil && a.sent && a.status != wire.TaskEnded {
-			uses = append(uses, weights.Use{Image: e.rec.Image, GB: e.rec.ImageGB, There: a.status == wire.TaskRunning || a.status == wire.TaskSaving})
+			uses = append(uses, weights.Use{Image: e.record.Image, GB: e.record.ImageGB, There: a.status == wire.TaskRunning || a.status == wire.TaskSaving})
 		}
 	}
 	c.weights.Seen(c.now, c.fetcher(m), uses)
@@ -30,8 +30,8 @@
 // run is the command that starts a reserved attempt, with who hands its image on; false: its fetch waits.
 func (c *Core) run(a *attempt) (wire.Command, bool) {
 	cmd, e, now := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
-	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // a gang begins together
-		cmd.Sources, now = c.weights.Fetch(c.now, c.fetcher(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+	if !a.m.images[e.record.Image] && e.record.Shape != wire.ShapeGang { // a gang begins together
+		cmd.Sources, now = c.weights.Fetch(c.now, c.fetcher(a.m), e.record.Image, e.record.ImageGB, e.record.Tasks)
 	}
 	return cmd, now
 }
@@ -49,12 +49,12 @@
 // tellImages writes which images the machines of a shard have, now and then, and what is planned for those
 // that many fetch.
 func (c *Core) tellImages() {
-	if c.telling || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
+	if c.telling || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.imagesOf, c.p.ValueBytes-256); due {
+	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.holdsShard, c.imagesOf, c.params.ValueBytes-256); due {
 		c.telling = true
-		c.commit(LaneLater, []wire.Condition{c.shardCond(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
+		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
 			c.telling = false
 			w.Done(c.now, r.Status == 200)
 		})
@@ -62,7 +62,7 @@
 }
 
 func (c *Core) onAdminWeights(v AdminWeights) {
-	view := c.weights.View(c.now, c.p.Node, v.Image)
+	view := c.weights.View(c.now, c.params.Node, v.Image)
 	for _, m := range c.heldMachines() {
 		view.Cached(c.fetcher(m).Copy(), sortedKeys(m.images), v.Image)
 	}
--- a/internal/core/world_orders_test.go
+++ b/internal/core/world_orders_test.go
@@ -34,10 +34,10 @@
 	if granted == 0 {
 		return
 	}
-	if shard.Holder == n.name && shard.Boot == n.core.member.Boot() {
+	if shard.Holder == n.name && shard.Boot == n.core.presence.Boot() {
 		// Ours still; but a token that our mirror has not reached may be a successor's.
-		if v.Orders.Token > max(granted, n.core.rev) {
-			w.t.Fatalf("%v: %s calls %s with token %d, its mirror is at %d", w.now, n.name, v.Machine, v.Orders.Token, n.core.rev)
+		if v.Orders.Token > max(granted, n.core.mirrorRevision) {
+			w.t.Fatalf("%v: %s calls %s with token %d, its mirror is at %d", w.now, n.name, v.Machine, v.Orders.Token, n.core.mirrorRevision)
 		}
 		return
 	}
