--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -9,12 +9,12 @@
 // callWorker calls a worker, through a peer if we reach none of them and it does. A peer on the
 // way is like a slow network: the worker compares token and session of what we sent.
 func (c *Core) callWorker(v Order) {
-	if n := c.words.WorkerProxy(c.now); n != "" {
-		v.For = c.p.Node
-		c.tell(n, PeerMessage{Order: &v})
+	if n := c.assignments.WorkerProxy(c.now); n != "" {
+		v.For = c.params.Node
+		c.sendToPeer(n, PeerMessage{Order: &v})
 		return
 	}
-	c.out = append(c.out, v)
+	c.effects = append(c.effects, v)
 }
 
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
@@ -24,24 +24,26 @@
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
 // which our copy of the state still showed that we hold it. Whoever is granted it next
 // is so by a later write, so has a higher one.
-func (c *Core) answerToken(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raisedToken) }
+func (c *Core) answerToken(m *machine, b *blockEntry) uint64 {
+	return max(c.fencingToken(b), m.raisedToken)
+}
 
 // wantReport asks for a machine's next report soon.
-func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Request(c.now, m, urgent) }
+func (c *Core) requestReport(m *machine, urgent bool) { c.callQueue.Request(c.now, m, urgent) }
 
 // promptWorkers calls workers that have something to hear.
 func (c *Core) callQueuedWorkers() {
-	if c.desk.Len() == 0 || !c.confirmed() {
+	if c.callQueue.Len() == 0 || !c.authorized() {
 		return
 	}
-	for _, m := range c.desk.Take(c.now, c.callVerdict) {
+	for _, m := range c.callQueue.Take(c.now, c.callVerdict) {
 		b := c.blocks[m.block]
 		if b == nil {
 			continue
 		}
 		stops := c.stopCommands(m)
 		if len(stops) == 0 {
-			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.rev), c.now
+			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.mirrorRevision), c.now
 		}
 		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.answerToken(m, b), Session: m.session, Commands: stops}})
 	}
@@ -50,7 +52,7 @@
 // dueFor tells whether a machine should be called now.
 func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
+	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.holdsShard(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
 		return callqueue.Wait // what we just answered must not be overtaken
@@ -64,7 +66,7 @@
 		}
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
-		if c.startable(a) && c.rev > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.p.Lease/2) {
+		if c.startable(a) && c.mirrorRevision > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.params.Lease/2) {
 			return callqueue.Call
 		}
 	}
@@ -89,7 +91,7 @@
 // the block's next holder, who has no address to call them at. The token is the one
 // that the next holder was granted, so that ours count no more.
 func (c *Core) sendToNextHolder(m *machine, b *blockEntry) {
-	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.confirmed() {
-		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.token(b), Session: m.session, Commands: []wire.Command{}}})
+	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.authorized() {
+		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.fencingToken(b), Session: m.session, Commands: []wire.Command{}}})
 	}
 }
--- a/internal/core/holding.go
+++ b/internal/core/holding.go
@@ -17,7 +17,7 @@
 
 // unheld is what others than those it is held for see of a machine's room.
 func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
-	if b := c.places[m.shard]; b != nil {
+	if b := c.reservations[m.shard]; b != nil {
 		if h, is := b.Get(m); is {
 			return free.Sub(h.Size)
 		}
@@ -29,28 +29,28 @@
 
 // heldSoon counts the places of a job that are free before a rented machine would be.
 func (c *Core) heldSoon(shard int, j *wire.Job) int {
-	b := c.places[shard]
+	b := c.reservations[shard]
 	if b == nil || b.Len() == 0 {
 		return 0
 	}
-	_, boot := supply.FetchAndBootBounds(c.types, j.Types)
+	_, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
 	return b.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
 // planHolds keeps places for jobs whose tasks fit nowhere (package reservation).
 func (c *Core) planHolds() {
-	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
+	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if !c.mine(i) {
+		if !c.holdsShard(i) {
 			continue
 		}
 		asks, least := c.fitNowhere(i)
-		b := c.places[i]
+		b := c.reservations[i]
 		if b == nil {
 			b = reservation.New[*machine](holdLimits)
-			c.places[i] = b
+			c.reservations[i] = b
 		}
 		if len(asks) == 0 && b.Len() == 0 {
 			c.keepLimits(i, nil)
@@ -66,7 +66,7 @@
 		c.keepLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Get(m); is {
-				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
+				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
 				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.FitsAt - c.now).String())
 			}
 			c.markDirty(m)
@@ -84,24 +84,24 @@
 	least = unlimitedCapacity("")
 	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.TaskSize
 		least = smallerSize(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.rec.ID) {
+		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > accepted || len(asks) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
 			return true // urgent work makes room for itself
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
 			used[team] = c.capacity.Used(team, shard)
 		}
-		n := placement.TasksUnderLimit(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
+		n := placement.TasksUnderLimit(c.params.Teams[team].CPUsMax, c.params.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
 		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, reservation.Request[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), TeamFull: n == 0, Allows: func(m *machine) bool { return allowsMachine(&e.rec, m) && !c.avoids(e, m) }})
+			asks = append(asks, reservation.Request[*machine]{Job: e.record.ID, Team: team, Size: size, Tasks: max(1, n), TeamFull: n == 0, Allows: func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
@@ -110,16 +110,16 @@
 
 // keepLimits keeps parts of the limits of a shard's teams.
 func (c *Core) keepLimits(shard int, asks []reservation.Request[*machine]) {
-	for _, t := range c.shards[shard].rec.Teams {
-		delete(c.kept, t)
+	for _, t := range c.shards[shard].record.Teams {
+		delete(c.limitReservations, t)
 	}
-	maps.Copy(c.kept, reservation.TeamReservations(asks))
+	maps.Copy(c.limitReservations, reservation.TeamReservations(asks))
 }
 
 // limitOf is a team's limit as a job of it finds it.
 func (c *Core) limitOf(e *jobEntry) Team {
-	t := c.p.Teams[e.rec.Team]
-	if h, is := c.kept[e.rec.Team]; is && h.Job != e.rec.ID && e.prio < urgentRank {
+	t := c.params.Teams[e.record.Team]
+	if h, is := c.limitReservations[e.record.Team]; is && h.Job != e.record.ID && e.priority < urgentRank {
 		t.CPUsMax, t.GPUsMax = t.CPUsMax-h.Size.CPUs, t.GPUsMax-h.Size.GPUs
 	}
 	return t
@@ -129,11 +129,11 @@
 func (c *Core) holdable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
 	x := reservation.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.freeCapacity(m)}
 	if !x.Up {
-		full, known := c.sizeOf(m.machineType)
+		full, known := c.machineSize(m.machineType)
 		if !known || m.reported || m.inherited || !c.comingMachines[m] {
 			return list
 		}
-		x.Free, x.ReadyAt = full, m.heldSince+seconds(c.types[m.machineType].BootS*1.2)
+		x.Free, x.ReadyAt = full, m.heldSince+seconds(c.machineTypes[m.machineType].BootS*1.2)
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
@@ -154,10 +154,10 @@
 	if e == nil || a.stopping {
 		return c.now + seconds(a.stopGraceS), true
 	}
-	if e.rec.EstimateS <= 0 {
+	if e.record.EstimateS <= 0 {
 		return 0, false
 	}
-	runs := c.runs.Typical(e.rec.Class, e.rec.EstimateS)
+	runs := c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 		return max(a.runningSince+runs, c.now+runs/8), true // one that should be over ends some time
 	}
@@ -166,8 +166,8 @@
 
 // fetches is how long a machine fetches a job's image, alone.
 func (c *Core) fetches(e *jobEntry, m *machine) time.Duration {
-	if rate := c.types[m.machineType].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
-		return seconds(e.rec.ImageGB / rate)
+	if rate := c.machineTypes[m.machineType].FetchGBps; rate > 0 && !m.images[e.record.Image] {
+		return seconds(e.record.ImageGB / rate)
 	}
 	return 0
 }
@@ -176,9 +176,9 @@
 // served. Urgent tasks that found nothing else take any of them; until its task fits a place
 // is lent to tasks that surely end before.
 func (c *Core) placeHeld() {
-	for _, i := range sortedIntKeys(c.places) {
-		b := c.places[i]
-		if b.Len() == 0 || !c.mine(i) {
+	for _, i := range sortedIntKeys(c.reservations) {
+		b := c.reservations[i]
+		if b.Len() == 0 || !c.holdsShard(i) {
 			continue
 		}
 		c.refreshIndexes()
@@ -202,7 +202,7 @@
 
 // takes tells whether a job's next task may be placed on a machine now, holds apart.
 func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
-	size, j := jobSize(&e.rec), &e.rec
+	size, j := jobSize(&e.record), &e.record
 	f, ok := c.capacity.Get(m)
 	n := float64(e.run.possiblyInherited() + 1)
 	return ok && f.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(f.Kind) && !c.avoids(e, m) &&
@@ -212,17 +212,17 @@
 // urgentFirst has urgent tasks that wait take held places.
 func (c *Core) urgentFirst(shard int, b *reservation.Table[*machine]) {
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		if e.prio < urgentRank || b.Len() == 0 {
-			return b.Len() > 0 && !c.ladder.PriorityOnly() // by priority the order begins with them
+		if e.priority < urgentRank || b.Len() == 0 {
+			return b.Len() > 0 && !c.tierOrder.PriorityOnly() // by priority the order begins with them
 		}
 		for _, m := range b.Machines() {
-			if c.startableTasks(e) == 0 || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
+			if c.startableTasks(e) == 0 || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
 				break
 			}
 			if c.usable(m) && c.takes(e, m, shard) {
@@ -238,7 +238,7 @@
 func (c *Core) lend(m *machine, shard int, h reservation.Reservation) {
 	looked := 0
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return c.freeCapacity(m)
@@ -247,8 +247,8 @@
 		if looked++; looked > tuning.HoldLook {
 			return false
 		}
-		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
-			c.now+c.runs.UpperBound(e.rec.Class, e.rec.EstimateS) > h.FitsAt {
+		if e.record.EstimateS <= 0 || !m.images[e.record.Image] || e.record.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
+			c.now+c.runTimes.UpperBound(e.record.Class, e.record.EstimateS) > h.FitsAt {
 			return true
 		}
 		for c.startableTasks(e) > 0 && c.takes(e, m, shard) {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -21,11 +21,11 @@
 // sumOf adds up what is on a machine, if that has changed since.
 func (c *Core) usageOf(m *machine) *machineUsage {
 	usage := &m.usage
-	if usage.valid && usage.sizesVersion == c.sizes {
+	if usage.valid && usage.sizesVersion == c.sizeGeneration {
 		return usage
 	}
-	full, _ := c.sizeOf(m.machineType)
-	*usage = machineUsage{valid: true, sizesVersion: c.sizes, free: full}
+	full, _ := c.machineSize(m.machineType)
+	*usage = machineUsage{valid: true, sizesVersion: c.sizeGeneration, free: full}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
@@ -67,13 +67,13 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.record.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
 // freshFor is how long after its last report a machine is given tasks: two reports
 // may be late, or one lost.
-func (c *Core) reportMaxAge() time.Duration { return 2*c.p.Report + tuning.FreshMargin }
+func (c *Core) reportMaxAge() time.Duration { return 2*c.params.Report + tuning.FreshMargin }
 
 // urgentRank is the lowest priority that is served ahead of room and cost.
 var urgentRank = wire.PriorityRank("urgent")
@@ -89,7 +89,7 @@
 
 // place is one Pogonip pass over the waiting jobs.
 func (c *Core) placeTasks() {
-	if !c.confirmed() || len(c.machines) == 0 {
+	if !c.authorized() || len(c.machines) == 0 {
 		return
 	}
 	c.refreshIndexes()
@@ -99,17 +99,17 @@
 	c.refreshLateness()
 	largestFree := map[int]placement.Size{}
 	c.jobQueue.Walk(func(team string) placement.Size {
-		shard := c.shardOf(team)
+		shard := c.shardOfTeam(team)
 		m, ok := largestFree[shard]
 		if !ok {
 			m = c.capacity.MaxFree(shard)
 			largestFree[shard] = m
 		}
-		t, u := c.p.Teams[team], c.capacity.Used(team, shard)
+		t, u := c.params.Teams[team], c.capacity.Used(team, shard)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
-			delete(largestFree, c.shardOf(p.Job.Team))
+			delete(largestFree, c.shardOfTeam(p.Job.Team))
 		}
 		return true
 	})
@@ -118,7 +118,7 @@
 
 // zonesOf counts a job's tasks by zone, where its placement hangs on that.
 func tasksByZone(e *jobEntry) map[string]int {
-	if j := &e.rec; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
+	if j := &e.record; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
 		return nil
 	}
 	zones := map[string]int{}
@@ -130,7 +130,7 @@
 
 // kinds tells which kinds of machines a job's next task may be placed on.
 func (c *Core) allowedKinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
-	return supply.KindFilter(&e.rec, e.run.zone, zones)
+	return supply.KindFilter(&e.record, e.run.zone, zones)
 }
 
 // unseen counts a job's tasks that may run on machines of an earlier holder: they count
@@ -148,7 +148,7 @@
 // barred tells whether nothing of a job may be placed now: it pauses after failures, or
 // where its other tasks are, on which its places hang, is not known yet.
 func (c *Core) placementBlocked(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	return run == nil || c.now < run.notBefore ||
 		c.unreconciledShards[shard] && run.inheritedBelow > 0 && j.Tasks > 1 && (j.OneZone || j.Spread || j.Shape == wire.ShapeService)
 }
@@ -156,8 +156,8 @@
 // placeJob starts as many of a job's waiting tasks as fit, and says how many.
 func (c *Core) placeJob(p *queue.Entry[*jobEntry]) (placed int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
-	shard := c.shardOf(j.Team)
+	j, run := &e.record, e.run
+	shard := c.shardOfTeam(j.Team)
 	if c.placementBlocked(e, shard) {
 		return 0
 	}
@@ -196,7 +196,7 @@
 // placeOn reserves a machine for a job's next task, under a try of its own or, a gang's,
 // under that of the others.
 func (c *Core) placeOn(e *jobEntry, m *machine, own bool) {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	run.passedOverSince = 0
 	idx := run.nextIndex
 	if len(run.retryIndexes) > 0 {
@@ -207,21 +207,21 @@
 	if own {
 		c.lastAttemptNumber++
 	}
-	a := &attempt{key: attemptKey{wire.TaskName(j.ID, idx), c.member.Boot()<<24 | c.lastAttemptNumber}, job: j.ID, taskIndex: idx, team: j.Team,
-		size: jobSize(j), sizeKnown: true, belowUrgent: e.prio < urgentRank, idlePriority: e.prio <= idleRank, machine: m, createdAt: c.now, runningSince: c.now}
+	a := &attempt{key: attemptKey{wire.TaskName(j.ID, idx), c.presence.Boot()<<24 | c.lastAttemptNumber}, job: j.ID, taskIndex: idx, team: j.Team,
+		size: jobSize(j), sizeKnown: true, belowUrgent: e.priority < urgentRank, idlePriority: e.priority <= idleRank, machine: m, createdAt: c.now, runningSince: c.now}
 	c.addAttempt(a)
 	c.markJobDirty(e)
 	run.active[idx] = a
 	m.idleSince = c.now
 	c.refreshMachine(m)
-	c.requestReport(m, e.prio >= urgentRank)
+	c.requestReport(m, e.priority >= urgentRank)
 }
 
 // choose picks the machine of a job's next task among those the ledger proposes, nil if
 // none has room, and tells its beta.
 func (c *Core) chooseMachine(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	kinds := c.allowedKinds(e, zones)
 	if len(run.retryIndexes) > 0 && tracksMachines(j) {
 		// Back to where it was: its image is there, and that start is written
@@ -237,7 +237,7 @@
 	for range tuning.LocalTries {
 		m, beta := c.pickMachine(e, shard, size, anchor, zones, kinds, leftToOthers)
 		// A gang has been found room for as a whole: it leaves none of it.
-		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
+		if m == nil || m.images[j.Image] || anchor || e.priority >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
 			return m, beta
 		}
 		leftToOthers = append(leftToOthers, m)
@@ -256,18 +256,18 @@
 	}
 	free := c.freeCapacity(m)
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != m.shard {
+		if c.shardOfTeam(team) != m.shard {
 			return placement.Size{CPUs: -1}
 		}
-		t, u := c.p.Teams[team], c.capacity.Used(team, m.shard)
+		t, u := c.params.Teams[team], c.capacity.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
 	}, func(other *queue.Entry[*jobEntry]) bool {
 		e := other.Handle
 		if examined++; examined > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
-			e.run.pendingTasks(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
+		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.record.Shape != wire.ShapeGang &&
+			e.run.pendingTasks(&e.record) > 0 && m.images[e.record.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
 	if found && run.passedOverSince == 0 {
@@ -278,7 +278,7 @@
 
 // pick is the heuristic's choice among the machines that the ledger proposes, some apart.
 func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
-	j := &e.rec
+	j := &e.record
 	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
 	c.candidates = c.candidates[:0]
@@ -289,7 +289,7 @@
 		}
 		if found.Handle.images[j.Image] {
 			candidate.Preference = 1
-		} else if e.prio >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
+		} else if e.priority >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
 			candidate.Preference = -1 // they would share its rate
 		}
 		c.candidates = append(c.candidates, candidate)
@@ -306,8 +306,8 @@
 // of a gang would only wait on its machines. On a yes for a gang bound to one
 // zone, the anchor's choice binds the rest, so each zone is tried alone.
 func (c *Core) gangFits(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
-	size, team := jobSize(j), c.p.Teams[j.Team]
+	j, run := &e.record, e.run
+	size, team := jobSize(j), c.params.Teams[j.Team]
 	waiting := len(run.retryIndexes) + j.Tasks - run.nextIndex
 	n := float64(waiting)
 	if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: n * size.CPUs, GPUs: n * size.GPUs})) {
@@ -328,8 +328,8 @@
 
 // serves tells whether a block's machines could hold a task of a need.
 func (c *Core) blockServes(b *blockEntry, n wire.Need) bool {
-	full, ok := c.sizeOf(b.rec.Type)
-	return ok && supply.AllowsType(n.Types, b.rec.Type) && (n.Zone == "" || n.Zone == b.rec.Zone) && (!b.rec.Spot || n.Spot) &&
+	full, ok := c.machineSize(b.record.Type)
+	return ok && supply.AllowsType(n.Types, b.record.Type) && (n.Zone == "" || n.Zone == b.record.Zone) && (!b.record.Spot || n.Spot) &&
 		placement.Fits(full, needSize(n))
 }
 
