--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -135,7 +135,7 @@
 		}
 		o.Teams = append(o.Teams, v)
 	}
-	o.Limits = wire.LimitsView{ValueBytes: c.params.ValueBytes, TxnOps: c.params.TxnOps, Stuck: c.writeLimits.Stuck(c.now), Refused: c.writeLimits.Tell()}
+	o.Limits = wire.LimitsView{ValueBytes: c.params.MaxValueBytes, TxnOps: c.params.MaxTxnOps, Stuck: c.writeLimits.Stuck(c.now), Refused: c.writeLimits.Tell()}
 	c.answer(v.Req, 200, o)
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -36,19 +36,19 @@
 
 // Params is what the core needs of the settings.
 type Params struct {
-	Node  string
-	Zone  string
-	Nodes map[string]string // every controller's zone, this one's included
-	Teams map[string]Team
+	Node      string
+	Zone      string
+	NodeZones map[string]string // every controller's zone, this one's included
+	Teams     map[string]Team
 	// Lease, Cancel and Report are the workers' times.
-	Lease, Cancel, Report time.Duration
-	ListLag               time.Duration
-	Aims                  aims.Aims
-	TxnOps                int
-	ValueBytes            int
-	Version               string   // of the program, for operators
-	Features              []string // that this version understands
-	Weights               weights.Switches
+	WorkerLease, CancelTimeout, ReportInterval time.Duration
+	CloudListLag                               time.Duration
+	Objectives                                 aims.Aims
+	MaxTxnOps                                  int
+	MaxValueBytes                              int
+	Version                                    string   // of the program, for operators
+	Features                                   []string // that this version understands
+	Weights                                    weights.Switches
 }
 
 // Team is a team's guarantee and limit; +Inf: no limit.
@@ -118,11 +118,11 @@
 	c.jitter = rand.New(rand.NewPCG(seed.Sum64(), 0))
 	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
 	c.mirror = newMirror()
-	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.Nodes), c.nodes)
+	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.NodeZones), c.nodes)
 	c.holder = newHolder()
 	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
 	c.books = newBooks(p.Teams)
-	c.aims = p.Aims
+	c.aims = p.Objectives
 	c.callQueue = newDesk(p)
 	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.imageCaches)
 	c.limitReservations = map[string]hold.Hold{}
@@ -136,8 +136,8 @@
 	// What may go unconfirmed spans several renewals.
 	c.presence = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4)})
 	c.term = membership.NewTerm(tuning.RetryAfter)
-	c.leader.reset(p.ListLag)
-	c.writeLimits = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
+	c.leader.reset(p.CloudListLag)
+	c.writeLimits = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.MaxValueBytes, Changes: p.MaxTxnOps})
 	c.keepTo(c.writeLimits.Bounds())
 	return c
 }
@@ -437,7 +437,7 @@
 // takeShard writes a new holder; the write's revision is the shard's token.
 func (c *Core) assignShard(i int, node string, boot uint64, when ...wire.Condition) {
 	e := c.shards[i]
-	rec := duty.NextHolder(e.record, node, boot, tuning.PastLives, c.params.ValueBytes)
+	rec := duty.NextHolder(e.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
 	key := shardKey(i)
 	if !c.dueEvery("take:"+key, tuning.RetryAfter) {
 		return
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -135,7 +135,7 @@
 func (c *Core) planAhead(x *calendar.Entry, leaves time.Time, shard int) {
 	e := x.Rec.Expect
 	n := wire.Need{Zone: x.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
-	offers := supply.Offers(c.machineTypes, n, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot)
+	offers := supply.Offers(c.machineTypes, n, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 	}
 	for _, i := range c.shardIDs() {
 		if was := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.ValueBytes, forecast.Shorter)}}, func(StateReply) {})
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.Shorter)}}, func(StateReply) {})
 		}
 	}
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -232,7 +232,7 @@
 	for k := 0; k < 400; k += 2 {
 		job.Done = append(job.Done, [2]int{k, k + 1})
 	}
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, TxnOps: 4, ValueBytes: bytes})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, MaxTxnOps: 4, MaxValueBytes: bytes})
 	e := &jobEntry{record: job, run: &jobRun{done: job.Done}}
 	b := c.newBatch()
 	c.shards[0], c.teamShards["red"] = &shardEntry{}, 0
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -159,7 +159,7 @@
 			why = "silent"
 		case m.ear.Deaf() && !m.base && !cut:
 			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
-		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.params.Report:
+		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.params.ReportInterval:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
--- a/internal/core/laddering.go
+++ b/internal/core/laddering.go
@@ -36,8 +36,8 @@
 		return
 	}
 	ver := c.versions.Of(wire.KeyLadder)
-	rec := limits.Fit(ladder.Revise(c.tierRecord, ver, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.ValueBytes, ladder.Shorter)
-	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.ValueBytes) {
+	rec := limits.Fit(ladder.Revise(c.tierRecord, ver, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.MaxValueBytes, ladder.Shorter)
+	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -53,7 +53,7 @@
 		if ended {
 			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
 			c.log(1, "no longer leading")
-			l.reset(c.params.ListLag)
+			l.reset(c.params.CloudListLag)
 		}
 		// Free, or held by this node's earlier life, which is dead.
 		if c.term.Claims(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Here()) {
@@ -66,7 +66,7 @@
 		return
 	}
 	if began {
-		l.reset(c.params.ListLag)
+		l.reset(c.params.CloudListLag)
 		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
 		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
 	}
@@ -112,7 +112,7 @@
 // homeShards makes the shards, and hands those of dead controllers on whole.
 func (c *Core) homeShards() {
 	l := &c.leader
-	names := sortedKeys(c.params.Nodes)
+	names := sortedKeys(c.params.NodeZones)
 	if len(c.shards) < len(names) {
 		if l.writing || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
 			return
@@ -126,7 +126,7 @@
 		var then []wire.Change
 		when = append(when, c.leaderCond())
 		for i, n := range names {
-			if c.shards[i] != nil || len(then) >= c.params.TxnOps {
+			if c.shards[i] != nil || len(then) >= c.params.MaxTxnOps {
 				continue
 			}
 			holder := n
@@ -154,7 +154,7 @@
 		switch {
 		case !up || (n.Boot != s.record.Boot && c.now-l.nodeUp[s.record.Holder] > tuning.GrantTTL):
 			// Dead, or back without having retaken it. All of it goes to one successor.
-			to = duty.Successor(s.record.Home, c.params.Nodes, c.assignments.Members(c.now, c.self(), i, held))
+			to = duty.Successor(s.record.Home, c.params.NodeZones, c.assignments.Members(c.now, c.self(), i, held))
 		case s.record.Home != s.record.Holder:
 			if at, here := l.nodeUp[s.record.Home]; here && c.assignments.GoesHome(c.now, c.self(), i, &s.record, at, held[s.record.Home]) {
 				to = s.record.Home
@@ -220,7 +220,7 @@
 			return
 		}
 		for len(r.Types) > 0 {
-			n := min(len(r.Types), c.params.TxnOps)
+			n := min(len(r.Types), c.params.MaxTxnOps)
 			var then []wire.Change
 			for _, t := range r.Types[:n] {
 				then = append(then, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
@@ -311,7 +311,7 @@
 	done := map[string]bool{}
 	for _, n := range l.known.AllGone() {
 		id, in := c.blockOfMachine[n]
-		if !in || done[id] || len(then) >= c.params.TxnOps {
+		if !in || done[id] || len(then) >= c.params.MaxTxnOps {
 			continue
 		}
 		done[id] = true
@@ -370,11 +370,11 @@
 	l := &c.leader
 	// Without the machine types all blocks weigh nothing, and all standing machines
 	// went to one shard.
-	if l.writing || !l.known.Strangers() || len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) || !c.dueEvery("adopt", 200*time.Millisecond) || !c.fenced() {
+	if l.writing || !l.known.Strangers() || len(c.machineTypes) == 0 || len(c.shards) < len(c.params.NodeZones) || !c.dueEvery("adopt", 200*time.Millisecond) || !c.fenced() {
 		return
 	}
 	// Lists lag by up to twice the usual time.
-	first := l.founded > 0 && c.now-l.founded < 2*c.params.ListLag && (len(c.blocks) == 0 || l.standing)
+	first := l.founded > 0 && c.now-l.founded < 2*c.params.CloudListLag && (len(c.blocks) == 0 || l.standing)
 	infos := l.known.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
 	if l.standing = first && len(infos) > 0; len(infos) == 0 {
 		return
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -263,7 +263,7 @@
 // A limit that has fallen reaches the packages that make records.
 func TestALimitThatFallsReachesTheCalendar(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "c0", Nodes: map[string]string{"c0": "n"}, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "c0", NodeZones: map[string]string{"c0": "n"}, MaxTxnOps: 8, MaxValueBytes: 8192})
 	yes := func(string) bool { return true }
 	crew := wire.Crew{Team: "red", Classes: []string{strings.Repeat("c", 700)}, Leaves: "2026-12-03T06:30", TimeZone: "UTC"}
 	now := time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
--- a/internal/core/meeting_ahead_test.go
+++ b/internal/core/meeting_ahead_test.go
@@ -24,7 +24,7 @@
 			old := w.params
 			w.params = func(n string) Params {
 				p := old(n)
-				p.Aims.Begun = map[string]float64{"wide": 9} // a boot of 5 s may take 7.5, and a fetch takes 1
+				p.Objectives.Begun = map[string]float64{"wide": 9} // a boot of 5 s may take 7.5, and a fetch takes 1
 				return p
 			}
 			for _, n := range sortedKeys(w.nodes) {
--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -250,7 +250,7 @@
 // no mark, which gives nothing to anybody.
 func TestStatementsNameGrants(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Lease: 10 * sec, Cancel: 40 * sec})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec})
 	c.born(1)
 	c.loaded, c.mirrorRevision = true, 10
 	said := func() (at uint64) {
@@ -343,7 +343,7 @@
 // like any news of it.
 func TestNewsAgainstUs(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 	c.born(7)
 	c.loaded, c.mirrorRevision = true, 70
 	put := func(key string, v any, ver uint64) {
--- a/internal/core/meeting_takeovers_test.go
+++ b/internal/core/meeting_takeovers_test.go
@@ -78,7 +78,7 @@
 		{"settled by us", wire.Shard{Past: []wire.Life{b}, Known: true}, wire.Shard{Past: []wire.Life{b}, Known: true, Settled: true}, false},
 		{"a team more", wire.Shard{Settled: true, Past: []wire.Life{b}, Known: true}, wire.Shard{Settled: true, Past: []wire.Life{b}, Known: true, Teams: []string{"red", "blue"}}, false},
 	} {
-		c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+		c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 		c.born(7)
 		c.loaded, c.mirrorRevision = true, 70
 		put := func(key string, v any, ver uint64) {
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -227,7 +227,7 @@
 				c.moveOff(i)
 			}
 		}
-		w = limits.Fit(w, c.params.ValueBytes, wants.Shorter)
+		w = limits.Fit(w, c.params.MaxValueBytes, wants.Shorter)
 		if c.tellers[i] == nil {
 			c.tellers[i] = wants.NewTeller(wantPace)
 		}
@@ -242,7 +242,7 @@
 		}
 	}
 	if told != nil {
-		for _, n := range sortedKeys(c.params.Nodes) {
+		for _, n := range sortedKeys(c.params.NodeZones) {
 			if n != c.params.Node {
 				c.sendToPeer(n, PeerMessage{Wants: told})
 			}
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -12,7 +12,7 @@
 func TestNeedsOfUpperRungsAreServedFirst(t *testing.T) {
 	t.Parallel()
 	for upper := range 3 {
-		c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+		c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 		c.born(7)
 		c.loaded, c.mirrorRevision, c.now, c.wall = true, 90, 60*sec, time.UnixMilli(1e12)
 		put := func(key string, v any, ver uint64) {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -24,13 +24,13 @@
 
 func newPeerState(p Params) peerState {
 	var others []string
-	for _, n := range sortedKeys(p.Nodes) {
+	for _, n := range sortedKeys(p.NodeZones) {
 		if n != p.Node {
 			others = append(others, n)
 		}
 	}
 	return peerState{confirmation: membership.New(others, tuning.PeerPings, tuning.PeerNews), yieldedTo: map[int]string{}, peerJobCounts: map[string]JobCount{},
-		relays: relay.New(relay.Limits{Lease: p.Lease, For: tuning.RelayFor, Reports: tuning.RelayReports, Wait: tuning.RelayWait})}
+		relays: relay.New(relay.Limits{Lease: p.WorkerLease, For: tuning.RelayFor, Reports: tuning.RelayReports, Wait: tuning.RelayWait})}
 }
 
 func (c *Core) noteRevision(rev uint64) { c.newestRevision = max(c.newestRevision, rev) }
@@ -44,7 +44,7 @@
 
 // tellPeers pings every other controller; holders add their jobs' progress.
 func (c *Core) pingPeers() {
-	if c.presence.Boot() == 0 || len(c.params.Nodes) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
+	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
 		return
 	}
 	c.pingNonce++
@@ -62,7 +62,7 @@
 	}
 	c.relays.Forget(c.now)
 	word, addrs := c.ownReach(), c.recentWorkerAddresses()
-	for _, n := range sortedKeys(c.params.Nodes) {
+	for _, n := range sortedKeys(c.params.NodeZones) {
 		if n != c.params.Node {
 			c.sendToPeer(n, PeerMessage{Nonce: c.pingNonce, Mirror: c.mirrorRevision, Jobs: jobs, Holds: holds, Word: &word, Addrs: addrs})
 		}
@@ -88,7 +88,7 @@
 }
 
 func (c *Core) onPeer(m PeerMessage) {
-	if _, known := c.params.Nodes[m.From]; !known || m.From == c.params.Node || m.UpMS < 0 {
+	if _, known := c.params.NodeZones[m.From]; !known || m.From == c.params.Node || m.UpMS < 0 {
 		c.log(1, "message from no controller of this deployment", "from", m.From)
 		return
 	}
@@ -229,12 +229,12 @@
 // since the workers' leases run out in the rest. It had a floor of half a lease:
 // with the two times close, tasks outlived cancel_s by that.
 func (c *Core) maxUnconfirmed() time.Duration {
-	return membership.Unconfirmed(c.params.Lease, c.params.Cancel)
+	return membership.Unconfirmed(c.params.WorkerLease, c.params.CancelTimeout)
 }
 
 // leaseOver is how long after a 200 left the worker's lease is surely over.
 func (c *Core) leaseBound() time.Duration {
-	return membership.LeaseOver(c.params.Lease)
+	return membership.LeaseOver(c.params.WorkerLease)
 }
 
 // confirmed tells whether the entitlement was confirmed recently enough.
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -73,7 +73,7 @@
 
 // freshFor is how long after its last report a machine is given tasks: two reports
 // may be late, or one lost.
-func (c *Core) freshFor() time.Duration { return 2*c.params.Report + tuning.FreshMargin }
+func (c *Core) freshFor() time.Duration { return 2*c.params.ReportInterval + tuning.FreshMargin }
 
 // urgentRank is the lowest priority that is served ahead of room and cost.
 var urgentRank = wire.PriorityRank("urgent")
--- a/internal/core/progressing.go
+++ b/internal/core/progressing.go
@@ -31,7 +31,7 @@
 	p := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
 		rec.Done = done
 		raw, err := wire.Marshal(rec)
-		return err == nil && wire.FitsIn(raw, c.params.ValueBytes)
+		return err == nil && wire.FitsIn(raw, c.params.MaxValueBytes)
 	}, further)
 	var changes []wire.Change
 	if rec.Done = p.Record.Clone(); p.Put {
@@ -95,7 +95,7 @@
 	if c.leader.tidying || !c.dueEvery("tidyDone", tuning.TidyEvery) {
 		return
 	}
-	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.TxnOps/2)
+	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.MaxTxnOps/2)
 	if id == "" {
 		return
 	}
--- a/internal/core/prompting.go
+++ b/internal/core/prompting.go
@@ -18,7 +18,7 @@
 }
 
 func newDesk(p Params) *prompt.Desk[*machine] {
-	return prompt.New[*machine](prompt.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
+	return prompt.New[*machine](prompt.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.ReportInterval})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
@@ -64,7 +64,7 @@
 		}
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
-		if c.startable(a) && c.mirrorRevision > max(m.seenToken, m.raised) && (m.promptedAt == 0 || c.now-m.promptedAt > c.params.Lease/2) {
+		if c.startable(a) && c.mirrorRevision > max(m.seenToken, m.raised) && (m.promptedAt == 0 || c.now-m.promptedAt > c.params.WorkerLease/2) {
 			return prompt.Call
 		}
 	}
--- a/internal/core/reaching.go
+++ b/internal/core/reachability.go
@@ -27,8 +27,8 @@
 func newReachability(p Params, present map[string]wire.Node) reachability {
 	r := reachability{cloudLink: reach.NewLink(reach.LinkLimits{Late: time.Minute, Down: tuning.CloudDown, Back: tuning.CloudBack, BackMax: tuning.CloudBackMax, Window: tuning.CloudWindow}),
 		workerReach: reach.NewWorkers(reach.WorkerLimits{Probe: tuning.ProbeEvery, Wait: tuning.ProbeWait, Sample: tuning.ProbeSample, Again: tuning.ProbeAgain, Deaf: tuning.DeafFor, DeafMax: tuning.DeafMax,
-			Crowd: reach.CrowdLimits{Every: p.Report, Least: tuning.SilenceLeast, Gaps: tuning.SilenceGaps, Most: tuning.SuspectReports, Ask: tuning.AskGaps, Asked: tuning.AskReports}})}
-	r.assignments = duty.NewBook(p.Node, p.Nodes, present, r.workerReach, r.cloudLink, duty.Rules{Gain: tuning.MoveGain, After: tuning.GiveAfter}, assignmentLimits)
+			Crowd: reach.CrowdLimits{Every: p.ReportInterval, Least: tuning.SilenceLeast, Gaps: tuning.SilenceGaps, Most: tuning.SuspectReports, Ask: tuning.AskGaps, Asked: tuning.AskReports}})}
+	r.assignments = duty.NewBook(p.Node, p.NodeZones, present, r.workerReach, r.cloudLink, duty.Rules{Gain: tuning.MoveGain, After: tuning.GiveAfter}, assignmentLimits)
 	return r
 }
 
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -53,7 +53,7 @@
 // richness is what each shard has for its teams' guarantees, as machines of a zone see it.
 func (c *Core) richness(zone string, have map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
-		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.params.Nodes[c.shards[i].record.Holder] == zone})
+		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.params.NodeZones[c.shards[i].record.Holder] == zone})
 	}
 	return list
 }
@@ -129,7 +129,7 @@
 	}
 	var offers []supply.Offer
 	var asks []boot.Ask
-	for _, o := range supply.Offers(c.machineTypes, n, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot) {
+	for _, o := range supply.Offers(c.machineTypes, n, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= l.pause[o.Key()] {
 			offers = append(offers, o)
 			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -104,15 +104,15 @@
 // machine hears: it came by another way, or as late as one that waited in vain.
 func (c *Core) test(m *machine, passed bool) {
 	gap := c.now - m.lastReport
-	odd := m.reported && c.now-m.lastOK < c.params.Lease && (passed || gap > max(tuning.DeafGap, c.params.Report*5/4+time.Second))
-	if m.ear.Test(c.now, odd, c.params.Lease/2) {
+	odd := m.reported && c.now-m.lastOK < c.params.WorkerLease && (passed || gap > max(tuning.DeafGap, c.params.ReportInterval*5/4+time.Second))
+	if m.ear.Test(c.now, odd, c.params.WorkerLease/2) {
 		m.raised = max(m.raised, c.mirrorRevision)
 	}
 }
 
 // listen judges by a new report whether its worker hears what it is answered.
 func (c *Core) listen(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.params.Lease && m.reported && !m.over
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.params.WorkerLease && m.reported && !m.over
 	changed := m.ear.Report(r, via, lapsed)
 	if m.ear.Missed() && r.Addr != "" && !c.workerReach.Lacks(c.now) {
 		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
@@ -154,7 +154,7 @@
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.params.Nodes) > 1 { // told with the next pings, and forgotten then
+		if len(c.params.NodeZones) > 1 { // told with the next pings, and forgotten then
 			c.workerAddresses.CameUp(c.now, m.name)
 		}
 		c.provisioning.Up(c.now, m.name)
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -139,7 +139,7 @@
 	if err := json.Unmarshal(b, &records); err != nil {
 		t.Fatal(err)
 	}
-	c := New(Params{Node: "c0", Zone: "n", Nodes: map[string]string{"c0": "n"}, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "c0", Zone: "n", NodeZones: map[string]string{"c0": "n"}, MaxTxnOps: 8, MaxValueBytes: 8192})
 	keys := map[string]bool{}
 	for i, r := range records {
 		c.applyPut(r.Key, r.Value, uint64(i)+1)
--- a/internal/core/settle.go
+++ b/internal/core/settle.go
@@ -231,7 +231,7 @@
 		for _, m := range c.heldMachines() {
 			// One that was called twice in vain has had its chance; one that we do not know
 			// how to call has it with its next report.
-			waited := c.pendingMachines.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.params.Report*3/2)
+			waited := c.pendingMachines.Tries(m) >= 2 || c.now-c.entered[i] > max(tuning.MissingAfter, c.params.ReportInterval*3/2)
 			if m.shard == i && m.inherited && !m.accounted && !m.reported && !m.base && !m.drop && waited && c.now-m.trustedAt > tuning.MissingCalled {
 				m.drop = true
 				c.touch(m)
--- a/internal/core/starting.go
+++ b/internal/core/starting.go
@@ -31,7 +31,7 @@
 
 // keepTo has all that is written from now on keep to bounds.
 func (c *Core) keepTo(b limits.Bounds) {
-	c.params.ValueBytes, c.params.TxnOps = b.ValueBytes, b.Changes
+	c.params.MaxValueBytes, c.params.MaxTxnOps = b.ValueBytes, b.Changes
 	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: b.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, b.ValueBytes/2))
 	c.calendar.KeepTo(b.ValueBytes)
@@ -112,7 +112,7 @@
 		}
 		of := map[string]*jobEntry{}
 		for _, e := range jobs {
-			if len(of) >= 4*c.params.TxnOps-2 {
+			if len(of) >= 4*c.params.MaxTxnOps-2 {
 				break // conditions in one call
 			}
 			started, ended, owes := c.owes(e)
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -103,7 +103,7 @@
 // still calls it fresh: that it is not fresh stands among the starts.
 func TestAUsedMachineIsNotFresh(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUs: 8, CPUsMax: 8}}, Lease: 10 * sec, Cancel: 40 * sec, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUs: 8, CPUsMax: 8}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 	c.Step(0, time.UnixMilli(1e12), Tick{})
 	c.born(7)
 	c.loaded = true
--- a/internal/core/ways.go
+++ b/internal/core/state_calls.go
@@ -32,7 +32,9 @@
 }
 
 // cutOff tells whether the state service is out of our reach while others may have it.
-func (c *Core) stateUnreachable() bool { return c.stateRoutes.CutOff(c.now) && len(c.params.Nodes) > 1 }
+func (c *Core) stateUnreachable() bool {
+	return c.stateRoutes.CutOff(c.now) && len(c.params.NodeZones) > 1
+}
 
 // keepWays notices that the link has changed, and gives up what hangs on it.
 func (c *Core) maintainStateRoute() {
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -291,7 +291,7 @@
 // told of it, brought the job back to life here. Its replica was never stopped.
 func TestALateReadDoesNotBringAJobBack(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 	c.born(7)
 	c.loaded, c.mirrorRevision = true, 50
 	s := spec("job-000001", "red", wire.ShapeService, 1)
@@ -397,7 +397,7 @@
 // knows of newer revisions vouches for nobody.
 func TestPeersVouchOnlyForWhatTheyKnow(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n", "b": "n"}, Lease: 10 * sec, Cancel: 40 * sec})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec})
 	c.born(1)
 	c.loaded, c.mirrorRevision = true, 100
 	c.sure(50 * sec)
@@ -463,7 +463,7 @@
 // started were started again. The grant counts only once the watch is there.
 func TestShardTakenUpOnlyWhenMirrorHasCaughtUp(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 	c.born(7)
 	c.loaded, c.mirrorRevision = true, 90
 	put := func(key string, v any, ver uint64) {
--- a/internal/core/trailing.go
+++ b/internal/core/trail.go
@@ -77,7 +77,7 @@
 
 // suspect notices machines whose reports stay away, long before their lease is over.
 func (c *Core) detectSilentMachines() {
-	late := time.Duration(tuning.SuspectReports * float64(c.params.Report))
+	late := time.Duration(tuning.SuspectReports * float64(c.params.ReportInterval))
 	for _, m := range c.heldMachines() {
 		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
@@ -125,7 +125,7 @@
 		c.answer(v.Req, 200, t)
 		return
 	}
-	if _, known := c.params.Nodes[v.Node]; !known {
+	if _, known := c.params.NodeZones[v.Node]; !known {
 		c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("no controller %q", v.Node)})
 		return
 	}
--- a/internal/core/users.go
+++ b/internal/core/user_requests.go
@@ -272,7 +272,7 @@
 		return
 	}
 	job.AcceptedMS, job.Number = c.wall.UnixMilli(), c.newestRevision
-	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, c.params.ValueBytes-min(1024, c.params.ValueBytes/2)) { // room for its progress
+	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes-min(1024, c.params.MaxValueBytes/2)) { // room for its progress
 		known(func() { c.answer(v.Req, 422, wire.Problem{Error: "job description too large to keep"}) })
 		return
 	}
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -125,7 +125,7 @@
 // it, was there first. The job was live again in that controller for ever.
 func TestAReadOlderThanTheListDoesNotBringAJobBack(t *testing.T) {
 	t.Parallel()
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, Report: 2 * sec, TxnOps: 8, ValueBytes: 8192})
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 	job := spec("job-000001", "red", wire.ShapeService, 1)
 	rec, err := job.Validate()
 	if err != nil {
--- a/internal/core/weighing.go
+++ b/internal/core/weighing.go
@@ -52,7 +52,7 @@
 	if c.telling || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.holdsShard, c.imagesOf, c.params.ValueBytes-256); due {
+	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.holdsShard, c.imagesOf, c.params.MaxValueBytes-256); due {
 		c.telling = true
 		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
 			c.telling = false
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -148,8 +148,8 @@
 		all[fmt.Sprintf("c%d", i)] = []string{"n", "s"}[i%2]
 	}
 	w.params = func(node string) Params {
-		return Params{Node: node, Zone: all[node], Nodes: all, Teams: w.teams, Lease: w.lease, Cancel: w.cancelS,
-			Report: w.reportS, ListLag: 4 * time.Second, TxnOps: w.limits.TxnOps, ValueBytes: w.limits.ValueBytes, Version: "new", Features: rollout.Features()}
+		return Params{Node: node, Zone: all[node], NodeZones: all, Teams: w.teams, WorkerLease: w.lease, CancelTimeout: w.cancelS,
+			ReportInterval: w.reportS, CloudListLag: 4 * time.Second, MaxTxnOps: w.limits.TxnOps, MaxValueBytes: w.limits.ValueBytes, Version: "new", Features: rollout.Features()}
 	}
 	for _, n := range sortedKeys(all) {
 		w.nodes[n] = &ctrl{name: n}
--- a/internal/httpapi/fuzz_test.go
+++ b/internal/httpapi/fuzz_test.go
@@ -29,8 +29,8 @@
 		{"GET", "/admin/v1/machines/n-1", nil}, {"PUT", "/admin/v1/machines/n-1/cordon", []byte{0xa0}}, {"GET", "/admin/v1/jobs/job-1/why", nil}} {
 		f.Add(s.method, s.path, s.body)
 	}
-	c := core.New(core.Params{Node: "a", Nodes: map[string]string{"a": "z"}, Teams: map[string]core.Team{"red": {CPUsMax: 4}},
-		Lease: 10 * time.Second, Cancel: 40 * time.Second, Report: time.Second, TxnOps: 8, ValueBytes: 4096})
+	c := core.New(core.Params{Node: "a", NodeZones: map[string]string{"a": "z"}, Teams: map[string]core.Team{"red": {CPUsMax: 4}},
+		WorkerLease: 10 * time.Second, CancelTimeout: 40 * time.Second, ReportInterval: time.Second, MaxTxnOps: 8, MaxValueBytes: 4096})
 	req := uint64(0)
 	ask := func(_ context.Context, _ Class, in func(uint64) any, _ time.Duration) Reply {
 		req++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,26 +32,26 @@
 	state := cfg.Params.State.Least()
 	p := core.Params{
 		Node: cfg.Node, Zone: cfg.Zone,
-		Nodes: map[string]string{cfg.Node: cfg.Zone}, Teams: map[string]core.Team{},
-		Lease: seconds(cfg.Params.Workers.LeaseS), Cancel: seconds(cfg.Params.Workers.CancelS),
-		Report: seconds(cfg.Params.Workers.ReportS), ListLag: seconds(cfg.Params.Cloud.ListLagS),
-		TxnOps: state.TxnOps, ValueBytes: int(state.ValueKB * 1024),
+		NodeZones: map[string]string{cfg.Node: cfg.Zone}, Teams: map[string]core.Team{},
+		WorkerLease: seconds(cfg.Params.Workers.LeaseS), CancelTimeout: seconds(cfg.Params.Workers.CancelS),
+		ReportInterval: seconds(cfg.Params.Workers.ReportS), CloudListLag: seconds(cfg.Params.Cloud.ListLagS),
+		MaxTxnOps: state.TxnOps, MaxValueBytes: int(state.ValueKB * 1024),
 		Version: Version(), Features: rollout.Features(), Weights: weights.Switches{HandOn: cfg.Switches.Weights.HandOn, Pace: cfg.Switches.Weights.Pace},
 	}
 	for _, n := range cfg.Peers {
-		p.Nodes[n.Node] = n.Zone
+		p.NodeZones[n.Node] = n.Zone
 	}
 	for _, t := range cfg.Params.Teams {
 		cpus, gpus := t.Most()
 		p.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: cpus, GPUs: t.GPUs, GPUsMax: gpus}
 	}
-	p.Aims.Finished, p.Aims.Begun = map[string]float64{}, map[string]float64{}
+	p.Objectives.Finished, p.Objectives.Begun = map[string]float64{}, map[string]float64{}
 	for _, o := range cfg.Params.Objectives {
 		switch o.Kind {
 		case "finished":
-			p.Aims.Finished[o.Class] = o.WithinS
+			p.Objectives.Finished[o.Class] = o.WithinS
 		case "wait":
-			p.Aims.Begun[o.Class] = o.WithinS
+			p.Objectives.Begun[o.Class] = o.WithinS
 		}
 	}
 	return p
--- a/internal/node/params_test.go
+++ b/internal/node/params_test.go
@@ -10,7 +10,7 @@
 func TestObjectivesReachTheCore(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "scan", WithinS: 300}, {Kind: "wait", Class: "stitch", WithinS: 40}, {Kind: "deadline", Class: "plan"}}
-	a := Params(cfg).Aims
+	a := Params(cfg).Objectives
 	if len(a.Finished) != 1 || a.Finished["scan"] != 300 || len(a.Begun) != 1 || a.Begun["stitch"] != 40 {
 		t.Errorf("%+v", a)
 	}
