--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -18,7 +18,7 @@
 }
 
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
-	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, ScanLimit: tuning.OrderLook, MaxAge: 2 * p.Report})
+	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, ScanLimit: tuning.OrderLook, MaxAge: 2 * p.ReportInterval})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
@@ -66,7 +66,7 @@
 		}
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
-		if c.startable(a) && c.mirrorRevision > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.params.Lease/2) {
+		if c.startable(a) && c.mirrorRevision > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.params.WorkerLease/2) {
 			return callqueue.Call
 		}
 	}
--- a/internal/core/reaching.go
+++ b/internal/core/reachability.go
@@ -27,8 +27,8 @@
 func newReachability(p Params, present map[string]wire.Node) reachability {
 	r := reachability{cloudLink: reach.NewLink(reach.LinkLimits{LateAfter: time.Minute, DownAfter: tuning.CloudDown, RecoverAfter: tuning.CloudBack, RecoverAfterMax: tuning.CloudBackMax, FlapWindow: tuning.CloudWindow}),
 		workerReach: reach.NewWorkers(reach.WorkerLimits{ProbeInterval: tuning.ProbeEvery, ProbeTimeout: tuning.ProbeWait, SampleSize: tuning.ProbeSample, ResampleAfter: tuning.ProbeAgain, CutOffFor: tuning.DeafFor, CutOffForMax: tuning.DeafMax,
-			Group: reach.GroupLimits{ReportInterval: p.Report, MinSilence: tuning.SilenceLeast, DownGaps: tuning.SilenceGaps, DownIntervals: tuning.SuspectReports, ProbeGaps: tuning.AskGaps, ProbeIntervals: tuning.AskReports}})}
-	r.assignments = assignment.NewTracker(p.Node, p.Nodes, present, r.workerReach, r.cloudLink, assignment.Rules{MinGain: tuning.MoveGain, SilentAfter: tuning.GiveAfter}, assignmentLimits)
+			Group: reach.GroupLimits{ReportInterval: p.ReportInterval, MinSilence: tuning.SilenceLeast, DownGaps: tuning.SilenceGaps, DownIntervals: tuning.SuspectReports, ProbeGaps: tuning.AskGaps, ProbeIntervals: tuning.AskReports}})}
+	r.assignments = assignment.NewTracker(p.Node, p.NodeZones, present, r.workerReach, r.cloudLink, assignment.Rules{MinGain: tuning.MoveGain, SilentAfter: tuning.GiveAfter}, assignmentLimits)
 	return r
 }
 
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -108,15 +108,15 @@
 // a worker that timed out waiting for an answer.
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	suspicious := m.reported && c.now-m.lastAnswered < c.params.Lease && (relayed || gap > max(tuning.DeafGap, c.params.Report*5/4+time.Second))
-	if m.delivery.StartTest(c.now, suspicious, c.params.Lease/2) {
+	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.DeafGap, c.params.ReportInterval*5/4+time.Second))
+	if m.delivery.StartTest(c.now, suspicious, c.params.WorkerLease/2) {
 		m.raisedToken = max(m.raisedToken, c.mirrorRevision)
 	}
 }
 
 // trackDelivery infers from a new report whether its worker receives the answers sent to it.
 func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.params.Lease && m.reported && !m.leaseOver
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.params.WorkerLease && m.reported && !m.leaseOver
 	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
 	if m.delivery.Suspected() && r.Addr != "" && !c.workerReach.LacksWorkers(c.now) {
 		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
@@ -159,7 +159,7 @@
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.params.Nodes) > 1 { // sent to the peers with the next pings, and forgotten then
+		if len(c.params.NodeZones) > 1 { // sent to the peers with the next pings, and forgotten then
 			c.workerAddresses.MachineUp(c.now, m.name)
 		}
 		c.provisioning.Up(c.now, m.name)
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -39,7 +39,7 @@
 
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
-	c.params.ValueBytes, c.params.TxnOps = bounds.ValueBytes, bounds.Changes
+	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
 	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
 	c.calendar.KeepTo(bounds.ValueBytes)
@@ -121,7 +121,7 @@
 		}
 		jobsByID := map[string]*jobEntry{}
 		for _, e := range jobs {
-			if len(jobsByID) >= 4*c.params.TxnOps-2 {
+			if len(jobsByID) >= 4*c.params.MaxTxnOps-2 {
 				break // the number of conditions in one call is limited
 			}
 			started, ended, due := c.unwrittenStarts(e)
--- a/internal/core/weighing.go
+++ b/internal/core/weighing.go
@@ -52,7 +52,7 @@
 	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.imagesOf, c.params.ValueBytes-256); due {
+	if w, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.imagesOf, c.params.MaxValueBytes-256); due {
 		c.writingImages = true
 		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
 			c.writingImages = false
