--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,6 +1,6 @@
-// Package core is the scheduler as a state machine: Step takes one input with
-// the time and returns what to send and answer. It holds no clock, does no I/O
-// and starts no goroutine, so that every schedule can be replayed in a test.
+// Package core implements the scheduler as a deterministic state machine: Step takes one input and
+// the current time and returns the messages to send and the requests to answer. The package reads no
+// clock, does no I/O and starts no goroutine, so that a test can replay any schedule of events.
 package core
 
 import (
@@ -31,83 +31,84 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the process began.
+// Time is the monotonic time since the process started.
 type Time = time.Duration
 
-// Params is what the core needs of the settings.
+// Params holds the settings that the core uses.
 type Params struct {
-	Node      string
-	Zone      string
-	NodeZones map[string]string // every controller's zone, this one's included
+	Node      string            // the name of this controller
+	Zone      string            // the zone of this controller
+	NodeZones map[string]string // zone of every controller by name, including this one
 	Teams     map[string]Team
-	// Lease, Cancel and Report are the workers' times.
+	// WorkerLease is the duration of a worker's lease, CancelTimeout the time within which an aborted
+	// job has stopped everywhere, ReportInterval the time between two reports of a worker.
 	WorkerLease, CancelTimeout, ReportInterval time.Duration
-	CloudListLag                               time.Duration
+	CloudListLag                               time.Duration // how far the cloud's machine list may be behind
 	Objectives                                 aims.Aims
-	MaxTxnOps                                  int
-	MaxValueBytes                              int
-	Version                                    string   // of the program, for operators
-	Features                                   []string // that this version understands
+	MaxTxnOps                                  int      // operations in a transaction of the state service
+	MaxValueBytes                              int      // size of a value in the state service
+	Version                                    string   // program version, shown to operators
+	Features                                   []string // features that this version supports
 	Weights                                    weights.Switches
 }
 
-// Team is a team's guarantee and limit; +Inf: no limit.
+// Team is a team's guaranteed capacity (CPUs, GPUs) and its limit (CPUsMax, GPUsMax; +Inf means no limit).
 type Team struct {
 	CPUs, CPUsMax, GPUs, GPUsMax float64
 }
 
-// Core is one controller's mind.
+// Core is the scheduling state of one controller.
 type Core struct {
 	params      Params
-	now         Time
-	wall        time.Time
-	effects     []any
-	lastID      uint64
-	incarnation uint64 // tells this life from earlier ones in what peers answer: numbers begin anew
+	now         Time      // time of the current step
+	wall        time.Time // wall-clock time of the current step
+	effects     []any     // what the current step returns
+	lastID      uint64    // last call or request ID that was assigned
+	incarnation uint64    // identifies this process in peers' results, as call IDs restart with each process
 
 	cloudCallbacks map[uint64]func(CloudReply)
 
-	// Own presence.
-	presence              *membership.Life
-	term                  *membership.Term
-	wasAuthorized         bool
-	confirmationChangedAt Time // since when confirmed, or not, without a break
-	loaded                bool
-	loading               bool
-	watching              bool
-	listedKeys            map[string]bool
-	listRevision          uint64
-	mirrorRevision        uint64 // revision the mirror has reached
-	notBefore             map[string]Time
-	jitter                *rand.Rand // seeded by the node's name: spreads retries, repeats in tests
+	// Presence in the deployment, and loading of the mirror.
+	presence               *membership.Life
+	term                   *membership.Term
+	wasAuthorized          bool
+	authorizationChangedAt Time            // when wasAuthorized last changed
+	loaded                 bool            // the mirror has been read completely at least once
+	loading                bool            // the list of keys is being read
+	watching               bool            // a watch call is in flight
+	listedKeys             map[string]bool // keys seen by the list that is being read
+	listRevision           uint64          // revision of the first page of that list
+	mirrorRevision         uint64          // revision that the mirror has reached
+	notBefore              map[string]Time // earliest time of the next run, by name of the action
+	jitter                 *rand.Rand      // spreads retries; seeded with the node name to be reproducible in tests
 
 	trail                         *trail.Trail
-	trailLoaded, trailCallPending bool // the record of earlier lives has been read; a call for it is under way
+	trailLoaded, trailCallPending bool // whether the stored trail of earlier incarnations has been read, and whether a call for it is in flight
 
 	mirror
-	rollout *rollout.Book // what the controllers understand
+	rollout *rollout.Book // features that the controllers support
 	holder
 	books
-	callQueue         *prompt.Desk[*machine]       // workers to call directly
-	pendingMachines   *takeover.Roll[*machine]     // machines to be accounted for
-	reservations      map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
-	limitReservations map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
+	callQueue         *prompt.Desk[*machine]       // workers to be called for an early report
+	pendingMachines   *takeover.Roll[*machine]     // machines that are not accounted for after a takeover
+	reservations      map[int]*hold.Book[*machine] // by shard: machines reserved for tasks that fit on no machine
+	limitReservations map[string]hold.Hold         // by team: part of its limit reserved for a job that does not fit into the rest
 	runTimes          *forecast.Book
-	calendar          *calendar.Book // the crews, and what is planned for their departures
-	weights           *weights.Book  // images that many machines want
+	calendar          *calendar.Book // crews and the plans for their departures
+	weights           *weights.Book  // distribution of images that many machines need
 	chaining
-	workerAddresses *takeover.Book // where workers listen
-	listingMachines bool           // the cloud's list is being read for that
+	workerAddresses *takeover.Book // addresses that workers listen on
+	listingMachines bool           // a cloud list is being read to restore worker addresses
 	userState
 	peerState
 	stateRoutes  *reach.Ways[StateReply]
-	probingState bool // the link to the state service is being tried, while calls go around it
+	probingState bool // a probe of the direct link to the state service is in flight, while calls go through a peer
 	reachability
 	leader      leaderState
-	writeLimits *limits.Form // what the state service takes
+	writeLimits *limits.Form // sizes of writes that the state service accepts
 }
 
-// New returns a core that has yet to read the state.
+// New returns a core that has not read the state yet.
 func New(p Params) *Core {
 	c := &Core{params: p,
 		cloudCallbacks: map[uint64]func(CloudReply){},
@@ -127,14 +128,21 @@
 	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.imageCaches)
 	c.limitReservations = map[string]hold.Hold{}
 	c.reservations = map[int]*hold.Book[*machine]{}
-	c.runTimes = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
+	c.runTimes = forecast.New(forecast.Params{
+		Prior:  tuning.ForecastPrior,
+		Keep:   tuning.ForecastKeep,
+		Spread: tuning.ForecastSpread,
+	})
 	c.pendingMachines, c.workerAddresses = newRoll(), takeover.NewBook()
 	c.userState = newUserState()
 	c.peerState = newPeerState(p)
 	c.stateRoutes = newStateRouter()
 	c.reachability = newReachability(p, c.nodes)
-	// What may go unconfirmed spans several renewals.
-	c.presence = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4)})
+	// The longest time without confirmation has to span several renewals.
+	c.presence = membership.NewLife(membership.LifeTimes{
+		Retry:  tuning.RetryAfter,
+		Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4),
+	})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.CloudListLag)
 	c.writeLimits = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.MaxValueBytes, Changes: p.MaxTxnOps})
@@ -142,7 +150,8 @@
 	return c
 }
 
-// Step takes one input at a steady time (and time of day) and returns effects.
+// Step processes one input at a monotonic time and the matching wall-clock time. It returns the effects:
+// calls, messages, answers, log lines and metrics.
 func (c *Core) Step(now Time, wall time.Time, in any) []any {
 	c.now, c.wall, c.effects = now, wall, nil
 	if c.incarnation == 0 {
@@ -196,54 +205,58 @@
 	case StateDone:
 		c.onStateDone(v)
 	case CloudDone:
-		if f := c.cloudCallbacks[v.ID]; f != nil {
+		if done := c.cloudCallbacks[v.ID]; done != nil {
 			delete(c.cloudCallbacks, v.ID)
-			f(v.Reply)
+			done(v.Reply)
 		}
 	}
 	return c.effects
 }
 
-func (c *Core) callCloud(call CloudCall, f func(CloudReply)) {
+// callCloud sends a call to the cloud; done is called with its reply.
+func (c *Core) callCloud(call CloudCall, done func(CloudReply)) {
 	c.lastID++
 	call.ID = c.lastID
 	sent := c.now
-	c.cloudCallbacks[call.ID] = func(r CloudReply) {
-		c.recordCloudOutcome(call, sent, r)
-		f(r)
+	c.cloudCallbacks[call.ID] = func(reply CloudReply) {
+		c.recordCloudOutcome(call, sent, reply)
+		done(reply)
 	}
 	c.effects = append(c.effects, call)
 }
 
+// answer answers a request with an HTTP status and a body.
 func (c *Core) answer(req uint64, status int, body any) {
-	if x, ok := c.relays.Return(req); ok { // the report came through a peer, so does its answer
-		ans := &RelayAnswer{ID: x.ID, Status: status}
-		if r, ok := body.(wire.ReportReply); ok {
-			ans.Token, ans.Commands = r.Token, r.Commands
+	if origin, ok := c.relays.Return(req); ok { // the report was relayed by a peer, and so is its answer
+		relayed := &RelayAnswer{ID: origin.ID, Status: status}
+		if report, ok := body.(wire.ReportReply); ok {
+			relayed.Token, relayed.Commands = report.Token, report.Commands
 		}
-		c.sendToPeer(x.From, PeerMessage{Answer: ans})
+		c.sendToPeer(origin.From, PeerMessage{Answer: relayed})
 		return
 	}
-	a := Answer{Req: req, Status: status, Body: body}
+	answer := Answer{Req: req, Status: status, Body: body}
 	if status == 503 || status == 429 {
-		a.RetryAfter = tuning.RetryHint
+		answer.RetryAfter = tuning.RetryHint
 	}
-	c.effects = append(c.effects, a)
+	c.effects = append(c.effects, answer)
 }
 
 func (c *Core) log(level int, msg string, kv ...any) {
 	c.effects = append(c.effects, Log{Level: level, Msg: msg, KV: kv})
 }
 
-// every tells whether a repeated duty is due, and if so sets its next time.
-func (c *Core) dueEvery(name string, d time.Duration) bool {
+// dueEvery reports whether the periodic action of this name is due. If so, it schedules the next run
+// after the interval.
+func (c *Core) dueEvery(name string, interval time.Duration) bool {
 	if c.now < c.notBefore[name] {
 		return false
 	}
-	c.notBefore[name] = c.now + d
+	c.notBefore[name] = c.now + interval
 	return true
 }
 
+// tick runs the periodic actions.
 func (c *Core) tick() {
 	c.maintainStateRoute()
 	c.maintainPresence()
@@ -255,14 +268,16 @@
 	if !c.loaded {
 		return
 	}
-	if ok := c.authorized(); ok != c.wasAuthorized {
-		c.wasAuthorized, c.confirmationChangedAt = ok, c.now
+	if authorized := c.authorized(); authorized != c.wasAuthorized {
+		c.wasAuthorized, c.authorizationChangedAt = authorized, c.now
 		kind := trail.Unconfirmed
-		if ok {
+		if authorized {
 			kind = trail.Confirmed
 		}
 		c.recordEvent(wire.TrailEvent{Kind: kind})
-		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.presence.LastRenewed()).String(), "watched_ago", (c.now - c.presence.LastWatched()).String())
+		c.log(1, "authority to act changed", "now", authorized,
+			"renewed_ago", (c.now - c.presence.LastRenewed()).String(),
+			"watched_ago", (c.now - c.presence.LastWatched()).String())
 	}
 	c.lead()
 	c.followAddrs()
@@ -271,60 +286,65 @@
 	c.persistTrail()
 }
 
-// keepPresence holds a grant, and this node's key on it.
+// maintainPresence acquires and renews this node's state lease, and writes this node's key under it.
 func (c *Core) maintainPresence() {
 	sent := c.now
 	if c.presence.WantsGrant(c.now) {
-		c.callState(StateCall{Op: OpGrant}, func(r StateReply) {
-			if r.Status != 200 {
-				r.Lease = 0
+		c.callState(StateCall{Op: OpGrant}, func(reply StateReply) {
+			if reply.Status != 200 {
+				reply.Lease = 0
 			}
-			news := c.presence.Granted(c.now, sent, r.Lease)
+			changed := c.presence.Granted(c.now, sent, reply.Lease)
 			switch {
-			case r.Lease == 0 && news:
-				c.log(0, "no grant from the state service", "status", r.Status, "err", r.Err)
-			case news:
-				c.log(1, "grants again from the state service")
+			case reply.Lease == 0 && changed:
+				c.log(0, "state service did not issue a lease", "status", reply.Status, "err", reply.Err)
+			case changed:
+				c.log(1, "state service issues leases again")
 			}
-			if r.Lease != 0 {
+			if reply.Lease != 0 {
 				c.maintainPresence()
 			}
 		})
 	} else if c.presence.WantsWrite(c.now) {
 		c.writePresence()
 	}
-	if g, due := c.presence.WantsExtend(c.now); due {
-		c.callState(StateCall{Op: OpExtend, Lease: g}, func(r StateReply) {
-			switch c.presence.Extended(c.now, sent, g, r.Status) {
+	if lease, due := c.presence.WantsExtend(c.now); due {
+		c.callState(StateCall{Op: OpExtend, Lease: lease}, func(reply StateReply) {
+			switch c.presence.Extended(c.now, sent, lease, reply.Status) {
 			case membership.Ended:
-				c.log(0, "grant ended, taking another", "grant", g)
+				c.log(0, "state lease expired, requesting another", "grant", lease)
 			case membership.Unanswered:
-				c.log(2, "grant not renewed", "status", r.Status, "err", r.Err)
+				c.log(2, "grant not renewed", "status", reply.Status, "err", reply.Err)
 			}
 		})
 	}
 }
 
-// writePresence puts this life into this node's key, which it reads first: compared with what
-// stands there, the write of an earlier life that is executed late fails. It once replaced the
-// key and took it along when its own grant ended, and a controller that ran was taken for gone.
+// writePresence writes this incarnation into this node's key. It reads the key first and makes the write
+// conditional on the version read, so that a write of an earlier incarnation that is executed late
+// fails. Without the condition, such a write replaced the key, the key was deleted when the earlier
+// incarnation's state lease expired, and the others took a running controller for gone.
 func (c *Core) writePresence() {
-	g, key := c.presence.Grant(), wire.PrefixNode+c.params.Node
-	c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
-		if r.Status != 200 && r.Status != 404 || c.presence.Grant() != g {
+	lease, key := c.presence.Grant(), wire.PrefixNode+c.params.Node
+	c.callState(StateCall{Op: OpGet, Key: key}, func(reply StateReply) {
+		if reply.Status != 200 && reply.Status != 404 || c.presence.Grant() != lease {
 			return
 		}
-		c.applyRead(key, r)
-		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: r.Item.Version}}, []wire.Change{{Put: key, Value: wire.Node{Boot: c.presence.Boot(), Zone: c.params.Zone, Features: c.params.Features}, Lease: g}}, func(r StateReply) {
-			if c.presence.Wrote(c.now, g, r.Status) {
+		c.applyRead(key, reply)
+		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: reply.Item.Version}}, []wire.Change{{
+			Put:   key,
+			Value: wire.Node{Boot: c.presence.Boot(), Zone: c.params.Zone, Features: c.params.Features},
+			Lease: lease,
+		}}, func(reply StateReply) {
+			if c.presence.Wrote(c.now, lease, reply.Status) {
 				c.reclaimShards()
-				c.log(1, "present", "node", c.params.Node, "boot", c.presence.Boot(), "grant", g)
+				c.log(1, "presence key written", "node", c.params.Node, "boot", c.presence.Boot(), "grant", lease)
 			}
 		})
 	})
 }
 
-// keepMirror reads all live keys once and then follows their changes.
+// maintainMirror reads all live keys once and then watches their changes.
 func (c *Core) maintainMirror() {
 	if c.presence.Boot() == 0 {
 		return
@@ -336,71 +356,80 @@
 	if c.loaded && !c.watching && c.now >= c.notBefore["watch"] {
 		c.watching = true
 		sent := c.now
-		c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision, Hold: min(tuning.WatchHold, c.maxUnconfirmed()/4)}, func(r StateReply) {
+		c.callState(StateCall{
+			Op:       OpWatch,
+			Key:      wire.LivePrefix,
+			Revision: c.mirrorRevision,
+			Hold:     min(tuning.WatchHold, c.maxUnconfirmed()/4),
+		}, func(reply StateReply) {
 			c.watching = false
-			switch r.Status {
+			switch reply.Status {
 			case 200:
 				c.presence.Watched(sent)
-				c.applyEvents(&r.Events)
+				c.applyEvents(&reply.Events)
 				c.maintainMirror()
 				c.mirrorChanged()
 			case 410:
-				c.log(1, "watch too old, reading all keys again")
+				c.log(1, "watch revision is too old, reading all keys again")
 				c.loading, c.listedKeys, c.listRevision = true, map[string]bool{}, 0
-				c.watching = true // until the list is read
+				c.watching = true // blocks another watch until the list has been read
 				c.loadPage("", c.now)
 			default:
-				c.log(2, "watch failed", "status", r.Status, "err", r.Err)
+				c.log(2, "watch failed", "status", reply.Status, "err", reply.Err)
 				c.notBefore["watch"] = c.now + tuning.RetryAfter
 			}
 		})
 	}
 }
 
-// follow applies changes. Two calls may tell of them, and the later answer of the one may
-// come before the earlier one of the other: each event counts with its own revision.
-func (c *Core) applyEvents(ev *wire.Events) {
-	for _, e := range ev.Events {
-		if e.Put != "" {
-			c.applyPut(e.Put, e.Value, e.Version)
+// applyEvents applies changes to the mirror. Two calls may return the same changes, and a later answer
+// of one call may arrive before an earlier answer of the other. Each event is therefore applied by its
+// own revision.
+func (c *Core) applyEvents(events *wire.Events) {
+	for _, event := range events.Events {
+		if event.Put != "" {
+			c.applyPut(event.Put, event.Value, event.Version)
 		} else {
-			c.applyDelete(e.Delete, e.Version)
+			c.applyDelete(event.Delete, event.Version)
 		}
 	}
-	c.mirrorRevision = max(c.mirrorRevision, ev.Revision)
+	c.mirrorRevision = max(c.mirrorRevision, events.Revision)
 	c.versions.Forget(c.mirrorRevision, c.oldestCall)
 	c.enterShards()
 }
 
+// loadPage reads the list of live keys from the key after the given one, page by page. began is when the
+// first page was requested. After the last page, keys that the list does not contain are deleted from
+// the mirror, and the watch starts at the revision of the first page.
 func (c *Core) loadPage(after string, began Time) {
-	c.callState(StateCall{Op: OpList, Key: wire.LivePrefix, After: after}, func(r StateReply) {
-		if r.Status != 200 {
+	c.callState(StateCall{Op: OpList, Key: wire.LivePrefix, After: after}, func(reply StateReply) {
+		if reply.Status != 200 {
 			c.loading, c.watching = false, false
 			if c.loaded {
 				c.notBefore["watch"] = c.now + tuning.RetryAfter
 			}
-			c.log(0, "state not readable", "status", r.Status, "err", r.Err)
+			c.log(0, "cannot list the state", "status", reply.Status, "err", reply.Err)
 			return
 		}
 		if c.listRevision == 0 {
-			c.listRevision = r.List.Revision
+			c.listRevision = reply.List.Revision
 		}
 		last := after
-		for _, it := range r.List.Items {
-			c.listedKeys[it.Key] = true
-			c.applyPut(it.Key, it.Value, it.Version)
-			last = it.Key
+		for _, item := range reply.List.Items {
+			c.listedKeys[item.Key] = true
+			c.applyPut(item.Key, item.Value, item.Version)
+			last = item.Key
 		}
-		if r.List.More && len(r.List.Items) > 0 {
+		if reply.List.More && len(reply.List.Items) > 0 {
 			c.loadPage(last, began)
 			return
 		}
-		for _, k := range c.versions.Keys() {
-			if !c.listedKeys[k] {
-				c.applyDelete(k, c.listRevision)
+		for _, key := range c.versions.Keys() {
+			if !c.listedKeys[key] {
+				c.applyDelete(key, c.listRevision)
 			}
 		}
-		// Changes made while the pages were read come again with the watch.
+		// The watch repeats the changes that were made while the pages were read.
 		c.versions.Read(c.listRevision)
 		c.mirrorRevision, c.loading, c.watching, c.listedKeys = c.listRevision, false, false, nil
 		c.presence.Watched(began)
@@ -411,7 +440,7 @@
 				c.followBoots(nil, c.blocks[id])
 			}
 			c.recordEvent(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
-			c.log(1, "state read", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.mirrorRevision)
+			c.log(1, "state loaded", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.mirrorRevision)
 			c.reclaimShards()
 		}
 		c.maintainMirror()
@@ -419,75 +448,78 @@
 	})
 }
 
-// retake claims what this node's earlier life held. That life is dead, so no
-// one else can act for it, and its workers' leases are running out. It is present first: a
-// record of an earlier life in its place would prove to others that this one is dead.
+// reclaimShards takes over the shards that this node's earlier incarnation held. That incarnation has
+// ended, so nobody else acts for it, and the leases of its workers are running out. The key of this
+// incarnation has to be written first: as long as the key names an earlier incarnation, it proves to
+// the others that this one is dead.
 func (c *Core) reclaimShards() {
 	if !c.loaded || !c.presence.Here() {
 		return
 	}
-	for _, i := range c.shardIDs() {
-		if e := c.shards[i]; e.record.Holder == c.params.Node && e.record.Boot != c.presence.Boot() {
-			c.assignShard(i, c.params.Node, c.presence.Boot())
+	for _, shard := range c.shardIDs() {
+		if entry := c.shards[shard]; entry.record.Holder == c.params.Node && entry.record.Boot != c.presence.Boot() {
+			c.assignShard(shard, c.params.Node, c.presence.Boot())
 		}
 	}
 	c.lead()
 }
 
-// takeShard writes a new holder; the write's revision is the shard's token.
-func (c *Core) assignShard(i int, node string, boot uint64, when ...wire.Condition) {
-	e := c.shards[i]
-	rec := duty.NextHolder(e.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
-	key := shardKey(i)
+// assignShard writes a new holder into a shard's record, under further conditions if any are given. The
+// revision of the write is the shard's fencing token.
+func (c *Core) assignShard(shard int, node string, boot uint64, conditions ...wire.Condition) {
+	entry := c.shards[shard]
+	record := duty.NextHolder(entry.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
+	key := shardKey(shard)
 	if !c.dueEvery("take:"+key, tuning.RetryAfter) {
 		return
 	}
-	from := e.record.Holder
-	c.taking[i] = pendingTransfer{rec, from}
-	c.commit(LaneFirst, append(when, wire.Condition{Key: key, Version: e.version}), []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
-		if r.Status == 200 {
-			c.recordShardTaken(i)
+	from := entry.record.Holder
+	c.taking[shard] = pendingTransfer{record, from}
+	c.commit(LaneFirst, append(conditions, wire.Condition{Key: key, Version: entry.version}), []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
+		if reply.Status == 200 {
+			c.recordShardTaken(shard)
 		}
-		c.log(1, "shard taken", "shard", i, "holder", node, "from", from, "status", r.Status)
+		c.log(1, "shard assigned", "shard", shard, "holder", node, "from", from, "status", reply.Status)
 		c.mirrorChanged()
 	})
 }
 
-// commit writes a transaction; on success the mirror is brought up at once, on
-// a conflict the failed keys are read again.
-func (c *Core) commit(lane int, when []wire.Condition, then []wire.Change, f func(StateReply)) {
-	c.callState(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: when, Then: then}}, func(r StateReply) {
-		switch r.Status {
+// commit writes a transaction and calls done with the reply. On success it applies the changes to the
+// mirror at once; on a conflict it reads the failed keys again.
+func (c *Core) commit(lane int, conditions []wire.Condition, changes []wire.Change, done func(StateReply)) {
+	c.callState(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: conditions, Then: changes}}, func(reply StateReply) {
+		switch reply.Status {
 		case 400:
-			c.refusedForm(when, then, r.Err)
+			c.refusedForm(conditions, changes, reply.Err)
 		case 200:
-			for _, ch := range then {
-				c.writeLimits.Taken(limits.KindOf(ch.Put))
-				if ch.Delete != "" {
-					c.applyDelete(ch.Delete, r.Txn.Revision)
-				} else if raw, err := wire.Marshal(ch.Value); err == nil {
-					c.applyPut(ch.Put, raw, r.Txn.Revision)
+			for _, change := range changes {
+				c.writeLimits.Taken(limits.KindOf(change.Put))
+				if change.Delete != "" {
+					c.applyDelete(change.Delete, reply.Txn.Revision)
+				} else if raw, err := wire.Marshal(change.Value); err == nil {
+					c.applyPut(change.Put, raw, reply.Txn.Revision)
 				}
 			}
 		case 409:
-			for _, k := range r.Txn.Failed {
-				c.rereadKey(k)
+			for _, key := range reply.Txn.Failed {
+				c.rereadKey(key)
 			}
 		case 0:
-			// The write may have happened: learn what stands there now.
-			for _, ch := range then {
-				if k := ch.Put + ch.Delete; strings.HasPrefix(k, wire.LivePrefix) {
-					c.rereadKey(k)
+			// No answer: the write may have been executed, so the current records are read.
+			for _, change := range changes {
+				if key := change.Put + change.Delete; strings.HasPrefix(key, wire.LivePrefix) {
+					c.rereadKey(key)
 				}
 			}
 		}
-		f(r)
+		done(reply)
 	})
 }
 
-func (c *Core) machineSize(typ string) (placement.Size, bool) {
-	t, ok := c.machineTypes[typ]
-	return placement.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB}, ok
+// machineSize returns the capacity of a machine type, false if the type is not known.
+func (c *Core) machineSize(name string) (placement.Size, bool) {
+	machineType, ok := c.machineTypes[name]
+	return placement.Size{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemoryGB}, ok
 }
 
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -154,7 +154,7 @@
 		why := c.neverComes(m)
 		switch {
 		case why != "":
-		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.confirmationChangedAt) > seconds(c.settings.SilentDropS):
+		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.authorizationChangedAt) > seconds(c.settings.SilentDropS):
 			// A rented one costs as much as another; while not sure to be entitled we take no report.
 			why = "silent"
 		case m.ear.Deaf() && !m.base && !cut:
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -17,72 +17,90 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// mirror is this controller's copy of the live keys, in revision order.
+// mirror is this controller's copy of the live keys of the state service, updated in revision order.
 type mirror struct {
-	imageCaches  *weights.Caches // which images machines have, as holders last wrote
-	versions     *records.Versions
+	imageCaches  *weights.Caches   // images that machines have stored, as last written by the holders
+	versions     *records.Versions // version of each key
 	jobs         map[string]*jobEntry
 	blocks       map[string]*blockEntry
 	shards       map[int]*shardEntry
-	nodes        map[string]wire.Node
-	demands      map[int]wire.Want
-	machineTypes map[string]wire.MachineType
+	nodes        map[string]wire.Node        // controllers that are present
+	demands      map[int]wire.Want           // by shard: demand for machines that its holder announced
+	machineTypes map[string]wire.MachineType // by name
 	leaderRecord wire.Leader
 	settings     wire.Settings
-	cordons      map[string]wire.Cordon
+	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *ladder.Ladder
-	tierRecord   wire.Ladder // the record that it was read from
-	startLog     *starts.Book
-	progress     *progress.Book
-	provisioning *boot.Book
-	biases       map[string]wire.Bias // by key
-
-	// Kept up with the records, so that a report or a poll costs the same
-	// however many machines there are; the tests count them afresh.
-	blockOfMachine    map[string]string      // machine -> its block
-	markedForDeletion map[string]bool        // machines marked to be deleted
-	teamShards        map[string]int         // team -> its shard
-	sortedShards      []int                  // in order; nil: to be made again
-	sortedBlocks      []string               // in order; nil: to be made again
-	sortedJobs        []*jobEntry            // by acceptance; nil: to be made again
-	sizeGeneration    int                    // counts changes of machine types
-	machineCounts     map[int]map[string]int // shard -> machines of each type in its blocks
-	blockRevisions    map[int]uint64         // shard -> latest revision of its blocks; absent: to be looked for
+	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
+	startLog     *starts.Book         // recorded starts of tasks
+	progress     *progress.Book       // recorded done tasks
+	provisioning *boot.Book           // machines that are booting
+	biases       map[string]wire.Bias // by key: how far run-time estimates are off
+
+	// Indexes that are updated with each record, so that the cost of a report or a poll does not depend
+	// on the number of machines. The tests compare them with a full recount.
+	blockOfMachine    map[string]string      // machine -> ID of its block
+	markedForDeletion map[string]bool        // machines whose block record marks them for deletion
+	teamShards        map[string]int         // team -> the shard that serves it
+	sortedShards      []int                  // in ascending order; nil if it has to be rebuilt
+	sortedBlocks      []string               // in ascending order; nil if it has to be rebuilt
+	sortedJobs        []*jobEntry            // oldest first; nil if it has to be rebuilt
+	sizeGeneration    int                    // incremented with each change of a machine type's capacity
+	machineCounts     map[int]map[string]int // shard -> number of machines of each type in its blocks
+	blockRevisions    map[int]uint64         // shard -> latest revision of its blocks; absent if it has to be searched
 }
 
+// shardEntry is a shard's record and the revision at which it was written.
 type shardEntry struct {
 	record  wire.Shard
 	version uint64
 }
 
+// blockEntry is a block's record and the revision at which it was written.
 type blockEntry struct {
 	id      string
 	record  wire.Block
 	version uint64
 }
 
+// jobEntry is a job's record and what this controller derives from it.
 type jobEntry struct {
 	record   wire.Job
 	version  uint64
-	priority int
-	rank     int     // of its rung
-	due      float64 // seconds of the day's time by when those that need it need it done; +Inf: none
+	priority int     // effective priority, which may be inherited from a dependent job
+	rank     int     // rank of its tier
+	due      float64 // earliest due time of the job and its dependents, in seconds since the Unix epoch; +Inf if there is none
 	run      *jobRun // nil unless this controller holds the job's shard
 
-	dirty bool // see books
+	dirty bool // its entries in the indexes have to be refreshed
 }
 
 func newMirror() mirror {
-	return mirror{versions: records.New(), jobs: map[string]*jobEntry{},
-		blocks: map[string]*blockEntry{}, shards: map[int]*shardEntry{}, nodes: map[string]wire.Node{},
-		demands: map[int]wire.Want{}, machineTypes: map[string]wire.MachineType{},
-		settings: defaultSettings(), tierOrder: ladder.Of(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
-		blockOfMachine: map[string]string{}, markedForDeletion: map[string]bool{}, machineCounts: map[int]map[string]int{}, blockRevisions: map[int]uint64{}, teamShards: map[string]int{}, imageCaches: weights.NewCaches(tuning.CachesEvery)}
+	return mirror{
+		versions:          records.New(),
+		jobs:              map[string]*jobEntry{},
+		blocks:            map[string]*blockEntry{},
+		shards:            map[int]*shardEntry{},
+		nodes:             map[string]wire.Node{},
+		demands:           map[int]wire.Want{},
+		machineTypes:      map[string]wire.MachineType{},
+		settings:          defaultSettings(),
+		tierOrder:         ladder.Of(wire.Ladder{}),
+		cordons:           map[string]wire.Cordon{},
+		biases:            map[string]wire.Bias{},
+		blockOfMachine:    map[string]string{},
+		markedForDeletion: map[string]bool{},
+		machineCounts:     map[int]map[string]int{},
+		blockRevisions:    map[int]uint64{},
+		teamShards:        map[string]int{},
+		imageCaches:       weights.NewCaches(tuning.CachesEvery),
+	}
 }
 
-func shardKey(i int) string  { return wire.PrefixShard + strconv.Itoa(i) }
-func demandKey(i int) string { return wire.PrefixWant + strconv.Itoa(i) }
+func shardKey(shard int) string  { return wire.PrefixShard + strconv.Itoa(shard) }
+func demandKey(shard int) string { return wire.PrefixWant + strconv.Itoa(shard) }
 
+// shardIDs lists the shards in ascending order.
 func (m *mirror) shardIDs() []int {
 	if m.sortedShards == nil {
 		m.sortedShards = sortedInts(m.shards)
@@ -90,6 +108,7 @@
 	return m.sortedShards
 }
 
+// blockIDs lists the blocks in ascending order.
 func (m *mirror) blockIDs() []string {
 	if m.sortedBlocks == nil {
 		m.sortedBlocks = sortedKeys(m.blocks)
@@ -97,111 +116,114 @@
 	return m.sortedBlocks
 }
 
-// jobsByAge lists the live jobs in the order they were accepted.
+// jobsByAge lists the live jobs, oldest first.
 func (m *mirror) jobsByAge() []*jobEntry {
 	if m.sortedJobs == nil {
 		m.sortedJobs = make([]*jobEntry, 0, len(m.jobs))
-		for _, e := range m.jobs {
-			m.sortedJobs = append(m.sortedJobs, e)
+		for _, entry := range m.jobs {
+			m.sortedJobs = append(m.sortedJobs, entry)
 		}
 		sort.Slice(m.sortedJobs, func(i, j int) bool { return olderJob(m.sortedJobs[i], m.sortedJobs[j]) })
 	}
 	return m.sortedJobs
 }
 
-// listJob keeps the list of jobs in step with one that came or went.
-func (m *mirror) updateSortedJobs(e *jobEntry, in bool) {
+// updateSortedJobs inserts a job into sortedJobs or removes it from there.
+func (m *mirror) updateSortedJobs(entry *jobEntry, added bool) {
 	if m.sortedJobs == nil {
 		return
 	}
-	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !olderJob(m.sortedJobs[i], e) })
+	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !olderJob(m.sortedJobs[i], entry) })
 	switch {
-	case in:
-		m.sortedJobs = slices.Insert(m.sortedJobs, i, e)
-	case i < len(m.sortedJobs) && m.sortedJobs[i] == e:
+	case added:
+		m.sortedJobs = slices.Insert(m.sortedJobs, i, entry)
+	case i < len(m.sortedJobs) && m.sortedJobs[i] == entry:
 		m.sortedJobs = slices.Delete(m.sortedJobs, i, i+1)
 	default:
-		m.sortedJobs = nil // its age was changed under it; made again when asked for
+		m.sortedJobs = nil // its age has changed, so it is not where the search expects it; the list is rebuilt on demand
 	}
 }
 
-// indexBlock keeps the machine indexes in step with a block's record.
-func (m *mirror) indexBlock(id string, old, now *blockEntry) {
-	if (old == nil) != (now == nil) {
+// indexBlock updates the indexes for a changed block record. old is nil for a new block, current for a
+// removed one.
+func (m *mirror) indexBlock(id string, old, current *blockEntry) {
+	if (old == nil) != (current == nil) {
 		m.sortedBlocks = nil
 	}
 	m.countBlock(old, -1)
-	m.countBlock(now, 1)
+	m.countBlock(current, 1)
 	if old != nil {
-		for _, bm := range old.record.Machines {
-			if m.blockOfMachine[bm.Name] == id {
-				delete(m.blockOfMachine, bm.Name)
-				delete(m.markedForDeletion, bm.Name)
+		for _, blockMachine := range old.record.Machines {
+			if m.blockOfMachine[blockMachine.Name] == id {
+				delete(m.blockOfMachine, blockMachine.Name)
+				delete(m.markedForDeletion, blockMachine.Name)
 			}
 		}
 	}
-	if now != nil {
-		for _, bm := range now.record.Machines {
-			m.blockOfMachine[bm.Name] = id
-			if bm.Drop {
-				m.markedForDeletion[bm.Name] = true
+	if current != nil {
+		for _, blockMachine := range current.record.Machines {
+			m.blockOfMachine[blockMachine.Name] = id
+			if blockMachine.Drop {
+				m.markedForDeletion[blockMachine.Name] = true
 			}
 		}
 	}
 	if old != nil {
-		for _, bm := range old.record.Machines {
-			if m.blockOfMachine[bm.Name] == "" {
-				m.imageCaches.Gone(bm.Name)
+		for _, blockMachine := range old.record.Machines {
+			if m.blockOfMachine[blockMachine.Name] == "" {
+				m.imageCaches.Gone(blockMachine.Name)
 			}
 		}
 	}
 }
 
-// countBlock keeps what each shard has, and the latest revision of its blocks.
-func (m *mirror) countBlock(b *blockEntry, n int) {
-	if b == nil {
+// countBlock adds a block to the counts of its shard (sign 1) or subtracts it (sign -1), and updates the
+// latest revision of the shard's blocks.
+func (m *mirror) countBlock(block *blockEntry, sign int) {
+	if block == nil {
 		return
 	}
-	has := m.machineCounts[b.record.Shard]
-	if has == nil {
-		has = map[string]int{}
-		m.machineCounts[b.record.Shard] = has
+	counts := m.machineCounts[block.record.Shard]
+	if counts == nil {
+		counts = map[string]int{}
+		m.machineCounts[block.record.Shard] = counts
 	}
-	has[b.record.Type] += n * len(b.record.Machines)
-	newest, known := m.blockRevisions[b.record.Shard]
+	counts[block.record.Type] += sign * len(block.record.Machines)
+	newest, known := m.blockRevisions[block.record.Shard]
 	switch {
-	case n < 0 && b.version == newest:
-		delete(m.blockRevisions, b.record.Shard)
-	case n > 0 && known:
-		m.blockRevisions[b.record.Shard] = max(newest, b.version)
+	case sign < 0 && block.version == newest:
+		delete(m.blockRevisions, block.record.Shard)
+	case sign > 0 && known:
+		m.blockRevisions[block.record.Shard] = max(newest, block.version)
 	}
 }
 
-// indexTeams finds each team's shard; the first one that names it counts.
+// indexTeams rebuilds the index of teams. If several shards name a team, the lowest one counts.
 func (m *mirror) indexTeams() {
 	m.sortedShards = nil
 	clear(m.teamShards)
-	for _, i := range m.shardIDs() {
-		for _, t := range m.shards[i].record.Teams {
-			if _, known := m.teamShards[t]; !known {
-				m.teamShards[t] = i
+	for _, shard := range m.shardIDs() {
+		for _, team := range m.shards[shard].record.Teams {
+			if _, known := m.teamShards[team]; !known {
+				m.teamShards[team] = shard
 			}
 		}
 	}
 }
 
-// oldestCall is the first call of the state service that is under way.
+// oldestCall returns the ID of the oldest call to the state service that is in flight, or the next ID if
+// there is none.
 func (c *Core) oldestCall() uint64 { return c.stateRoutes.Oldest(c.lastID + 1) }
 
-// put applies a write. Older news of the same key changes nothing, whichever
-// way it came: watch, list, read or own commit.
-func (c *Core) applyPut(key string, raw wire.Raw, ver uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.News(key, ver) {
+// applyPut applies a write to the mirror. An older version of the key changes nothing, whether it comes
+// from the watch, a list, a read or a commit of this controller.
+func (c *Core) applyPut(key string, value wire.Raw, version uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.News(key, version) {
 		return
 	}
-	fail := func(err error) { c.log(0, "stored record not readable", "key", key, "err", err.Error()) }
+	fail := func(err error) { c.log(0, "cannot decode a stored record", "key", key, "err", err.Error()) }
 	read := func(v any) bool {
-		err := wire.Unmarshal(raw, v)
+		err := wire.Unmarshal(value, v)
 		if err != nil {
 			fail(err)
 		}
@@ -209,140 +231,140 @@
 	}
 	switch {
 	case key == wire.KeyLeader:
-		var r wire.Leader
-		if read(&r) {
-			if r != c.leaderRecord {
-				c.log(1, "leader", "node", r.Node, "boot", r.Boot)
+		var record wire.Leader
+		if read(&record) {
+			if record != c.leaderRecord {
+				c.log(1, "leader changed", "node", record.Node, "boot", record.Boot)
 			}
-			c.leaderRecord = r
+			c.leaderRecord = record
 		}
 	case key == wire.KeySettings:
-		r := defaultSettings()
-		if read(&r) {
-			c.settings = r
+		record := defaultSettings()
+		if read(&record) {
+			c.settings = record
 		}
 	case key == wire.KeyLadder:
-		var r wire.Ladder
-		if read(&r) {
-			c.putLadder(r)
+		var record wire.Ladder
+		if read(&record) {
+			c.putLadder(record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCordon):
-		var r wire.Cordon
-		if read(&r) {
-			c.applyCordon(key[len(wire.PrefixCordon):], r)
+		var record wire.Cordon
+		if read(&record) {
+			c.applyCordon(key[len(wire.PrefixCordon):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCrew):
-		var r wire.Crew
-		if read(&r) {
-			c.calendar.Put(key[len(wire.PrefixCrew):], r, ver)
+		var record wire.Crew
+		if read(&record) {
+			c.calendar.Put(key[len(wire.PrefixCrew):], record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixBias):
-		var r wire.Bias
-		if read(&r) {
-			c.biases[key] = r
+		var record wire.Bias
+		if read(&record) {
+			c.biases[key] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixReach):
-		var r wire.Reach
-		if read(&r) {
-			c.assignments.Wrote(key[len(wire.PrefixReach):], r)
+		var record wire.Reach
+		if read(&record) {
+			c.assignments.Wrote(key[len(wire.PrefixReach):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
-		var r wire.Node
-		if read(&r) {
-			c.nodes[key[len(wire.PrefixNode):]] = r
+		var record wire.Node
+		if read(&record) {
+			c.nodes[key[len(wire.PrefixNode):]] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixVersion):
-		var r wire.Version
-		if read(&r) {
-			c.rollout.Remember(key[len(wire.PrefixVersion):], r)
+		var record wire.Version
+		if read(&record) {
+			c.rollout.Remember(key[len(wire.PrefixVersion):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixType):
-		var r wire.MachineType
-		if read(&r) {
-			c.applyMachineType(r)
+		var record wire.MachineType
+		if read(&record) {
+			c.applyMachineType(record)
 		}
 	default:
-		c.applyWorkPut(key, ver, read, fail)
+		c.applyWorkPut(key, version, read, fail)
 	}
-	c.versions.Put(key, ver)
+	c.versions.Put(key, version)
 }
 
-// putWork applies a write of a job, a shard, or what hangs on one.
-func (c *Core) applyWorkPut(key string, ver uint64, read func(any) bool, fail func(error)) {
+// applyWorkPut applies a write of a job, a shard or a block, or of a record that belongs to one of them.
+func (c *Core) applyWorkPut(key string, version uint64, read func(any) bool, fail func(error)) {
 	switch {
 	case strings.HasPrefix(key, wire.PrefixJob):
-		var r wire.Job
-		if read(&r) {
-			c.versions.Put(key, ver)
-			c.applyJob(r, ver)
+		var record wire.Job
+		if read(&record) {
+			c.versions.Put(key, version)
+			c.applyJob(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
-		var r wire.Job
-		if read(&r) {
-			c.versions.Put(key, ver)
-			c.putWaiting(r, ver)
+		var record wire.Job
+		if read(&record) {
+			c.versions.Put(key, version)
+			c.putWaiting(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
-		var r wire.Shard
-		i, err := strconv.Atoi(key[len(wire.PrefixShard):])
+		var record wire.Shard
+		shard, err := strconv.Atoi(key[len(wire.PrefixShard):])
 		if err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.versions.Put(key, ver)
-			old := c.shards[i]
-			c.shards[i] = &shardEntry{r, ver}
-			c.recordShardTaken(i)
+		} else if read(&record) {
+			c.versions.Put(key, version)
+			old := c.shards[shard]
+			c.shards[shard] = &shardEntry{record, version}
+			c.recordShardTaken(shard)
 			c.indexTeams()
-			c.shardSeen(i, old)
+			c.shardSeen(shard, old)
 		}
 	case strings.HasPrefix(key, wire.PrefixStart):
-		var r wire.Starts
-		if read(&r) {
-			c.versions.Put(key, ver)
-			if err := c.putStarts(key, ver, r); err != nil {
+		var record wire.Starts
+		if read(&record) {
+			c.versions.Put(key, version)
+			if err := c.putStarts(key, version, record); err != nil {
 				fail(err)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixDone):
-		var r wire.Done
-		if read(&r) {
-			if id, err := c.progress.Put(key, ver, r); err != nil {
+		var record wire.Done
+		if read(&record) {
+			if id, err := c.progress.Put(key, version, record); err != nil {
 				fail(err)
-			} else if e := c.jobs[id]; e != nil {
-				c.jobSeen(e)
+			} else if entry := c.jobs[id]; entry != nil {
+				c.jobSeen(entry)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWant):
-		var r wire.Want
-		i, err := strconv.Atoi(key[len(wire.PrefixWant):])
+		var record wire.Want
+		shard, err := strconv.Atoi(key[len(wire.PrefixWant):])
 		if err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.demands[i] = r
+		} else if read(&record) {
+			c.demands[shard] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixCache):
-		var r wire.Cache
-		if read(&r) {
-			for _, name := range r.Names() {
-				if images, _ := r.Of(name); c.blockOfMachine[name] != "" {
+		var record wire.Cache
+		if read(&record) {
+			for _, name := range record.Names() {
+				if images, _ := record.Of(name); c.blockOfMachine[name] != "" {
 					c.imageCaches.Read(name, images)
 				}
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWeights):
-		var r wire.Weights
-		if i, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
+		var record wire.Weights
+		if shard, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.weights.Read(c.now, i, r, c.held[i])
+		} else if read(&record) {
+			c.weights.Read(c.now, shard, record, c.held[shard])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
-		var r wire.Block
-		if read(&r) {
+		var record wire.Block
+		if read(&record) {
 			id := key[len(wire.PrefixBlock):]
-			c.versions.Put(key, ver)
+			c.versions.Put(key, version)
 			old := c.blocks[id]
-			c.blocks[id] = &blockEntry{id, r, ver}
+			c.blocks[id] = &blockEntry{id, record, version}
 			c.indexBlock(id, old, c.blocks[id])
 			c.followBoots(old, c.blocks[id])
 			c.blockSeen(id, old)
@@ -350,39 +372,41 @@
 	}
 }
 
-func (c *Core) applyJob(r wire.Job, ver uint64) {
-	e := c.jobs[r.ID]
-	if e == nil {
-		e = &jobEntry{record: r}
-		c.jobs[r.ID] = e
-		c.updateSortedJobs(e, true)
-	} else if e.record.ReadySince() != r.ReadySince() || e.record.Number != r.Number {
+// applyJob applies a write of a live job.
+func (c *Core) applyJob(record wire.Job, version uint64) {
+	entry := c.jobs[record.ID]
+	if entry == nil {
+		entry = &jobEntry{record: record}
+		c.jobs[record.ID] = entry
+		c.updateSortedJobs(entry, true)
+	} else if entry.record.ReadySince() != record.ReadySince() || entry.record.Number != record.Number {
 		c.sortedJobs = nil
 	}
-	c.overlay(&r)
-	e.record, e.version = r, ver
-	c.rankJob(e)
-	c.jobSeen(e)
+	c.overlay(&record)
+	entry.record, entry.version = record, version
+	c.rankJob(entry)
+	c.jobSeen(entry)
 }
 
-func (c *Core) applyMachineType(r wire.MachineType) {
-	old, known := c.machineTypes[r.Name]
-	c.machineTypes[r.Name] = r
-	if !known || old.CPUs != r.CPUs || old.GPUs != r.GPUs || old.MemoryGB != r.MemoryGB {
-		c.sizeGeneration++ // prices are read every minute, and weigh nothing here
+// applyMachineType applies a write of a machine type. A changed capacity marks all machines dirty.
+func (c *Core) applyMachineType(record wire.MachineType) {
+	old, known := c.machineTypes[record.Name]
+	c.machineTypes[record.Name] = record
+	if !known || old.CPUs != record.CPUs || old.GPUs != record.GPUs || old.MemoryGB != record.MemoryGB {
+		c.sizeGeneration++ // prices are written every minute and do not affect the capacity
 		c.touchShard(-1)
 	}
 }
 
-// remove applies a deletion known at revision rev.
-func (c *Core) applyDelete(key string, rev uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.Remove(key, rev, c.lastID) {
+// applyDelete applies the deletion of a key that is known at the given revision.
+func (c *Core) applyDelete(key string, revision uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.Remove(key, revision, c.lastID) {
 		return
 	}
 	switch {
 	case key == wire.KeyLeader:
 		c.leaderRecord = wire.Leader{}
-		c.log(1, "no leader")
+		c.log(1, "leader record deleted")
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
@@ -396,7 +420,7 @@
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
 		c.recordEvent(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
-		c.log(1, "controller gone", "node", key[len(wire.PrefixNode):])
+		c.log(1, "controller is no longer present", "node", key[len(wire.PrefixNode):])
 	case strings.HasPrefix(key, wire.PrefixVersion):
 		c.rollout.Remember(key[len(wire.PrefixVersion):], wire.Version{})
 	case strings.HasPrefix(key, wire.PrefixType):
@@ -405,11 +429,11 @@
 		c.touchShard(-1)
 	case strings.HasPrefix(key, wire.PrefixJob):
 		id := key[len(wire.PrefixJob):]
-		if e := c.jobs[id]; e != nil {
+		if entry := c.jobs[id]; entry != nil {
 			delete(c.jobs, id)
 			delete(c.peerJobCounts, id)
-			c.updateSortedJobs(e, false)
-			c.jobGone(e)
+			c.updateSortedJobs(entry, false)
+			c.jobGone(entry)
 			c.lookOver(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
@@ -417,8 +441,8 @@
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
-		if i, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
-			delete(c.demands, i)
+		if shard, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
+			delete(c.demands, shard)
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		id := key[len(wire.PrefixBlock):]
@@ -428,28 +452,29 @@
 		c.followBoots(old, nil)
 		c.blockSeen(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
-		c.log(0, "a shard record was removed", "key", key)
+		c.log(0, "a shard record was deleted", "key", key)
 	}
 }
 
-// refresh reads one live key into the mirror.
+// rereadKey reads a live key from the state service into the mirror.
 func (c *Core) rereadKey(key string) {
 	if !strings.HasPrefix(key, wire.LivePrefix) {
 		return
 	}
-	c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) { c.applyRead(key, r); c.mirrorChanged() })
+	c.callState(StateCall{Op: OpGet, Key: key}, func(reply StateReply) { c.applyRead(key, reply); c.mirrorChanged() })
 }
 
-func (c *Core) applyRead(key string, r StateReply) {
-	switch r.Status {
+// applyRead applies the reply to a read of a key to the mirror.
+func (c *Core) applyRead(key string, reply StateReply) {
+	switch reply.Status {
 	case 200:
-		c.applyPut(key, r.Item.Value, r.Item.Version)
+		c.applyPut(key, reply.Item.Value, reply.Item.Version)
 	case 404:
-		c.applyDelete(key, r.List.Revision)
+		c.applyDelete(key, reply.List.Revision)
 	}
 }
 
-// changed lets the leader and the holder act on a changed mirror.
+// mirrorChanged runs the leader's and the holder's work after a change of the mirror.
 func (c *Core) mirrorChanged() {
 	if c.loaded {
 		c.lead()
@@ -457,41 +482,42 @@
 	}
 }
 
-// shardOf returns the shard that a team is homed in, or -1.
+// shardOfTeam returns the shard that serves a team, or -1 if there is none.
 func (c *Core) shardOfTeam(team string) int {
-	if i, ok := c.teamShards[team]; ok {
-		return i
+	if shard, ok := c.teamShards[team]; ok {
+		return shard
 	}
 	return -1
 }
 
-// mine tells whether this life of this controller holds a shard and has taken it up.
-func (c *Core) holdsShard(i int) bool {
-	return c.held[i]
+// holdsShard reports whether this incarnation of the controller holds a shard and has started to serve it.
+func (c *Core) holdsShard(shard int) bool {
+	return c.held[shard]
 }
 
-// token of a block: the write that last granted it, be it the shard's takeover
-// or the block's own record. Revisions are unique and rise.
-func (c *Core) fencingToken(b *blockEntry) uint64 {
-	t := b.version
-	if s := c.shards[b.record.Shard]; s != nil && s.version > t {
-		t = s.version
+// fencingToken returns the fencing token of a block: the revision of the write that last assigned it,
+// either the takeover of its shard or the write of its own record. Revisions are unique and increase.
+func (c *Core) fencingToken(block *blockEntry) uint64 {
+	token := block.version
+	if shard := c.shards[block.record.Shard]; shard != nil && shard.version > token {
+		token = shard.version
 	}
-	return t
+	return token
 }
 
-// shardCond holds as long as a shard has not changed hands, or otherwise.
-func (c *Core) shardUnchanged(i int) wire.Condition {
-	return wire.Condition{Key: shardKey(i), Version: c.shards[i].version}
+// shardUnchanged returns a condition that holds as long as the shard's record is not written again, by a
+// takeover or any other change.
+func (c *Core) shardUnchanged(shard int) wire.Condition {
+	return wire.Condition{Key: shardKey(shard), Version: c.shards[shard].version}
 }
 
-// newestBlock is the latest revision of a shard's blocks.
+// latestBlockRevision returns the latest revision of a shard's blocks.
 func (c *Core) latestBlockRevision(shard int) uint64 {
 	newest, known := c.blockRevisions[shard]
 	if !known {
-		for _, b := range c.blocks {
-			if b.record.Shard == shard {
-				newest = max(newest, b.version)
+		for _, block := range c.blocks {
+			if block.record.Shard == shard {
+				newest = max(newest, block.version)
 			}
 		}
 		c.blockRevisions[shard] = newest
