--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -12,37 +12,48 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// peers is what is known from the other controllers.
+// peerState is what this controller knows from the other controllers.
 type peerState struct {
-	pingNonce      uint64
-	confirmation   *membership.Vouching
-	peerJobCounts  map[string]JobCount
-	yieldedTo      map[int]string // shards a peer holds under a later token than we have heard of
-	relays         *relay.Book    // reports passed on, by us and to us
-	newestRevision uint64         // newest revision known, ahead of the watch or not
+	pingNonce      uint64               // number of the last ping
+	confirmation   *membership.Vouching // confirmation by peers that none of them acted against this controller
+	peerJobCounts  map[string]JobCount  // by job: progress as last sent by the job's holder
+	yieldedTo      map[int]string       // by shard: the peer that holds it under a token later than the mirror's
+	relays         *relay.Book          // reports relayed to and by other controllers
+	newestRevision uint64               // newest revision known, which may be ahead of the watch
 }
 
-func newPeerState(p Params) peerState {
+func newPeerState(params Params) peerState {
 	var others []string
-	for _, n := range sortedKeys(p.NodeZones) {
-		if n != p.Node {
-			others = append(others, n)
+	for _, node := range sortedKeys(params.NodeZones) {
+		if node != params.Node {
+			others = append(others, node)
 		}
 	}
-	return peerState{confirmation: membership.New(others, tuning.PeerPings, tuning.PeerNews), yieldedTo: map[int]string{}, peerJobCounts: map[string]JobCount{},
-		relays: relay.New(relay.Limits{Lease: p.WorkerLease, For: tuning.RelayFor, Reports: tuning.RelayReports, Wait: tuning.RelayWait})}
+	return peerState{
+		confirmation:  membership.New(others, tuning.PeerPings, tuning.PeerNews),
+		yieldedTo:     map[int]string{},
+		peerJobCounts: map[string]JobCount{},
+		relays: relay.New(relay.Limits{
+			Lease:   params.WorkerLease,
+			For:     tuning.RelayFor,
+			Reports: tuning.RelayReports,
+			Wait:    tuning.RelayWait,
+		}),
+	}
 }
 
-func (c *Core) noteRevision(rev uint64) { c.newestRevision = max(c.newestRevision, rev) }
+// noteRevision records a revision of the state service that was seen in a reply.
+func (c *Core) noteRevision(revision uint64) { c.newestRevision = max(c.newestRevision, revision) }
 
-// tell sends a message, with what every message says of its sender.
-func (c *Core) sendToPeer(to string, m PeerMessage) {
-	m.From, m.Boot, m.Revision, m.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
-	m.Way = c.stateRoutes.Offer(c.now, to)
-	c.effects = append(c.effects, PeerSend{To: to, Msg: m})
+// sendToPeer sends a message to a peer, after it has filled in the fields that describe the sender.
+func (c *Core) sendToPeer(to string, message PeerMessage) {
+	message.From, message.Boot, message.Revision, message.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
+	message.Way = c.stateRoutes.Offer(c.now, to)
+	c.effects = append(c.effects, PeerSend{To: to, Msg: message})
 }
 
-// tellPeers pings every other controller; holders add their jobs' progress.
+// pingPeers pings every other controller. A ping carries the shards that this controller holds, the progress
+// of their jobs, its reachability report and new addresses of workers.
 func (c *Core) pingPeers() {
 	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
 		return
@@ -51,198 +62,216 @@
 	c.confirmation.Pinged(c.now, c.pingNonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
-		if e := c.jobs[id]; e.run != nil && len(jobs) < tuning.PeerJobs {
-			running, done := e.run.taskCounts()
+		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.PeerJobs {
+			running, done := entry.run.taskCounts()
 			jobs = append(jobs, JobCount{ID: id, Running: running, Done: done})
 		}
 	}
 	var holds []HeldShard
-	for _, i := range sortedInts(c.held) {
-		holds = append(holds, HeldShard{Shard: i, Token: c.shards[i].version})
+	for _, shard := range sortedInts(c.held) {
+		holds = append(holds, HeldShard{Shard: shard, Token: c.shards[shard].version})
 	}
 	c.relays.Forget(c.now)
-	word, addrs := c.ownReach(), c.recentWorkerAddresses()
-	for _, n := range sortedKeys(c.params.NodeZones) {
-		if n != c.params.Node {
-			c.sendToPeer(n, PeerMessage{Nonce: c.pingNonce, Mirror: c.mirrorRevision, Jobs: jobs, Holds: holds, Word: &word, Addrs: addrs})
+	ownReach, addresses := c.ownReach(), c.recentWorkerAddresses()
+	for _, node := range sortedKeys(c.params.NodeZones) {
+		if node != c.params.Node {
+			c.sendToPeer(node, PeerMessage{
+				Nonce:  c.pingNonce,
+				Mirror: c.mirrorRevision,
+				Jobs:   jobs,
+				Holds:  holds,
+				Word:   &ownReach,
+				Addrs:  addresses,
+			})
 		}
 	}
 }
 
-// newAddrs are the workers that have come up since the last few pings.
-func (c *Core) recentWorkerAddresses() (out []WorkerAddr) {
+// recentWorkerAddresses lists the addresses of held workers that have come up recently. Each is repeated in
+// several pings.
+func (c *Core) recentWorkerAddresses() (recent []WorkerAddr) {
 	for _, name := range c.workerAddresses.News(c.now, tuning.AddrsFor, tuning.AddrsMost) {
 		if m := c.machines[name]; m != nil {
-			out = append(out, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
+			recent = append(recent, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
 	}
-	return out
+	return recent
 }
 
-// giveUpRelays answers reports that were passed on to a holder that keeps silent. A late
-// answer of the holder is dropped then, as one that the worker did not wait for.
+// expireRelays answers relayed reports that the holder has not answered in time. An answer of the holder
+// that arrives later is dropped, as the worker no longer waits for it.
 func (c *Core) expireRelays() {
-	for _, req := range c.relays.GiveUp(c.now) {
-		c.answer(req, 503, unavailable("holder does not answer"))
+	for _, request := range c.relays.GiveUp(c.now) {
+		c.answer(request, 503, unavailable("holder does not answer"))
 	}
 }
 
-func (c *Core) onPeer(m PeerMessage) {
-	if _, known := c.params.NodeZones[m.From]; !known || m.From == c.params.Node || m.UpMS < 0 {
-		c.log(1, "message from no controller of this deployment", "from", m.From)
+// onPeer handles a message from another controller.
+func (c *Core) onPeer(message PeerMessage) {
+	if _, known := c.params.NodeZones[message.From]; !known || message.From == c.params.Node || message.UpMS < 0 {
+		c.log(1, "message from an unknown controller", "from", message.From)
 		return
 	}
-	c.stateRoutes.Offered(c.now, m.From, m.Way)
+	c.stateRoutes.Offered(c.now, message.From, message.Way)
 	switch {
-	case m.Order != nil:
-		v := *m.Order
-		v.For = m.From
-		c.effects = append(c.effects, v)
+	case message.Order != nil:
+		order := *message.Order
+		order.For = message.From
+		c.effects = append(c.effects, order)
 		return
-	case m.Ordered != nil:
-		c.onOrderDone(*m.Ordered)
+	case message.Ordered != nil:
+		c.onOrderDone(*message.Ordered)
 		return
-	case m.Call != nil:
-		c.onPeerCall(m.From, m.Call)
+	case message.Call != nil:
+		c.onPeerCall(message.From, message.Call)
 		return
-	case m.Result != nil:
-		c.onPeerResult(m.From, m.Result)
+	case message.Result != nil:
+		c.onPeerResult(message.From, message.Result)
 		return
-	case m.Wants != nil:
-		for _, t := range m.Wants {
-			c.lacks.Hear(c.now, t)
+	case message.Wants != nil:
+		for _, announcement := range message.Wants {
+			c.lacks.Hear(c.now, announcement)
 		}
 		if c.loaded && c.leading() {
 			c.lead()
 		}
 		return
-	case m.Relay != nil:
+	case message.Relay != nil:
 		c.lastID++
-		req := 1<<63 | c.lastID
-		c.relays.Take(req, relay.Taken{From: m.From, ID: m.Relay.ID})
-		c.onReport(WorkerReport{Req: req, Report: m.Relay.Report})
+		request := 1<<63 | c.lastID
+		c.relays.Take(request, relay.Taken{From: message.From, ID: message.Relay.ID})
+		c.onReport(WorkerReport{Req: request, Report: message.Relay.Report})
 		return
-	case m.Answer != nil:
-		if req, ok := c.relays.Answered(m.Answer.ID); ok {
-			if m.Answer.Status == 200 {
-				c.answer(req, 200, wire.ReportReply{Token: m.Answer.Token, Commands: m.Answer.Commands})
+	case message.Answer != nil:
+		if request, ok := c.relays.Answered(message.Answer.ID); ok {
+			if message.Answer.Status == 200 {
+				c.answer(request, 200, wire.ReportReply{Token: message.Answer.Token, Commands: message.Answer.Commands})
 			} else {
-				c.answer(req, 503, unavailable("holder does not take it"))
+				c.answer(request, 503, unavailable("holder does not take it"))
 			}
 		}
 		return
 	}
-	if m.Nonce == 0 {
-		return // of a kind that this version does not know: pings are numbered
+	if message.Nonce == 0 {
+		return // a message of a kind that this version does not know: pings have a number
 	}
-	c.yieldShards(m)
-	for _, a := range m.Addrs {
-		c.workerAddresses.Learn(a.Machine, a.Addr, a.Session)
+	c.yieldShards(message)
+	for _, address := range message.Addrs {
+		c.workerAddresses.Learn(address.Machine, address.Addr, address.Session)
 	}
-	if m.Word != nil {
-		c.assignments.Spoke(c.now, m.From, *m.Word)
+	if message.Word != nil {
+		c.assignments.Spoke(c.now, message.From, *message.Word)
 	}
-	if !m.Reply {
-		for _, j := range m.Jobs {
-			if e := c.jobs[j.ID]; e != nil && e.run == nil {
-				c.peerJobCounts[j.ID] = j
+	if !message.Reply {
+		for _, counts := range message.Jobs {
+			if entry := c.jobs[counts.ID]; entry != nil && entry.run == nil {
+				c.peerJobCounts[counts.ID] = counts
 			}
 		}
-		s := c.confirmation.Answer(m.From, m.Mirror)
-		c.sendToPeer(m.From, PeerMessage{Nonce: m.Nonce, Reply: true, Statement: &s})
+		statement := c.confirmation.Answer(message.From, message.Mirror)
+		c.sendToPeer(message.From, PeerMessage{Nonce: message.Nonce, Reply: true, Statement: &statement})
 		return
 	}
-	if _, ok := c.confirmation.Sent(m.Nonce); !ok {
-		return // not ours, or too old to mean anything
+	if _, ok := c.confirmation.Sent(message.Nonce); !ok {
+		return // not an answer to a ping of this controller, or to one too old to count
+	}
+	c.assignments.Answered(c.now, message.From)
+	uptime := time.Duration(float64(message.UpMS)*(1-tuning.Drift)) * time.Millisecond
+	peer := membership.Peer{
+		Name:      message.From,
+		Since:     c.now - uptime,
+		Revision:  message.Revision,
+		Statement: message.Statement,
 	}
-	c.assignments.Answered(c.now, m.From)
-	up := time.Duration(float64(m.UpMS)*(1-tuning.Drift)) * time.Millisecond
-	p := membership.Peer{Name: m.From, Since: c.now - up, Revision: m.Revision, Statement: m.Statement}
-	if m.Statement != nil {
-		p.Against = c.applyPeerUpdates(m.Statement.News)
+	if message.Statement != nil {
+		peer.Against = c.applyPeerUpdates(message.Statement.News)
 	}
-	c.confirmation.Heard(m.Nonce, p, c.mirrorRevision, c.lastConfirmed())
+	c.confirmation.Heard(message.Nonce, peer, c.mirrorRevision, c.lastConfirmed())
 }
 
-// takeNews takes what a peer says that it knows and our mirror may lack, and tells whether
-// something that we hold was granted anew.
-func (c *Core) applyPeerUpdates(news []membership.Entry) (against bool) {
-	for _, e := range news {
-		switch id, isBlock := strings.CutPrefix(e.Key, wire.PrefixBlock); {
-		case strings.HasPrefix(e.Key, wire.PrefixJob):
-			// Final states are never taken back, so this is news of the job like any, and its
-			// tasks end. The watch may tell of it only after an outage.
-			if j := c.jobs[strings.TrimPrefix(e.Key, wire.PrefixJob)]; j != nil && j.run != nil {
-				c.log(1, "job over, by a peer's word", "job", j.record.ID, "revision", e.Revision, "mirror", c.mirrorRevision)
+// applyPeerUpdates applies what a peer knows and the mirror may not contain yet: assignments of shards and
+// blocks, and jobs that are over. It reports whether a shard or block that this controller holds has been
+// assigned again; then the peer's answer does not confirm this controller's authority to act.
+func (c *Core) applyPeerUpdates(updates []membership.Entry) (against bool) {
+	for _, update := range updates {
+		switch id, isBlock := strings.CutPrefix(update.Key, wire.PrefixBlock); {
+		case strings.HasPrefix(update.Key, wire.PrefixJob):
+			// Final states never change, so the deletion of the live key can be applied at once, and the
+			// job's tasks end. The watch may return it only after an outage.
+			if entry := c.jobs[strings.TrimPrefix(update.Key, wire.PrefixJob)]; entry != nil && entry.run != nil {
+				c.log(1, "job is over according to a peer", "job", entry.record.ID, "revision", update.Revision, "mirror", c.mirrorRevision)
 			}
-			c.applyDelete(e.Key, e.Revision)
-		case e.Revision <= c.mirrorRevision:
+			c.applyDelete(update.Key, update.Revision)
+		case update.Revision <= c.mirrorRevision:
 		case isBlock:
-			if b := c.blocks[id]; b != nil && b.version < e.Revision {
-				against = against || c.held[b.record.Shard] || c.pending[b.record.Shard]
+			if block := c.blocks[id]; block != nil && block.version < update.Revision {
+				against = against || c.held[block.record.Shard] || c.pending[block.record.Shard]
 			}
 		default:
-			i, err := strconv.Atoi(strings.TrimPrefix(e.Key, wire.PrefixShard))
-			s := c.shards[i]
-			against = against || err != nil || s != nil && s.version < e.Revision && (c.held[i] || c.pending[i])
+			shard, err := strconv.Atoi(strings.TrimPrefix(update.Key, wire.PrefixShard))
+			entry := c.shards[shard]
+			against = against || err != nil || entry != nil && entry.version < update.Revision && (c.held[shard] || c.pending[shard])
 		}
 	}
 	return against
 }
 
-// yieldTo stops acting for shards that a peer holds under a later token.
-func (c *Core) yieldShards(m PeerMessage) {
-	for _, h := range m.Holds {
-		// A peer that holds our shard under a later token has read the grant
-		// in the state; we cannot, or have not yet. To go on answering would keep
-		// the workers from it for as long as we may go unconfirmed.
-		if s := c.shards[h.Shard]; s != nil && c.held[h.Shard] && h.Token > s.version {
-			c.yieldedTo[h.Shard] = m.From
-			c.recordShardEvent(trail.ShardYielded, h.Shard, wire.TrailEvent{Node: m.From, Token: h.Token})
-			c.log(1, "shard yielded to a later token", "shard", h.Shard, "to", m.From, "token", h.Token)
-			c.leaveShard(h.Shard)
+// yieldShards stops serving shards that a peer holds under a later fencing token.
+func (c *Core) yieldShards(message PeerMessage) {
+	for _, held := range message.Holds {
+		// A peer that holds a shard of this controller under a later token has read the assignment in the
+		// state service, and this controller cannot or has not yet. If it went on answering the workers,
+		// they would not switch to the peer for as long as this controller may act unconfirmed.
+		if entry := c.shards[held.Shard]; entry != nil && c.held[held.Shard] && held.Token > entry.version {
+			c.yieldedTo[held.Shard] = message.From
+			c.recordShardEvent(trail.ShardYielded, held.Shard, wire.TrailEvent{Node: message.From, Token: held.Token})
+			c.log(1, "shard yielded to a later token", "shard", held.Shard, "to", message.From, "token", held.Token)
+			c.leaveShard(held.Shard)
 		}
 	}
 }
 
-// relay passes a report on to its holder, for a worker that may be cut off from it.
-func (c *Core) relayReport(req uint64, r *wire.Report, holder string, granted uint64) bool {
-	if !c.peerResponsive(holder) || !c.relays.Passes(c.now, r.Machine, r.Token < granted, c.reachOf(holder).Lacks) {
+// relayReport passes a report on to the holder of its machine, on behalf of a worker that may be unable to
+// reach it. It returns false if the report was not relayed. token is the machine's fencing token: a worker
+// that reports an earlier one has not been in contact with the holder yet.
+func (c *Core) relayReport(request uint64, report *wire.Report, holder string, token uint64) bool {
+	if !c.peerResponsive(holder) || !c.relays.Passes(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
 		return false
 	}
 	c.lastID++
-	c.relays.Pass(c.now, c.lastID, req)
-	c.sendToPeer(holder, PeerMessage{Relay: &RelayReport{ID: c.lastID, Report: *r}})
+	c.relays.Pass(c.now, c.lastID, request)
+	c.sendToPeer(holder, PeerMessage{Relay: &RelayReport{ID: c.lastID, Report: *report}})
 	return true
 }
 
-// lastConfirmed is when the state service last confirmed our entitlement.
+// lastConfirmed returns when the state service last confirmed this controller's authority to act.
 func (c *Core) lastConfirmed() Time { return c.presence.LastConfirmed() }
 
-// confirmedAt is until when we are sure that nobody has acted against us: the
-// state service said so, or every peer has vouched for it. An outage that all
-// share costs no entitlement; one that only we see does.
+// lastAuthorized returns the latest time until which nobody can have taken anything over from this
+// controller: either the state service confirmed it, or every peer did. So an outage of the state service
+// for all controllers leaves them their authority to act; one that affects only this controller does not.
 func (c *Core) lastAuthorized() Time { return max(c.lastConfirmed(), c.confirmation.Until()) }
 
-// unconfirmedMax is how long workers may be answered without confirmation from
-// the state service: an abort missed meanwhile still ends within cancel_s,
-// since the workers' leases run out in the rest. It had a floor of half a lease:
-// with the two times close, tasks outlived cancel_s by that.
+// maxUnconfirmed returns how long workers may be answered without a confirmation. If an abort is missed
+// during that time, its tasks still end within cancel_s, since the workers' leases expire in the rest of
+// it. There must be no lower bound: with one of half a lease, tasks outlived cancel_s by that time when
+// the lease and cancel_s were close to each other.
 func (c *Core) maxUnconfirmed() time.Duration {
 	return membership.Unconfirmed(c.params.WorkerLease, c.params.CancelTimeout)
 }
 
-// leaseOver is how long after a 200 left the worker's lease is surely over.
+// leaseBound returns the time after an answer with status 200 has left, after which the worker's lease has
+// certainly expired.
 func (c *Core) leaseBound() time.Duration {
 	return membership.LeaseOver(c.params.WorkerLease)
 }
 
-// confirmed tells whether the entitlement was confirmed recently enough.
+// authorized reports whether this controller's authority to act was confirmed recently enough.
 func (c *Core) authorized() bool {
 	return c.loaded && c.now-c.lastAuthorized() < c.maxUnconfirmed()
 }
 
-// count gives a job's running and done tasks.
+// taskCounts returns the number of a job's running and of its done tasks.
 func (r *jobRun) taskCounts() (running, done int) {
 	for _, a := range r.active {
 		if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -12,28 +12,29 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// users holds what is needed to answer users.
+// userState is the state that is needed to answer users.
 type userState struct {
-	finalStates       map[string]wire.Final
-	finalOrder        []string // oldest first
-	pendingReads      map[string][]uint64
-	pendingPolls      []Poll // wait for the next look at the changes
-	pollReadsInFlight int    // looks under way
+	finalStates       map[string]wire.Final // cache of final states by job
+	finalOrder        []string              // jobs in finalStates, oldest entry first
+	pendingReads      map[string][]uint64   // by job with a read in flight: requests that need another read after it
+	pendingPolls      []Poll                // polls that wait for the next read of the changes
+	pollReadsInFlight int                   // reads of the changes in flight
 }
 
 func newUserState() userState {
 	return userState{finalStates: map[string]wire.Final{}, pendingReads: map[string][]uint64{}}
 }
 
-// keepFinal remembers a state that can never change again, and the revision at which it was
-// written. No user is told that a job is over before: what peers are told rests on it.
-func (c *Core) cacheFinal(id string, f wire.Final, rev uint64) {
+// cacheFinal remembers a job's final state, which never changes again, and the revision at which it was
+// written. It has to be called before any user is answered that the job is over, because the
+// statements to peers rely on it.
+func (c *Core) cacheFinal(id string, final wire.Final, revision uint64) {
 	if _, ok := c.finalStates[id]; ok {
 		return
 	}
-	c.confirmation.Over(jobKey(id), rev)
-	c.finalStates[id] = f
-	c.chain.End(id, f.Status == wire.JobDone, f.By)
+	c.confirmation.Over(jobKey(id), revision)
+	c.finalStates[id] = final
+	c.chain.End(id, final.Status == wire.JobDone, final.By)
 	c.finalOrder = append(c.finalOrder, id)
 	if len(c.finalOrder) > tuning.FinalCache {
 		delete(c.finalStates, c.finalOrder[0])
@@ -41,164 +42,172 @@
 	}
 }
 
-func unavailable(why string) wire.Problem { return wire.Problem{Error: why} }
+// unavailable returns the body of an answer with status 503.
+func unavailable(reason string) wire.Problem { return wire.Problem{Error: reason} }
 
-// found is what a look at the state has shown of a job: its live record, or its final state, or
-// neither; ok false: the state service could not tell.
+// jobLookup is the result of looking up a job in the state service: its record, its final state, or
+// neither if the job was never accepted.
 type jobLookup struct {
-	job     *wire.Job
-	key     string // where the live record stands, and its version
-	version uint64
-	final   *wire.Final
-	ok      bool
+	job     *wire.Job   // the record of an unfinished job
+	key     string      // the key of that record
+	version uint64      // the version of that record
+	final   *wire.Final // the state of a finished job
+	ok      bool        // false if the state service could not be read
 }
 
-// look finds a job freshly. Jobs move from the key of those that wait for others to the live one
-// and on to the final one, and never back, so the keys are read in this order. One that is
-// cancelled with a job before it is over, whatever stands of it.
-func (c *Core) lookUpJob(id string, f func(jobLookup)) {
-	if fin, ok := c.finalStates[id]; ok {
-		f(jobLookup{final: &fin, ok: true})
+// lookUpJob reads a job from the state service. Jobs move from the key of jobs that wait for others to
+// the live key and on to the final key, and never back, so the keys are read in this order. A job that
+// is cancelled with one of its predecessors counts as finished, whichever record of it is stored.
+func (c *Core) lookUpJob(id string, done func(jobLookup)) {
+	if final, ok := c.finalStates[id]; ok {
+		done(jobLookup{final: &final, ok: true})
 		return
 	}
 	keys := []string{jobKey(id), finalKey(id)}
 	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingAt) > 0) {
 		keys = append([]string{waitingKey(id)}, keys...)
 	}
-	c.lookUpKeys(id, keys, f)
+	c.lookUpKeys(id, keys, done)
 }
 
-func (c *Core) lookUpKeys(id string, keys []string, f func(jobLookup)) {
-	c.callState(StateCall{Op: OpGet, Key: keys[0]}, func(r StateReply) {
-		c.applyRead(keys[0], r)
+// lookUpKeys reads the keys one after the other until one is present. The last key is the final key.
+func (c *Core) lookUpKeys(id string, keys []string, done func(jobLookup)) {
+	c.callState(StateCall{Op: OpGet, Key: keys[0]}, func(reply StateReply) {
+		c.applyRead(keys[0], reply)
 		switch {
-		case r.Status == 404 && len(keys) > 1:
-			c.lookUpKeys(id, keys[1:], f)
-		case r.Status == 404:
-			f(jobLookup{ok: true})
-		case r.Status != 200:
-			f(jobLookup{})
+		case reply.Status == 404 && len(keys) > 1:
+			c.lookUpKeys(id, keys[1:], done)
+		case reply.Status == 404:
+			done(jobLookup{ok: true})
+		case reply.Status != 200:
+			done(jobLookup{})
 		case len(keys) == 1:
-			var fin wire.Final
-			if err := wire.Unmarshal(r.Item.Value, &fin); err != nil {
-				f(jobLookup{})
+			var final wire.Final
+			if err := wire.Unmarshal(reply.Item.Value, &final); err != nil {
+				done(jobLookup{})
 				return
 			}
-			c.cacheFinal(id, fin, r.Item.Version)
-			f(jobLookup{final: &fin, ok: true})
+			c.cacheFinal(id, final, reply.Item.Version)
+			done(jobLookup{final: &final, ok: true})
 		default:
-			j := &wire.Job{}
-			if err := wire.Unmarshal(r.Item.Value, j); err != nil {
-				f(jobLookup{})
+			job := &wire.Job{}
+			if err := wire.Unmarshal(reply.Item.Value, job); err != nil {
+				done(jobLookup{})
 				return
 			}
-			at := jobLookup{job: j, key: keys[0], version: r.Item.Version, ok: true}
+			result := jobLookup{job: job, key: keys[0], version: reply.Item.Version, ok: true}
 			if keys[0] != waitingKey(id) {
-				f(at)
+				done(result)
 				return
 			}
-			c.refreshed(func(ok bool) { c.judgeWaiting(id, at, ok, f) })
+			c.refreshed(func(ok bool) { c.judgeWaiting(id, result, ok, done) })
 		}
 	})
 }
 
-func (c *Core) jobStatus(j *wire.Job) wire.JobStatus {
-	done, running := ranges.Count(j.Done), 0
-	if e := c.jobs[j.ID]; e != nil && e.run != nil {
-		running, done = e.run.taskCounts()
-	} else if n, ok := c.peerJobCounts[j.ID]; ok {
-		running, done = n.Running, max(done, n.Done) // as its holder last told
+// jobStatus returns the status of an unfinished job.
+func (c *Core) jobStatus(job *wire.Job) wire.JobStatus {
+	done, running := ranges.Count(job.Done), 0
+	if entry := c.jobs[job.ID]; entry != nil && entry.run != nil {
+		running, done = entry.run.taskCounts()
+	} else if counts, ok := c.peerJobCounts[job.ID]; ok {
+		running, done = counts.Running, max(done, counts.Done) // as last sent by its holder
 	}
-	done = max(0, min(done, j.Tasks-1)) // done as a whole is said only once it is written
-	s := wire.JobStatus{ID: j.ID, Status: wire.JobQueued, Done: &done, Running: &running}
+	done = max(0, min(done, job.Tasks-1)) // all tasks count as done only once the final state is written
+	status := wire.JobStatus{ID: job.ID, Status: wire.JobQueued, Done: &done, Running: &running}
 	if running > 0 {
-		s.Status = wire.JobRunning
+		status.Status = wire.JobRunning
 	}
-	return s
+	return status
 }
 
-func finalStatus(id string, f wire.Final) wire.JobStatus {
+// finalStatus returns the status of a finished job.
+func finalStatus(id string, final wire.Final) wire.JobStatus {
 	zero := 0
-	return wire.JobStatus{ID: id, Status: f.Status, Done: &f.Done, Running: &zero}
+	return wire.JobStatus{ID: id, Status: final.Status, Done: &final.Done, Running: &zero}
 }
 
-func (c *Core) onPoll(v Poll) {
-	if !wire.ValidJobID(v.ID) {
-		c.answer(v.Req, 404, wire.Problem{Error: "no such job"})
+// onPoll answers a user's request for the status of a job.
+func (c *Core) onPoll(poll Poll) {
+	if !wire.ValidJobID(poll.ID) {
+		c.answer(poll.Req, 404, wire.Problem{Error: "no such job"})
 		return
 	}
-	if f, ok := c.finalStates[v.ID]; ok {
-		c.answer(v.Req, 200, finalStatus(v.ID, f))
+	if final, ok := c.finalStates[poll.ID]; ok {
+		c.answer(poll.Req, 200, finalStatus(poll.ID, final))
 		return
 	}
 	if c.stateUnreachable() {
-		c.answer(v.Req, 503, unavailable("state service not reached"))
+		c.answer(poll.Req, 503, unavailable("state service not reached"))
 		return
 	}
 	if !c.loaded || c.loading {
-		c.readJobForPoll(v)
+		c.readJobForPoll(poll)
 		return
 	}
-	c.pendingPolls = append(c.pendingPolls, v)
+	c.pendingPolls = append(c.pendingPolls, poll)
 	c.answerPolls()
 }
 
-// readFor answers a poll by a read of its own. One read serves all polls for the job
-// that came before it was sent.
-func (c *Core) readJobForPoll(v Poll) {
-	if reqs, busy := c.pendingReads[v.ID]; busy {
-		c.pendingReads[v.ID] = append(reqs, v.Req)
+// readJobForPoll answers a poll by a read of the job. One read answers all polls for the job that
+// arrived before it was sent.
+func (c *Core) readJobForPoll(poll Poll) {
+	if requests, reading := c.pendingReads[poll.ID]; reading {
+		c.pendingReads[poll.ID] = append(requests, poll.Req)
 		return
 	}
-	c.pendingReads[v.ID] = nil
-	c.readJobForPolls(v.ID, []uint64{v.Req})
+	c.pendingReads[poll.ID] = nil
+	c.readJobForPolls(poll.ID, []uint64{poll.Req})
 }
 
-// askAll answers all polls that wait with one call: it asks for the changes that the
-// mirror lacks at this moment, however many jobs are asked for. Once they are applied the
-// mirror holds all that was written before the call was sent, so nothing older is
-// answered than anybody has been told. A read for each poll was most of what a large
-// fleet asked of the state service, and took its limit from the renewals of grants.
+// answerPolls answers all pending polls with one call, whatever the number of jobs: it reads the changes
+// that the mirror does not contain yet. Once they are applied, the mirror contains all that was written
+// before the call was sent, so no answer is older than one that any user has received before. With a
+// read for each poll, polls were most of the calls of a large fleet to the state service, and used up
+// the call limit that renewals of state leases need.
 func (c *Core) answerPolls() {
 	if len(c.pendingPolls) == 0 || c.pollReadsInFlight > 0 && c.now < c.notBefore["ask again"] || !c.dueEvery("ask", tuning.AskEvery) {
 		return
 	}
 	batch := c.pendingPolls
 	c.pendingPolls, c.pollReadsInFlight, c.notBefore["ask again"] = nil, c.pollReadsInFlight+1, c.now+tuning.AskAgain
-	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(r StateReply) {
+	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(reply StateReply) {
 		c.pollReadsInFlight--
-		if r.Status == 200 {
-			c.applyEvents(&r.Events)
+		if reply.Status == 200 {
+			c.applyEvents(&reply.Events)
 		}
-		for _, v := range batch {
-			f, known := c.finalStates[v.ID]
-			e := c.jobs[v.ID]
+		for _, poll := range batch {
+			final, known := c.finalStates[poll.ID]
+			entry := c.jobs[poll.ID]
 			switch {
 			case known:
-				c.answer(v.Req, 200, finalStatus(v.ID, f))
-			case r.Status == 200 && e == nil && !c.loading && c.waitsForOthers(v.ID):
-				c.judgeWaiting(v.ID, jobLookup{job: &wire.Job{ID: v.ID, Tasks: 1}, ok: true}, true, func(at jobLookup) { c.answerLookup(v.Req, v.ID, at) })
-			case r.Status == 410 || r.Status == 200 && (e == nil || c.loading):
-				c.readJobForPoll(v) // ended, never accepted, or the mirror is being read anew
-			case r.Status == 200:
-				c.answer(v.Req, 200, c.jobStatus(&e.record))
+				c.answer(poll.Req, 200, finalStatus(poll.ID, final))
+			case reply.Status == 200 && entry == nil && !c.loading && c.waitsForOthers(poll.ID):
+				c.judgeWaiting(poll.ID, jobLookup{job: &wire.Job{ID: poll.ID, Tasks: 1}, ok: true}, true, func(result jobLookup) {
+					c.answerLookup(poll.Req, poll.ID, result)
+				})
+			case reply.Status == 410 || reply.Status == 200 && (entry == nil || c.loading):
+				c.readJobForPoll(poll) // finished, never accepted, or the mirror is being reloaded
+			case reply.Status == 200:
+				c.answer(poll.Req, 200, c.jobStatus(&entry.record))
 			default:
-				c.answer(v.Req, 503, unavailable("state not readable"))
+				c.answer(poll.Req, 503, unavailable("state not readable"))
 			}
 		}
-		if r.Status == 200 {
+		if reply.Status == 200 {
 			c.mirrorChanged()
 		}
 		c.answerPolls()
 	})
 }
 
-func (c *Core) readJobForPolls(id string, reqs []uint64) {
-	c.lookUpJob(id, func(at jobLookup) {
-		for _, q := range reqs {
-			c.answerLookup(q, id, at)
+// readJobForPolls looks up a job and answers the requests with the result.
+func (c *Core) readJobForPolls(id string, requests []uint64) {
+	c.lookUpJob(id, func(result jobLookup) {
+		for _, request := range requests {
+			c.answerLookup(request, id, result)
 		}
-		// Those that came while the read was under way need a fresh one.
+		// Requests that arrived while the read was in flight need a new one.
 		if next := c.pendingReads[id]; len(next) > 0 {
 			c.pendingReads[id] = nil
 			c.readJobForPolls(id, next)
@@ -208,170 +217,176 @@
 	})
 }
 
-// answerFound answers a question about a job by what a look has shown.
-func (c *Core) answerLookup(req uint64, id string, at jobLookup) {
+// answerLookup answers a request for a job's status with the result of a lookup.
+func (c *Core) answerLookup(request uint64, id string, result jobLookup) {
 	switch {
-	case !at.ok:
-		c.answer(req, 503, unavailable("state not readable"))
-	case at.final != nil:
-		c.answer(req, 200, finalStatus(id, *at.final))
-	case at.job != nil:
-		c.answer(req, 200, c.jobStatus(at.job))
+	case !result.ok:
+		c.answer(request, 503, unavailable("state not readable"))
+	case result.final != nil:
+		c.answer(request, 200, finalStatus(id, *result.final))
+	case result.job != nil:
+		c.answer(request, 200, c.jobStatus(result.job))
 	default:
-		c.answer(req, 404, wire.Problem{Error: "no such job"})
+		c.answer(request, 404, wire.Problem{Error: "no such job"})
 	}
 }
 
-func (c *Core) onReady(v Ready) {
+// onReady answers whether this controller is ready to serve users.
+func (c *Core) onReady(ready Ready) {
 	if c.loaded && len(c.machineTypes) > 0 && c.authorized() && !c.stateUnreachable() {
-		c.answer(v.Req, 200, map[string]string{"status": "ready"})
+		c.answer(ready.Req, 200, map[string]string{"status": "ready"})
 		return
 	}
-	c.answer(v.Req, 503, unavailable("not ready"))
+	c.answer(ready.Req, 503, unavailable("not ready"))
 }
 
-func (c *Core) onSubmit(v Submit) {
-	if v.Spec.ID == nil || !wire.ValidJobID(*v.Spec.ID) {
-		c.answer(v.Req, 400, wire.Problem{Error: "name_id: must look like job-000412"})
+// onSubmit answers a user's submission of a job. A job that is already known is answered with its status,
+// whatever the rest of the submission says.
+func (c *Core) onSubmit(submit Submit) {
+	if submit.Spec.ID == nil || !wire.ValidJobID(*submit.Spec.ID) {
+		c.answer(submit.Req, 400, wire.Problem{Error: "name_id: must look like job-000412"})
 		return
 	}
-	id := *v.Spec.ID
-	if f, ok := c.finalStates[id]; ok {
-		c.answer(v.Req, 200, finalStatus(id, f))
+	id := *submit.Spec.ID
+	if final, ok := c.finalStates[id]; ok {
+		c.answer(submit.Req, 200, finalStatus(id, final))
 		return
 	}
 	if c.stateUnreachable() {
-		c.answer(v.Req, 503, unavailable("state service not reached"))
+		c.answer(submit.Req, 503, unavailable("state service not reached"))
 		return
 	}
-	known := func(otherwise func()) {
-		c.lookUpJob(id, func(at jobLookup) {
-			if at.ok && at.job == nil && at.final == nil {
-				otherwise()
+	unlessKnown := func(ifUnknown func()) {
+		c.lookUpJob(id, func(result jobLookup) {
+			if result.ok && result.job == nil && result.final == nil {
+				ifUnknown()
 				return
 			}
-			c.answerLookup(v.Req, id, at)
+			c.answerLookup(submit.Req, id, result)
 		})
 	}
-	job, err := v.Spec.Validate()
+	job, err := submit.Spec.Validate()
 	if err != nil {
-		// A known id is answered before its repeated body is judged.
-		known(func() { c.answer(v.Req, 400, wire.Problem{Error: err.Error()}) })
+		// For a known ID, the status takes precedence over errors in the repeated body.
+		unlessKnown(func() { c.answer(submit.Req, 400, wire.Problem{Error: err.Error()}) })
 		return
 	}
-	if !c.loaded || len(c.machineTypes) == 0 { // of some types alone, too, nothing follows
-		known(func() { c.answer(v.Req, 503, unavailable("machine types not known yet")) })
+	if !c.loaded || len(c.machineTypes) == 0 { // an incomplete set of machine types would prove nothing either
+		unlessKnown(func() { c.answer(submit.Req, 503, unavailable("machine types not known yet")) })
 		return
 	}
-	if why := c.impossibleReason(&job); why != "" {
-		known(func() { c.answer(v.Req, 422, wire.Problem{Error: why}) })
+	if reason := c.impossibleReason(&job); reason != "" {
+		unlessKnown(func() { c.answer(submit.Req, 422, wire.Problem{Error: reason}) })
 		return
 	}
 	if c.now-c.presence.LastRenewed() > 2*tuning.GrantTTL {
-		c.answer(v.Req, 503, unavailable("state service not reached"))
+		c.answer(submit.Req, 503, unavailable("state service not reached"))
 		return
 	}
 	job.AcceptedMS, job.Number = c.wall.UnixMilli(), c.newestRevision
-	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes-min(1024, c.params.MaxValueBytes/2)) { // room for its progress
-		known(func() { c.answer(v.Req, 422, wire.Problem{Error: "job description too large to keep"}) })
+	if encoded, err := wire.Marshal(job); err != nil || !wire.FitsIn(encoded, c.params.MaxValueBytes-min(1024, c.params.MaxValueBytes/2)) { // leaves space for the job's progress in the record
+		unlessKnown(func() { c.answer(submit.Req, 422, wire.Problem{Error: "job description too large to keep"}) })
 		return
 	}
 	if len(job.Predecessors) > 0 {
-		c.acceptDependent(v.Req, job, known)
+		c.acceptDependent(submit.Req, job, unlessKnown)
 		return
 	}
-	c.acceptJob(v.Req, &job, wire.Change{Put: jobKey(id), Value: job}, wire.JobStatus{ID: id, Status: wire.JobQueued}, known)
+	c.acceptJob(submit.Req, &job, wire.Change{Put: jobKey(id), Value: job}, wire.JobStatus{ID: id, Status: wire.JobQueued}, unlessKnown)
 }
 
-// accept writes a job that nobody knows yet, and answers its user.
-func (c *Core) acceptJob(req uint64, job *wire.Job, change wire.Change, status wire.JobStatus, known func(otherwise func())) {
-	when := []wire.Condition{{Key: jobKey(job.ID)}, {Key: finalKey(job.ID)}, {Key: waitingKey(job.ID)}}
-	c.commit(LaneUser, when, []wire.Change{change}, func(r StateReply) {
-		switch r.Status {
+// acceptJob writes a job on the condition that it is not stored under any key yet, and answers its user.
+// unlessKnown answers with the status of a known job, and calls its argument otherwise.
+func (c *Core) acceptJob(request uint64, job *wire.Job, change wire.Change, status wire.JobStatus, unlessKnown func(ifUnknown func())) {
+	conditions := []wire.Condition{{Key: jobKey(job.ID)}, {Key: finalKey(job.ID)}, {Key: waitingKey(job.ID)}}
+	c.commit(LaneUser, conditions, []wire.Change{change}, func(reply StateReply) {
+		switch reply.Status {
 		case 200:
 			c.log(1, "job accepted", "job", job.ID, "team", job.Team, "class", job.Class, "tasks", job.Tasks)
-			c.answer(req, 201, status)
+			c.answer(request, 201, status)
 			c.mirrorChanged()
 		case 409, 0:
-			// Known already, or no answer: what is stored decides.
-			known(func() { c.answer(req, 503, unavailable("not accepted, try again")) })
+			// The job is known already or the write got no answer: the stored record decides.
+			unlessKnown(func() { c.answer(request, 503, unavailable("not accepted, try again")) })
 		case 400:
-			known(func() { c.answer(req, 422, wire.NotTaken(r.Err)) })
+			unlessKnown(func() { c.answer(request, 422, wire.NotTaken(reply.Err)) })
 		default:
-			c.answer(req, 503, unavailable("state service not reached"))
+			c.answer(request, 503, unavailable("state service not reached"))
 		}
 	})
 }
 
-// never tells why a job can never run, or "".
-func (c *Core) impossibleReason(j *wire.Job) string {
-	t, ok := c.params.Teams[j.Team]
+// impossibleReason returns why a job can never run, or "".
+func (c *Core) impossibleReason(job *wire.Job) string {
+	team, ok := c.params.Teams[job.Team]
 	if !ok {
-		return fmt.Sprintf("owner: team %q is not known", j.Team)
+		return fmt.Sprintf("owner: team %q is not known", job.Team)
 	}
-	n := 1.0
-	if j.Shape != wire.ShapeBatch {
-		n = float64(j.Tasks)
+	tasks := 1.0
+	if job.Shape != wire.ShapeBatch {
+		tasks = float64(job.Tasks)
 	}
-	if t.exceeds(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
-		return fmt.Sprintf("the job needs more than team %q may use", j.Team)
+	if team.exceeds(placement.Size{CPUs: job.CPUs * tasks, GPUs: job.GPUs * tasks}) {
+		return fmt.Sprintf("the job needs more than team %q may use", job.Team)
 	}
 	for _, name := range sortedKeys(c.machineTypes) {
-		mt := c.machineTypes[name]
-		full, _ := c.machineSize(name)
-		if supply.AllowsType(j.Types, name) && placement.Fits(full, jobSize(j)) && (j.Zone == "" || slices.Contains(mt.Zones, j.Zone)) {
+		machineType := c.machineTypes[name]
+		capacity, _ := c.machineSize(name)
+		if supply.AllowsType(job.Types, name) && placement.Fits(capacity, jobSize(job)) && (job.Zone == "" || slices.Contains(machineType.Zones, job.Zone)) {
 			return ""
 		}
 	}
 	return "no allowed machine type can hold a task"
 }
 
-func (c *Core) onAbort(v Abort) {
-	if !wire.ValidJobID(v.ID) {
-		c.answer(v.Req, 404, wire.Problem{Error: "no such job"})
+// onAbort answers a user's request to abort a job.
+func (c *Core) onAbort(abort Abort) {
+	if !wire.ValidJobID(abort.ID) {
+		c.answer(abort.Req, 404, wire.Problem{Error: "no such job"})
 		return
 	}
 	if c.stateUnreachable() {
-		c.answer(v.Req, 503, unavailable("state service not reached"))
+		c.answer(abort.Req, 503, unavailable("state service not reached"))
 		return
 	}
-	c.abortJob(v, 5)
+	c.abortJob(abort, 5)
 }
 
-// abort moves a live job to its final state; a conflict with the holder's
-// progress is tried again on what then stands.
-func (c *Core) abortJob(v Abort, tries int) {
-	c.lookUpJob(v.ID, func(at jobLookup) {
-		if !at.ok || at.job == nil || tries == 0 {
-			if at.ok && at.job != nil {
-				at.ok = false
+// abortJob moves an unfinished job to its final state. After a conflict, such as with progress written by
+// the holder, it tries again with the current record.
+func (c *Core) abortJob(abort Abort, attempts int) {
+	c.lookUpJob(abort.ID, func(result jobLookup) {
+		if !result.ok || result.job == nil || attempts == 0 {
+			if result.ok && result.job != nil {
+				result.ok = false
 			}
-			c.answerLookup(v.Req, v.ID, at)
+			c.answerLookup(abort.Req, abort.ID, result)
 			return
 		}
-		f := wire.Final{Status: wire.JobAborted, Done: ranges.Count(at.job.Done)}
-		c.finishJob(LaneUser, v.ID, at.key, at.version, f, func(status int) {
+		final := wire.Final{Status: wire.JobAborted, Done: ranges.Count(result.job.Done)}
+		c.finishJob(LaneUser, abort.ID, result.key, result.version, final, func(status int) {
 			switch status {
 			case 200:
-				c.log(1, "job aborted", "job", v.ID)
-				c.answer(v.Req, 200, finalStatus(v.ID, f))
+				c.log(1, "job aborted", "job", abort.ID)
+				c.answer(abort.Req, 200, finalStatus(abort.ID, final))
 				c.mirrorChanged()
 			case 409, 0:
-				c.abortJob(v, tries-1)
+				c.abortJob(abort, attempts-1)
 			default:
-				c.answer(v.Req, 503, unavailable("state service not reached"))
+				c.answer(abort.Req, 503, unavailable("state service not reached"))
 			}
 		})
 	})
 }
 
-// end moves a job's record, of the version that stands at a key, to its final state.
-func (c *Core) finishJob(lane int, id, key string, ver uint64, f wire.Final, done func(status int)) {
-	c.commit(lane, []wire.Condition{{Key: key, Version: ver}, {Key: finalKey(id)}},
-		[]wire.Change{{Delete: key}, {Put: finalKey(id), Value: f}}, func(r StateReply) {
-			if r.Status == 200 {
-				c.cacheFinal(id, f, r.Txn.Revision)
+// finishJob replaces a job's record, which has to have the given version under the key, by its final state.
+// done is called with the status of the write.
+func (c *Core) finishJob(lane int, id, key string, version uint64, final wire.Final, done func(status int)) {
+	c.commit(lane, []wire.Condition{{Key: key, Version: version}, {Key: finalKey(id)}},
+		[]wire.Change{{Delete: key}, {Put: finalKey(id), Value: final}}, func(reply StateReply) {
+			if reply.Status == 200 {
+				c.cacheFinal(id, final, reply.Txn.Revision)
 			}
-			done(r.Status)
+			done(reply.Status)
 		})
 }
