--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -10,81 +10,90 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// defaultSettings returns the settings that apply as long as an operator has not changed them.
 func defaultSettings() wire.Settings {
 	return wire.Settings{IdleReturnS: tuning.IdleReturn.Seconds(), SilentDropS: tuning.SilentDrop.Seconds(), Spot: true}
 }
 
+// settingsView returns the current settings and the version of their record.
 func (c *Core) settingsView() wire.SettingsView {
 	return wire.SettingsView{Version: c.versions.Of(wire.KeySettings), Settings: c.settings}
 }
 
-func (c *Core) onAdminSettings(v AdminSettings) {
+// onAdminSettings answers an operator who reads or changes the settings. A change has to name the version that it
+// is based on.
+func (c *Core) onAdminSettings(query AdminSettings) {
 	if !c.loaded {
-		c.answer(v.Req, 503, unavailable("state not read yet"))
+		c.answer(query.Req, 503, unavailable("state not read yet"))
 		return
 	}
-	if v.Patch == nil {
-		c.answer(v.Req, 200, c.settingsView())
+	if query.Patch == nil {
+		c.answer(query.Req, 200, c.settingsView())
 		return
 	}
-	s := v.Patch.Apply(c.settings)
-	if err := s.Check(); err != nil {
-		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
+	settings := query.Patch.Apply(c.settings)
+	if err := settings.Check(); err != nil {
+		c.answer(query.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	if v.Patch.Version != c.versions.Of(wire.KeySettings) {
-		c.answer(v.Req, 409, c.settingsView())
+	if query.Patch.Version != c.versions.Of(wire.KeySettings) {
+		c.answer(query.Req, 409, c.settingsView())
 		return
 	}
-	c.commit(LaneUser, []wire.Condition{{Key: wire.KeySettings, Version: v.Patch.Version}}, []wire.Change{{Put: wire.KeySettings, Value: s}}, func(r StateReply) {
-		c.answerAdminWrite(v.Req, r, func() any { return c.settingsView() })
-	})
+	c.commit(LaneUser,
+		[]wire.Condition{{Key: wire.KeySettings, Version: query.Patch.Version}},
+		[]wire.Change{{Put: wire.KeySettings, Value: settings}},
+		func(reply StateReply) {
+			c.answerAdminWrite(query.Req, reply, func() any { return c.settingsView() })
+		})
 }
 
-// adminDone answers a change by how its write went.
-func (c *Core) answerAdminWrite(req uint64, r StateReply, body func() any) {
-	switch r.Status {
+// answerAdminWrite answers an operator's change with the outcome of its write; body is called if it succeeded.
+func (c *Core) answerAdminWrite(request uint64, reply StateReply, body func() any) {
+	switch reply.Status {
 	case 200:
-		c.log(1, "changed by an operator", "revision", r.Txn.Revision)
-		c.answer(req, 200, body())
+		c.log(1, "changed by an operator", "revision", reply.Txn.Revision)
+		c.answer(request, 200, body())
 	case 409:
-		c.answer(req, 409, wire.Problem{Error: "changed meanwhile, read again"})
+		c.answer(request, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	case 400:
-		c.answer(req, 422, wire.NotTaken(r.Err))
+		c.answer(request, 422, wire.NotTaken(reply.Err))
 	default:
-		c.answer(req, 503, unavailable("state service not reached"))
+		c.answer(request, 503, unavailable("state service not reached"))
 	}
 	c.mirrorChanged()
 }
 
-func (c *Core) onAdminCordon(v AdminCordon) {
+// onAdminCordon answers an operator who cordons a machine or lifts its cordon.
+func (c *Core) onAdminCordon(query AdminCordon) {
 	if !c.loaded {
-		c.answer(v.Req, 503, unavailable("state not read yet"))
+		c.answer(query.Req, 503, unavailable("state not read yet"))
 		return
 	}
-	if c.blockOf(v.Machine) == nil {
-		c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("machine %q is in no block", v.Machine)})
+	if c.blockOf(query.Machine) == nil {
+		c.answer(query.Req, 404, wire.Problem{Error: fmt.Sprintf("machine %q is in no block", query.Machine)})
 		return
 	}
-	key := wire.PrefixCordon + v.Machine
-	ch := wire.Change{Put: key, Value: wire.Cordon{Lifted: true}}
-	if v.Cordon != nil {
-		ch.Value = wire.Cordon{Drain: v.Cordon.Drain}
+	key := wire.PrefixCordon + query.Machine
+	change := wire.Change{Put: key, Value: wire.Cordon{Lifted: true}}
+	if query.Cordon != nil {
+		change.Value = wire.Cordon{Drain: query.Cordon.Drain}
 	}
-	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.versions.Of(key)}}, []wire.Change{ch}, func(r StateReply) {
-		c.answerAdminWrite(v.Req, r, func() any { return v.Cordon })
+	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.versions.Of(key)}}, []wire.Change{change}, func(reply StateReply) {
+		c.answerAdminWrite(query.Req, reply, func() any { return query.Cordon })
 	})
 }
 
-// putCordon takes a machine's cordon, or its end.
-func (c *Core) applyCordon(machine string, r wire.Cordon) {
-	if c.cordons[machine] = r; r.Lifted {
+// applyCordon applies a write of a machine's cordon, which may be lifted.
+func (c *Core) applyCordon(machine string, record wire.Cordon) {
+	if c.cordons[machine] = record; record.Lifted {
 		delete(c.cordons, machine)
 	}
 	c.cordonChanged(machine)
 }
 
-// cordonSeen applies a machine's cordon to what this controller holds.
+// cordonChanged applies a changed cordon to a machine that this controller holds. A draining cordon stops the
+// machine's tasks.
 func (c *Core) cordonChanged(machine string) {
 	m, cordon := c.machines[machine], c.cordons[machine]
 	if m == nil {
@@ -94,7 +103,7 @@
 	if !cordon.Drain {
 		return
 	}
-	m.drop = true // given back once it is empty
+	m.drop = true // the machine is returned to the cloud once it is empty
 	for _, k := range sortedAttempts(m) {
 		if a := m.attempts[k]; a.sent && a.status != wire.TaskEnded {
 			c.stopAttempt(a)
@@ -102,51 +111,76 @@
 	}
 }
 
-func (c *Core) onAdminOverview(v AdminOverview) {
-	o := wire.Overview{Node: c.params.Node, Leader: c.leaderRecord.Node, Nodes: sortedKeys(c.nodes)}
-	for _, i := range c.shardIDs() {
-		s := c.shards[i]
-		o.Shards = append(o.Shards, wire.ShardView{Shard: i, Holder: s.record.Holder, Home: s.record.Home, Token: s.version, Settled: s.record.Settled, Teams: s.record.Teams})
+// onAdminOverview answers an operator with all shards, blocks, machines and teams. Only the holder of a shard
+// knows the states and tasks of its machines.
+func (c *Core) onAdminOverview(query AdminOverview) {
+	overview := wire.Overview{Node: c.params.Node, Leader: c.leaderRecord.Node, Nodes: sortedKeys(c.nodes)}
+	for _, shard := range c.shardIDs() {
+		entry := c.shards[shard]
+		overview.Shards = append(overview.Shards, wire.ShardView{
+			Shard:   shard,
+			Holder:  entry.record.Holder,
+			Home:    entry.record.Home,
+			Token:   entry.version,
+			Settled: entry.record.Settled,
+			Teams:   entry.record.Teams,
+		})
 	}
 	for _, id := range c.blockIDs() {
-		b := c.blocks[id].record
-		bv := wire.BlockView{Block: id, Shard: b.Shard, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Idle: b.Idle}
-		for _, bm := range b.Machines {
-			_, cordoned := c.cordons[bm.Name]
-			mv := wire.MachineView{Name: bm.Name, State: "held by " + c.holderName(b.Shard), Cordoned: cordoned}
-			if m := c.machines[bm.Name]; m != nil {
-				mv.State = m.state()
+		block := c.blocks[id].record
+		blockView := wire.BlockView{Block: id, Shard: block.Shard, Type: block.Type, Zone: block.Zone, Spot: block.Spot, Idle: block.Idle}
+		for _, blockMachine := range block.Machines {
+			_, cordoned := c.cordons[blockMachine.Name]
+			machineView := wire.MachineView{Name: blockMachine.Name, State: "held by " + c.holderName(block.Shard), Cordoned: cordoned}
+			if m := c.machines[blockMachine.Name]; m != nil {
+				machineView.State = m.state()
 				for _, k := range sortedAttempts(m) {
-					mv.Tasks = append(mv.Tasks, k.task)
+					machineView.Tasks = append(machineView.Tasks, k.task)
 				}
 			}
-			bv.Machines = append(bv.Machines, mv)
+			blockView.Machines = append(blockView.Machines, machineView)
 		}
-		o.Blocks = append(o.Blocks, bv)
+		overview.Blocks = append(overview.Blocks, blockView)
 	}
 	c.update()
 	waiting := map[string]int{}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool { waiting[p.Job.Team] += p.Job.Pending; return true })
-	for _, t := range sortedKeys(c.params.Teams) {
-		i := c.shardOfTeam(t)
-		v := wire.TeamView{Team: t, Shard: i, Known: c.holdsShard(i), UsedCPU: c.room.Used(t, i).CPUs, CPUs: c.params.Teams[t].CPUs, Waiting: waiting[t]}
-		if most := c.params.Teams[t].CPUsMax; !math.IsInf(most, 1) {
-			v.CPUsMax = most
+	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+		waiting[p.Job.Team] += p.Job.Pending
+		return true
+	})
+	for _, team := range sortedKeys(c.params.Teams) {
+		shard := c.shardOfTeam(team)
+		view := wire.TeamView{
+			Team:    team,
+			Shard:   shard,
+			Known:   c.holdsShard(shard),
+			UsedCPU: c.room.Used(team, shard).CPUs,
+			CPUs:    c.params.Teams[team].CPUs,
+			Waiting: waiting[team],
 		}
-		o.Teams = append(o.Teams, v)
+		if most := c.params.Teams[team].CPUsMax; !math.IsInf(most, 1) {
+			view.CPUsMax = most
+		}
+		overview.Teams = append(overview.Teams, view)
+	}
+	overview.Limits = wire.LimitsView{
+		ValueBytes: c.params.MaxValueBytes,
+		TxnOps:     c.params.MaxTxnOps,
+		Stuck:      c.writeLimits.Stuck(c.now),
+		Refused:    c.writeLimits.Tell(),
 	}
-	o.Limits = wire.LimitsView{ValueBytes: c.params.MaxValueBytes, TxnOps: c.params.MaxTxnOps, Stuck: c.writeLimits.Stuck(c.now), Refused: c.writeLimits.Tell()}
-	c.answer(v.Req, 200, o)
+	c.answer(query.Req, 200, overview)
 }
 
+// holderName returns the name of the controller that holds a shard, "" if there is none.
 func (c *Core) holderName(shard int) string {
-	if s := c.shards[shard]; s != nil {
-		return s.record.Holder
+	if entry := c.shards[shard]; entry != nil {
+		return entry.record.Holder
 	}
 	return ""
 }
 
-// state describes a held machine in a word.
+// state returns the state of a held machine as operators see it.
 func (m *machine) state() string {
 	switch {
 	case m.drop:
@@ -163,73 +197,79 @@
 	return "up"
 }
 
-func (c *Core) onAdminWhy(v AdminWhy) {
-	e := c.jobs[v.ID]
-	if w := c.waitingAt[v.ID]; w != nil {
-		c.answer(v.Req, 200, wire.Why{Job: v.ID, Holder: c.holderName(c.shardOfTeam(w.record.Team)), Why: c.whyWaits(v.ID)})
+// onAdminWhy answers an operator with the reasons for which a job does not run. Only the holder of the job's
+// shard knows them.
+func (c *Core) onAdminWhy(query AdminWhy) {
+	entry := c.jobs[query.ID]
+	if dependent := c.waitingAt[query.ID]; dependent != nil {
+		c.answer(query.Req, 200, wire.Why{
+			Job:    query.ID,
+			Holder: c.holderName(c.shardOfTeam(dependent.record.Team)),
+			Why:    c.whyWaits(query.ID),
+		})
 		return
 	}
-	if e == nil {
-		c.answer(v.Req, 404, wire.Problem{Error: "no such unfinished job"})
+	if entry == nil {
+		c.answer(query.Req, 404, wire.Problem{Error: "no such unfinished job"})
 		return
 	}
-	shard := c.shardOfTeam(e.record.Team)
-	w := wire.Why{Job: v.ID, Holder: c.holderName(shard)}
-	if e.run == nil {
-		w.Why = []string{"its holder knows; ask " + w.Holder}
-		c.answer(v.Req, 200, w)
+	shard := c.shardOfTeam(entry.record.Team)
+	answer := wire.Why{Job: query.ID, Holder: c.holderName(shard)}
+	if entry.run == nil {
+		answer.Why = []string{"its holder knows; ask " + answer.Holder}
+		c.answer(query.Req, 200, answer)
 		return
 	}
-	w.Why = c.waitReasons(e, shard)
-	c.answer(v.Req, 200, w)
+	answer.Why = c.waitReasons(entry, shard)
+	c.answer(query.Req, 200, answer)
 }
 
-// why lists what keeps a job's waiting tasks from starting.
-func (c *Core) waitReasons(e *jobEntry, shard int) []string {
-	j := &e.record
-	pending := len(e.run.retry) + j.Tasks - e.run.next
-	if pending == 0 && e.run.held == 0 {
+// waitReasons lists what keeps a job's waiting tasks from starting.
+func (c *Core) waitReasons(entry *jobEntry, shard int) []string {
+	job := &entry.record
+	pending := len(entry.run.retry) + job.Tasks - entry.run.next
+	if pending == 0 && entry.run.held == 0 {
 		return []string{"no task waits"}
 	}
-	var out []string
+	var reasons []string
 	if !c.authorized() {
-		out = append(out, "the state service has not confirmed this controller lately")
+		reasons = append(reasons, "the state service has not confirmed this controller lately")
 	}
-	if c.unsettle[shard] && e.run.held > 0 {
-		n := 0
+	if c.unsettle[shard] && entry.run.held > 0 {
+		unaccounted := 0
 		for _, m := range c.machines {
 			if m.shard == shard && m.inherited && !m.accounted {
-				n++
+				unaccounted++
 			}
 		}
-		out = append(out, fmt.Sprintf("%d machines of an earlier holder are not accounted for", n))
+		reasons = append(reasons, fmt.Sprintf("%d machines of an earlier holder are not accounted for", unaccounted))
 	}
-	if c.now < e.run.notYet {
-		out = append(out, fmt.Sprintf("its tasks failed; next try in %s", e.run.notYet-c.now))
+	if c.now < entry.run.notYet {
+		reasons = append(reasons, fmt.Sprintf("its tasks failed; next try in %s", entry.run.notYet-c.now))
 	}
-	t, size := c.params.Teams[j.Team], jobSize(j)
+	team, size := c.params.Teams[job.Team], jobSize(job)
 	c.update()
-	if u := c.room.Used(j.Team, shard); t.exceeds(u.Add(size)) {
-		out = append(out, fmt.Sprintf("team %s uses %g of at most %g cpus", j.Team, u.CPUs, t.CPUsMax))
+	if used := c.room.Used(job.Team, shard); team.exceeds(used.Add(size)) {
+		reasons = append(reasons, fmt.Sprintf("team %s uses %g of at most %g cpus", job.Team, used.CPUs, team.CPUsMax))
 	}
-	place, room := 0, 0
+	usable, fitting := 0, 0
 	for _, m := range c.machines {
-		if m.shard == shard && c.usable(m) && allows(j, m) {
-			place++
+		if m.shard == shard && c.usable(m) && allows(job, m) {
+			usable++
 			if placement.Fits(c.free(m), size) {
-				room++
+				fitting++
 			}
 		}
 	}
-	if room == 0 {
-		out = append(out, fmt.Sprintf("none of %d machines it may use has room", place))
+	if fitting == 0 {
+		reasons = append(reasons, fmt.Sprintf("none of %d machines it may use has room", usable))
 	}
 	ahead := 0
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
-		if p.Handle != e {
+		if p.Handle != entry {
 			ahead++
 		}
-		return p.Handle != e
+		return p.Handle != entry
 	})
-	return append(out, fmt.Sprintf("%d jobs are served before it", ahead))
+	return append(reasons, fmt.Sprintf("%d jobs are served before it", ahead))
 }
--- a/internal/core/meeting_chosen_test.go
+++ b/internal/core/meeting_chosen_test.go
@@ -15,7 +15,7 @@
 	gap  time.Duration
 }{
 	// The lone one goes on answering the machines that nobody else reaches, for as long as it may go
-	// unconfirmed: their leases end that much later (`+ c.unconfirmedMax()` in watchMachines).
+	// unconfirmed: their leases end that much later (`+ c.maxUnconfirmed()` in watchMachines).
 	{"one is without state and peers", "zones are apart", 200 * time.Millisecond},
 	{"zones are apart", "one is without state and peers", 500 * time.Millisecond},
 	{"the state refuses one", "zones are apart", time.Second},
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -157,7 +157,7 @@
 // One user asks all controllers in turn, and cancels, again and again, while the state service
 // is slow, or refuses the leader and then all. No answer is older than one given before,
 // which the checker judges, and a repeated cancellation is answered alike or with 503. It fails
-// without keepFinal in abort (ran_cancelled).
+// without cacheFinal in finishJob (ran_cancelled).
 func TestOneUserAsksEverybody(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{0, 200 * time.Millisecond, sec, 3 * sec} {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -232,7 +232,7 @@
 }
 
 // relayReport passes a report on to the holder of its machine, on behalf of a worker that may be unable to
-// reach it. It returns false if the report was not relayed. token is the machine's fencing token: a worker
+// reach it. It returns false if the report was not relayed. token is the shard's fencing token: a worker
 // that reports an earlier one has not been in contact with the holder yet.
 func (c *Core) relayReport(request uint64, report *wire.Report, holder string, token uint64) bool {
 	if !c.peerResponsive(holder) || !c.relays.Passes(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -6,30 +6,43 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// understood tells whether a feature may be used for something new: every controller is known
-// to understand it.
+// featureEnabled reports whether a feature may be used for new records: every controller is known to support it.
 func (c *Core) featureEnabled(feature string) bool { return c.loaded && c.rollout.On(feature) }
 
-func (c *Core) onAdminVersion(v AdminVersion) {
+// onAdminVersion answers an operator with the versions of the controllers and the features in use.
+func (c *Core) onAdminVersion(query AdminVersion) {
 	if !c.loaded {
-		c.answer(v.Req, 503, unavailable("state not read yet"))
+		c.answer(query.Req, 503, unavailable("state not read yet"))
 		return
 	}
-	c.answer(v.Req, 200, c.rollout.View(c.params.Node))
+	c.answer(query.Req, 200, c.rollout.View(c.params.Node))
 }
 
-// keepVersions writes down what this life understands, and that another one understands nothing.
+// publishVersions writes which features this incarnation supports. For a node whose present incarnation supports
+// none, it writes that on its behalf. The write is conditional on both the presence that it is based on and the
+// record that it replaces, so that a late write of an earlier incarnation fails.
 func (c *Core) publishVersions() {
 	if !c.loaded {
 		return
 	}
-	for _, f := range c.rollout.Turned() {
-		c.log(1, "feature", "name", f.Feature, "on", f.On, "held_for", f.HeldFor)
+	for _, change := range c.rollout.Turned() {
+		c.log(1, "feature switched", "name", change.Feature, "on", change.On, "held_for", change.HeldFor)
 	}
-	node, rec, due := c.rollout.Due(rollout.Life{Node: c.params.Node, Boot: c.presence.Boot(), Version: c.params.Version, Features: c.params.Features})
+	node, record, due := c.rollout.Due(rollout.Life{
+		Node:     c.params.Node,
+		Boot:     c.presence.Boot(),
+		Version:  c.params.Version,
+		Features: c.params.Features,
+	})
 	if !due || !c.presence.Here() || !c.dueEvery("version", tuning.RetryAfter) {
 		return
 	}
-	from, key := wire.PrefixNode+node, wire.PrefixVersion+node
-	c.commit(LaneLater, []wire.Condition{{Key: from, Version: c.versions.Of(from)}, {Key: key, Version: c.versions.Of(key)}}, []wire.Change{{Put: key, Value: rec}}, func(StateReply) {})
+	nodeKey, versionKey := wire.PrefixNode+node, wire.PrefixVersion+node
+	c.commit(LaneLater,
+		[]wire.Condition{
+			{Key: nodeKey, Version: c.versions.Of(nodeKey)},
+			{Key: versionKey, Version: c.versions.Of(versionKey)},
+		},
+		[]wire.Change{{Put: versionKey, Value: record}},
+		func(StateReply) {})
 }
--- a/internal/core/state_calls.go
+++ b/internal/core/state_calls.go
@@ -10,100 +10,120 @@
 )
 
 func newStateRouter() *reach.Ways[StateReply] {
-	return reach.NewWays[StateReply](reach.WayLimits{Keep: tuning.WayKeep, Hops: tuning.WayHops, Fresh: tuning.WayFresh, Cut: tuning.CutAfter, Grace: tuning.WayGrace, Timeout: tuning.StateTimeout,
-		Link: reach.LinkLimits{Late: tuning.LinkLate, Slowest: tuning.LinkSlowest, Down: tuning.LinkDown, Back: tuning.LinkBack, BackMax: tuning.LinkBackMax, Window: tuning.LinkWindow}})
+	return reach.NewWays[StateReply](reach.WayLimits{
+		Keep:    tuning.WayKeep,
+		Hops:    tuning.WayHops,
+		Fresh:   tuning.WayFresh,
+		Cut:     tuning.CutAfter,
+		Grace:   tuning.WayGrace,
+		Timeout: tuning.StateTimeout,
+		Link: reach.LinkLimits{
+			Late:    tuning.LinkLate,
+			Slowest: tuning.LinkSlowest,
+			Down:    tuning.LinkDown,
+			Back:    tuning.LinkBack,
+			BackMax: tuning.LinkBackMax,
+			Window:  tuning.LinkWindow,
+		},
+	})
 }
 
-func (c *Core) callState(call StateCall, f func(StateReply)) {
-	c.routeStateCall(call, f, 0, "")
+// callState sends a call to the state service; done is called with its reply.
+func (c *Core) callState(call StateCall, done func(StateReply)) {
+	c.routeStateCall(call, done, 0, "")
 }
 
-// stateBy sends a call by the way that is open now. One that came from a peer is not
-// sent back to it.
-func (c *Core) routeStateCall(call StateCall, f func(StateReply), hops int, from string) {
+// routeStateCall sends a call to the state service by the current route: over the direct link or through a
+// peer. A call that was received from a peer, the caller, is not sent back to it. hops is the number of
+// controllers that the call has passed.
+func (c *Core) routeStateCall(call StateCall, done func(StateReply), hops int, caller string) {
 	c.lastID++
 	call.ID = c.lastID
-	// A renewal waits for none of our own limits, and its answer for no queue.
-	if via := c.stateRoutes.Send(c.now, call.ID, from, hops, call.Hold, call.Op == OpExtend, f); via != "" {
-		c.sendToPeer(via, PeerMessage{Call: call.ForPeer(c.incarnation, hops)})
+	// An overdue answer casts doubt on the link only if the call renews a state lease: renewals are not delayed
+	// by this controller's own call limits, nor their answers by a queue.
+	if peer := c.stateRoutes.Send(c.now, call.ID, caller, hops, call.Hold, call.Op == OpExtend, done); peer != "" {
+		c.sendToPeer(peer, PeerMessage{Call: call.ForPeer(c.incarnation, hops)})
 		return
 	}
 	c.effects = append(c.effects, call)
 }
 
-// cutOff tells whether the state service is out of our reach while others may have it.
+// stateUnreachable reports whether this controller cannot reach the state service while other controllers may.
 func (c *Core) stateUnreachable() bool {
 	return c.stateRoutes.CutOff(c.now) && len(c.params.NodeZones) > 1
 }
 
-// keepWays notices that the link has changed, and gives up what hangs on it.
+// maintainStateRoute gives up calls through peers that are overdue, and switches between the direct link and
+// peers when the state of the link has changed.
 func (c *Core) maintainStateRoute() {
-	j := c.stateRoutes.Judge(c.now)
+	judgement := c.stateRoutes.Judge(c.now)
 	for _, id := range c.stateRoutes.Late(c.now) {
-		f, why := c.stateRoutes.GiveUp(c.now, id)
-		f(StateReply{Err: why})
+		done, reason := c.stateRoutes.GiveUp(c.now, id)
+		done(StateReply{Err: reason})
 	}
-	if via := c.stateRoutes.Around(c.now); via != c.stateRoutes.Through() {
+	if peer := c.stateRoutes.Around(c.now); peer != c.stateRoutes.Through() {
 		if c.stateRoutes.Through() == "" {
 			for _, id := range c.stateRoutes.Hanging(c.now) {
-				if f := c.stateRoutes.Abandon(id); f != nil {
-					f(StateReply{Err: "given up for another way"})
+				if done := c.stateRoutes.Abandon(id); done != nil {
+					done(StateReply{Err: "given up for another way"})
 				}
 			}
 		}
-		if c.stateRoutes.Turn(via); via != "" {
-			c.presence.Hurry(c.now) // what a grant hangs on goes first
+		if c.stateRoutes.Turn(peer); peer != "" {
+			c.presence.Hurry(c.now) // the renewal of the state lease is sent first
 		}
-		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: via, Why: j.Level.String() + ": " + j.Why})
-		c.log(1, "calls of the state service", "through", via, "link", j.Level.String(), "why", j.Why)
+		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Why})
+		c.log(1, "route to the state service changed", "through", peer, "link", judgement.Level.String(), "why", judgement.Why)
 	}
-	if c.stateRoutes.Doubted(j) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
+	if c.stateRoutes.Doubted(judgement) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
 		c.probeState()
 	}
 }
 
-// probeState asks for a small key over the link itself, as long as calls go around it.
+// probeState reads a small key over the direct link, while the other calls go through a peer.
 func (c *Core) probeState() {
 	c.probingState = true
 	c.lastID++
 	call := StateCall{ID: c.lastID, Op: OpGet, Key: wire.KeyLeader}
-	c.stateRoutes.Try(c.now, call.ID, func(r StateReply) {
+	c.stateRoutes.Try(c.now, call.ID, func(reply StateReply) {
 		c.probingState = false
-		c.applyRead(wire.KeyLeader, r)
+		c.applyRead(wire.KeyLeader, reply)
 	})
 	c.effects = append(c.effects, call)
 }
 
-func (c *Core) onStateDone(v StateDone) {
-	r := &v.Reply
-	c.noteRevision(max(r.Txn.Revision, r.Events.Revision, r.List.Revision, r.Item.Version))
-	if f := c.stateRoutes.Done(c.now, v.ID, r.Status, r.Own); f != nil {
-		f(*r)
+// onStateDone handles the reply to a call to the state service.
+func (c *Core) onStateDone(result StateDone) {
+	reply := &result.Reply
+	c.noteRevision(max(reply.Txn.Revision, reply.Events.Revision, reply.List.Revision, reply.Item.Version))
+	if done := c.stateRoutes.Done(c.now, result.ID, reply.Status, reply.Own); done != nil {
+		done(*reply)
 	}
 }
 
-// onPeerCall makes a call for a peer, if there is a way.
-func (c *Core) onPeerCall(from string, p *PeerCall) {
-	reply := func(r StateReply) {
-		if r.Size() > tuning.PeerCarry {
-			r = StateReply{Err: "too large to pass on"}
+// onPeerCall makes a call to the state service on behalf of a peer, if there is a route.
+func (c *Core) onPeerCall(peer string, call *PeerCall) {
+	respond := func(reply StateReply) {
+		if reply.Size() > tuning.PeerCarry {
+			reply = StateReply{Err: "too large to pass on"}
 		}
-		c.sendToPeer(from, PeerMessage{Result: &PeerResult{ID: p.ID, Life: p.Life, Reply: r}})
+		c.sendToPeer(peer, PeerMessage{Result: &PeerResult{ID: call.ID, Life: call.Life, Reply: reply}})
 	}
-	if p.Op < OpGet || p.Op > OpWatch || c.stateRoutes.Offer(c.now, from) == 0 || p.Hops >= tuning.WayHops {
-		reply(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
+	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.Offer(c.now, peer) == 0 || call.Hops >= tuning.WayHops {
+		respond(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
 		return
 	}
-	c.routeStateCall(p.Call(), reply, p.Hops+1, from)
+	c.routeStateCall(call.Call(), respond, call.Hops+1, peer)
 }
 
-// onPeerResult is the answer to a call that went through a peer.
-func (c *Core) onPeerResult(from string, p *PeerResult) {
-	if via, known := c.stateRoutes.Via(p.ID); !known || via != from || p.Life != c.incarnation {
+// onPeerResult handles the result of a call that was sent through a peer. A result for an earlier incarnation
+// of this controller is ignored, as its call IDs were other ones.
+func (c *Core) onPeerResult(peer string, result *PeerResult) {
+	if via, known := c.stateRoutes.Via(result.ID); !known || via != peer || result.Life != c.incarnation {
 		return
 	}
-	if s := p.Reply.Status; s == 0 || s == http.StatusServiceUnavailable {
-		c.stateRoutes.Withdrawn(c.now, from) // until its next word
+	if status := result.Reply.Status; status == 0 || status == http.StatusServiceUnavailable {
+		c.stateRoutes.Withdrawn(c.now, peer) // until the peer offers its route again
 	}
-	c.onStateDone(StateDone{ID: p.ID, Reply: p.Reply})
+	c.onStateDone(StateDone{ID: result.ID, Reply: result.Reply})
 }
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -9,64 +9,65 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// note puts an event on the trail.
-func (c *Core) recordEvent(e wire.TrailEvent) { c.trail.Add(c.now, c.wall, e) }
+// recordEvent adds an event to the trail.
+func (c *Core) recordEvent(event wire.TrailEvent) { c.trail.Add(c.now, c.wall, event) }
 
-// noteShard is an event about a shard.
-func (c *Core) recordShardEvent(kind string, shard int, e wire.TrailEvent) {
-	e.Kind, e.Shard = kind, &shard
-	c.recordEvent(e)
+// recordShardEvent adds an event about a shard to the trail.
+func (c *Core) recordShardEvent(kind string, shard int, event wire.TrailEvent) {
+	event.Kind, event.Shard = kind, &shard
+	c.recordEvent(event)
 }
 
-// taking is a change of a shard's hands that we have sent to be written.
+// pendingTransfer is a change of a shard's holder that this controller has sent to the state service.
 type pendingTransfer struct {
-	record wire.Shard
-	from   string
+	record wire.Shard // the record that was sent
+	from   string     // the holder before
 }
 
-// noteTaken notes a change of hands of ours once it stands in the state, whichever way
-// that is learned first: what follows from it is linked to it.
-func (c *Core) recordShardTaken(i int) {
-	x, ours := c.taking[i]
-	if s := c.shards[i]; ours && s.record.Holder == x.record.Holder && s.record.Boot == x.record.Boot {
-		delete(c.taking, i)
-		c.recordShardEvent(trail.ShardTaken, i, wire.TrailEvent{Node: x.from, Token: s.version, Why: "for " + x.record.Holder})
+// recordShardTaken adds this controller's change of a shard's holder to the trail as soon as the change is
+// known to be stored, whether from the reply to the write or from the watch, so that the events that follow from
+// it come after it.
+func (c *Core) recordShardTaken(shard int) {
+	transfer, ours := c.taking[shard]
+	if entry := c.shards[shard]; ours && entry.record.Holder == transfer.record.Holder && entry.record.Boot == transfer.record.Boot {
+		delete(c.taking, shard)
+		c.recordShardEvent(trail.ShardTaken, shard, wire.TrailEvent{Node: transfer.from, Token: entry.version, Why: "for " + transfer.record.Holder})
 	}
 }
 
-// noteMachine is an event about a held machine.
-func (c *Core) recordMachineEvent(kind string, m *machine, e wire.TrailEvent) {
-	e.Machine = m.name
-	c.recordShardEvent(kind, m.shard, e)
+// recordMachineEvent adds an event about a held machine to the trail.
+func (c *Core) recordMachineEvent(kind string, m *machine, event wire.TrailEvent) {
+	event.Machine = m.name
+	c.recordShardEvent(kind, m.shard, event)
 }
 
-// noteTask is an event about an attempt.
-func (c *Core) recordTaskEvent(kind string, a *attempt, why string) {
-	c.recordMachineEvent(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: why})
+// recordTaskEvent adds an event about an attempt of a task to the trail.
+func (c *Core) recordTaskEvent(kind string, a *attempt, reason string) {
+	c.recordMachineEvent(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: reason})
 }
 
-// noteBack tells that a lost task has a machine again, or runs.
+// recordTaskRecovery adds an event to the trail if a lost task has a machine again, or runs again.
 func (c *Core) recordTaskRecovery(kind string, a *attempt) {
 	if c.trail.WasLost(a.key.task) {
 		c.recordTaskEvent(kind, a, "")
 	}
 }
 
-// noteHeld tells how many started tasks of a job wait until it is known whether
-// they run on machines of an earlier holder.
-func (c *Core) recordHeldTasks(e *jobEntry, shard int) {
-	if n := e.run.held - e.run.done.Count(); e.run.held > 0 && n > 0 {
-		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{Job: e.record.ID, Count: n, Why: "may run on machines that are not accounted for"})
+// recordHeldTasks adds to the trail how many started tasks of a job are not started again until it is known
+// whether they run on machines of an earlier holder.
+func (c *Core) recordHeldTasks(entry *jobEntry, shard int) {
+	if count := entry.run.held - entry.run.done.Count(); entry.run.held > 0 && count > 0 {
+		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{Job: entry.record.ID, Count: count, Why: "may run on machines that are not accounted for"})
 	}
 }
 
-// noteMoved tells that jobs wait no longer, and counts them: all that they await is done, or one of
-// these is cancelled.
-func (c *Core) recordDependentsMoved(ids []string, by map[string]string) {
+// recordDependentsMoved adds to the trail that jobs no longer wait for others, and counts them. They are
+// released because all their predecessors are done or, if cancelledBy is set, cancelled with one of them.
+func (c *Core) recordDependentsMoved(ids []string, cancelledBy map[string]string) {
 	for _, id := range ids {
-		if by != nil {
+		if cancelledBy != nil {
 			c.told.Cancelled++
-			c.recordEvent(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + by[id]})
+			c.recordEvent(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + cancelledBy[id]})
 		} else {
 			c.told.Released++
 			c.recordEvent(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
@@ -75,109 +76,128 @@
 	c.effects = append(c.effects, c.told)
 }
 
-// suspect notices machines whose reports stay away, long before their lease is over.
+// detectSilentMachines marks machines whose reports are overdue, long before their lease expires.
 func (c *Core) detectSilentMachines() {
 	late := time.Duration(tuning.SuspectReports * float64(c.params.ReportInterval))
 	for _, m := range c.heldMachines() {
 		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
-			c.touch(m) // its worker may tell its ends no more
-			c.recordMachineEvent(trail.MachineSilent, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds())})
+			c.touch(m) // its worker may be unable to report the ends of its tasks
+			c.recordMachineEvent(trail.MachineSilent, m, wire.TrailEvent{
+				Count: len(m.attempts),
+				Why:   fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds()),
+			})
 		}
 	}
 }
 
-// keepTrail writes what is lasting of the trail, so that it outlives this process. It
-// goes with what can wait, and compares nothing: no decision hangs on it.
+// persistTrail writes the lasting part of the trail to the state service, so that it survives this process. The
+// write has the lowest priority and no condition, because no decision depends on it.
 func (c *Core) persistTrail() {
 	key := wire.PrefixTrail + c.params.Node
 	switch {
 	case c.trailCallPending || !c.authorized() || !c.dueEvery("trail", time.Second):
 	case !c.trailLoaded:
 		c.trailCallPending = true
-		c.callState(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
+		c.callState(StateCall{Op: OpGet, Key: key}, func(reply StateReply) {
 			c.trailCallPending = false
-			var rec wire.TrailRecord
-			if r.Status == 200 && wire.Unmarshal(r.Item.Value, &rec) == nil {
-				c.trail.Earlier(rec, c.presence.Boot())
+			var record wire.TrailRecord
+			if reply.Status == 200 && wire.Unmarshal(reply.Item.Value, &record) == nil {
+				c.trail.Earlier(record, c.presence.Boot())
 			}
-			c.trailLoaded = r.Status == 200 || r.Status == 404
+			c.trailLoaded = reply.Status == 200 || reply.Status == 404
 		})
 	default:
-		rec, due := c.trail.Record(c.now, c.presence.Boot())
+		record, due := c.trail.Record(c.now, c.presence.Boot())
 		if !due {
 			return
 		}
 		c.trailCallPending = true
-		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
-			if c.trailCallPending = false; r.Status != 200 {
+		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
+			if c.trailCallPending = false; reply.Status != 200 {
 				c.trail.Failed(c.now)
 			}
 		})
 	}
 }
 
-func (c *Core) onAdminTrail(v AdminTrail) {
-	v.Query.Most = max(1, min(v.Query.Most, tuning.TrailAnswer))
-	if v.Node == "" || v.Node == c.params.Node {
-		t := wire.Trail{Node: c.params.Node, Boot: c.presence.Boot()}
-		t.Events, t.Next, t.Missed = c.trail.Events(v.Query)
-		c.answer(v.Req, 200, t)
+// onAdminTrail answers an operator with events of the trail: of this controller from memory, of another one
+// from its stored trail.
+func (c *Core) onAdminTrail(query AdminTrail) {
+	query.Query.Most = max(1, min(query.Query.Most, tuning.TrailAnswer))
+	if query.Node == "" || query.Node == c.params.Node {
+		answer := wire.Trail{Node: c.params.Node, Boot: c.presence.Boot()}
+		answer.Events, answer.Next, answer.Missed = c.trail.Events(query.Query)
+		c.answer(query.Req, 200, answer)
 		return
 	}
-	if _, known := c.params.NodeZones[v.Node]; !known {
-		c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("no controller %q", v.Node)})
+	if _, known := c.params.NodeZones[query.Node]; !known {
+		c.answer(query.Req, 404, wire.Problem{Error: fmt.Sprintf("no controller %q", query.Node)})
 		return
 	}
-	c.callState(StateCall{Op: OpGet, Key: wire.PrefixTrail + v.Node}, func(r StateReply) {
-		var rec wire.TrailRecord
+	c.callState(StateCall{Op: OpGet, Key: wire.PrefixTrail + query.Node}, func(reply StateReply) {
+		var record wire.TrailRecord
 		switch {
-		case r.Status == 404:
-		case r.Status != 200:
-			c.answer(v.Req, 503, unavailable("state service not reached"))
+		case reply.Status == 404:
+		case reply.Status != 200:
+			c.answer(query.Req, 503, unavailable("state service not reached"))
 			return
-		case wire.Unmarshal(r.Item.Value, &rec) != nil:
-			c.answer(v.Req, 500, wire.Problem{Error: "the stored trail is not readable"})
+		case wire.Unmarshal(reply.Item.Value, &record) != nil:
+			c.answer(query.Req, 500, wire.Problem{Error: "the stored trail is not readable"})
 			return
 		}
-		c.answer(v.Req, 200, trail.Stored(v.Node, &rec, v.Query))
+		c.answer(query.Req, 200, trail.Stored(query.Node, &record, query.Query))
 	})
 }
 
-func (c *Core) onAdminMachine(v AdminMachine) {
-	b := c.blockOf(v.Machine)
-	if b == nil {
-		c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("machine %q is in no block", v.Machine)})
+// onAdminMachine answers an operator with what this controller knows of a machine.
+func (c *Core) onAdminMachine(query AdminMachine) {
+	block := c.blockOf(query.Machine)
+	if block == nil {
+		c.answer(query.Req, 404, wire.Problem{Error: fmt.Sprintf("machine %q is in no block", query.Machine)})
 		return
 	}
-	_, cordoned := c.cordons[v.Machine]
-	out := wire.Believed{Machine: v.Machine, Node: c.params.Node, Holder: c.holderName(b.record.Shard), Block: b.id, Shard: b.record.Shard, Token: c.fencingToken(b),
-		Type: b.record.Type, Zone: b.record.Zone, Spot: b.record.Spot, State: "held by " + c.holderName(b.record.Shard), Cordoned: cordoned,
-		Images: []string{}, Attempts: []wire.BelievedTask{}, Trail: c.trail.Last(trail.Query{Machine: v.Machine, Most: tuning.TrailOfMachine})}
-	if m := c.machines[v.Machine]; m != nil && c.holdsShard(m.shard) {
-		c.fillMachineView(&out, m)
+	_, cordoned := c.cordons[query.Machine]
+	view := wire.Believed{
+		Machine:  query.Machine,
+		Node:     c.params.Node,
+		Holder:   c.holderName(block.record.Shard),
+		Block:    block.id,
+		Shard:    block.record.Shard,
+		Token:    c.fencingToken(block),
+		Type:     block.record.Type,
+		Zone:     block.record.Zone,
+		Spot:     block.record.Spot,
+		State:    "held by " + c.holderName(block.record.Shard),
+		Cordoned: cordoned,
+		Images:   []string{},
+		Attempts: []wire.BelievedTask{},
+		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.TrailOfMachine}),
 	}
-	c.answer(v.Req, 200, out)
+	if m := c.machines[query.Machine]; m != nil && c.holdsShard(m.shard) {
+		c.fillMachineView(&view, m)
+	}
+	c.answer(query.Req, 200, view)
 }
 
-// believe fills in what only the holder knows.
-func (c *Core) fillMachineView(out *wire.Believed, m *machine) {
-	out.Held, out.State, out.Session, out.Inherited, out.Accounted = true, m.state(), m.session, m.inherited, m.accounted
-	out.FreeCPUs, out.Images = c.free(m).CPUs, sortedKeys(m.images)
-	_, out.Errors = c.health.Machine(m.name)
+// fillMachineView fills in what only the holder of the machine knows.
+func (c *Core) fillMachineView(view *wire.Believed, m *machine) {
+	view.Held, view.State, view.Session, view.Inherited, view.Accounted = true, m.state(), m.session, m.inherited, m.accounted
+	view.FreeCPUs, view.Images = c.free(m).CPUs, sortedKeys(m.images)
+	_, view.Errors = c.health.Machine(m.name)
 	if m.reported {
 		ago, left := (c.now - m.lastReport).Seconds(), (m.lastOK + c.leaseBound() - c.now).Seconds()
-		out.ReportedS, out.LeaseLeftS = &ago, &left
+		view.ReportedS, view.LeaseLeftS = &ago, &left
 	}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
-		t := wire.BelievedTask{Task: k.task, Attempt: k.try, Status: a.status, ForS: (c.now - a.created).Seconds()}
+		task := wire.BelievedTask{Task: k.task, Attempt: k.try, Status: a.status, ForS: (c.now - a.created).Seconds()}
 		switch {
-		case t.Status == "" && a.sent:
-			t.Status = "sent"
-		case t.Status == "":
-			t.Status = "reserved"
+		case task.Status == "" && a.sent:
+			task.Status = "sent"
+		case task.Status == "":
+			task.Status = "reserved"
 		}
-		out.Attempts = append(out.Attempts, t)
+		view.Attempts = append(view.Attempts, task)
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -2,7 +2,7 @@
 
 import "github.com/barrowbridge/barrowbridge/internal/step"
 
-// What the core takes and returns.
+// The inputs and effects of the core, as package step declares them.
 type (
 	Abort         = step.Abort
 	AdminChain    = step.AdminChain
@@ -50,6 +50,7 @@
 	WriteRefused  = step.WriteRefused
 )
 
+// Operations of calls to the state service and the cloud, and the lanes of calls by urgency.
 const (
 	OpGet      = step.OpGet
 	OpList     = step.OpList
