--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -385,7 +385,7 @@
 	c.overlayStarts(&record)
 	entry.record, entry.version = record, version
 	c.rankJob(entry)
-	c.jobSeen(entry)
+	c.jobChanged(entry)
 }
 
 // applyMachineType applies a write of a machine type. A changed capacity marks all machines dirty.
