--- a/cmd/barrowbridge/chain_test.go
+++ b/cmd/barrowbridge/chain_test.go
@@ -24,8 +24,8 @@
 }
 
 // command runs the program against a controller that gives these answers, and returns what it
-// prints, its error, and the submissions that the controller got.
-func command(t *testing.T, answers map[string]answer, args ...string) (string, error, []wire.JobSpec) {
+// prints, the submissions that the controller got, and its error.
+func command(t *testing.T, answers map[string]answer, args ...string) (string, []wire.JobSpec, error) {
 	t.Helper()
 	var got []wire.JobSpec
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -54,7 +54,7 @@
 	cmd.SetOut(&out)
 	cmd.SetArgs(append(args, "--timeout", "2s", "--server", strings.TrimPrefix(srv.URL, "http://")))
 	err := cmd.Execute()
-	return out.String(), err, got
+	return out.String(), got, err
 }
 
 // A job's predecessors come from its file and from the flag; a malformed one is refused in one line.
@@ -80,7 +80,7 @@
 		if x.flag != "" {
 			args = append(args, "--awaits", x.flag)
 		}
-		out, err, got := command(t, accepted, args...)
+		out, got, err := command(t, accepted, args...)
 		if x.err != "" {
 			if err == nil || err.Error() != x.err || exitCode(err) != exitRefused || len(got) != 0 {
 				t.Errorf("%s %s: %v, %d submitted", x.file, x.flag, err, len(got))
@@ -135,12 +135,12 @@
 	} {
 		answers := map[string]answer{"/v1/jobs/job-4": {200, wire.JobStatus{ID: "job-4", Status: x.status}}, "/admin/v1/chain/job-4": x.chain}
 		for _, verb := range []string{"status", "get"} {
-			if out, err, _ := command(t, answers, "job", verb, "job-4"); err != nil || out != x.want {
+			if out, _, err := command(t, answers, "job", verb, "job-4"); err != nil || out != x.want {
 				t.Errorf("%s, %s: %v\n%s", name, verb, err, cmp.Diff(x.want, out))
 			}
 		}
 	}
-	out, err, _ := command(t, map[string]answer{"/v1/jobs/job-4": {200, wire.JobStatus{ID: "job-4", Status: wire.JobQueued}}, "/admin/v1/chain/job-4": {200, k}},
+	out, _, err := command(t, map[string]answer{"/v1/jobs/job-4": {200, wire.JobStatus{ID: "job-4", Status: wire.JobQueued}}, "/admin/v1/chain/job-4": {200, k}},
 		"job", "status", "job-4", "--json")
 	want := `{"job":"job-4","status":"queued","done":0,"running":0,"awaits":["job-2","job-3"],"waiting_since_ms":1764648000000,"expected_start_ms":1764648053000}`
 	var a, b any
@@ -155,7 +155,7 @@
 // The graph shows stages, times, slack and the critical path; an unknown job is one line and status 1.
 func TestAdminChain(t *testing.T) {
 	answers := map[string]answer{"/admin/v1/chain/job-3": {200, pipeline()}, "/admin/v1/chain/job-9": {404, wire.Problem{Error: "no such job"}}}
-	out, err, _ := command(t, answers, "admin", "chain", "job-3")
+	out, _, err := command(t, answers, "admin", "chain", "job-3")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 		t.Error(d)
 	}
 	over := wire.Chain{Job: "job-8", Node: "c0", Jobs: []wire.ChainJob{{ID: "job-8", Status: wire.JobAborted, CancelledBy: "job-5"}}}
-	out, err, _ = command(t, map[string]answer{"/admin/v1/chain/job-8": {200, over}}, "admin", "chain", "job-8")
+	out, _, err = command(t, map[string]answer{"/admin/v1/chain/job-8": {200, over}}, "admin", "chain", "job-8")
 	want = `job-8 as c0 sees it, jobs: 1
 stage      job    class  team  priority  state               tasks  starts  due  slack  awaits
 1      >   job-8  -      -     -         aborted with job-5  -      -       -    -      -
@@ -184,7 +184,7 @@
 	if d := cmp.Diff(want, out); d != "" || err != nil {
 		t.Error(err, d)
 	}
-	out, err, _ = command(t, answers, "admin", "chain", "job-3", "--json")
+	out, _, err = command(t, answers, "admin", "chain", "job-3", "--json")
 	var back wire.Chain
 	if err := errors.Join(err, json.Unmarshal([]byte(out), &back)); err != nil {
 		t.Fatal(err)
@@ -193,7 +193,7 @@
 		t.Error(d)
 	}
 	for _, x := range [][2]string{{"job-9", "job-9: no such job"}, {"jib-9", `"jib-9": must look like job-000412`}} {
-		out, err, _ := command(t, answers, "admin", "chain", x[0])
+		out, _, err := command(t, answers, "admin", "chain", x[0])
 		if err == nil || err.Error() != x[1] || exitCode(err) != 1 || out != "" {
 			t.Errorf("%s: %q, %v", x[0], out, err)
 		}
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -28,7 +28,6 @@
 		t.Errorf("on its machine after %v", took)
 	}
 	// The same for a stop: an aborted service gives its place back at once.
-	began = w.now
 	w.run(6 * sec)
 	began = w.now
 	w.abort("job-000001")
--- a/internal/core/world_chains_test.go
+++ b/internal/core/world_chains_test.go
@@ -77,19 +77,3 @@
 	}
 	w.submit(s)
 }
-
-// submitWrong submits a job that needs one that was never accepted, until it is refused: 422 with
-// a line that names it. It may not be told so by a node that cannot know.
-func (w *world) submitWrong(s wire.JobSpec, never string, told func(Answer)) {
-	s.Predecessors = append(s.Predecessors, never)
-	w.check.Submitting(s)
-	w.send(func(id uint64) any { return Submit{Req: id, Spec: s} }, func(a Answer, asked time.Duration) bool {
-		st, _ := a.Body.(wire.JobStatus)
-		w.check.Submitted(w.now, asked, *s.ID, a.Status, st)
-		if a.Status >= 429 {
-			return false
-		}
-		told(a)
-		return true
-	})
-}
