--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -165,8 +165,8 @@
 
 func (c *Core) onAdminWhy(v AdminWhy) {
 	e := c.jobs[v.ID]
-	if w := c.waitingAt[v.ID]; w != nil {
-		c.answer(v.Req, 200, wire.Why{Job: v.ID, Holder: c.holderName(c.shardOf(w.rec.Team)), Why: c.whyWaits(v.ID)})
+	if w := c.waitingJobs[v.ID]; w != nil {
+		c.answer(v.Req, 200, wire.Why{Job: v.ID, Holder: c.holderName(c.shardOf(w.rec.Team)), Why: c.waitReason(v.ID)})
 		return
 	}
 	if e == nil {
--- a/internal/core/books.go
+++ b/internal/core/books.go
@@ -117,7 +117,7 @@
 	}
 	if m.drop || m.notice || m.silent {
 		for _, a := range m.attempts {
-			c.hasten(a)
+			c.expediteEnd(a)
 		}
 	}
 	x := c.sumOf(m)
@@ -128,7 +128,7 @@
 	}
 	urgent, _ := c.reserve.Task(m.shard)
 	f := ledger.Facts{Kind: ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0},
-		Usable: usable, Free: c.freeToAll(m), Uses: x.teams, Spare: c.roomFor(m, urgent)}
+		Usable: usable, Free: c.unreservedFree(m), Uses: x.teams, Spare: c.urgentCapacity(m, urgent)}
 	for range n {
 		f.Unknown = f.Unknown.Add(full)
 	}
@@ -159,7 +159,7 @@
 	if owes {
 		c.owed[e] = true
 	}
-	if !ended && run.done.Count() > c.durable(e).Count() {
+	if !ended && run.done.Count() > c.durableDone(e).Count() {
 		c.behind[e] = true
 	}
 }
@@ -187,7 +187,7 @@
 	if ahead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.rec.Started-run.next < ahead/2 && run.next > 0 {
 		started = max(started, min(e.rec.Tasks, run.next+ahead))
 	}
-	return started, false, started > e.rec.Started || c.movedOn(e) || c.badNews(e)
+	return started, false, started > e.rec.Started || c.placementChanged(e) || c.badNews(e)
 }
 
 // judge decides anew, now and then, which jobs are late.
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -11,46 +11,46 @@
 )
 
 // chaining is what is known of jobs that wait for others (package dependency).
-type chaining struct {
-	chain     *dependency.Graph
-	waitingAt map[string]*jobEntry // jobs that wait, as they stand under wire.PrefixWaiting
-	relook    bool                 // something has changed that a decision may hang on
-	moving    bool                 // a write that moves such jobs is under way
-	reading   bool                 // so is a read of ends
-	told      ChainsSeen           // as last shown
-	single    bool                 // the last such write met a conflict: one job at a time
+type dependencyState struct {
+	dependencies    *dependency.Graph
+	waitingJobs     map[string]*jobEntry // jobs that wait, as they stand under wire.PrefixWaiting
+	recheckWaiting  bool                 // something has changed that a decision may hang on
+	movingWaiting   bool                 // a write that moves such jobs is under way
+	readingOutcomes bool                 // so is a read of ends
+	announcedChains ChainsSeen           // as last shown
+	oneJobPerWrite  bool                 // the last such write met a conflict: one job at a time
 }
 
-func newChaining() chaining {
-	return chaining{chain: dependency.New(), waitingAt: map[string]*jobEntry{}}
+func newDependencyState() dependencyState {
+	return dependencyState{dependencies: dependency.New(), waitingJobs: map[string]*jobEntry{}}
 }
 
-// waitsForOthers tells whether a job waits, as far as the mirror tells.
-func (c *Core) waitsForOthers(id string) bool { return c.waitingAt[id] != nil }
+// isWaiting tells whether a job waits, as far as the mirror tells.
+func (c *Core) isWaiting(id string) bool { return c.waitingJobs[id] != nil }
 
-// accepted tells whether a job is known to be live.
-func (c *Core) accepted(id string) bool { return c.jobs[id] != nil }
+// isLive tells whether a job is known to be live.
+func (c *Core) isLive(id string) bool { return c.jobs[id] != nil }
 
-// putWaiting takes a new version of a job that waits.
-func (c *Core) putWaiting(r wire.Job, ver uint64) {
-	c.waitingAt[r.ID] = &jobEntry{rec: r, ver: ver}
-	c.chain.Put(r.ID, r.Predecessors, c.demandOf(&r))
+// putWaitingJob takes a new version of a job that waits.
+func (c *Core) putWaitingJob(r wire.Job, ver uint64) {
+	c.waitingJobs[r.ID] = &jobEntry{rec: r, ver: ver}
+	c.dependencies.Put(r.ID, r.Predecessors, c.demandOf(&r))
 	for _, p := range r.Predecessors {
 		if f, ok := c.finals[p]; ok {
-			c.chain.End(p, f.Status == wire.JobDone, f.By)
+			c.dependencies.End(p, f.Status == wire.JobDone, f.By)
 		}
 	}
-	c.rankBefore(c.chain.Before(r.ID))
-	c.relook, c.dirty = true, true
+	c.rankPredecessors(c.dependencies.Before(r.ID))
+	c.recheckWaiting, c.dirty = true, true
 }
 
-// waitingGone is called when a job waits no longer.
-func (c *Core) waitingGone(id string) {
-	before := c.chain.Before(id)
-	delete(c.waitingAt, id)
-	c.chain.Remove(id)
-	c.rankBefore(before)
-	c.relook, c.dirty = true, true
+// removeWaitingJob is called when a job waits no longer.
+func (c *Core) removeWaitingJob(id string) {
+	before := c.dependencies.Before(id)
+	delete(c.waitingJobs, id)
+	c.dependencies.Remove(id)
+	c.rankPredecessors(before)
+	c.recheckWaiting, c.dirty = true, true
 }
 
 // stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
@@ -63,8 +63,8 @@
 	return s, boot
 }
 
-// endsIn is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
-func (c *Core) endsIn(id string) float64 {
+// remainingSeconds is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
+func (c *Core) remainingSeconds(id string) float64 {
 	e := c.jobs[id]
 	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
 		return inf
@@ -80,15 +80,15 @@
 	return s.Left((c.now - last).Seconds())
 }
 
-// soon lists the waiting jobs of a shard that machines are asked for already: those that begin within
+// startingSoon lists the waiting jobs of a shard that machines are asked for already: those that begin within
 // a boot and would be late if it began then. They are asked for on a rung of normal work.
-func (c *Core) soon(shard int) (list []*wire.Job) {
-	for _, id := range c.chain.Waiting() {
-		j := &c.waitingAt[id].rec
+func (c *Core) startingSoon(shard int) (list []*wire.Job) {
+	for _, id := range c.dependencies.Waiting() {
+		j := &c.waitingJobs[id].rec
 		if c.shardOf(j.Team) != shard {
 			continue
 		}
-		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
+		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
 			list = append(list, j)
 		}
 	}
@@ -104,7 +104,7 @@
 // rankJob puts a job on its rung, or on that of a job that needs it: on that one's own once there
 // is little slack, until then among normal work, which goes by due times and stops none of it.
 func (c *Core) rankJob(e *jobEntry) {
-	d := c.chain.Inherited(e.rec.ID)
+	d := c.dependencies.Inherited(e.rec.ID)
 	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), d.Due
 	if d.Priority > e.prio {
 		if own := c.demandOf(&e.rec); d.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
@@ -126,8 +126,8 @@
 	}
 }
 
-// rankBefore does so for jobs whose dependents have changed.
-func (c *Core) rankBefore(ids []string) {
+// rankPredecessors does so for jobs whose dependents have changed.
+func (c *Core) rankPredecessors(ids []string) {
 	for _, id := range ids {
 		if e := c.jobs[id]; e != nil {
 			c.rankJob(e)
@@ -136,46 +136,46 @@
 	}
 }
 
-// rankWaiting weighs all that wait anew: the ladder, or what is known of run times, has changed.
-func (c *Core) rankWaiting() {
-	for _, id := range c.chain.Waiting() {
-		r := &c.waitingAt[id].rec
-		c.chain.Put(id, r.Predecessors, c.demandOf(r))
+// rankWaitingJobs weighs all that wait anew: the ladder, or what is known of run times, has changed.
+func (c *Core) rankWaitingJobs() {
+	for _, id := range c.dependencies.Waiting() {
+		r := &c.waitingJobs[id].rec
+		c.dependencies.Put(id, r.Predecessors, c.demandOf(r))
 	}
-	for _, id := range c.chain.Waiting() {
-		c.rankBefore(c.chain.Before(id))
+	for _, id := range c.dependencies.Waiting() {
+		c.rankPredecessors(c.dependencies.Before(id))
 	}
 }
 
-// lookOver has dependents of a job looked at that has left the live keys.
-func (c *Core) lookOver(id string) {
-	if len(c.chain.Dependents(id)) > 0 {
-		c.relook, c.dirty = true, true
+// recheckDependents has dependents of a job looked at that has left the live keys.
+func (c *Core) recheckDependents(id string) {
+	if len(c.dependencies.Dependents(id)) > 0 {
+		c.recheckWaiting, c.dirty = true, true
 	}
 }
 
-// keepChains moves the waiting jobs of held shards on: those that are ready to the live ones, those
+// processWaitingJobs moves the waiting jobs of held shards on: those that are ready to the live ones, those
 // that are cancelled to their end, which follows from another's and is written at leisure.
-func (c *Core) keepChains() {
+func (c *Core) processWaitingJobs() {
 	if c.every("rankWaiting", tuning.ChainRank) {
-		c.rankWaiting()
+		c.rankWaitingJobs()
 	}
-	if c.told.Waiting != len(c.waitingAt) {
-		c.told.Waiting = len(c.waitingAt)
-		c.out = append(c.out, c.told)
+	if c.announcedChains.Waiting != len(c.waitingJobs) {
+		c.announcedChains.Waiting = len(c.waitingJobs)
+		c.out = append(c.out, c.announcedChains)
 	}
-	if !c.relook || c.moving || c.reading || c.now < c.retryAt["chains"] {
+	if !c.recheckWaiting || c.movingWaiting || c.readingOutcomes || c.now < c.retryAt["chains"] {
 		return
 	}
-	c.relook = false
+	c.recheckWaiting = false
 	var ready, cancelled []string
 	var lookUp []string
 	by := map[string]string{}
-	for _, id := range c.chain.Waiting() {
-		if !c.mine(c.shardOf(c.waitingAt[id].rec.Team)) {
+	for _, id := range c.dependencies.Waiting() {
+		if !c.mine(c.shardOf(c.waitingJobs[id].rec.Team)) {
 			continue
 		}
-		switch v := c.chain.Judge(id, c.accepted); v.Outcome {
+		switch v := c.dependencies.Judge(id, c.isLive); v.Outcome {
 		case dependency.Ready:
 			ready = append(ready, id)
 		case dependency.Cancelled:
@@ -185,35 +185,35 @@
 		}
 	}
 	if len(ready) > 0 {
-		c.moveOn(ready, nil)
+		c.moveWaitingJobs(ready, nil)
 	} else if len(cancelled) > 0 {
-		c.moveOn(cancelled, by)
+		c.moveWaitingJobs(cancelled, by)
 	}
 	if len(lookUp) > 0 {
-		c.reading = true
+		c.readingOutcomes = true
 		slices.Sort(lookUp)
-		c.readEnds(slices.Compact(lookUp), func(bool) {
-			c.reading, c.relook = false, true
+		c.readOutcomes(slices.Compact(lookUp), func(bool) {
+			c.readingOutcomes, c.recheckWaiting = false, true
 			c.changed()
 		})
 	}
 }
 
-// moveOn writes several waiting jobs to the live keys or, cancelled by others, to their end. Who
+// moveWaitingJobs writes several waiting jobs to the live keys or, cancelled by others, to their end. Who
 // does so is of no matter: what it rests on never changes, and the record that waits is compared.
-func (c *Core) moveOn(ids []string, by map[string]string) {
+func (c *Core) moveWaitingJobs(ids []string, by map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
 	if by != nil {
 		lane = LaneLater
 	}
 	var keys []string
 	for _, id := range ids {
-		if b.full() || c.single && len(keys) > 0 {
+		if b.full() || c.oneJobPerWrite && len(keys) > 0 {
 			break
 		}
-		e := c.waitingAt[id]
+		e := c.waitingJobs[id]
 		keys = append(keys, waitingKey(id))
-		b.when = append(b.when, wire.Condition{Key: waitingKey(id), Version: e.ver}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
+		b.conditions = append(b.conditions, wire.Condition{Key: waitingKey(id), Version: e.ver}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
 		if by != nil {
 			finals[id] = wire.Final{Status: wire.JobAborted, By: by[id]}
@@ -223,11 +223,11 @@
 			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.topRev
 			change = wire.Change{Put: jobKey(id), Value: rec}
 		}
-		b.then = append(b.then, wire.Change{Delete: waitingKey(id)}, change)
+		b.changes = append(b.changes, wire.Change{Delete: waitingKey(id)}, change)
 	}
-	c.moving = true
-	c.commit(lane, b.when, b.then, func(r StateReply) {
-		c.moving, c.relook, c.single = false, true, r.Status == 409
+	c.movingWaiting = true
+	c.commit(lane, b.conditions, b.changes, func(r StateReply) {
+		c.movingWaiting, c.recheckWaiting, c.oneJobPerWrite = false, true, r.Status == 409
 		for _, id := range sortedKeys(finals) {
 			if r.Status == 200 {
 				c.keepFinal(id, finals[id], r.Txn.Revision)
@@ -247,18 +247,18 @@
 	})
 }
 
-// readEnds reads how jobs are over, one after the other; false: not all could be told.
-func (c *Core) readEnds(ids []string, f func(ok bool)) {
+// readOutcomes reads how jobs are over, one after the other; false: not all could be told.
+func (c *Core) readOutcomes(ids []string, f func(ok bool)) {
 	if len(ids) == 0 {
 		f(true)
 		return
 	}
 	id := ids[0]
-	if fin, known := c.finals[id]; known || c.accepted(id) {
+	if fin, known := c.finals[id]; known || c.isLive(id) {
 		if known {
-			c.chain.End(id, fin.Status == wire.JobDone, fin.By)
+			c.dependencies.End(id, fin.Status == wire.JobDone, fin.By)
 		}
-		c.readEnds(ids[1:], f)
+		c.readOutcomes(ids[1:], f)
 		return
 	}
 	c.lookAt(id, []string{finalKey(id)}, func(at found) {
@@ -267,12 +267,12 @@
 			f(false)
 			return
 		}
-		c.readEnds(ids, f)
+		c.readOutcomes(ids, f)
 	})
 }
 
-// refreshed brings the mirror up to all that was written before this call.
-func (c *Core) refreshed(f func(ok bool)) {
+// refreshMirror brings the mirror up to all that was written before this call.
+func (c *Core) refreshMirror(f func(ok bool)) {
 	if !c.loaded || c.loading {
 		f(false)
 		return
@@ -286,22 +286,22 @@
 	})
 }
 
-// judgeWaiting completes a look that has found a job waiting, by a mirror that is as fresh as the
+// evaluateWaiting completes a look that has found a job waiting, by a mirror that is as fresh as the
 // look itself: who was told that a job before it is cancelled hears the same of this one.
-func (c *Core) judgeWaiting(id string, at found, fresh bool, f func(found)) {
+func (c *Core) evaluateWaiting(id string, at found, fresh bool, f func(found)) {
 	if !fresh {
 		f(found{})
 		return
 	}
-	if !c.waitsForOthers(id) {
+	if !c.isWaiting(id) {
 		c.look(id, f) // it has moved on meanwhile
 		return
 	}
-	switch v := c.chain.Judge(id, c.accepted); v.Outcome {
+	switch v := c.dependencies.Judge(id, c.isLive); v.Outcome {
 	case dependency.Cancelled:
 		f(found{fin: &wire.Final{Status: wire.JobAborted, By: v.By}, ok: true})
 	case dependency.Unknown:
-		c.readEnds(v.LookUp, func(ok bool) { c.judgeWaiting(id, at, ok, f) })
+		c.readOutcomes(v.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, f) })
 	default:
 		f(at)
 	}
@@ -351,7 +351,7 @@
 		// That the mirror knows a job is enough: it was accepted, whatever has become of it.
 		if e := c.jobs[id]; e != nil {
 			judge(found{job: &e.rec, ok: true})
-		} else if e := c.waitingAt[id]; e != nil {
+		} else if e := c.waitingJobs[id]; e != nil {
 			judge(found{job: &e.rec, ok: true})
 		} else {
 			c.look(id, judge)
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -13,7 +13,7 @@
 		c.answerFound(v.Req, v.ID, found{ok: c.loaded})
 		return
 	}
-	if c.jobs[v.ID] != nil || c.waitsForOthers(v.ID) {
+	if c.jobs[v.ID] != nil || c.isWaiting(v.ID) {
 		c.answer(v.Req, 200, dependency.View(c.p.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
 		return
 	}
@@ -28,15 +28,15 @@
 	})
 }
 
-// whyWaits tells what a job waits for.
-func (c *Core) whyWaits(id string) []string {
-	if v := c.chain.Judge(id, c.accepted); v.Outcome == dependency.Cancelled {
+// waitReason tells what a job waits for.
+func (c *Core) waitReason(id string) []string {
+	if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
 		return []string{"cancelled with " + v.By}
 	}
 	var left []string
-	predecessors, _ := c.chain.Awaits(id)
+	predecessors, _ := c.dependencies.Awaits(id)
 	for _, p := range predecessors {
-		if c.accepted(p) || c.waitsForOthers(p) {
+		if c.isLive(p) || c.isWaiting(p) {
 			left = append(left, p)
 		}
 	}
@@ -45,16 +45,16 @@
 
 // chainOf is all that a job awaits and all that awaits it, as far as this controller sees it.
 func (c *Core) chainOf(id string) map[string]dependency.Seen {
-	seen, todo := map[string]dependency.Seen{}, append([]string{id}, c.chain.After(id)...)
+	seen, todo := map[string]dependency.Seen{}, append([]string{id}, c.dependencies.After(id)...)
 	for ; len(todo) > 0; todo = todo[1:] {
 		id := todo[0]
 		if _, is := seen[id]; is {
 			continue
 		}
 		e, x := c.jobs[id], dependency.Seen{}
-		if w := c.waitingAt[id]; w != nil {
+		if w := c.waitingJobs[id]; w != nil {
 			e, x.Waits, x.Status = w, true, c.statusOf(&w.rec)
-			if v := c.chain.Judge(id, c.accepted); v.Outcome == dependency.Cancelled {
+			if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
 				x.Status.Status, x.By = wire.JobAborted, v.By
 			}
 		} else if e != nil {
@@ -64,7 +64,7 @@
 		}
 		if e != nil {
 			own := c.demandOf(&e.rec)
-			x.Job, x.Length, x.Due, x.Inherited = &e.rec, own.Length, own.Due, c.chain.Inherited(id)
+			x.Job, x.Length, x.Due, x.Inherited = &e.rec, own.Length, own.Due, c.dependencies.Inherited(id)
 			todo = append(todo, e.rec.Predecessors...)
 		}
 		seen[id] = x
--- a/internal/core/chains_told_test.go
+++ b/internal/core/chains_told_test.go
@@ -31,7 +31,7 @@
 	}
 	w.run(sec)
 	for n, c := range w.nodes {
-		if c.core.told.Waiting == 0 {
+		if c.core.announcedChains.Waiting == 0 {
 			t.Errorf("%s tells of no job that waits", n)
 		}
 	}
@@ -44,7 +44,7 @@
 	w.run(60 * sec)
 	got, told := map[string][]string{}, ChainsSeen{}
 	for _, n := range sortedKeys(w.nodes) {
-		c := w.nodes[n].core.told
+		c := w.nodes[n].core.announcedChains
 		told = ChainsSeen{Waiting: told.Waiting + c.Waiting, Released: told.Released + c.Released, Cancelled: told.Cancelled + c.Cancelled}
 		for _, e := range w.trailOf(n, "").Events {
 			if e.Kind == trail.JobReleased || e.Kind == trail.JobCancelled {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -95,7 +95,7 @@
 	runs     *forecast.Book
 	calendar *calendar.Book // the crews, and what is planned for their departures
 	weights  *weights.Book  // images that many machines want
-	chaining
+	dependencyState
 	addrs   *takeover.Book // where workers listen
 	listing bool           // the cloud's list is being read for that
 	users
@@ -120,11 +120,11 @@
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.Nodes), c.nodes)
 	c.holder = newHolder()
-	c.started, c.boots, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
+	c.started, c.boots, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
 	c.books = newBooks(p.Teams)
 	c.aims = p.Aims
 	c.desk = newDesk(p)
-	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.caches)
+	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(p.Weights, c.caches)
 	c.kept = map[string]hold.Hold{}
 	c.places = map[int]*hold.Book[*machine]{}
 	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
@@ -172,13 +172,13 @@
 	case AdminCordon:
 		c.onAdminCordon(v)
 	case AdminLadder:
-		c.onAdminLadder(v)
+		c.onAdminTiers(v)
 	case AdminCrews:
 		c.onAdminCrews(v)
 	case AdminCrew:
 		c.onAdminCrew(v)
 	case AdminOrder:
-		c.onAdminOrder(v)
+		c.onAdminJobOrder(v)
 	case AdminWhy:
 		c.onAdminWhy(v)
 	case AdminTrail:
@@ -264,7 +264,7 @@
 		c.note(wire.TrailEvent{Kind: kind})
 		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.member.LastRenewed()).String(), "watched_ago", (c.now - c.member.LastWatched()).String())
 	}
-	c.lead()
+	c.runLeader()
 	c.followAddrs()
 	c.watchReach()
 	c.hold()
@@ -408,7 +408,7 @@
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
-				c.followBoots(nil, c.blocks[id])
+				c.trackProvisioning(nil, c.blocks[id])
 			}
 			c.note(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
 			c.log(1, "state read", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.rev)
@@ -431,7 +431,7 @@
 			c.takeShard(i, c.p.Node, c.member.Boot())
 		}
 	}
-	c.lead()
+	c.runLeader()
 }
 
 // takeShard writes a new holder; the write's revision is the shard's token.
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -38,7 +38,7 @@
 
 func (w crewWork) Left(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
-	left := e.rec.Tasks - w.c.known(e).Count()
+	left := e.rec.Tasks - w.c.knownDone(e).Count()
 	if e.run != nil {
 		left = e.rec.Tasks - e.run.done.Count()
 	}
@@ -91,7 +91,7 @@
 			c.touchJob(e)
 		}
 	}
-	c.tellBias()
+	c.publishBias()
 }
 
 // putCrew writes a crew's record, compared with the version that it replaces.
@@ -119,20 +119,20 @@
 		}
 		for _, b := range booked {
 			key := (&supply.Offer{Type: b.Type, Zone: b.Zone, Spot: b.Spot}).Key()
-			if c.calendar.Open(&b) && !l.renting[shard] && c.now >= l.pause[key] && c.now >= l.cloudAt {
+			if c.calendar.Open(&b) && !l.servingShards[shard] && c.now >= l.offerRetryAt[key] && c.now >= l.cloudRetryAt {
 				c.log(1, "renting ahead", "crew", name, "type", b.Type, "zone", b.Zone, "count", b.Count, "booking", b.Request)
-				l.renting[shard] = true
-				c.book(shard, key, wire.RentRequest{Request: b.Request, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}, 0)
+				l.servingShards[shard] = true
+				c.sendRental(shard, key, wire.RentRequest{Request: b.Request, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}, 0)
 			}
 		}
 		if len(booked) == 0 {
-			c.planAhead(x, leaves, shard)
+			c.planRentAhead(x, leaves, shard)
 		}
 	}
 }
 
-// planAhead writes what is to be rented for a departure, once its time has come.
-func (c *Core) planAhead(x *calendar.Entry, leaves time.Time, shard int) {
+// planRentAhead writes what is to be rented for a departure, once its time has come.
+func (c *Core) planRentAhead(x *calendar.Entry, leaves time.Time, shard int) {
 	e := x.Rec.Expect
 	n := wire.Need{Zone: x.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
 	offers := supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
@@ -147,14 +147,14 @@
 	rec, due := c.calendar.Ahead(x, c.wall, leaves, calendar.Accepted(x, leaves, crewWork{c}), c.p.Teams[x.Rec.Team].CPUsMax,
 		wire.CrewBooking{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, t.CPUs, factor, seconds(t.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCond(), func(StateReply) { c.changed() })
+		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCondition(), func(StateReply) { c.changed() })
 	}
 }
 
-// rentedAhead notes that a booking has been answered.
-func (c *Core) rentedAhead(request string) {
+// noteRentedAhead notes that a booking has been answered.
+func (c *Core) noteRentedAhead(request string) {
 	for _, x := range c.calendar.Answered(request) {
-		c.putCrew(x, c.leaderCond(), func(StateReply) { c.calendar.Rented(request) })
+		c.putCrew(x, c.leaderCondition(), func(StateReply) { c.calendar.Rented(request) })
 	}
 }
 
@@ -163,8 +163,8 @@
 	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOf(team) == shard })
 }
 
-// tellBias writes how far estimates are off, when it has changed.
-func (c *Core) tellBias() {
+// publishBias writes how far estimates are off, when it has changed.
+func (c *Core) publishBias() {
 	if !c.every("bias", tuning.BiasEvery) {
 		return
 	}
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -19,41 +19,41 @@
 	c.flushStarts()
 	c.flushJobs()
 	c.flushLater()
-	c.tellImages()
+	c.publishImages()
 }
 
 // batch is one write of the holder: every part of it compares its shard.
 type batch struct {
-	c     *Core
-	when  []wire.Condition
-	then  []wire.Change
-	jobs  []*jobEntry
-	idle  []string // blocks to be marked idle
-	bytes int
-	max   int // changes
-	shard map[int]bool
+	c              *Core
+	conditions     []wire.Condition
+	changes        []wire.Change
+	jobs           []*jobEntry
+	idleBlocks     []string // blocks to be marked idle
+	bytes          int
+	maxChanges     int // changes
+	comparedShards map[int]bool
 }
 
 // newBatch begins a short write: what users wait for gets in between.
 func (c *Core) newBatch() *batch {
-	b := &batch{c: c, max: c.form.Bounds().Short(tuning.ShortOps), shard: map[int]bool{}}
+	b := &batch{c: c, maxChanges: c.form.Bounds().Short(tuning.ShortOps), comparedShards: map[int]bool{}}
 	if c.form.Alone(c.now) {
-		b.max = 2
+		b.maxChanges = 2
 	}
 	return b
 }
 
-func (b *batch) full() bool { return len(b.then)+2 > b.max || b.bytes > tuning.TxnBytes }
+func (b *batch) full() bool { return len(b.changes)+2 > b.maxChanges || b.bytes > tuning.TxnBytes }
 
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
-	if !b.shard[shard] {
-		b.shard[shard] = true
-		b.when = append(b.when, b.c.shardCond(shard))
+	if !b.comparedShards[shard] {
+		b.comparedShards[shard] = true
+		b.conditions = append(b.conditions, b.c.shardCond(shard))
 	}
 	if cond != nil {
-		b.when = append(b.when, *cond)
+		b.conditions = append(b.conditions, *cond)
 	}
-	b.then = append(b.then, changes...)
+	b.changes = append(b.changes, changes...)
 }
 
 // addJob adds changes of one job.
@@ -67,21 +67,21 @@
 func (b *batch) addBlock(x *blockEntry, rec wire.Block) {
 	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.ver}, wire.Change{Put: blockKey(x.id), Value: rec})
 	if rec.Idle && !x.rec.Idle {
-		b.idle = append(b.idle, x.id)
+		b.idleBlocks = append(b.idleBlocks, x.id)
 		b.c.offered[x.id] = x.ver
 		b.c.touchBlock(x.id)
 	}
 }
 
-// offering tells whether a mark that a block is idle may be on its way to the state, or be
+// idleMarkPending tells whether a mark that a block is idle may be on its way to the state, or be
 // executed late: only a newer version of its record, or a refusal, ends that.
-func (c *Core) offering(b *blockEntry) bool {
+func (c *Core) idleMarkPending(b *blockEntry) bool {
 	ver, sent := c.offered[b.id]
 	return sent && ver == b.ver
 }
 
-// withdraw ends the offer of blocks whose mark was refused.
-func (c *Core) withdraw(ids []string, status int) {
+// clearIdleMarks ends the offer of blocks whose mark was refused.
+func (c *Core) clearIdleMarks(ids []string, status int) {
 	if status == 409 || status == 429 || status == 503 || status == 400 {
 		for _, id := range ids {
 			delete(c.offered, id)
@@ -93,14 +93,14 @@
 // send commits the batch, if there is anything in it. busy is set meanwhile; a
 // duty whose write failed pauses; written is called after one that did not, with its revision.
 func (b *batch) send(lane int, busy *bool, duty string, written func(rev uint64)) {
-	if len(b.then) == 0 {
+	if len(b.changes) == 0 {
 		return
 	}
 	c := b.c
 	*busy = true
-	c.commit(lane, b.when, b.then, func(r StateReply) {
+	c.commit(lane, b.conditions, b.changes, func(r StateReply) {
 		*busy = false
-		c.withdraw(b.idle, r.Status)
+		c.clearIdleMarks(b.idleBlocks, r.Status)
 		for _, e := range b.jobs {
 			if e.run != nil {
 				e.run.writing = false
@@ -110,7 +110,7 @@
 			written(r.Txn.Revision)
 		} else {
 			c.retryAt[duty] = c.now + tuning.RetryAfter/2
-			c.log(2, "not written", "changes", len(b.then), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.log(2, "not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.dirty = true
 		c.hold()
@@ -125,7 +125,7 @@
 	b := c.newBatch() // short, so that acceptances get in between
 	finals := map[string]wire.Final{}
 	c.update()
-	c.addHasty(b)
+	c.addUrgentProgress(b)
 	for _, e := range sortedJobs(c.owed) {
 		if b.full() {
 			break
@@ -145,7 +145,7 @@
 		if x == nil || !c.mine(x.rec.Shard) {
 			delete(c.used, id)
 		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
-			if rec, change := c.markBlock(x); change {
+			if rec, change := c.desiredBlock(x); change {
 				b.addBlock(x, rec)
 			} else {
 				delete(c.used, id)
@@ -169,9 +169,9 @@
 	})
 }
 
-// markBlock is a block's record as it should stand.
-func (c *Core) markBlock(x *blockEntry) (rec wire.Block, change bool) {
-	rec, change = x.rec, c.offering(x) // its mark may come late: a write of ours forestalls it
+// desiredBlock is a block's record as it should stand.
+func (c *Core) desiredBlock(x *blockEntry) (rec wire.Block, change bool) {
+	rec, change = x.rec, c.idleMarkPending(x) // its mark may come late: a write of ours forestalls it
 	rec.Machines = append([]wire.BlockMachine(nil), x.rec.Machines...)
 	for k := range rec.Machines {
 		m, bm := c.machines[rec.Machines[k].Name], &rec.Machines[k]
@@ -179,20 +179,20 @@
 			continue
 		}
 		bm.Fresh = m.fresh // written among the starts; no change by itself
-		if m.drop && !c.keepsEnds(m) {
+		if m.drop && !c.keepsUnwrittenEnds(m) {
 			if empty := m.accounted && len(m.attempts) == 0; !bm.Drop || empty && !bm.Empty {
 				bm.Drop, bm.Empty, change = true, bm.Empty || empty, true
 			}
 		}
 	}
-	if idle := c.offer(x); idle != rec.Idle {
+	if idle := c.shouldMarkIdle(x); idle != rec.Idle {
 		rec.Idle, change = idle, true
 	}
 	return rec, change
 }
 
-// movedOn tells whether a tracked job has a task on another machine than written.
-func (c *Core) movedOn(e *jobEntry) bool {
+// placementChanged tells whether a tracked job has a task on another machine than written.
+func (c *Core) placementChanged(e *jobEntry) bool {
 	if tracked(&e.rec) {
 		for k, a := range e.run.active {
 			if onOf(&e.rec, k) != a.m.name {
@@ -214,7 +214,7 @@
 		if !c.mine(x.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
-		if rec, change := c.markBlock(x); change {
+		if rec, change := c.desiredBlock(x); change {
 			b.addBlock(x, rec)
 		}
 	}
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -237,7 +237,7 @@
 	b := c.newBatch()
 	c.shards[0], c.teamHome["red"] = &shardEntry{}, 0
 	b.addProgress(e)
-	for _, ch := range b.then {
+	for _, ch := range b.changes {
 		w.put(ch.Put, ch.Value)
 	}
 }
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -155,7 +155,7 @@
 	}
 	fresh := e.run == nil
 	if fresh {
-		e.run = &jobRun{since: c.now, active: map[int]*attempt{}, next: e.rec.Started, done: c.known(e).Clone()}
+		e.run = &jobRun{since: c.now, active: map[int]*attempt{}, next: e.rec.Started, done: c.knownDone(e).Clone()}
 		if e.rec.Started > 0 {
 			e.run.held = e.rec.Started
 			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
@@ -181,7 +181,7 @@
 		c.awaitOn(e)
 		c.noteHeld(e, i)
 	}
-	e.run.done = e.run.done.Union(c.known(e))
+	e.run.done = e.run.done.Union(c.knownDone(e))
 }
 
 // jobGone is called when a job has left the live keys: done or aborted. What
@@ -316,7 +316,7 @@
 				c.holdBlock(b, !b.rec.Idle)
 			}
 		}
-		c.relook = true
+		c.recheckWaiting = true
 		c.runs.Import(c.biases[biasKey(i)].Classes)
 		c.noteShard(trail.ShardHeld, i, wire.TrailEvent{Token: c.shards[i].ver})
 		c.log(1, "holding shard", "shard", i, "token", c.shards[i].ver, "teams", len(c.shards[i].rec.Teams))
@@ -431,7 +431,7 @@
 // attemptGone takes an attempt off its machine; its task is started again
 // unless it is done.
 func (c *Core) attemptGone(a *attempt, why string) {
-	c.hasten(a)
+	c.expediteEnd(a)
 	c.dropAttempt(a)
 	c.dirty = true
 	e := c.jobs[a.job]
@@ -473,10 +473,10 @@
 // hold does the holder's duties.
 func (c *Core) hold() {
 	c.watchMachines()
-	c.vacate()
-	c.keepChains()
+	c.reclaimBlocks()
+	c.processWaitingJobs()
 	c.planCrews()
-	c.planHolds()
+	c.planReservations()
 	if c.dirty {
 		c.dirty = false
 		c.place()
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -12,12 +12,12 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// offer tells whether a block should stand as idle: nothing runs on it, this
+// shouldMarkIdle tells whether a block should stand as idle: nothing runs on it, this
 // shard has no use for it, and another asks. While it stands so, nothing is
 // started on it, and the leader may move it.
-func (c *Core) offer(b *blockEntry) bool {
+func (c *Core) shouldMarkIdle(b *blockEntry) bool {
 	if c.vacating[b.id] {
-		return c.empty(b, 0)
+		return c.emptyFor(b, 0)
 	}
 	if c.wantedHere(b.rec.Shard) {
 		return false
@@ -30,11 +30,11 @@
 			}
 		}
 	}
-	return asked && c.empty(b, tuning.IdleOffer) && c.spareBeyond(b.rec.Shard, c.machinesOf(b)...)
+	return asked && c.emptyFor(b, tuning.IdleOffer) && c.hasSpareWithout(b.rec.Shard, c.machinesOf(b)...)
 }
 
-// empty tells whether nothing has been on a block for a while.
-func (c *Core) empty(b *blockEntry, since time.Duration) bool {
+// emptyFor tells whether nothing has been on a block for a while.
+func (c *Core) emptyFor(b *blockEntry, since time.Duration) bool {
 	for _, bm := range b.rec.Machines {
 		m := c.machines[bm.Name]
 		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
@@ -60,9 +60,9 @@
 	return c.reserve.Target(c.now, shard, boot)
 }
 
-// roomFor counts the urgent tasks that a machine could take at once, lesser
+// urgentCapacity counts the urgent tasks that a machine could take at once, lesser
 // work on it giving way.
-func (c *Core) roomFor(m *machine, u placement.Size) int {
+func (c *Core) urgentCapacity(m *machine, u placement.Size) int {
 	f := c.free(m)
 	for _, a := range m.attempts {
 		if a.lesser && a.status != wire.TaskEnded {
@@ -72,9 +72,9 @@
 	return placement.Beta(f, u) + 1
 }
 
-// spareBeyond tells whether a shard keeps room for urgent tasks without the
+// hasSpareWithout tells whether a shard keeps room for urgent tasks without the
 // given machines: such work should not wait for a boot.
-func (c *Core) spareBeyond(shard int, without ...*machine) bool {
+func (c *Core) hasSpareWithout(shard int, without ...*machine) bool {
 	c.update()
 	n := c.room.Spare(shard)
 	for _, m := range without {
@@ -85,11 +85,11 @@
 	return n >= c.spareTarget(shard)
 }
 
-// moveOff frees rented machines that run nothing but a few replicas, if all of them find
+// consolidate frees rented machines that run nothing but a few replicas, if all of them find
 // room, and their image, on machines in use. Anchors spread by design; once the batches
 // around them have ended, each holds a machine alone. So many at a time as are a small
 // share of the shard: one at a time, a fleet's tail was paid for ten minutes.
-func (c *Core) moveOff(shard int) {
+func (c *Core) consolidate(shard int) {
 	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
@@ -135,8 +135,8 @@
 		a.status == wire.TaskRunning && c.now-a.running >= tuning.MoveAfter
 }
 
-// retire marks machines to be given back: idle, silent, never up, or taken.
-func (c *Core) retire(shard int, busy bool) {
+// retireMachines marks machines to be given back: idle, silent, never up, or taken.
+func (c *Core) retireMachines(shard int, busy bool) {
 	// Many that are silent at a time are a cut, and come back: a controller that lost its
 	// workers for half a minute, while another was down, gave 163 healthy machines away.
 	silent := 0
@@ -151,7 +151,7 @@
 			continue
 		}
 		m.cut = m.over && (m.cut || cut)
-		why := c.neverComes(m)
+		why := c.bootFailure(m)
 		switch {
 		case why != "":
 		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
@@ -164,7 +164,7 @@
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
 		case !m.base && !busy && !c.awaitsCrew(shard) && m.reported && m.accounted && len(m.attempts) == 0 && c.now-m.idleSince > c.weights.Keep(m.images, seconds(c.settings.IdleReturnS)) &&
-			(m.spot || c.spareBeyond(shard, m)):
+			(m.spot || c.hasSpareWithout(shard, m)):
 			why = "idle"
 		}
 		if why != "" {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -17,39 +17,39 @@
 // leaderState is what only the leading controller keeps; it starts empty with
 // each term, since all of it can be learned again.
 type leaderState struct {
-	listing  bool
-	known    *inventory.Book // the cloud's machines
-	deleting bool
-	renting  map[int]bool               // shards being served
-	booked   map[int][]wire.MachineInfo // rented, not yet in a block
-	pause    map[string]Time            // refused type/zone/kind
-	writing  bool
-	backoff  time.Duration
-	cloudAt  Time
-	typing   bool
-	tidying  bool
-	nodeUp   map[string]Time
-	bookings uint64
-	standing bool // the first machines, found when there was no block at all
-	founded  Time // when this term made the shards: the cluster started for the first time; 0: it did not
+	listingMachines  bool
+	cloudMachines    *inventory.Book // the cloud's machines
+	deleting         bool
+	servingShards    map[int]bool               // shards being served
+	rentedMachines   map[int][]wire.MachineInfo // rented, not yet in a block
+	offerRetryAt     map[string]Time            // refused type/zone/kind
+	writePending     bool
+	cloudBackoff     time.Duration
+	cloudRetryAt     Time
+	readingTypes     bool
+	deletingProgress bool
+	nodeSince        map[string]Time
+	rentRequests     uint64
+	adoptingBase     bool // the first machines, found when there was no block at all
+	shardsCreatedAt  Time // when this term made the shards: the cluster started for the first time; 0: it did not
 }
 
 func (l *leaderState) reset(listLag time.Duration) {
-	b := l.bookings // request names never repeat
-	*l = leaderState{known: inventory.New(inventory.Limits{Lag: listLag, Gone: 3*listLag + tuning.GoneAfter, Grace: tuning.SurpriseGrace, Again: tuning.SurpriseAgain}),
-		renting: map[int]bool{}, booked: map[int][]wire.MachineInfo{}, pause: map[string]Time{}, nodeUp: map[string]Time{}, bookings: b}
+	b := l.rentRequests // request names never repeat
+	*l = leaderState{cloudMachines: inventory.New(inventory.Limits{Lag: listLag, Gone: 3*listLag + tuning.GoneAfter, Grace: tuning.SurpriseGrace, Again: tuning.SurpriseAgain}),
+		servingShards: map[int]bool{}, rentedMachines: map[int][]wire.MachineInfo{}, offerRetryAt: map[string]Time{}, nodeSince: map[string]Time{}, rentRequests: b}
 }
 
-// leading tells whether this life of this controller is the leader.
-func (c *Core) leading() bool {
+// isLeader tells whether this life of this controller is the leader.
+func (c *Core) isLeader() bool {
 	return c.chief.Node == c.p.Node && c.chief.Boot == c.member.Boot() && c.member.Boot() != 0
 }
 
-// lead claims leadership where it is free, and does the leader's duties.
-func (c *Core) lead() {
+// runLeader claims leadership where it is free, and does the leader's duties.
+func (c *Core) runLeader() {
 	l := &c.leader
-	began, ended := c.term.Led(c.now, c.leading(), c.ver.Of(wire.KeyLeader))
-	if !c.leading() {
+	began, ended := c.term.Led(c.now, c.isLeader(), c.ver.Of(wire.KeyLeader))
+	if !c.isLeader() {
 		if ended {
 			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
 			c.log(1, "no longer leading")
@@ -71,50 +71,50 @@
 		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
 	}
 	for n := range c.nodes {
-		if _, ok := l.nodeUp[n]; !ok {
-			l.nodeUp[n] = c.now
+		if _, ok := l.nodeSince[n]; !ok {
+			l.nodeSince[n] = c.now
 		}
 	}
-	maps.DeleteFunc(l.nodeUp, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
-	c.homeShards()
-	c.writeBooked()
+	maps.DeleteFunc(l.nodeSince, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
+	c.assignShards()
+	c.writeRentedBlocks()
 	c.readTypes()
 	c.readMachines()
 	c.deleteMachines()
-	c.adopt()
+	c.adoptMachines()
 	c.rentAhead()
-	c.serveWants()
-	c.tidyDone()
+	c.serveDemand()
+	c.deleteStaleProgress()
 }
 
-func (c *Core) leaderCond() wire.Condition {
+func (c *Core) leaderCondition() wire.Condition {
 	return wire.Condition{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}
 }
 
-// fenced tells whether blocks may be formed: no write of ours that forms others can be executed
+// canFormBlocks tells whether blocks may be formed: no write of ours that forms others can be executed
 // any more, and the mirror holds all that were. Such a write compares the leader record and that
 // its blocks do not exist; executed late, after its machines had been put into blocks of other
 // names, it put them into two blocks, each with a holder. So after one without an answer the
 // leader record is written anew, which fails whatever compares the old one.
-func (c *Core) fenced() bool {
+func (c *Core) canFormBlocks() bool {
 	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Here())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.Grant()}}, func(r StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.Grant()}}, func(r StateReply) {
 		c.term.Renewed(r.Status == 200, r.Txn.Revision)
 		c.changed()
 	})
 	return false
 }
 
-// homeShards makes the shards, and hands those of dead controllers on whole.
-func (c *Core) homeShards() {
+// assignShards makes the shards, and hands those of dead controllers on whole.
+func (c *Core) assignShards() {
 	l := &c.leader
 	names := sortedKeys(c.p.Nodes)
 	if len(c.shards) < len(names) {
-		if l.writing || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
+		if l.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
 			return
 		}
 		guarantees := map[string]float64{}
@@ -124,7 +124,7 @@
 		teams := duty.ShareTeams(guarantees, len(names))
 		var when []wire.Condition
 		var then []wire.Change
-		when = append(when, c.leaderCond())
+		when = append(when, c.leaderCondition())
 		for i, n := range names {
 			if c.shards[i] != nil || len(then) >= c.p.TxnOps {
 				continue
@@ -136,11 +136,11 @@
 			when = append(when, wire.Condition{Key: shardKey(i)})
 			then = append(then, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
 		}
-		l.writing = true
+		l.writePending = true
 		c.commit(LaneFirst, when, then, func(r StateReply) {
-			l.writing = false
+			l.writePending = false
 			if r.Status == 200 {
-				l.founded = c.now
+				l.shardsCreatedAt = c.now
 			}
 			c.changed()
 		})
@@ -152,18 +152,18 @@
 		n, up := c.nodes[s.rec.Holder]
 		to := ""
 		switch {
-		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeUp[s.rec.Holder] > tuning.GrantTTL):
+		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeSince[s.rec.Holder] > tuning.GrantTTL):
 			// Dead, or back without having retaken it. All of it goes to one successor.
 			to = duty.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
 		case s.rec.Home != s.rec.Holder:
-			if at, here := l.nodeUp[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
+			if at, here := l.nodeSince[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
 				to = s.rec.Home
 			}
 		}
 		if to != "" && (to != s.rec.Holder || c.nodes[to].Boot != s.rec.Boot) {
 			// A leader that has stood still believes so until it hears otherwise: without the
 			// comparison it took its shard back from its successor, for 10 ms.
-			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCond())
+			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCondition())
 			held[to]++
 		}
 	}
@@ -188,7 +188,7 @@
 		s := c.shards[best]
 		rec := s.rec
 		rec.Teams = append(append([]string(nil), rec.Teams...), t)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCond(), {Key: shardKey(best), Version: s.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
+		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: s.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
 		return
 	}
 }
@@ -196,27 +196,27 @@
 // cloudFailed slows the calls down after a failure.
 func (c *Core) cloudFailed(what string, r CloudReply) {
 	l := &c.leader
-	l.backoff = min(max(2*l.backoff, tuning.RetryAfter), tuning.CloudBackoffMax)
-	l.cloudAt = c.now + time.Duration(float64(l.backoff)*(1-tuning.Jitter*c.jitter.Float64()))
+	l.cloudBackoff = min(max(2*l.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
+	l.cloudRetryAt = c.now + time.Duration(float64(l.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
 	c.note(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
-	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", l.backoff.String())
+	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", l.cloudBackoff.String())
 }
 
 func (c *Core) readTypes() {
 	l := &c.leader
-	if l.typing || c.now < l.cloudAt || !c.every("types", tuning.TypesEvery) {
+	if l.readingTypes || c.now < l.cloudRetryAt || !c.every("types", tuning.TypesEvery) {
 		return
 	}
-	l.typing = true
+	l.readingTypes = true
 	c.cloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
-		l.typing = false
+		l.readingTypes = false
 		if r.Status != 200 {
 			c.retryAt["types"] = c.now + tuning.RetryAfter
 			c.cloudFailed("machine types", r)
 			return
 		}
-		l.backoff = 0
-		if !c.leading() {
+		l.cloudBackoff = 0
+		if !c.isLeader() {
 			return
 		}
 		for len(r.Types) > 0 {
@@ -226,7 +226,7 @@
 				then = append(then, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
 			}
 			r.Types = r.Types[n:]
-			c.commit(LaneUser, []wire.Condition{c.leaderCond()}, then, func(r StateReply) {
+			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, then, func(r StateReply) {
 				if r.Status != 200 {
 					c.retryAt["types"] = c.now + tuning.RetryAfter
 				}
@@ -248,10 +248,10 @@
 // that failed or have left it are cleared away.
 func (c *Core) readMachines() {
 	l := &c.leader
-	if l.listing || c.now < l.cloudAt || !c.every("list", tuning.ListEvery) {
+	if l.listingMachines || c.now < l.cloudRetryAt || !c.every("list", tuning.ListEvery) {
 		return
 	}
-	l.listing = true
+	l.listingMachines = true
 	c.listPage("", map[string]wire.MachineInfo{})
 }
 
@@ -259,11 +259,11 @@
 	l := &c.leader
 	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		if r.Status != 200 {
-			l.listing = false
+			l.listingMachines = false
 			c.cloudFailed("machine list", r)
 			return
 		}
-		l.backoff = 0
+		l.cloudBackoff = 0
 		for _, m := range r.List.Machines {
 			all[m.Name] = m
 			after = m.Name
@@ -272,8 +272,8 @@
 			c.listPage(after, all)
 			return
 		}
-		l.listing = false
-		if !c.leading() {
+		l.listingMachines = false
+		if !c.isLeader() {
 			return
 		}
 		c.learnAddrs(all)
@@ -283,33 +283,33 @@
 				in[bm.Name] = true
 			}
 		}
-		l.known.Read(c.now, all, in)
-		c.lead()
+		l.cloudMachines.Read(c.now, all, in)
+		c.runLeader()
 	})
 }
 
-// surprise is a report of a machine in no block, told by its worker.
-func (c *Core) surprise(r *wire.Report) {
-	if c.leading() && r.Addr != "" && c.leader.known.Came(c.now, r.Machine) {
+// onUnassignedReport is a report of a machine in no block, told by its worker.
+func (c *Core) onUnassignedReport(r *wire.Report) {
+	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
 		c.out = append(c.out, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
 
-// lives takes note that a machine in no block has answered a call of ours.
-func (c *Core) lives(r *wire.Report) {
-	if c.leading() && c.blockOf(r.Machine) == nil {
-		c.leader.known.Lives(c.now, wire.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Status: wire.MachineRunning})
+// noteAnswered takes note that a machine in no block has answered a call of ours.
+func (c *Core) noteAnswered(r *wire.Report) {
+	if c.isLeader() && c.blockOf(r.Machine) == nil {
+		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Status: wire.MachineRunning})
 	}
 }
 
-// takeOutGone takes machines that the cloud has deleted out of their blocks, and tells
+// removeDeletedMachines takes machines that the cloud has deleted out of their blocks, and tells
 // whether there was something to write.
-func (c *Core) takeOutGone() bool {
+func (c *Core) removeDeletedMachines() bool {
 	l := &c.leader
-	when := []wire.Condition{c.leaderCond()}
+	when := []wire.Condition{c.leaderCondition()}
 	var then []wire.Change
 	done := map[string]bool{}
-	for _, n := range l.known.AllGone() {
+	for _, n := range l.cloudMachines.AllGone() {
 		id, in := c.blockIn[n]
 		if !in || done[id] || len(then) >= c.p.TxnOps {
 			continue
@@ -317,7 +317,7 @@
 		done[id] = true
 		b := c.blocks[id]
 		rec := b.rec
-		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return l.known.Gone(bm.Name) })
+		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return l.cloudMachines.Gone(bm.Name) })
 		when = append(when, wire.Condition{Key: blockKey(id), Version: b.ver})
 		if len(rec.Machines) == 0 {
 			then = append(then, wire.Change{Delete: blockKey(id)})
@@ -326,11 +326,11 @@
 		}
 	}
 	if len(then) > 0 {
-		l.writing = true
-		c.commit(LaneLater, when, then, func(r StateReply) { l.writing = false; c.changed() })
+		l.writePending = true
+		c.commit(LaneLater, when, then, func(r StateReply) { l.writePending = false; c.changed() })
 		return true
 	}
-	l.known.Forget(c.now)
+	l.cloudMachines.Forget(c.now)
 	return false
 }
 
@@ -338,16 +338,16 @@
 // after the cloud has said that the machine and all on it are gone.
 func (c *Core) deleteMachines() {
 	l := &c.leader
-	if l.writing {
+	if l.writePending {
 		return
 	}
-	if l.known.AnyGone() && c.every("gone", 100*time.Millisecond) && c.takeOutGone() {
+	if l.cloudMachines.AnyGone() && c.every("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
 		return
 	}
-	if l.deleting || c.now < l.cloudAt {
+	if l.deleting || c.now < l.cloudRetryAt {
 		return
 	}
-	names := l.known.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
+	names := l.cloudMachines.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
@@ -359,24 +359,24 @@
 			c.cloudFailed("delete", r)
 			return
 		}
-		l.backoff = 0
-		l.known.Deleted(c.now, names)
+		l.cloudBackoff = 0
+		l.cloudMachines.Deleted(c.now, names)
 		c.changed()
 	})
 }
 
-// adopt puts machines that stand in no block into one.
-func (c *Core) adopt() {
+// adoptMachines puts machines that stand in no block into one.
+func (c *Core) adoptMachines() {
 	l := &c.leader
 	// Without the machine types all blocks weigh nothing, and all standing machines
 	// went to one shard.
-	if l.writing || !l.known.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.fenced() {
+	if l.writePending || !l.cloudMachines.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
 	// Lists lag by up to twice the usual time.
-	first := l.founded > 0 && c.now-l.founded < 2*c.p.ListLag && (len(c.blocks) == 0 || l.standing)
-	infos := l.known.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
-	if l.standing = first && len(infos) > 0; len(infos) == 0 {
+	first := l.shardsCreatedAt > 0 && c.now-l.shardsCreatedAt < 2*c.p.ListLag && (len(c.blocks) == 0 || l.adoptingBase)
+	infos := l.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
+	if l.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
 	}
 	// Machines found when the cluster starts for the first time are the
@@ -384,7 +384,7 @@
 	// returned, is not: it would be paid for ever.
 	have := c.shardCPUs()
 	c.writeBlocks(infos, first, false, func(b *wire.Block) {
-		b.Shard = supply.Poorest(c.richness(b.Zone, have))
+		b.Shard = supply.Poorest(c.shardCapacities(b.Zone, have))
 		have[b.Shard] += c.blockCPUs(b)
 	}, nil)
 }
--- a/internal/core/meeting_beliefs_test.go
+++ b/internal/core/meeting_beliefs_test.go
@@ -105,7 +105,7 @@
 
 // The task of a small job goes to another machine, and its holder ends while that one cannot be
 // asked: the successor waits for the machine of the last start, which was written before it. Fails
-// (ran_twice) if a start is neither written with its machine (movedOn) nor held back until it is
+// (ran_twice) if a start is neither written with its machine (placementChanged) nor held back until it is
 // (startable); with one of the two alone it is not sent at all.
 func TestASmallJobWaitsForTheMachineOfItsLastStart(t *testing.T) {
 	t.Parallel()
--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -134,7 +134,7 @@
 			if e.prio != wire.PriorityRank(priority) || e.rank != c.ladder.Rank(&as) {
 				t.Errorf("%s: %s: priority %d, rung %d, want those of an %s job", when, n, e.prio, e.rank, priority)
 			}
-			if last := float64(c.waitingAt[ids[4]].rec.AcceptedMS)/1000 + 200; e.due >= last-4*sec.Seconds() || e.due < last-120 {
+			if last := float64(c.waitingJobs[ids[4]].rec.AcceptedMS)/1000 + 200; e.due >= last-4*sec.Seconds() || e.due < last-120 {
 				t.Errorf("%s: %s: due at %.1f, the last job at %.1f", when, n, e.due, last)
 			}
 			out = append(out, fmt.Sprintf("%.3f", e.due))
@@ -266,8 +266,8 @@
 					}
 				}
 				for _, n := range sortedKeys(w.nodes) {
-					if c := w.nodes[n].core; len(c.waitingAt) > 0 {
-						t.Errorf("%s: still waiting: %v", n, sortedKeys(c.waitingAt))
+					if c := w.nodes[n].core; len(c.waitingJobs) > 0 {
+						t.Errorf("%s: still waiting: %v", n, sortedKeys(c.waitingJobs))
 					}
 				}
 				if b := w.check.FinishDay(w.now); len(b) > 0 {
@@ -421,7 +421,7 @@
 		w.submit(after(spec(last, teams[i%3], wire.ShapeBatch, 1), fmt.Sprintf("job-%06d", 2000+i-1)))
 		w.run(300 * time.Millisecond)
 	}
-	if n := len(w.nodes["c1"].core.waitingAt); n < 300 {
+	if n := len(w.nodes["c1"].core.waitingJobs); n < 300 {
 		t.Fatalf("%d jobs wait", n)
 	}
 	told := false
@@ -449,12 +449,12 @@
 			t.Errorf("%s: %v when the time for cancellations is over", id, got)
 		}
 	}
-	w.until(400*sec, func() bool { return w.check.Final(last) != "" && len(w.nodes["c0"].core.waitingAt) == 0 })
+	w.until(400*sec, func() bool { return w.check.Final(last) != "" && len(w.nodes["c0"].core.waitingJobs) == 0 })
 	if got := w.check.Final(last); got != wire.JobDone {
 		t.Errorf("the last of thirty is %q", got)
 	}
 	for _, n := range sortedKeys(w.nodes) {
-		if left := w.nodes[n].core.waitingAt; len(left) > 0 {
+		if left := w.nodes[n].core.waitingJobs; len(left) > 0 {
 			t.Errorf("%s: %d jobs still stand as waiting", n, len(left))
 		}
 	}
--- a/internal/core/meeting_ends_test.go
+++ b/internal/core/meeting_ends_test.go
@@ -174,7 +174,7 @@
 		owed := map[*attempt]bool{}
 		for _, m := range c.heldMachines()[:4] {
 			for _, a := range m.attempts {
-				owed[a] = c.owesEnd(a)
+				owed[a] = c.hasUnwrittenEnd(a)
 			}
 		}
 		w.run(6500 * time.Millisecond) // it is silent after 5 s
@@ -182,7 +182,7 @@
 			if owes {
 				kept++
 			}
-			if owes && c.owesEnd(a) {
+			if owes && c.hasUnwrittenEnd(a) {
 				t.Errorf("seed %d: the end of %s, told before its machine fell silent, is not written", seed, a.key.task)
 			}
 		}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -224,7 +224,7 @@
 	case key == wire.KeyLadder:
 		var r wire.Ladder
 		if read(&r) {
-			c.putLadder(r)
+			c.putTierOrder(r)
 		}
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		var r wire.Cordon
@@ -280,7 +280,7 @@
 		var r wire.Job
 		if read(&r) {
 			c.ver.Put(key, ver)
-			c.putWaiting(r, ver)
+			c.putWaitingJob(r, ver)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
 		var r wire.Shard
@@ -344,7 +344,7 @@
 			old := c.blocks[id]
 			c.blocks[id] = &blockEntry{id, r, ver}
 			c.indexBlock(id, old, c.blocks[id])
-			c.followBoots(old, c.blocks[id])
+			c.trackProvisioning(old, c.blocks[id])
 			c.blockSeen(id, old)
 		}
 	}
@@ -386,7 +386,7 @@
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
-		c.putLadder(wire.Ladder{})
+		c.putTierOrder(wire.Ladder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		c.putCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
@@ -410,10 +410,10 @@
 			delete(c.counts, id)
 			c.listJob(e, false)
 			c.jobGone(e)
-			c.lookOver(id)
+			c.recheckDependents(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
-		c.waitingGone(key[len(wire.PrefixWaiting):])
+		c.removeWaitingJob(key[len(wire.PrefixWaiting):])
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
@@ -425,7 +425,7 @@
 		old := c.blocks[id]
 		delete(c.blocks, id)
 		c.indexBlock(id, old, nil)
-		c.followBoots(old, nil)
+		c.trackProvisioning(old, nil)
 		c.blockSeen(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
 		c.log(0, "a shard record was removed", "key", key)
@@ -452,7 +452,7 @@
 // changed lets the leader and the holder act on a changed mirror.
 func (c *Core) changed() {
 	if c.loaded {
-		c.lead()
+		c.runLeader()
 		c.hold()
 	}
 }
--- a/internal/core/needs.go
+++ b/internal/core/needs.go
@@ -28,13 +28,13 @@
 		list = append(list, m)
 		rooms[m] = supply.Room{Type: m.typ, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
 	}
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.coming {
 		if m.shard == shard {
 			// What is on a machine not accounted for is not known: it may be empty,
 			// so only what finds no room even then is asked for.
 			full, _ := c.sizeOf(m.typ)
-			add(m, c.unheld(m, full), doubted[m.name])
+			add(m, c.withoutReservation(m, full), doubted[m.name])
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
@@ -102,13 +102,13 @@
 	}
 	left -= c.room.Spare(shard)
 	u, rank := c.reserve.Task(shard)
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.coming {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
-			left -= c.roomFor(m, u)
+			left -= c.urgentCapacity(m, u)
 		} else if full, ok := c.sizeOf(m.typ); ok {
 			left -= placement.Beta(full, u) + 1
 		}
@@ -127,7 +127,7 @@
 	starved := false
 	used := map[string]placement.Size{}
 	var in supply.Pool
-	soon := c.soon(shard)
+	soon := c.startingSoon(shard)
 	if c.order.Len() > 0 || soon != nil {
 		in = c.supplies(shard, soon)
 	}
@@ -153,7 +153,7 @@
 		}
 		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.deserves(p))
 		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
-		want = max(0, want-c.heldSoon(shard, j))
+		want = max(0, want-c.reservedSoon(shard, j))
 		left := want - in.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
 		waits := p.Within && e.prio >= urgentRank && c.now-e.run.since > tuning.DireAfter
 		if left == 0 && !waits {
@@ -222,9 +222,9 @@
 		w := wire.Want{Seen: c.newestBlock(i)}
 		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
 			w.Needs = c.needs(i)
-			c.retire(i, len(w.Needs) > 0)
+			c.retireMachines(i, len(w.Needs) > 0)
 			if len(w.Needs) == 0 {
-				c.moveOff(i)
+				c.consolidate(i)
 			}
 		}
 		w = limits.Fit(w, c.p.ValueBytes, wants.Shorter)
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -33,9 +33,9 @@
 			put(wantKey(i), wire.Want{Needs: []wire.Need{n}, Seen: 80}, uint64(30+i))
 		}
 		c.out = nil
-		c.serveWants()
-		if len(c.leader.renting) != 1 || !c.leader.renting[upper] {
-			t.Errorf("shard %d asks for the upper rung, served are %v", upper, c.leader.renting)
+		c.serveDemand()
+		if len(c.leader.servingShards) != 1 || !c.leader.servingShards[upper] {
+			t.Errorf("shard %d asks for the upper rung, served are %v", upper, c.leader.servingShards)
 		}
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -235,7 +235,7 @@
 		if c == nil {
 			continue
 		}
-		put(c.leading(), sortedInts(c.held), sortedInts(c.pending), sortedInts(c.unsettle))
+		put(c.isLeader(), sortedInts(c.held), sortedInts(c.pending), sortedInts(c.unsettle))
 		for _, m := range c.heldMachines() {
 			put(m.name, m.shard, m.inherited, m.accounted, m.reported, m.proven, m.fresh, m.drop, m.over, m.notice)
 			for _, k := range sortedAttempts(m) {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -112,8 +112,8 @@
 		for _, t := range m.Wants {
 			c.lacks.Hear(c.now, t)
 		}
-		if c.loaded && c.leading() {
-			c.lead()
+		if c.loaded && c.isLeader() {
+			c.runLeader()
 		}
 		return
 	case m.Relay != nil:
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -67,7 +67,7 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.ear.Deaf() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.ear.Deaf() && !m.drop && !m.notice && !m.over && !m.moving && b != nil && !b.rec.Idle && !c.idleMarkPending(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.freshFor()
 }
 
@@ -113,7 +113,7 @@
 		}
 		return true
 	})
-	c.placeHeld()
+	c.placeReserved()
 }
 
 // zonesOf counts a job's tasks by zone, where its placement hangs on that.
@@ -161,7 +161,7 @@
 	if c.barred(e, shard) {
 		return 0
 	}
-	size, team, zones := jobSize(j), c.limitOf(e), zonesOf(e)
+	size, team, zones := jobSize(j), c.effectiveLimit(e), zonesOf(e)
 	maybe := float64(run.unseen() + 1)
 	anchor := len(run.active) == 0 && run.done.Count() == 0
 	gang := j.Shape == wire.ShapeGang
@@ -267,7 +267,7 @@
 			return false
 		}
 		found = o != p && e.rank == p.Handle.rank && o.Within == p.Within && o.Late == p.Late && o.Overdue == p.Overdue && !c.barred(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
-			e.run.pending(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && zonesOf(e) == nil
+			e.run.pending(&e.rec) > 0 && m.images[e.rec.Image] && c.canPlace(e, m, m.shard) && zonesOf(e) == nil
 		return !found
 	})
 	if found && run.passedOver == 0 {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -48,7 +48,7 @@
 	by := map[int][]*clearing.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
-			by[m.shard] = append(by[m.shard], c.clearingOf(m, least))
+			by[m.shard] = append(by[m.shard], c.preemptionCandidate(m, least))
 		}
 	}
 	for _, e := range list {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (c *Core) clearingOf(m *machine, least int) *clearing.Machine[*machine, *attempt] {
+func (c *Core) preemptionCandidate(m *machine, least int) *clearing.Machine[*machine, *attempt] {
 	x := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
@@ -109,10 +109,10 @@
 	}
 }
 
-// vacate empties blocks for other shards' guaranteed work that finds no room.
+// reclaimBlocks empties blocks for other shards' guaranteed work that finds no room.
 // The shard that is furthest beyond its guarantee gives way, with the block
 // where least is lost.
-func (c *Core) vacate() {
+func (c *Core) reclaimBlocks() {
 	if !c.every("vacate", 200*time.Millisecond) || !c.confirmed() {
 		return
 	}
@@ -123,11 +123,11 @@
 				continue
 			}
 			dire = true
-			k := supply.Borrower(c.richness("", c.shardCPUs()), i)
+			k := supply.Borrower(c.shardCapacities("", c.shardCPUs()), i)
 			if k < 0 || !c.mine(k) {
 				continue
 			}
-			c.vacateFor(k, n)
+			c.reclaimBlockFor(k, n)
 		}
 	}
 	if !dire && len(c.vacating) > 0 {
@@ -155,8 +155,8 @@
 	return full.CPUs * float64(len(b.Machines))
 }
 
-// guarantee sums up the guarantees of a shard's teams.
-func (c *Core) guarantee(shard int) float64 {
+// guaranteedCPUs sums up the guarantees of a shard's teams.
+func (c *Core) guaranteedCPUs(shard int) float64 {
 	g := 0.0
 	for _, t := range c.shards[shard].rec.Teams {
 		g += c.p.Teams[t].CPUs
@@ -164,7 +164,7 @@
 	return g
 }
 
-func (c *Core) vacateFor(shard int, n wire.Need) {
+func (c *Core) reclaimBlockFor(shard int, n wire.Need) {
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
--- a/internal/core/progressing.go
+++ b/internal/core/progress.go
@@ -7,24 +7,24 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// known is which of a job's tasks stand as done in the state, as far as this version reads it.
-func (c *Core) known(e *jobEntry) ranges.Set {
+// knownDone is which of a job's tasks stand as done in the state, as far as this version reads it.
+func (c *Core) knownDone(e *jobEntry) ranges.Set {
 	return ranges.Set(e.rec.Done).Union(c.progress.Of(e.rec.ID))
 }
 
-// durable is which of a job's tasks whoever takes it over knows as done.
-func (c *Core) durable(e *jobEntry) ranges.Set {
+// durableDone is which of a job's tasks whoever takes it over knows as done.
+func (c *Core) durableDone(e *jobEntry) ranges.Set {
 	if !c.understood(rollout.ProgressRecords) {
 		return e.rec.Done
 	}
-	return c.known(e)
+	return c.knownDone(e)
 }
 
 // addProgress adds a job's progress as it stands now. Its starts are written apart. What has
 // been written before stays: the tasks are cleared from their workers, and whoever took the
 // job over would start them again.
 func (b *batch) addProgress(e *jobEntry) {
-	c, rec, further := b.c, e.rec, b.max-len(b.then)
+	c, rec, further := b.c, e.rec, b.maxChanges-len(b.changes)
 	if !c.understood(rollout.ProgressRecords) {
 		further = 0
 	}
@@ -40,7 +40,7 @@
 		b.bytes += len(raw)
 	}
 	for _, x := range p.Parts {
-		b.when = append(b.when, wire.Condition{Key: x.Key, Version: x.Ver})
+		b.conditions = append(b.conditions, wire.Condition{Key: x.Key, Version: x.Ver})
 		changes = append(changes, wire.Change{Put: x.Key, Value: x.Record})
 	}
 	if len(changes) > 0 {
@@ -48,36 +48,36 @@
 	}
 }
 
-// owesEnd tells whether an attempt has completed its task, and that does not stand in the state.
-func (c *Core) owesEnd(a *attempt) bool {
+// hasUnwrittenEnd tells whether an attempt has completed its task, and that does not stand in the state.
+func (c *Core) hasUnwrittenEnd(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durable(e).Has(a.idx)
+	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Has(a.idx)
 }
 
-// keepsEnds tells whether a machine's worker has told ends that do not stand in the state:
+// keepsUnwrittenEnds tells whether a machine's worker has told ends that do not stand in the state:
 // until they do it is not returned. If we ended then, nobody would know of them. One that is
 // drained and has not told us anything since a change of hands may keep some as well.
-func (c *Core) keepsEnds(m *machine) bool {
+func (c *Core) keepsUnwrittenEnds(m *machine) bool {
 	if m.inherited && !m.accounted && c.cordons[m.name].Drain {
 		return true
 	}
 	for _, a := range m.attempts {
-		if c.owesEnd(a) {
+		if c.hasUnwrittenEnd(a) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasten has an end written at once that its worker will not tell for long, or no more.
-func (c *Core) hasten(a *attempt) {
-	if c.owesEnd(a) {
+// expediteEnd has an end written at once that its worker will not tell for long, or no more.
+func (c *Core) expediteEnd(a *attempt) {
+	if c.hasUnwrittenEnd(a) {
 		c.hasty[c.jobs[a.job]] = true
 	}
 }
 
-// addHasty adds the progress of jobs that cannot wait for others to end.
-func (c *Core) addHasty(b *batch) {
+// addUrgentProgress adds the progress of jobs that cannot wait for others to end.
+func (c *Core) addUrgentProgress(b *batch) {
 	for _, e := range sortedJobs(c.hasty) {
 		switch {
 		case !c.behind[e]:
@@ -89,10 +89,10 @@
 	}
 }
 
-// tidyDone removes what tells of done tasks of a job that is over: its own record is gone for
+// deleteStaleProgress removes what tells of done tasks of a job that is over: its own record is gone for
 // good, which the write compares.
-func (c *Core) tidyDone() {
-	if c.leader.tidying || !c.every("tidyDone", tuning.TidyEvery) {
+func (c *Core) deleteStaleProgress() {
+	if c.leader.deletingProgress || !c.every("tidyDone", tuning.TidyEvery) {
 		return
 	}
 	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.p.TxnOps/2)
@@ -103,6 +103,6 @@
 	for _, k := range keys {
 		then = append(then, wire.Change{Delete: k})
 	}
-	c.leader.tidying = true
-	c.commit(LaneLater, []wire.Condition{c.leaderCond(), {Key: jobKey(id)}}, then, func(StateReply) { c.leader.tidying = false })
+	c.leader.deletingProgress = true
+	c.commit(LaneLater, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, then, func(StateReply) { c.leader.deletingProgress = false })
 }
--- a/internal/core/booting.go
+++ b/internal/core/provisioning.go
@@ -9,7 +9,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newBoots() *boot.Book {
+func newProvisioning() *boot.Book {
 	return boot.New(boot.Params{
 		Prior: []boot.Seen{{Ratio: 0.6, Weight: 2}, {Ratio: 0.9, Weight: 3}, {Ratio: 1.2, Weight: 3}, {Ratio: 1.5, Weight: 1.3},
 			{Ratio: 2.5, Weight: 0.25}, {Ratio: tuning.BootGiveUp, Weight: 0.25}, {Ratio: math.Inf(1), Weight: 0.2}},
@@ -17,9 +17,9 @@
 		GiveUp: tuning.BootHopeless, Trust: tuning.BootTrust, Ahead: tuning.BootAhead})
 }
 
-// followBoots keeps the judgement of boots in step with a block's record. All controllers
+// trackProvisioning keeps the judgement of boots in step with a block's record. All controllers
 // follow all blocks, so the next leader knows what this one does.
-func (c *Core) followBoots(old, now *blockEntry) {
+func (c *Core) trackProvisioning(old, now *blockEntry) {
 	// While the state is read blocks come before machine types and the notes of what has been
 	// used: what boots then is judged once all is read.
 	if !c.loaded {
@@ -32,7 +32,7 @@
 			case !bm.Fresh: // adopted: when it was rented is not known
 				c.boots.Forget(bm.Name)
 			case !c.everUsed(bm.Name) && (m == nil || !m.reported):
-				c.boots.Booked(c.now, bm.Name, k, c.bootOf(k.Type))
+				c.boots.Booked(c.now, bm.Name, k, c.bootTime(k.Type))
 			}
 		}
 	}
@@ -45,10 +45,10 @@
 	}
 }
 
-func (c *Core) bootOf(typ string) time.Duration { return seconds(c.types[typ].BootS) }
+func (c *Core) bootTime(typ string) time.Duration { return seconds(c.types[typ].BootS) }
 
-// doubted lists the machines of a shard that boot and do not count as room to come.
-func (c *Core) doubted(shard int) map[string]bool {
+// doubtedMachines lists the machines of a shard that boot and do not count as room to come.
+func (c *Core) doubtedMachines(shard int) map[string]bool {
 	var names []string
 	for m := range c.coming {
 		if m.shard == shard && !m.reported && !m.inherited {
@@ -61,8 +61,8 @@
 	return c.boots.Doubted(c.now, names)
 }
 
-// neverComes tells why a machine that has not come up is to be given back, or "".
-func (c *Core) neverComes(m *machine) string {
+// bootFailure tells why a machine that has not come up is to be given back, or "".
+func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
 	case c.boots.Hopeless(c.now, m.name), c.now-m.since > max(seconds(c.types[m.typ].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
@@ -71,9 +71,9 @@
 	return ""
 }
 
-// bookedOf notes machines that have just been rented; their blocks are yet to be written.
-func (c *Core) bookedOf(infos []wire.MachineInfo) {
+// noteRented notes machines that have just been rented; their blocks are yet to be written.
+func (c *Core) noteRented(infos []wire.MachineInfo) {
 	for _, m := range infos {
-		c.boots.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootOf(m.Type))
+		c.boots.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootTime(m.Type))
 	}
 }
--- a/internal/core/reaching.go
+++ b/internal/core/reaching.go
@@ -33,7 +33,7 @@
 }
 
 func (c *Core) self() duty.Self {
-	return duty.Self{Boot: c.member.Boot(), Leading: c.leading(), Leader: c.chief.Node}
+	return duty.Self{Boot: c.member.Boot(), Leading: c.isLeader(), Leader: c.chief.Node}
 }
 
 func (c *Core) wordOf(node string) wire.Reach { return c.words.Of(c.now, node) }
@@ -139,7 +139,7 @@
 // has just been answered there.
 func (c *Core) standDown() {
 	r := &c.reaching
-	if !c.leading() {
+	if !c.isLeader() {
 		if c.wordOf(c.chief.Node).NoCloud && !r.askedCloud && c.every("askCloud", tuning.AskCloud) {
 			r.askedCloud = true
 			c.cloud(CloudCall{Op: OpTypes}, func(CloudReply) { r.askedCloud = false })
@@ -152,7 +152,7 @@
 	}
 	c.note(wire.TrailEvent{Kind: trail.LeadGiven, Node: to, Why: "the cloud is not reached here, and is there"})
 	c.log(1, "giving leadership away", "to", to, "why", "the cloud is not reached here")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
 		c.term.Answered()
 		c.changed()
 	})
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -98,14 +98,14 @@
 			w.t.Fatalf("%v: %s: %s is not in the ledger", w.now, name, m.name)
 		}
 		w.same(name+" usable "+m.name, c.usable(m), f.Usable)
-		w.same(name+" room of "+m.name, c.freeToAll(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
+		w.same(name+" room of "+m.name, c.unreservedFree(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
 		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot, Opens: !m.base && len(m.attempts) == 0}, f.Kind)
 		if c.usable(m) {
 			s := most[m.shard]
 			most[m.shard] = placement.Size{CPUs: max(s.CPUs, f.Free.CPUs), GPUs: max(s.GPUs, f.Free.GPUs), MemGB: max(s.MemGB, f.Free.MemGB)}
 			if !m.spot {
 				urgent, _ := c.reserve.Task(m.shard)
-				spare[m.shard] += c.roomFor(m, urgent)
+				spare[m.shard] += c.urgentCapacity(m, urgent)
 			}
 		}
 		if m.inherited && !m.accounted {
@@ -215,10 +215,10 @@
 // plainInherited is what the jobs that wait for one ask of it, directly or through others.
 func (c *Core) plainInherited(id string) (prio, rank int, due float64) {
 	prio, rank, due = -1, -1, math.Inf(1)
-	for _, e := range c.waitingAt {
+	for _, e := range c.waitingJobs {
 		if slices.Contains(e.rec.Predecessors, id) {
 			p, r, d := c.plainInherited(e.rec.ID)
-			own := c.chain.Own(e.rec.ID)
+			own := c.dependencies.Own(e.rec.ID)
 			prio, rank, due = max(prio, own.Priority, p), max(rank, own.Rank, r), min(due, min(own.Due, d)-own.Length)
 		}
 	}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -17,11 +17,11 @@
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
 	l := &c.leader
 	blocks := supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, base, fresh)
-	l.writing = true
+	l.writePending = true
 	var write func(rest []wire.Block, allOK bool)
 	write = func(rest []wire.Block, allOK bool) {
-		if len(rest) == 0 || !c.leading() {
-			l.writing = false
+		if len(rest) == 0 || !c.isLeader() {
+			l.writePending = false
 			if done != nil {
 				done(allOK && len(rest) == 0)
 			}
@@ -29,7 +29,7 @@
 			return
 		}
 		n := min(len(rest), c.form.Bounds().Short(tuning.ShortOps))
-		when := []wire.Condition{c.leaderCond()}
+		when := []wire.Condition{c.leaderCondition()}
 		var then []wire.Change
 		for k := range rest[:n] {
 			assign(&rest[k])
@@ -50,42 +50,42 @@
 	write(blocks, true)
 }
 
-// richness is what each shard has for its teams' guarantees, as machines of a zone see it.
-func (c *Core) richness(zone string, have map[int]float64) (list []supply.Shard) {
+// shardCapacities is what each shard has for its teams' guarantees, as machines of a zone see it.
+func (c *Core) shardCapacities(zone string, have map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
-		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guarantee(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
+		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guaranteedCPUs(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
 	}
 	return list
 }
 
-// serveWants gives shards the machines they ask for: idle blocks of others
+// serveDemand gives shards the machines they ask for: idle blocks of others
 // first, then rented ones.
-func (c *Core) serveWants() {
+func (c *Core) serveDemand() {
 	l := &c.leader
-	if l.writing || len(c.types) == 0 {
+	if l.writePending || len(c.types) == 0 {
 		return
 	}
 	var open []supply.Open
 	for _, i := range c.shardIDs() {
 		w := c.wantOf(i)
-		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.newestBlock(i) {
+		if len(w.Needs) == 0 || l.servingShards[i] || w.Seen < c.newestBlock(i) {
 			continue // served, or asked before it knew of what it has
 		}
 		// Rented and not yet in a block: the holder does not know of them. To wait for
 		// their blocks before renting more took ten seconds where changes were short.
-		open = append(open, supply.Lacking(i, w.Needs, c.booked(i))...)
+		open = append(open, supply.Lacking(i, w.Needs, c.rentedCapacity(i))...)
 	}
 	supply.ByRung(open)
 	for _, x := range open {
-		if c.moveIdle(x.Shard, x.Need) || !x.Need.Booting && c.rent(x.Shard, x.Need) {
+		if c.moveIdleBlock(x.Shard, x.Need) || !x.Need.Booting && c.rentForNeed(x.Shard, x.Need) {
 			return
 		}
 	}
 }
 
-// booked is the room of a shard's machines that are rented and stand in no block yet.
-func (c *Core) booked(shard int) (p supply.Pool) {
-	for _, info := range c.leader.booked[shard] {
+// rentedCapacity is the room of a shard's machines that are rented and stand in no block yet.
+func (c *Core) rentedCapacity(shard int) (p supply.Pool) {
+	for _, info := range c.leader.rentedMachines[shard] {
 		if full, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
 			p = append(p, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: full})
 		}
@@ -93,8 +93,8 @@
 	return p
 }
 
-// moveIdle moves an idle block, which its holder has promised to keep empty.
-func (c *Core) moveIdle(shard int, n wire.Need) bool {
+// moveIdleBlock moves an idle block, which its holder has promised to keep empty.
+func (c *Core) moveIdleBlock(shard int, n wire.Need) bool {
 	l := &c.leader
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
@@ -104,11 +104,11 @@
 		rec := b.rec
 		rec.Shard, rec.Idle = shard, false
 		from := b.rec.Shard
-		l.writing = true
-		l.renting[shard] = true
-		c.commit(LaneUser, []wire.Condition{c.leaderCond(), {Key: blockKey(id), Version: b.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
-			l.writing = false
-			delete(l.renting, shard)
+		l.writePending = true
+		l.servingShards[shard] = true
+		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: b.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
+			l.writePending = false
+			delete(l.servingShards, shard)
 			if r.Status == 200 {
 				c.noteShard(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
 			}
@@ -120,17 +120,17 @@
 	return false
 }
 
-// rent books machines for a need, the cheapest per task first, near the
+// rentForNeed books machines for a need, the cheapest per task first, near the
 // shard's holder before elsewhere.
-func (c *Core) rent(shard int, n wire.Need) bool {
+func (c *Core) rentForNeed(shard int, n wire.Need) bool {
 	l := &c.leader
-	if c.now < l.cloudAt {
+	if c.now < l.cloudRetryAt {
 		return false
 	}
 	var offers []supply.Offer
 	var asks []boot.Ask
 	for _, o := range supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
-		if c.now >= l.pause[o.Key()] {
+		if c.now >= l.offerRetryAt[o.Key()] {
 			offers = append(offers, o)
 			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
 		}
@@ -139,76 +139,76 @@
 	if k < 0 {
 		return false
 	}
-	c.rentOf(shard, &offers[k], count, n)
+	c.rentOffer(shard, &offers[k], count, n)
 	return true
 }
 
-func (c *Core) rentOf(shard int, o *supply.Offer, count int, n wire.Need) {
+func (c *Core) rentOffer(shard int, o *supply.Offer, count int, n wire.Need) {
 	l := &c.leader
-	l.bookings++
-	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), l.bookings), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
-	l.renting[shard] = true
+	l.rentRequests++
+	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), l.rentRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
+	l.servingShards[shard] = true
 	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", n.Tasks, n.CPUs)})
 	c.log(1, "renting", "shard", shard, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "booking", req.Request)
-	c.book(shard, o.Key(), req, 0)
+	c.sendRental(shard, o.Key(), req, 0)
 }
 
-// book sends a rental until it has a definite answer: the same name yields the
+// sendRental sends a rental until it has a definite answer: the same name yields the
 // same machines, so that none is rented twice or lost.
-func (c *Core) book(shard int, key string, req wire.RentRequest, tries int) {
+func (c *Core) sendRental(shard int, key string, req wire.RentRequest, tries int) {
 	l := &c.leader
 	term := c.term.Since()
 	c.cloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
-		if !c.leading() || c.term.Since() != term {
+		if !c.isLeader() || c.term.Since() != term {
 			return // the next leader finds the machines in the list
 		}
 		switch {
 		case r.Status == 200:
-			l.backoff = 0
+			l.cloudBackoff = 0
 			if len(r.Names) < req.Count {
-				l.pause[key] = c.now + tuning.NoCapacityPause
+				l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
 			}
 			infos := supply.Machines(req, r.Names)
 			if len(infos) == 0 {
-				delete(l.renting, shard)
+				delete(l.servingShards, shard)
 				return
 			}
-			l.booked[shard] = append(l.booked[shard], infos...)
-			c.rentedAhead(req.Request)
-			c.bookedOf(infos)
-			delete(l.renting, shard)
-			c.lead()
+			l.rentedMachines[shard] = append(l.rentedMachines[shard], infos...)
+			c.noteRentedAhead(req.Request)
+			c.noteRented(infos)
+			delete(l.servingShards, shard)
+			c.runLeader()
 		case r.Status == 503 && r.Err == "no capacity":
-			l.pause[key] = c.now + tuning.NoCapacityPause
-			delete(l.renting, shard)
+			l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			delete(l.servingShards, shard)
 			c.noteShard(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
 			c.log(1, "no capacity", "type", req.Type, "zone", req.Zone, "spot", req.Spot)
-			c.lead()
+			c.runLeader()
 		case r.Status == 400:
 			c.log(0, "rental refused as malformed", "booking", req.Request, "err", r.Err)
-			l.pause[key] = c.now + tuning.NoCapacityPause
-			delete(l.renting, shard)
+			l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			delete(l.servingShards, shard)
 		case (r.Status == 429 || r.Status == 503) && tries == 0:
 			// Surely not executed.
 			c.cloudFailed("rent", r)
-			delete(l.renting, shard)
+			delete(l.servingShards, shard)
 		default:
 			c.cloudFailed("rent", r)
 			if tries < 20 {
-				c.book(shard, key, req, tries+1)
+				c.sendRental(shard, key, req, tries+1)
 			} else {
-				delete(l.renting, shard)
+				delete(l.servingShards, shard)
 			}
 		}
 	})
 }
 
-// writeBooked forms blocks of the machines just rented, shard by shard.
-func (c *Core) writeBooked() {
+// writeRentedBlocks forms blocks of the machines just rented, shard by shard.
+func (c *Core) writeRentedBlocks() {
 	l := &c.leader
 	for _, shard := range c.shardIDs() {
-		infos := l.booked[shard]
-		if len(infos) == 0 || l.writing || !c.every("booked", 50*time.Millisecond) || !c.fenced() {
+		infos := l.rentedMachines[shard]
+		if len(infos) == 0 || l.writePending || !c.every("booked", 50*time.Millisecond) || !c.canFormBlocks() {
 			continue
 		}
 		var rest []wire.MachineInfo
@@ -217,9 +217,9 @@
 				rest = append(rest, m)
 			}
 		}
-		l.booked[shard] = rest
+		l.rentedMachines[shard] = rest
 		if len(rest) == 0 {
-			delete(l.booked, shard)
+			delete(l.rentedMachines, shard)
 			continue
 		}
 		to := shard
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -203,7 +203,7 @@
 			c.answer(req, 503, unavailable("holder not known"))
 			return
 		}
-		c.surprise(r)
+		c.onUnassignedReport(r)
 		if c.chief.Node != "" && c.chief.Node != c.p.Node {
 			c.answer(req, 421, wire.Redirect{Holder: c.chief.Node})
 			return
@@ -295,7 +295,7 @@
 	if len(m.attempts) > 0 {
 		m.idleSince = c.now
 	}
-	c.weigh(m)
+	c.updateImageUse(m)
 }
 
 // hasImage notes that a machine has the image of a job whose task ran there.
@@ -371,7 +371,7 @@
 		switch {
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is written, or has no bearing.
-			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.idx) {
+			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.idx) {
 				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.try})
 			}
 		case !live || a.stop:
@@ -383,7 +383,7 @@
 				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.try, GraceS: &g})
 			}
 		case a.status == "" && c.startable(a) && !look:
-			if run, now := c.run(a); now {
+			if run, now := c.runCommand(a); now {
 				a.sent = true
 				c.noteBack(trail.TaskAgain, a)
 				cmds = append(cmds, run)
--- a/internal/core/holding.go
+++ b/internal/core/reservation.go
@@ -13,10 +13,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var holdLimits = hold.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
+var reservationLimits = hold.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
 
-// unheld is what others than those it is held for see of a machine's room.
-func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
+// withoutReservation is what others than those it is held for see of a machine's room.
+func (c *Core) withoutReservation(m *machine, free placement.Size) placement.Size {
 	if b := c.places[m.shard]; b != nil {
 		if h, is := b.Of(m); is {
 			return free.Sub(h.Size)
@@ -25,10 +25,10 @@
 	return free
 }
 
-func (c *Core) freeToAll(m *machine) placement.Size { return c.unheld(m, c.free(m)) }
+func (c *Core) unreservedFree(m *machine) placement.Size { return c.withoutReservation(m, c.free(m)) }
 
-// heldSoon counts the places of a job that are free before a rented machine would be.
-func (c *Core) heldSoon(shard int, j *wire.Job) int {
+// reservedSoon counts the places of a job that are free before a rented machine would be.
+func (c *Core) reservedSoon(shard int, j *wire.Job) int {
 	b := c.places[shard]
 	if b == nil || b.Len() == 0 {
 		return 0
@@ -37,8 +37,8 @@
 	return b.Within(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
-// planHolds keeps places for jobs whose tasks fit nowhere (package hold).
-func (c *Core) planHolds() {
+// planReservations keeps places for jobs whose tasks fit nowhere (package hold).
+func (c *Core) planReservations() {
 	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
 		return
 	}
@@ -46,24 +46,24 @@
 		if !c.mine(i) {
 			continue
 		}
-		asks, least := c.fitNowhere(i)
+		asks, least := c.unplaceableJobs(i)
 		b := c.places[i]
 		if b == nil {
-			b = hold.New[*machine](holdLimits)
+			b = hold.New[*machine](reservationLimits)
 			c.places[i] = b
 		}
 		if len(asks) == 0 && b.Len() == 0 {
-			c.keepLimits(i, nil)
+			c.reserveTeamLimits(i, nil)
 			continue
 		}
 		var machines []hold.Machine[*machine]
 		for _, m := range c.heldMachines() {
 			if m.shard == i {
-				machines = c.holdable(m, machines, &least)
+				machines = c.appendReservable(m, machines, &least)
 			}
 		}
 		wide := hold.Wide(asks, least, tuning.HoldTimes)
-		c.keepLimits(i, wide)
+		c.reserveTeamLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Of(m); is {
 				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
@@ -74,9 +74,9 @@
 	}
 }
 
-// fitNowhere lists the jobs of a shard that have waited for a while and find no machine, in
+// unplaceableJobs lists the jobs of a shard that have waited for a while and find no machine, in
 // the order of service, and the least that any job asks for.
-func (c *Core) fitNowhere(shard int) (asks []hold.Ask[*machine], least placement.Size) {
+func (c *Core) unplaceableJobs(shard int) (asks []hold.Ask[*machine], least placement.Size) {
 	if c.order.Len() == 0 {
 		return nil, least
 	}
@@ -108,16 +108,16 @@
 	return asks, least
 }
 
-// keepLimits keeps parts of the limits of a shard's teams.
-func (c *Core) keepLimits(shard int, asks []hold.Ask[*machine]) {
+// reserveTeamLimits keeps parts of the limits of a shard's teams.
+func (c *Core) reserveTeamLimits(shard int, asks []hold.Ask[*machine]) {
 	for _, t := range c.shards[shard].rec.Teams {
 		delete(c.kept, t)
 	}
 	maps.Copy(c.kept, hold.Kept(asks))
 }
 
-// limitOf is a team's limit as a job of it finds it.
-func (c *Core) limitOf(e *jobEntry) Team {
+// effectiveLimit is a team's limit as a job of it finds it.
+func (c *Core) effectiveLimit(e *jobEntry) Team {
 	t := c.p.Teams[e.rec.Team]
 	if h, is := c.kept[e.rec.Team]; is && h.Job != e.rec.ID && e.prio < urgentRank {
 		t.CPUsMax, t.GPUsMax = t.CPUsMax-h.Size.CPUs, t.GPUsMax-h.Size.GPUs
@@ -125,8 +125,8 @@
 	return t
 }
 
-// holdable adds a machine that a place may be held on, with what is expected to leave it.
-func (c *Core) holdable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
+// appendReservable adds a machine that a place may be held on, with what is expected to leave it.
+func (c *Core) appendReservable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
 	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
 	if !x.Up {
 		full, known := c.sizeOf(m.typ)
@@ -141,15 +141,15 @@
 			continue
 		}
 		*least = lesser(*least, a.size)
-		if at, leaves := c.leaves(a); leaves {
+		if at, leaves := c.expectedEnd(a); leaves {
 			x.Leaves = append(x.Leaves, hold.Leave{At: at, Size: a.size})
 		}
 	}
 	return append(list, x)
 }
 
-// leaves is when a task is expected to leave its machine; false: not foreseen.
-func (c *Core) leaves(a *attempt) (time.Duration, bool) {
+// expectedEnd is when a task is expected to leave its machine; false: not foreseen.
+func (c *Core) expectedEnd(a *attempt) (time.Duration, bool) {
 	e := c.jobs[a.job]
 	if e == nil || a.stop {
 		return c.now + seconds(a.graceS), true
@@ -161,56 +161,56 @@
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 		return max(a.running+runs, c.now+runs/8), true // one that should be over ends some time
 	}
-	return max(a.created+c.fetches(e, a.m), c.now) + runs, true
+	return max(a.created+c.fetchTime(e, a.m), c.now) + runs, true
 }
 
-// fetches is how long a machine fetches a job's image, alone.
-func (c *Core) fetches(e *jobEntry, m *machine) time.Duration {
+// fetchTime is how long a machine fetches a job's image, alone.
+func (c *Core) fetchTime(e *jobEntry, m *machine) time.Duration {
 	if rate := c.types[m.typ].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
 		return seconds(e.rec.ImageGB / rate)
 	}
 	return 0
 }
 
-// placeHeld gives held places to those they are held for, after all others have been
+// placeReserved gives held places to those they are held for, after all others have been
 // served. Urgent tasks that found nothing else take any of them; until its task fits a place
 // is lent to tasks that surely end before.
-func (c *Core) placeHeld() {
+func (c *Core) placeReserved() {
 	for _, i := range sortedInts(c.places) {
 		b := c.places[i]
 		if b.Len() == 0 || !c.mine(i) {
 			continue
 		}
 		c.update()
-		c.urgentFirst(i, b)
+		c.placeUrgentOnReserved(i, b)
 		for _, m := range b.Held() {
 			h, _ := b.Of(m)
 			p := c.order.Of(h.Job)
 			if !c.usable(m) || p == nil || c.trials(p.Handle) == 0 || c.barred(p.Handle, i) {
 				continue
 			}
-			if e := p.Handle; c.takes(e, m, i) {
+			if e := p.Handle; c.canPlace(e, m, i) {
 				b.Drop(m)
 				c.placeOn(e, m, true)
 				c.log(2, "task placed on a held place", "job", h.Job, "machine", m.name)
 			} else if h.At-c.now > tuning.HoldFill {
-				c.lend(m, i, h)
+				c.backfill(m, i, h)
 			}
 		}
 	}
 }
 
-// takes tells whether a job's next task may be placed on a machine now, holds apart.
-func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
+// canPlace tells whether a job's next task may be placed on a machine now, holds apart.
+func (c *Core) canPlace(e *jobEntry, m *machine, shard int) bool {
 	size, j := jobSize(&e.rec), &e.rec
 	f, ok := c.room.Of(m)
 	n := float64(e.run.unseen() + 1)
 	return ok && f.Usable && placement.Fits(c.free(m), size) && c.kinds(e, zonesOf(e))(f.Kind) && !c.avoids(e, m) &&
-		!c.limitOf(e).exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
+		!c.effectiveLimit(e).exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
 }
 
-// urgentFirst has urgent tasks that wait take held places.
-func (c *Core) urgentFirst(shard int, b *hold.Book[*machine]) {
+// placeUrgentOnReserved has urgent tasks that wait take held places.
+func (c *Core) placeUrgentOnReserved(shard int, b *hold.Book[*machine]) {
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -225,7 +225,7 @@
 			if c.trials(e) == 0 || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) {
 				break
 			}
-			if c.usable(m) && c.takes(e, m, shard) {
+			if c.usable(m) && c.canPlace(e, m, shard) {
 				b.Drop(m)
 				c.placeOn(e, m, true)
 			}
@@ -234,8 +234,8 @@
 	})
 }
 
-// lend places tasks on a held machine that surely leave before it is needed.
-func (c *Core) lend(m *machine, shard int, h hold.Hold) {
+// backfill places tasks on a held machine that surely leave before it is needed.
+func (c *Core) backfill(m *machine, shard int, h hold.Hold) {
 	looked := 0
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
@@ -251,7 +251,7 @@
 			c.now+c.runs.Surely(e.rec.Class, e.rec.EstimateS) > h.At {
 			return true
 		}
-		for c.trials(e) > 0 && c.takes(e, m, shard) {
+		for c.trials(e) > 0 && c.canPlace(e, m, shard) {
 			c.placeOn(e, m, true)
 		}
 		return true
--- a/internal/core/rollcall.go
+++ b/internal/core/rollcall.go
@@ -52,7 +52,7 @@
 	}
 	m := c.machines[v.Machine]
 	if v.Look && v.Status == 200 && r.Machine == v.Machine {
-		c.lives(r) // an answer to our own call is no copy
+		c.noteAnswered(r) // an answer to our own call is no copy
 	}
 	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.ear.Unanswered() {
 		c.hearingChanged(m)
@@ -86,7 +86,7 @@
 // learnAddrs takes note of where a list says that workers listen.
 func (c *Core) learnAddrs(list map[string]wire.MachineInfo) {
 	for n, i := range list {
-		if c.blockIn[n] != "" || c.leader.known.Stranger(n) {
+		if c.blockIn[n] != "" || c.leader.cloudMachines.Stranger(n) {
 			c.addrs.Learn(n, i.Addr, 0)
 		}
 	}
@@ -96,7 +96,7 @@
 // followAddrs has the addresses at hand before they are needed. Only the leader reads the
 // list for what it decides; the others read it for the addresses that they lack.
 func (c *Core) followAddrs() {
-	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
+	if c.isLeader() || c.listing || c.now < c.retryAt["addrs"] {
 		return
 	}
 	lack := 0
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -135,7 +135,7 @@
 	w.kill("c1")
 	w.start("c1")
 	w.run(2 * sec)
-	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newBoots()
+	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
 	c := w.nodes["c1"].core
 	if !c.loaded || c.boots.Fresh(c.now, kind) != without.Fresh(0, kind) {
 		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.boots.Fresh(c.now, kind), without.Fresh(0, kind))
--- a/internal/core/laddering.go
+++ b/internal/core/tiers.go
@@ -7,27 +7,27 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// putLadder takes a new ladder: every job has its rung by it from now on.
-func (c *Core) putLadder(r wire.Ladder) {
+// putTierOrder takes a new ladder: every job has its rung by it from now on.
+func (c *Core) putTierOrder(r wire.Ladder) {
 	c.rungs, c.ladder = r, ladder.Of(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
 		c.touchJob(e)
 	}
-	c.rankWaiting()
+	c.rankWaitingJobs()
 }
 
-func (c *Core) ladderView() wire.LadderView {
+func (c *Core) tierOrderView() wire.LadderView {
 	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Rungs()}
 }
 
-func (c *Core) onAdminLadder(v AdminLadder) {
+func (c *Core) onAdminTiers(v AdminLadder) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
 		return
 	}
 	if v.Patch == nil {
-		c.answer(v.Req, 200, c.ladderView())
+		c.answer(v.Req, 200, c.tierOrderView())
 		return
 	}
 	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
@@ -45,15 +45,15 @@
 	case v.Patch.Check:
 		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: ladder.Of(rec).Rungs()})
 	case v.Patch.Version != ver:
-		c.answer(v.Req, 409, c.ladderView())
+		c.answer(v.Req, 409, c.tierOrderView())
 	default:
 		c.commit(LaneUser, []wire.Condition{{Key: wire.KeyLadder, Version: ver}}, []wire.Change{{Put: wire.KeyLadder, Value: rec}}, func(r StateReply) {
-			c.adminDone(v.Req, r, func() any { return c.ladderView() })
+			c.adminDone(v.Req, r, func() any { return c.tierOrderView() })
 		})
 	}
 }
 
-func (c *Core) onAdminOrder(v AdminOrder) {
+func (c *Core) onAdminJobOrder(v AdminOrder) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
 		return
--- a/internal/core/trailing.go
+++ b/internal/core/trailing.go
@@ -65,14 +65,14 @@
 func (c *Core) noteMoved(ids []string, by map[string]string) {
 	for _, id := range ids {
 		if by != nil {
-			c.told.Cancelled++
+			c.announcedChains.Cancelled++
 			c.note(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + by[id]})
 		} else {
-			c.told.Released++
+			c.announcedChains.Released++
 			c.note(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
 		}
 	}
-	c.out = append(c.out, c.told)
+	c.out = append(c.out, c.announcedChains)
 }
 
 // suspect notices machines whose reports stay away, long before their lease is over.
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -33,7 +33,7 @@
 	}
 	c.vouch.Over(jobKey(id), rev)
 	c.finals[id] = f
-	c.chain.End(id, f.Status == wire.JobDone, f.By)
+	c.dependencies.End(id, f.Status == wire.JobDone, f.By)
 	c.finalAge = append(c.finalAge, id)
 	if len(c.finalAge) > tuning.FinalCache {
 		delete(c.finals, c.finalAge[0])
@@ -62,7 +62,7 @@
 		return
 	}
 	keys := []string{jobKey(id), finalKey(id)}
-	if c.jobs[id] == nil && (!c.loaded || c.understood(rollout.Chains) || len(c.waitingAt) > 0) {
+	if c.jobs[id] == nil && (!c.loaded || c.understood(rollout.Chains) || len(c.waitingJobs) > 0) {
 		keys = append([]string{waitingKey(id)}, keys...)
 	}
 	c.lookAt(id, keys, f)
@@ -97,7 +97,7 @@
 				f(at)
 				return
 			}
-			c.refreshed(func(ok bool) { c.judgeWaiting(id, at, ok, f) })
+			c.refreshMirror(func(ok bool) { c.evaluateWaiting(id, at, ok, f) })
 		}
 	})
 }
@@ -176,8 +176,8 @@
 			switch {
 			case known:
 				c.answer(v.Req, 200, finalStatus(v.ID, f))
-			case r.Status == 200 && e == nil && !c.loading && c.waitsForOthers(v.ID):
-				c.judgeWaiting(v.ID, found{job: &wire.Job{ID: v.ID, Tasks: 1}, ok: true}, true, func(at found) { c.answerFound(v.Req, v.ID, at) })
+			case r.Status == 200 && e == nil && !c.loading && c.isWaiting(v.ID):
+				c.evaluateWaiting(v.ID, found{job: &wire.Job{ID: v.ID, Tasks: 1}, ok: true}, true, func(at found) { c.answerFound(v.Req, v.ID, at) })
 			case r.Status == 410 || r.Status == 200 && (e == nil || c.loading):
 				c.readFor(v) // ended, never accepted, or the mirror is being read anew
 			case r.Status == 200:
--- a/internal/core/weighing.go
+++ b/internal/core/weights.go
@@ -11,12 +11,12 @@
 		Bound: tuning.StoreBound, Spare: tuning.StoreSpare, Least: tuning.StoreLeast, Memory: tuning.StoreMemory, Stale: tuning.WeightsStale, Keep: tuning.WeightsKeep}, k)
 }
 
-func (c *Core) fetcher(m *machine) weights.Machine {
+func (c *Core) fetchMachine(m *machine) weights.Machine {
 	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.typ].FetchGBps}
 }
 
-// weigh tells what the tasks on a machine want of images and have, by its newest report.
-func (c *Core) weigh(m *machine) {
+// updateImageUse tells what the tasks on a machine want of images and have, by its newest report.
+func (c *Core) updateImageUse(m *machine) {
 	var uses []weights.Use
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
@@ -24,20 +24,20 @@
 			uses = append(uses, weights.Use{Image: e.rec.Image, GB: e.rec.ImageGB, There: a.status == wire.TaskRunning || a.status == wire.TaskSaving})
 		}
 	}
-	c.weights.Seen(c.now, c.fetcher(m), uses)
+	c.weights.Seen(c.now, c.fetchMachine(m), uses)
 }
 
-// run is the command that starts a reserved attempt, with who hands its image on; false: its fetch waits.
-func (c *Core) run(a *attempt) (wire.Command, bool) {
+// runCommand is the command that starts a reserved attempt, with who hands its image on; false: its fetch waits.
+func (c *Core) runCommand(a *attempt) (wire.Command, bool) {
 	cmd, e, now := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
 	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // a gang begins together
-		cmd.Sources, now = c.weights.Fetch(c.now, c.fetcher(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+		cmd.Sources, now = c.weights.Fetch(c.now, c.fetchMachine(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
 	}
 	return cmd, now
 }
 
-// imagesOf lists the images that a shard's machines have.
-func (c *Core) imagesOf(shard int) (has []weights.MachineImages) {
+// shardImages lists the images that a shard's machines have.
+func (c *Core) shardImages(shard int) (has []weights.MachineImages) {
 	for _, m := range c.heldMachines() {
 		if m.shard == shard && !m.drop && len(m.images) > 0 {
 			has = append(has, weights.MachineImages{Machine: m.name, Images: sortedKeys(m.images)})
@@ -46,13 +46,13 @@
 	return has
 }
 
-// tellImages writes which images the machines of a shard have, now and then, and what is planned for those
+// publishImages writes which images the machines of a shard have, now and then, and what is planned for those
 // that many fetch.
-func (c *Core) tellImages() {
+func (c *Core) publishImages() {
 	if c.telling || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.imagesOf, c.p.ValueBytes-256); due {
+	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.shardImages, c.p.ValueBytes-256); due {
 		c.telling = true
 		c.commit(LaneLater, []wire.Condition{c.shardCond(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
 			c.telling = false
@@ -64,7 +64,7 @@
 func (c *Core) onAdminWeights(v AdminWeights) {
 	view := c.weights.View(c.now, c.p.Node, v.Image)
 	for _, m := range c.heldMachines() {
-		view.Cached(c.fetcher(m).Copy(), sortedKeys(m.images), v.Image)
+		view.Cached(c.fetchMachine(m).Copy(), sortedKeys(m.images), v.Image)
 	}
 	c.answer(v.Req, 200, view)
 }
