--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -30,13 +30,13 @@
 		machines = append(machines, m)
 		roomOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard == shard {
 			// What is on a machine not accounted for is not known: it may be empty,
 			// so only what finds no room even then is asked for.
 			full, _ := c.machineSize(m.machineType)
-			add(m, c.unheld(m, full), doubted[m.name])
+			add(m, c.withoutReservation(m, full), doubted[m.name])
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
@@ -104,13 +104,13 @@
 	}
 	missing -= c.capacity.UrgentSlots(shard)
 	urgentTask, rank := c.urgentReserve.TaskSize(shard)
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
-			missing -= c.roomFor(m, urgentTask)
+			missing -= c.urgentCapacity(m, urgentTask)
 		} else if full, ok := c.machineSize(m.machineType); ok {
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
@@ -129,7 +129,7 @@
 	starved := false
 	used := map[string]placement.Size{}
 	var pool supply.Pool
-	soon := c.soon(shard)
+	soon := c.startingSoon(shard)
 	if c.jobQueue.Len() > 0 || soon != nil {
 		pool = c.supplyPool(shard, soon)
 	}
@@ -155,7 +155,7 @@
 		}
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
-		want = max(0, want-c.heldSoon(shard, j))
+		want = max(0, want-c.reservedSoon(shard, j))
 		missing := want - pool.Take(supply.Request{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.priority >= urgentRank, Idle: e.priority <= idleRank}, want)
 		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if missing == 0 && !overdue {
@@ -224,9 +224,9 @@
 		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
 		if !c.writeLimits.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
 			unmet.Needs = c.unmetNeeds(shard)
-			c.retire(shard, len(unmet.Needs) > 0)
+			c.retireMachines(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
-				c.moveOff(shard)
+				c.consolidate(shard)
 			}
 		}
 		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -194,7 +194,7 @@
 	}
 	firstSeen := e.run == nil
 	if firstSeen {
-		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.known(e).Clone()}
+		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.knownDone(e).Clone()}
 		if e.record.Started > 0 {
 			e.run.inheritedBelow = e.record.Started
 			if s, _ := c.startLog.Of(e.record.ID); s.Bad && len(e.run.done) == 0 {
@@ -220,7 +220,7 @@
 		c.awaitMachines(e)
 		c.recordHeldTasks(e, shard)
 	}
-	e.run.done = e.run.done.Union(c.known(e))
+	e.run.done = e.run.done.Union(c.knownDone(e))
 }
 
 // jobRemoved is called when a job has left the live keys because it is done or aborted.
@@ -357,7 +357,7 @@
 				c.holdMachines(b, !b.record.Idle)
 			}
 		}
-		c.relook = true
+		c.recheckWaiting = true
 		c.runTimes.Import(c.biases[biasKey(shard)].Classes)
 		c.recordShardEvent(trail.ShardHeld, shard, wire.TrailEvent{Token: c.shards[shard].version})
 		c.log(1, "holding shard", "shard", shard, "token", c.shards[shard].version, "teams", len(c.shards[shard].record.Teams))
@@ -479,7 +479,7 @@
 // attemptLost removes an attempt from its machine. Its task is started again
 // unless it is done.
 func (c *Core) attemptLost(a *attempt, why string) {
-	c.hasten(a)
+	c.expediteEnd(a)
 	c.removeAttempt(a)
 	c.placementDue = true
 	e := c.jobs[a.job]
@@ -522,10 +522,10 @@
 // runHolder performs the periodic work of the holder.
 func (c *Core) runHolder() {
 	c.checkLeases()
-	c.vacate()
-	c.keepChains()
+	c.reclaimBlocks()
+	c.processWaitingJobs()
 	c.planCrews()
-	c.planHolds()
+	c.planReservations()
 	if c.placementDue {
 		c.placementDue = false
 		c.placeTasks()
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -134,7 +134,7 @@
 	}
 	if m.returning || m.terminationNotice || m.silent {
 		for _, a := range m.attempts {
-			c.hasten(a)
+			c.expediteEnd(a)
 		}
 	}
 	usage := c.usageOf(m)
@@ -153,9 +153,9 @@
 			EmptyRental: !m.base && len(m.attempts) == 0,
 		},
 		Usable:      usable,
-		Free:        c.freeToAll(m),
+		Free:        c.unreservedFree(m),
 		Usage:       usage.teams,
-		UrgentSlots: c.roomFor(m, urgent),
+		UrgentSlots: c.urgentCapacity(m, urgent),
 	}
 	for range unknown {
 		facts.UnknownUse = facts.UnknownUse.Add(full)
@@ -202,7 +202,7 @@
 	if due {
 		c.pendingWrites[e] = true
 	}
-	if !ended && run.done.Count() > c.durable(e).Count() {
+	if !ended && run.done.Count() > c.durableDone(e).Count() {
 		c.pendingProgress[e] = true
 	}
 }
@@ -237,7 +237,7 @@
 	if ahead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.record.Started-run.nextIndex < ahead/2 && run.nextIndex > 0 {
 		started = max(started, min(e.record.Tasks, run.nextIndex+ahead))
 	}
-	return started, false, started > e.record.Started || c.movedOn(e) || c.failureUnrecorded(e)
+	return started, false, started > e.record.Started || c.placementChanged(e) || c.failureUnrecorded(e)
 }
 
 // refreshLateness periodically decides again which jobs are late.
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -246,7 +246,7 @@
 	case key == wire.KeyLadder:
 		var record wire.Ladder
 		if read(&record) {
-			c.putLadder(record)
+			c.putTierOrder(record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		var record wire.Cordon
@@ -302,7 +302,7 @@
 		var record wire.Job
 		if read(&record) {
 			c.versions.Put(key, version)
-			c.putWaiting(record, version)
+			c.putWaitingJob(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
 		var record wire.Shard
@@ -366,7 +366,7 @@
 			old := c.blocks[id]
 			c.blocks[id] = &blockEntry{id, record, version}
 			c.indexBlock(id, old, c.blocks[id])
-			c.followBoots(old, c.blocks[id])
+			c.trackProvisioning(old, c.blocks[id])
 			c.blockChanged(id, old)
 		}
 	}
@@ -410,7 +410,7 @@
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
-		c.putLadder(wire.Ladder{})
+		c.putTierOrder(wire.Ladder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
@@ -434,10 +434,10 @@
 			delete(c.peerJobCounts, id)
 			c.updateSortedJobs(entry, false)
 			c.jobRemoved(entry)
-			c.lookOver(id)
+			c.recheckDependents(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
-		c.waitingGone(key[len(wire.PrefixWaiting):])
+		c.removeWaitingJob(key[len(wire.PrefixWaiting):])
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
@@ -449,7 +449,7 @@
 		old := c.blocks[id]
 		delete(c.blocks, id)
 		c.indexBlock(id, old, nil)
-		c.followBoots(old, nil)
+		c.trackProvisioning(old, nil)
 		c.blockChanged(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
 		c.log(0, "a shard record was deleted", "key", key)
@@ -477,7 +477,7 @@
 // mirrorChanged runs the leader's and the holder's work after a change of the mirror.
 func (c *Core) mirrorChanged() {
 	if c.loaded {
-		c.lead()
+		c.runLeader()
 		c.runHolder()
 	}
 }
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -67,7 +67,7 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.record.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.record.Idle && !c.idleMarkPending(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
@@ -113,7 +113,7 @@
 		}
 		return true
 	})
-	c.placeHeld()
+	c.placeReserved()
 }
 
 // zonesOf counts a job's tasks by zone, where its placement hangs on that.
@@ -161,7 +161,7 @@
 	if c.placementBlocked(e, shard) {
 		return 0
 	}
-	size, team, zones := jobSize(j), c.limitOf(e), tasksByZone(e)
+	size, team, zones := jobSize(j), c.effectiveLimit(e), tasksByZone(e)
 	tasksCounted := float64(run.possiblyInherited() + 1)
 	anchor := len(run.active) == 0 && run.done.Count() == 0
 	gang := j.Shape == wire.ShapeGang
@@ -267,7 +267,7 @@
 			return false
 		}
 		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.record.Shape != wire.ShapeGang &&
-			e.run.pendingTasks(&e.record) > 0 && m.images[e.record.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
+			e.run.pendingTasks(&e.record) > 0 && m.images[e.record.Image] && c.canPlace(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
 	if found && run.passedOverSince == 0 {
--- a/internal/core/holding.go
+++ b/internal/core/reservation.go
@@ -13,10 +13,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var holdLimits = reservation.Limits{MaxShare: tuning.HoldShare, Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter}
+var reservationLimits = reservation.Limits{MaxShare: tuning.HoldShare, Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter}
 
-// unheld is what others than those it is held for see of a machine's room.
-func (c *Core) unheld(m *machine, free placement.Size) placement.Size {
+// withoutReservation is what others than those it is held for see of a machine's room.
+func (c *Core) withoutReservation(m *machine, free placement.Size) placement.Size {
 	if b := c.reservations[m.shard]; b != nil {
 		if h, is := b.Get(m); is {
 			return free.Sub(h.Size)
@@ -25,10 +25,12 @@
 	return free
 }
 
-func (c *Core) freeToAll(m *machine) placement.Size { return c.unheld(m, c.freeCapacity(m)) }
+func (c *Core) unreservedFree(m *machine) placement.Size {
+	return c.withoutReservation(m, c.freeCapacity(m))
+}
 
-// heldSoon counts the places of a job that are free before a rented machine would be.
-func (c *Core) heldSoon(shard int, j *wire.Job) int {
+// reservedSoon counts the places of a job that are free before a rented machine would be.
+func (c *Core) reservedSoon(shard int, j *wire.Job) int {
 	b := c.reservations[shard]
 	if b == nil || b.Len() == 0 {
 		return 0
@@ -37,8 +39,8 @@
 	return b.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
-// planHolds keeps places for jobs whose tasks fit nowhere (package reservation).
-func (c *Core) planHolds() {
+// planReservations keeps places for jobs whose tasks fit nowhere (package reservation).
+func (c *Core) planReservations() {
 	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
 		return
 	}
@@ -46,24 +48,24 @@
 		if !c.holdsShard(i) {
 			continue
 		}
-		asks, least := c.fitNowhere(i)
+		asks, least := c.unplaceableJobs(i)
 		b := c.reservations[i]
 		if b == nil {
-			b = reservation.New[*machine](holdLimits)
+			b = reservation.New[*machine](reservationLimits)
 			c.reservations[i] = b
 		}
 		if len(asks) == 0 && b.Len() == 0 {
-			c.keepLimits(i, nil)
+			c.reserveTeamLimits(i, nil)
 			continue
 		}
 		var machines []reservation.Machine[*machine]
 		for _, m := range c.heldMachines() {
 			if m.shard == i {
-				machines = c.holdable(m, machines, &least)
+				machines = c.appendReservable(m, machines, &least)
 			}
 		}
 		wide := reservation.Oversized(asks, least, tuning.HoldTimes)
-		c.keepLimits(i, wide)
+		c.reserveTeamLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Get(m); is {
 				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
@@ -74,9 +76,9 @@
 	}
 }
 
-// fitNowhere lists the jobs of a shard that have waited for a while and find no machine, in
+// unplaceableJobs lists the jobs of a shard that have waited for a while and find no machine, in
 // the order of service, and the least that any job asks for.
-func (c *Core) fitNowhere(shard int) (asks []reservation.Request[*machine], least placement.Size) {
+func (c *Core) unplaceableJobs(shard int) (asks []reservation.Request[*machine], least placement.Size) {
 	if c.jobQueue.Len() == 0 {
 		return nil, least
 	}
@@ -108,16 +110,16 @@
 	return asks, least
 }
 
-// keepLimits keeps parts of the limits of a shard's teams.
-func (c *Core) keepLimits(shard int, asks []reservation.Request[*machine]) {
+// reserveTeamLimits keeps parts of the limits of a shard's teams.
+func (c *Core) reserveTeamLimits(shard int, asks []reservation.Request[*machine]) {
 	for _, t := range c.shards[shard].record.Teams {
 		delete(c.limitReservations, t)
 	}
 	maps.Copy(c.limitReservations, reservation.TeamReservations(asks))
 }
 
-// limitOf is a team's limit as a job of it finds it.
-func (c *Core) limitOf(e *jobEntry) Team {
+// effectiveLimit is a team's limit as a job of it finds it.
+func (c *Core) effectiveLimit(e *jobEntry) Team {
 	t := c.params.Teams[e.record.Team]
 	if h, is := c.limitReservations[e.record.Team]; is && h.Job != e.record.ID && e.priority < urgentRank {
 		t.CPUsMax, t.GPUsMax = t.CPUsMax-h.Size.CPUs, t.GPUsMax-h.Size.GPUs
@@ -125,8 +127,8 @@
 	return t
 }
 
-// holdable adds a machine that a place may be held on, with what is expected to leave it.
-func (c *Core) holdable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
+// appendReservable adds a machine that a place may be held on, with what is expected to leave it.
+func (c *Core) appendReservable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
 	x := reservation.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.freeCapacity(m)}
 	if !x.Up {
 		full, known := c.machineSize(m.machineType)
@@ -141,15 +143,15 @@
 			continue
 		}
 		*least = smallerSize(*least, a.size)
-		if at, leaves := c.leaves(a); leaves {
+		if at, leaves := c.expectedEnd(a); leaves {
 			x.Releases = append(x.Releases, reservation.Release{At: at, Size: a.size})
 		}
 	}
 	return append(list, x)
 }
 
-// leaves is when a task is expected to leave its machine; false: not foreseen.
-func (c *Core) leaves(a *attempt) (time.Duration, bool) {
+// expectedEnd is when a task is expected to leave its machine; false: not foreseen.
+func (c *Core) expectedEnd(a *attempt) (time.Duration, bool) {
 	e := c.jobs[a.job]
 	if e == nil || a.stopping {
 		return c.now + seconds(a.stopGraceS), true
@@ -161,56 +163,56 @@
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 		return max(a.runningSince+runs, c.now+runs/8), true // one that should be over ends some time
 	}
-	return max(a.createdAt+c.fetches(e, a.machine), c.now) + runs, true
+	return max(a.createdAt+c.fetchTime(e, a.machine), c.now) + runs, true
 }
 
-// fetches is how long a machine fetches a job's image, alone.
-func (c *Core) fetches(e *jobEntry, m *machine) time.Duration {
+// fetchTime is how long a machine fetches a job's image, alone.
+func (c *Core) fetchTime(e *jobEntry, m *machine) time.Duration {
 	if rate := c.machineTypes[m.machineType].FetchGBps; rate > 0 && !m.images[e.record.Image] {
 		return seconds(e.record.ImageGB / rate)
 	}
 	return 0
 }
 
-// placeHeld gives held places to those they are held for, after all others have been
+// placeReserved gives held places to those they are held for, after all others have been
 // served. Urgent tasks that found nothing else take any of them; until its task fits a place
 // is lent to tasks that surely end before.
-func (c *Core) placeHeld() {
+func (c *Core) placeReserved() {
 	for _, i := range sortedIntKeys(c.reservations) {
 		b := c.reservations[i]
 		if b.Len() == 0 || !c.holdsShard(i) {
 			continue
 		}
 		c.refreshIndexes()
-		c.urgentFirst(i, b)
+		c.placeUrgentOnReserved(i, b)
 		for _, m := range b.Machines() {
 			h, _ := b.Get(m)
 			p := c.jobQueue.Get(h.Job)
 			if !c.usable(m) || p == nil || c.startableTasks(p.Handle) == 0 || c.placementBlocked(p.Handle, i) {
 				continue
 			}
-			if e := p.Handle; c.takes(e, m, i) {
+			if e := p.Handle; c.canPlace(e, m, i) {
 				b.Remove(m)
 				c.placeOn(e, m, true)
 				c.log(2, "task placed on a held place", "job", h.Job, "machine", m.name)
 			} else if h.FitsAt-c.now > tuning.HoldFill {
-				c.lend(m, i, h)
+				c.backfill(m, i, h)
 			}
 		}
 	}
 }
 
-// takes tells whether a job's next task may be placed on a machine now, holds apart.
-func (c *Core) takes(e *jobEntry, m *machine, shard int) bool {
+// canPlace tells whether a job's next task may be placed on a machine now, holds apart.
+func (c *Core) canPlace(e *jobEntry, m *machine, shard int) bool {
 	size, j := jobSize(&e.record), &e.record
 	f, ok := c.capacity.Get(m)
 	n := float64(e.run.possiblyInherited() + 1)
 	return ok && f.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(f.Kind) && !c.avoids(e, m) &&
-		!c.limitOf(e).exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
+		!c.effectiveLimit(e).exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
 }
 
-// urgentFirst has urgent tasks that wait take held places.
-func (c *Core) urgentFirst(shard int, b *reservation.Table[*machine]) {
+// placeUrgentOnReserved has urgent tasks that wait take held places.
+func (c *Core) placeUrgentOnReserved(shard int, b *reservation.Table[*machine]) {
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -225,7 +227,7 @@
 			if c.startableTasks(e) == 0 || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
 				break
 			}
-			if c.usable(m) && c.takes(e, m, shard) {
+			if c.usable(m) && c.canPlace(e, m, shard) {
 				b.Remove(m)
 				c.placeOn(e, m, true)
 			}
@@ -234,8 +236,8 @@
 	})
 }
 
-// lend places tasks on a held machine that surely leave before it is needed.
-func (c *Core) lend(m *machine, shard int, h reservation.Reservation) {
+// backfill places tasks on a held machine that surely leave before it is needed.
+func (c *Core) backfill(m *machine, shard int, h reservation.Reservation) {
 	looked := 0
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
@@ -251,7 +253,7 @@
 			c.now+c.runTimes.UpperBound(e.record.Class, e.record.EstimateS) > h.FitsAt {
 			return true
 		}
-		for c.startableTasks(e) > 0 && c.takes(e, m, shard) {
+		for c.startableTasks(e) > 0 && c.canPlace(e, m, shard) {
 			c.placeOn(e, m, true)
 		}
 		return true
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -66,14 +66,14 @@
 func (c *Core) recordDependentsMoved(ids []string, cancelledBy map[string]string) {
 	for _, id := range ids {
 		if cancelledBy != nil {
-			c.told.Cancelled++
+			c.announcedChains.Cancelled++
 			c.recordEvent(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + cancelledBy[id]})
 		} else {
-			c.told.Released++
+			c.announcedChains.Released++
 			c.recordEvent(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
 		}
 	}
-	c.effects = append(c.effects, c.told)
+	c.effects = append(c.effects, c.announcedChains)
 }
 
 // detectSilentMachines marks machines whose reports are overdue, long before their lease expires.
