--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -14,48 +14,60 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// leaderState is what only the leading controller keeps; it starts empty with
-// each term, since all of it can be learned again.
+// leaderState is the state that only the leading controller keeps. It starts empty with each term,
+// because all of it can be learned again from the cloud and the state service.
 type leaderState struct {
-	listingMachines  bool
-	cloudMachines    *inventory.Book // the cloud's machines
-	deleting         bool
-	servingShards    map[int]bool               // shards being served
-	rentedMachines   map[int][]wire.MachineInfo // rented, not yet in a block
-	offerRetryAt     map[string]Time            // refused type/zone/kind
-	writePending     bool
-	cloudBackoff     time.Duration
-	cloudRetryAt     Time
-	readingTypes     bool
-	deletingProgress bool
-	nodeSince        map[string]Time
-	rentRequests     uint64
-	adoptingBase     bool // the first machines, found when there was no block at all
-	shardsCreatedAt  Time // when this term made the shards: the cluster started for the first time; 0: it did not
+	listingMachines  bool                       // a read of the cloud's machine list is in progress
+	cloudMachines    *inventory.Book            // the machines that the cloud lists
+	deletingMachines bool                       // a delete call to the cloud is in progress
+	servingShards    map[int]bool               // shards with a rental or a block move in progress
+	rentedMachines   map[int][]wire.MachineInfo // by shard: rented machines that are in no block yet
+	offerRetryAt     map[string]Time            // by type, zone and kind: when a refused offer may be tried again
+	writePending     bool                       // a write of blocks or shards is in progress
+	cloudBackoff     time.Duration              // current delay after failed cloud calls
+	cloudRetryAt     Time                       // no cloud call before this time
+	readingTypes     bool                       // a read of the machine types is in progress
+	deletingProgress bool                       // a deletion of progress records is in progress
+	nodeSince        map[string]Time            // by controller: since when this leader has seen it present
+	rentRequests     uint64                     // number of rental requests sent; part of their names
+	adoptingBase     bool                       // the first machines were adopted while no block existed
+	shardsCreatedAt  Time                       // when this term created the shards, at the first start of the cluster; 0 if it did not
 }
 
 func (l *leaderState) reset(listLag time.Duration) {
-	b := l.rentRequests // request names never repeat
-	*l = leaderState{cloudMachines: inventory.New(inventory.Limits{Lag: listLag, Gone: 3*listLag + tuning.GoneAfter, Grace: tuning.SurpriseGrace, Again: tuning.SurpriseAgain}),
-		servingShards: map[int]bool{}, rentedMachines: map[int][]wire.MachineInfo{}, offerRetryAt: map[string]Time{}, nodeSince: map[string]Time{}, rentRequests: b}
+	requests := l.rentRequests // kept, so that request names never repeat
+	*l = leaderState{
+		cloudMachines: inventory.New(inventory.Limits{
+			Lag:   listLag,
+			Gone:  3*listLag + tuning.GoneAfter,
+			Grace: tuning.SurpriseGrace,
+			Again: tuning.SurpriseAgain,
+		}),
+		servingShards:  map[int]bool{},
+		rentedMachines: map[int][]wire.MachineInfo{},
+		offerRetryAt:   map[string]Time{},
+		nodeSince:      map[string]Time{},
+		rentRequests:   requests,
+	}
 }
 
-// isLeader tells whether this life of this controller is the leader.
+// isLeader reports whether the current incarnation of this controller is the leader.
 func (c *Core) isLeader() bool {
 	return c.chief.Node == c.p.Node && c.chief.Boot == c.member.Boot() && c.member.Boot() != 0
 }
 
-// runLeader claims leadership where it is free, and does the leader's duties.
+// runLeader claims the leadership if it is free and, while this controller leads, performs the
+// leader's periodic work.
 func (c *Core) runLeader() {
-	l := &c.leader
+	leader := &c.leader
 	began, ended := c.term.Led(c.now, c.isLeader(), c.ver.Of(wire.KeyLeader))
 	if !c.isLeader() {
 		if ended {
 			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
-			c.log(1, "no longer leading")
-			l.reset(c.p.ListLag)
+			c.log(1, "lost leadership")
+			leader.reset(c.p.ListLag)
 		}
-		// Free, or held by this node's earlier life, which is dead.
+		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
 		if c.term.Claims(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Here()) {
 			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
 				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.Grant()}}, func(r StateReply) {
@@ -66,16 +78,16 @@
 		return
 	}
 	if began {
-		l.reset(c.p.ListLag)
+		leader.reset(c.p.ListLag)
 		c.note(wire.TrailEvent{Kind: trail.Leading, Token: c.ver.Of(wire.KeyLeader)})
 		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
 	}
 	for n := range c.nodes {
-		if _, ok := l.nodeSince[n]; !ok {
-			l.nodeSince[n] = c.now
+		if _, ok := leader.nodeSince[n]; !ok {
+			leader.nodeSince[n] = c.now
 		}
 	}
-	maps.DeleteFunc(l.nodeSince, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
+	maps.DeleteFunc(leader.nodeSince, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
 	c.assignShards()
 	c.writeRentedBlocks()
 	c.readTypes()
@@ -87,15 +99,17 @@
 	c.deleteStaleProgress()
 }
 
+// leaderCondition returns the condition that the leader record has not changed.
 func (c *Core) leaderCondition() wire.Condition {
 	return wire.Condition{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}
 }
 
-// canFormBlocks tells whether blocks may be formed: no write of ours that forms others can be executed
-// any more, and the mirror holds all that were. Such a write compares the leader record and that
-// its blocks do not exist; executed late, after its machines had been put into blocks of other
-// names, it put them into two blocks, each with a holder. So after one without an answer the
-// leader record is written anew, which fails whatever compares the old one.
+// canFormBlocks reports whether blocks may be formed: no earlier write of this controller that forms
+// blocks can still be executed, and the mirror contains all that were executed. Such a write compares
+// the leader record and requires that its blocks do not exist. If it is executed late, after its
+// machines were put into blocks with other names, the machines end up in two blocks, each with its own
+// holder. Therefore, after such a write got no answer, the leader record is rewritten as a fence, which
+// makes every write that compares the old version fail.
 func (c *Core) canFormBlocks() bool {
 	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Here())
 	if !renew {
@@ -109,12 +123,13 @@
 	return false
 }
 
-// assignShards makes the shards, and hands those of dead controllers on whole.
+// assignShards creates the shards when there are too few, and moves each shard of a dead controller as a
+// whole to one successor.
 func (c *Core) assignShards() {
-	l := &c.leader
+	leader := &c.leader
 	names := sortedKeys(c.p.Nodes)
 	if len(c.shards) < len(names) {
-		if l.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
+		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
 			return
 		}
 		guarantees := map[string]float64{}
@@ -122,25 +137,25 @@
 			guarantees[n] = t.CPUs
 		}
 		teams := duty.ShareTeams(guarantees, len(names))
-		var when []wire.Condition
-		var then []wire.Change
-		when = append(when, c.leaderCondition())
+		var conditions []wire.Condition
+		var changes []wire.Change
+		conditions = append(conditions, c.leaderCondition())
 		for i, n := range names {
-			if c.shards[i] != nil || len(then) >= c.p.TxnOps {
+			if c.shards[i] != nil || len(changes) >= c.p.TxnOps {
 				continue
 			}
 			holder := n
 			if _, up := c.nodes[n]; !up {
 				holder = c.p.Node
 			}
-			when = append(when, wire.Condition{Key: shardKey(i)})
-			then = append(then, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
+			conditions = append(conditions, wire.Condition{Key: shardKey(i)})
+			changes = append(changes, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
 		}
-		l.writePending = true
-		c.commit(LaneFirst, when, then, func(r StateReply) {
-			l.writePending = false
+		leader.writePending = true
+		c.commit(LaneFirst, conditions, changes, func(r StateReply) {
+			leader.writePending = false
 			if r.Status == 200 {
-				l.shardsCreatedAt = c.now
+				leader.shardsCreatedAt = c.now
 			}
 			c.changed()
 		})
@@ -152,17 +167,17 @@
 		n, up := c.nodes[s.rec.Holder]
 		to := ""
 		switch {
-		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeSince[s.rec.Holder] > tuning.GrantTTL):
-			// Dead, or back without having retaken it. All of it goes to one successor.
+		case !up || (n.Boot != s.rec.Boot && c.now-leader.nodeSince[s.rec.Holder] > tuning.GrantTTL):
+			// The holder is dead, or has restarted without retaking the shard.
 			to = duty.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
 		case s.rec.Home != s.rec.Holder:
-			if at, here := l.nodeSince[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
+			if at, here := leader.nodeSince[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
 				to = s.rec.Home
 			}
 		}
 		if to != "" && (to != s.rec.Holder || c.nodes[to].Boot != s.rec.Boot) {
-			// A leader that has stood still believes so until it hears otherwise: without the
-			// comparison it took its shard back from its successor, for 10 ms.
+			// A leader that was paused still believes it leads until it receives newer state. Without
+			// comparing the leader record, it once took its shard back from its successor for 10 ms.
 			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCondition())
 			held[to]++
 		}
@@ -170,7 +185,7 @@
 	c.addTeams()
 }
 
-// addTeams homes teams that the settings have gained.
+// addTeams assigns each team that was added to the settings to the shard with the fewest teams.
 func (c *Core) addTeams() {
 	for _, t := range sortedKeys(c.p.Teams) {
 		if c.shardOf(t) >= 0 {
@@ -193,40 +208,41 @@
 	}
 }
 
-// cloudFailed slows the calls down after a failure.
+// cloudFailed records a failed cloud call and delays the next ones by an exponential, jittered backoff.
 func (c *Core) cloudFailed(what string, r CloudReply) {
-	l := &c.leader
-	l.cloudBackoff = min(max(2*l.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
-	l.cloudRetryAt = c.now + time.Duration(float64(l.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
+	leader := &c.leader
+	leader.cloudBackoff = min(max(2*leader.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
+	leader.cloudRetryAt = c.now + time.Duration(float64(leader.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
 	c.note(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
-	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", l.cloudBackoff.String())
+	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", leader.cloudBackoff.String())
 }
 
+// readTypes reads the machine types from the cloud and writes them to the state service.
 func (c *Core) readTypes() {
-	l := &c.leader
-	if l.readingTypes || c.now < l.cloudRetryAt || !c.every("types", tuning.TypesEvery) {
+	leader := &c.leader
+	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.every("types", tuning.TypesEvery) {
 		return
 	}
-	l.readingTypes = true
+	leader.readingTypes = true
 	c.cloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
-		l.readingTypes = false
+		leader.readingTypes = false
 		if r.Status != 200 {
 			c.retryAt["types"] = c.now + tuning.RetryAfter
 			c.cloudFailed("machine types", r)
 			return
 		}
-		l.cloudBackoff = 0
+		leader.cloudBackoff = 0
 		if !c.isLeader() {
 			return
 		}
 		for len(r.Types) > 0 {
 			n := min(len(r.Types), c.p.TxnOps)
-			var then []wire.Change
+			var changes []wire.Change
 			for _, t := range r.Types[:n] {
-				then = append(then, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
+				changes = append(changes, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
 			}
 			r.Types = r.Types[n:]
-			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, then, func(r StateReply) {
+			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, changes, func(r StateReply) {
 				if r.Status != 200 {
 					c.retryAt["types"] = c.now + tuning.RetryAfter
 				}
@@ -236,7 +252,7 @@
 	})
 }
 
-// blockOf finds a machine's block.
+// blockOf returns the block that contains a machine, or nil.
 func (c *Core) blockOf(name string) *blockEntry {
 	if id, ok := c.blockIn[name]; ok {
 		return c.blocks[id]
@@ -244,26 +260,27 @@
 	return nil
 }
 
-// readMachines follows the cloud's list: strangers in it are adopted, machines
-// that failed or have left it are cleared away.
+// readMachines reads the cloud's machine list. Machines in no block are adopted later; machines that
+// failed or are no longer listed are deleted.
 func (c *Core) readMachines() {
-	l := &c.leader
-	if l.listingMachines || c.now < l.cloudRetryAt || !c.every("list", tuning.ListEvery) {
+	leader := &c.leader
+	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.every("list", tuning.ListEvery) {
 		return
 	}
-	l.listingMachines = true
+	leader.listingMachines = true
 	c.listPage("", map[string]wire.MachineInfo{})
 }
 
+// listPage reads one page of the machine list into all and continues until the list is complete.
 func (c *Core) listPage(after string, all map[string]wire.MachineInfo) {
-	l := &c.leader
+	leader := &c.leader
 	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		if r.Status != 200 {
-			l.listingMachines = false
+			leader.listingMachines = false
 			c.cloudFailed("machine list", r)
 			return
 		}
-		l.cloudBackoff = 0
+		leader.cloudBackoff = 0
 		for _, m := range r.List.Machines {
 			all[m.Name] = m
 			after = m.Name
@@ -272,7 +289,7 @@
 			c.listPage(after, all)
 			return
 		}
-		l.listingMachines = false
+		leader.listingMachines = false
 		if !c.isLeader() {
 			return
 		}
@@ -283,105 +300,106 @@
 				in[bm.Name] = true
 			}
 		}
-		l.cloudMachines.Read(c.now, all, in)
+		leader.cloudMachines.Read(c.now, all, in)
 		c.runLeader()
 	})
 }
 
-// onUnassignedReport is a report of a machine in no block, told by its worker.
+// onUnassignedReport handles a report of a machine that is in no block. The report may be a copy of an
+// old one, so the worker is probed before the machine is adopted.
 func (c *Core) onUnassignedReport(r *wire.Report) {
 	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
 		c.out = append(c.out, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
 
-// noteAnswered takes note that a machine in no block has answered a call of ours.
+// noteAnswered records that a machine in no block has answered a call from this controller.
 func (c *Core) noteAnswered(r *wire.Report) {
 	if c.isLeader() && c.blockOf(r.Machine) == nil {
 		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Status: wire.MachineRunning})
 	}
 }
 
-// removeDeletedMachines takes machines that the cloud has deleted out of their blocks, and tells
-// whether there was something to write.
+// removeDeletedMachines removes machines that the cloud has deleted from their blocks. It reports
+// whether there was anything to write.
 func (c *Core) removeDeletedMachines() bool {
-	l := &c.leader
-	when := []wire.Condition{c.leaderCondition()}
-	var then []wire.Change
+	leader := &c.leader
+	conditions := []wire.Condition{c.leaderCondition()}
+	var changes []wire.Change
 	done := map[string]bool{}
-	for _, n := range l.cloudMachines.AllGone() {
+	for _, n := range leader.cloudMachines.AllGone() {
 		id, in := c.blockIn[n]
-		if !in || done[id] || len(then) >= c.p.TxnOps {
+		if !in || done[id] || len(changes) >= c.p.TxnOps {
 			continue
 		}
 		done[id] = true
 		b := c.blocks[id]
 		rec := b.rec
-		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return l.cloudMachines.Gone(bm.Name) })
-		when = append(when, wire.Condition{Key: blockKey(id), Version: b.ver})
+		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.Gone(bm.Name) })
+		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: b.ver})
 		if len(rec.Machines) == 0 {
-			then = append(then, wire.Change{Delete: blockKey(id)})
+			changes = append(changes, wire.Change{Delete: blockKey(id)})
 		} else {
-			then = append(then, wire.Change{Put: blockKey(id), Value: rec})
+			changes = append(changes, wire.Change{Put: blockKey(id), Value: rec})
 		}
 	}
-	if len(then) > 0 {
-		l.writePending = true
-		c.commit(LaneLater, when, then, func(r StateReply) { l.writePending = false; c.changed() })
+	if len(changes) > 0 {
+		leader.writePending = true
+		c.commit(LaneLater, conditions, changes, func(r StateReply) { leader.writePending = false; c.changed() })
 		return true
 	}
-	l.cloudMachines.Forget(c.now)
+	leader.cloudMachines.Forget(c.now)
 	return false
 }
 
-// deleteMachines gives back what holders dropped; a name leaves its block only
-// after the cloud has said that the machine and all on it are gone.
+// deleteMachines has the cloud delete the machines that holders dropped. A machine is removed from its
+// block only after the cloud has confirmed that the machine and everything on it are gone.
 func (c *Core) deleteMachines() {
-	l := &c.leader
-	if l.writePending {
+	leader := &c.leader
+	if leader.writePending {
 		return
 	}
-	if l.cloudMachines.AnyGone() && c.every("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
+	if leader.cloudMachines.AnyGone() && c.every("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
 		return
 	}
-	if l.deleting || c.now < l.cloudRetryAt {
+	if leader.deletingMachines || c.now < leader.cloudRetryAt {
 		return
 	}
-	names := l.cloudMachines.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
+	names := leader.cloudMachines.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
-	l.deleting = true
+	leader.deletingMachines = true
 	c.log(1, "deleting machines", "names", fmt.Sprint(names))
 	c.cloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
-		l.deleting = false
+		leader.deletingMachines = false
 		if r.Status != 200 {
 			c.cloudFailed("delete", r)
 			return
 		}
-		l.cloudBackoff = 0
-		l.cloudMachines.Deleted(c.now, names)
+		leader.cloudBackoff = 0
+		leader.cloudMachines.Deleted(c.now, names)
 		c.changed()
 	})
 }
 
-// adoptMachines puts machines that stand in no block into one.
+// adoptMachines forms blocks of machines that are in no block.
 func (c *Core) adoptMachines() {
-	l := &c.leader
-	// Without the machine types all blocks weigh nothing, and all standing machines
-	// went to one shard.
-	if l.writePending || !l.cloudMachines.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
+	leader := &c.leader
+	// Without the machine types every block counts as having no CPUs, and all base machines once
+	// went to the same shard.
+	if leader.writePending || !leader.cloudMachines.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
-	// Lists lag by up to twice the usual time.
-	first := l.shardsCreatedAt > 0 && c.now-l.shardsCreatedAt < 2*c.p.ListLag && (len(c.blocks) == 0 || l.adoptingBase)
-	infos := l.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
-	if l.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
+	// The machine list may lag by up to twice the usual time.
+	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.p.ListLag && (len(c.blocks) == 0 || leader.adoptingBase)
+	infos := leader.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
+	if leader.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
 	}
-	// Machines found when the cluster starts for the first time are the
-	// operator's standing ones. A stray one found later, when all others have been
-	// returned, is not: it would be paid for ever.
+	// Only machines found at the first start of the cluster are the operator's base machines. A stray
+	// machine found later, after all others were returned, is not marked as base, because it would
+	// never be returned and be paid for indefinitely.
 	have := c.shardCPUs()
 	c.writeBlocks(infos, first, false, func(b *wire.Block) {
 		b.Shard = supply.Poorest(c.shardCapacities(b.Zone, have))
