--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -9,9 +9,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// flush writes what the holder has to make durable, by compare-and-set: first
-// what tasks and users wait for, then the rest, so that a short write limit
-// never keeps a start behind progress.
+// flush writes what the holder has to make durable, by compare-and-set. It writes what tasks and users
+// wait for first and the rest later, so that a low write rate never delays a start behind progress.
 func (c *Core) flush() {
 	if !c.every("flush", tuning.Tick) {
 		return
@@ -22,19 +21,20 @@
 	c.publishImages()
 }
 
-// batch is one write of the holder: every part of it compares its shard.
+// batch collects one write of the holder. Each added change also compares the record of its shard.
 type batch struct {
 	c              *Core
 	conditions     []wire.Condition
 	changes        []wire.Change
 	jobs           []*jobEntry
-	idleBlocks     []string // blocks to be marked idle
+	idleBlocks     []string // IDs of the blocks that this write marks idle
 	bytes          int
-	maxChanges     int // changes
-	comparedShards map[int]bool
+	maxChanges     int
+	comparedShards map[int]bool // shards whose record is already among the conditions
 }
 
-// newBatch begins a short write: what users wait for gets in between.
+// newBatch returns an empty batch for a short write, so that writes that users wait for get in between.
+// While the state service refuses writes because of their form, a batch takes at most two changes.
 func (c *Core) newBatch() *batch {
 	b := &batch{c: c, maxChanges: c.form.Bounds().Short(tuning.ShortOps), comparedShards: map[int]bool{}}
 	if c.form.Alone(c.now) {
@@ -43,8 +43,10 @@
 	return b
 }
 
+// full reports whether the batch has reached its limit of changes or bytes.
 func (b *batch) full() bool { return len(b.changes)+2 > b.maxChanges || b.bytes > tuning.TxnBytes }
 
+// add adds changes of a shard, with an optional further condition.
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
 	if !b.comparedShards[shard] {
 		b.comparedShards[shard] = true
@@ -56,31 +58,31 @@
 	b.changes = append(b.changes, changes...)
 }
 
-// addJob adds changes of one job.
+// addJob adds changes of one job and compares the job's record.
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
 	e.run.writing = true
 	b.add(b.c.shardOf(e.rec.Team), &wire.Condition{Key: jobKey(e.rec.ID), Version: e.ver}, changes...)
 }
 
-// addBlock adds a block's new record.
-func (b *batch) addBlock(x *blockEntry, rec wire.Block) {
-	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.ver}, wire.Change{Put: blockKey(x.id), Value: rec})
-	if rec.Idle && !x.rec.Idle {
-		b.idleBlocks = append(b.idleBlocks, x.id)
-		b.c.offered[x.id] = x.ver
-		b.c.touchBlock(x.id)
+// addBlock adds a block's new record. It notes a mark as idle that is on its way (see idleMarkPending).
+func (b *batch) addBlock(block *blockEntry, rec wire.Block) {
+	b.add(rec.Shard, &wire.Condition{Key: blockKey(block.id), Version: block.ver}, wire.Change{Put: blockKey(block.id), Value: rec})
+	if rec.Idle && !block.rec.Idle {
+		b.idleBlocks = append(b.idleBlocks, block.id)
+		b.c.offered[block.id] = block.ver
+		b.c.touchBlock(block.id)
 	}
 }
 
-// idleMarkPending tells whether a mark that a block is idle may be on its way to the state, or be
-// executed late: only a newer version of its record, or a refusal, ends that.
+// idleMarkPending reports whether a write that marks a block idle may still be in flight or be executed
+// late. Only a newer version of the block's record or a refusal of the write rules that out.
 func (c *Core) idleMarkPending(b *blockEntry) bool {
 	ver, sent := c.offered[b.id]
 	return sent && ver == b.ver
 }
 
-// clearIdleMarks ends the offer of blocks whose mark was refused.
+// clearIdleMarks forgets the pending idle marks of blocks whose write was definitely refused.
 func (c *Core) clearIdleMarks(ids []string, status int) {
 	if status == 409 || status == 429 || status == 503 || status == 400 {
 		for _, id := range ids {
@@ -90,8 +92,9 @@
 	}
 }
 
-// send commits the batch, if there is anything in it. busy is set meanwhile; a
-// duty whose write failed pauses; written is called after one that did not, with its revision.
+// send commits the batch unless it is empty. busy is set while the write is in progress. After a
+// failure the named duty pauses before its next write; after a success, written is called with the
+// revision of the write.
 func (b *batch) send(lane int, busy *bool, duty string, written func(rev uint64)) {
 	if len(b.changes) == 0 {
 		return
@@ -110,19 +113,20 @@
 			written(r.Txn.Revision)
 		} else {
 			c.retryAt[duty] = c.now + tuning.RetryAfter/2
-			c.log(2, "not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.log(2, "batch not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.dirty = true
 		c.hold()
 	})
 }
 
-// flushJobs writes ends of jobs, urgent ones first, and blocks that cannot wait.
+// flushJobs writes urgent progress, the ends of jobs, urgent ones first, blocks whose record must change
+// soon, and that a shard is reconciled after a takeover.
 func (c *Core) flushJobs() {
 	if c.flushing || c.now < c.retryAt["flushJobs"] {
 		return
 	}
-	b := c.newBatch() // short, so that acceptances get in between
+	b := c.newBatch() // short, so that writes of accepted jobs get in between
 	finals := map[string]wire.Final{}
 	c.update()
 	c.addUrgentProgress(b)
@@ -141,12 +145,12 @@
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
 	for _, id := range sortedKeys(c.used) {
-		x := c.blocks[id]
-		if x == nil || !c.mine(x.rec.Shard) {
+		block := c.blocks[id]
+		if block == nil || !c.mine(block.rec.Shard) {
 			delete(c.used, id)
 		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
-			if rec, change := c.desiredBlock(x); change {
-				b.addBlock(x, rec)
+			if rec, change := c.desiredBlock(block); change {
+				b.addBlock(block, rec)
 			} else {
 				delete(c.used, id)
 			}
@@ -169,29 +173,30 @@
 	})
 }
 
-// desiredBlock is a block's record as it should stand.
-func (c *Core) desiredBlock(x *blockEntry) (rec wire.Block, change bool) {
-	rec, change = x.rec, c.idleMarkPending(x) // its mark may come late: a write of ours forestalls it
-	rec.Machines = append([]wire.BlockMachine(nil), x.rec.Machines...)
+// desiredBlock returns a block's record as it should be, and whether that requires a write.
+func (c *Core) desiredBlock(block *blockEntry) (rec wire.Block, change bool) {
+	rec, change = block.rec, c.idleMarkPending(block) // a new write makes a late idle mark fail its comparison
+	rec.Machines = append([]wire.BlockMachine(nil), block.rec.Machines...)
 	for k := range rec.Machines {
-		m, bm := c.machines[rec.Machines[k].Name], &rec.Machines[k]
+		m, blockMachine := c.machines[rec.Machines[k].Name], &rec.Machines[k]
 		if m == nil {
 			continue
 		}
-		bm.Fresh = m.fresh // written among the starts; no change by itself
+		blockMachine.Fresh = m.fresh // also written among the starts, so it is no reason for a write by itself
 		if m.drop && !c.keepsUnwrittenEnds(m) {
-			if empty := m.accounted && len(m.attempts) == 0; !bm.Drop || empty && !bm.Empty {
-				bm.Drop, bm.Empty, change = true, bm.Empty || empty, true
+			if empty := m.accounted && len(m.attempts) == 0; !blockMachine.Drop || empty && !blockMachine.Empty {
+				blockMachine.Drop, blockMachine.Empty, change = true, blockMachine.Empty || empty, true
 			}
 		}
 	}
-	if idle := c.shouldMarkIdle(x); idle != rec.Idle {
+	if idle := c.shouldMarkIdle(block); idle != rec.Idle {
 		rec.Idle, change = idle, true
 	}
 	return rec, change
 }
 
-// placementChanged tells whether a tracked job has a task on another machine than written.
+// placementChanged reports whether a tracked job has a task on another machine than the one in its
+// stored record.
 func (c *Core) placementChanged(e *jobEntry) bool {
 	if tracked(&e.rec) {
 		for k, a := range e.run.active {
@@ -203,30 +208,30 @@
 	return false
 }
 
-// flushLater writes marks on blocks and the progress of jobs.
+// flushLater writes changed block records and the progress of jobs, at low priority.
 func (c *Core) flushLater() {
 	if c.flushingLater || !c.every("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
-		x := c.blocks[id]
-		if !c.mine(x.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		block := c.blocks[id]
+		if !c.mine(block.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
-		if rec, change := c.desiredBlock(x); change {
-			b.addBlock(x, rec)
+		if rec, change := c.desiredBlock(block); change {
+			b.addBlock(block, rec)
 		}
 	}
 	c.update()
-	// The fewer jobs have something to write, the sooner each may: ends that are not written are lost if
-	// we end and their workers' leases run out.
+	// The fewer jobs have progress to write, the sooner each is written: ends that are not stored are lost
+	// if this controller stops and the leases of the workers expire.
 	pause := min(max(time.Duration(len(c.behind))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
 	for _, e := range sortedJobs(c.behind) {
 		if b.full() {
 			break
 		}
-		// Progress of a job that still has starts to write goes with them.
+		// A job whose record is being written is skipped; its progress follows later.
 		if e.run.writing || c.now-e.run.wrote < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
 			continue
 		}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -14,10 +14,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// preempt stops lesser work for urgent tasks that find no room, and work that is run when
-// there is nothing else to do for all that lies within a guarantee. All that wait are
-// served together, each on a machine of its own choice where the least running time is
-// lost: served one by one, each waited until the one before had its machine.
+// preempt stops work of lower priority for urgent tasks that find no free capacity, and idle-priority
+// work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
+// machine where the least running time is lost. When they were served one by one, each waited until the
+// one before it had its machine.
 func (c *Core) preempt() {
 	if !c.confirmed() || !c.every("preempt", tuning.PreemptEvery) {
 		return
@@ -25,14 +25,14 @@
 	var list []*jobEntry
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
-		upper := e.prio >= urgentRank || c.ladder.Named(e.rank)
-		if !upper && (e.prio <= idleRank || len(c.idlers) == 0) {
-			return !c.ladder.Plain() // nothing gives way to it; by priority the order begins with urgent jobs
+		privileged := e.prio >= urgentRank || c.ladder.Named(e.rank)
+		if !privileged && (e.prio <= idleRank || len(c.idlers) == 0) {
+			return !c.ladder.Plain() // nothing is preemptible for it; in plain priority order no later job is urgent
 		}
-		if !upper && !p.Within || c.health.Trial(e.rec.ID) {
+		if !privileged && !p.Within || c.health.Trial(e.rec.ID) {
 			return true
 		}
-		// For a part of a gang no work is stopped: the rest may find no room.
+		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
 		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
 			list = append(list, e)
 		}
@@ -41,47 +41,49 @@
 	if len(list) == 0 {
 		return
 	}
-	least := list[0].rank // no work of a higher rung than any of these gives way
+	least := list[0].rank // only work of a lower tier than all of these is preempted
 	for _, e := range list {
 		least = min(least, e.rank)
 	}
-	by := map[int][]*clearing.Machine[*machine, *attempt]{}
+	machinesByShard := map[int][]*clearing.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
-			by[m.shard] = append(by[m.shard], c.preemptionCandidate(m, least))
+			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, least))
 		}
 	}
 	for _, e := range list {
 		i := c.shardOf(e.rec.Team)
 		used := c.room.Used(e.rec.Team, i)
 		for n := e.run.pending(&e.rec); n > 0; n-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, by[i]) {
+			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, machinesByShard[i]) {
 				break
 			}
 		}
 	}
 }
 
+// preemptionCandidate describes a machine for the choice of victims: its free capacity, including that of
+// tasks which are already stopping, and the attempts of a tier below least that may be stopped.
 func (c *Core) preemptionCandidate(m *machine, least int) *clearing.Machine[*machine, *attempt] {
-	x := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
+	candidate := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		switch {
 		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
-			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
+			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.sent:
 		case a.stop || c.jobs[a.job] == nil:
-			x.Free = x.Free.Add(a.size) // already leaving
+			candidate.Free = candidate.Free.Add(a.size) // already being stopped
 		case a.known && a.lesser && c.jobs[a.job].rank < least:
-			x.Victims = append(x.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
+			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
 		}
 	}
-	x.Sort()
-	return x
+	candidate.Sort()
+	return candidate
 }
 
-// preemptFor makes room for one task of a job, unless some is being made. It tells whether
-// there will be room.
+// preemptFor stops tasks to free capacity for one task of a job, unless enough is being freed already.
+// It reports whether there will be capacity.
 func (c *Core) preemptFor(e *jobEntry, in []*clearing.Machine[*machine, *attempt]) bool {
 	kinds := c.kinds(e, zonesOf(e))
 	stop, ok := clearing.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
@@ -89,18 +91,18 @@
 	})
 	for _, v := range stop {
 		a := v.Handle
-		if v.Unsent { // never told to anybody, so nowhere
+		if v.Unsent { // never sent to a worker, so it runs nowhere
 			c.attemptGone(a, "its place goes to "+e.rec.ID)
 			continue
 		}
 		c.stopAttempt(a)
 		c.noteTask(trail.TaskStopped, a, "for "+e.rec.ID+", which goes before it")
-		c.log(1, "stopping a task for work that goes before it", "task", a.key.task, "machine", a.m.name, "for", e.rec.ID)
+		c.log(1, "preempting a task", "task", a.key.task, "machine", a.m.name, "for", e.rec.ID)
 	}
 	return ok
 }
 
-// stopAttempt has a task stopped, with time to save if it can.
+// stopAttempt marks an attempt to be stopped, with a grace period to save if its job has checkpoints.
 func (c *Core) stopAttempt(a *attempt) {
 	a.stop = true
 	c.wantReport(a.m, true)
@@ -109,20 +111,20 @@
 	}
 }
 
-// reclaimBlocks empties blocks for other shards' guaranteed work that finds no room.
-// The shard that is furthest beyond its guarantee gives way, with the block
-// where least is lost.
+// reclaimBlocks empties blocks of the held shards for guaranteed work of other shards that is starved of
+// capacity. The shard that is furthest above its guarantee gives up the block where the least running
+// time is lost.
 func (c *Core) reclaimBlocks() {
 	if !c.every("vacate", 200*time.Millisecond) || !c.confirmed() {
 		return
 	}
-	dire := false
+	starved := false
 	for _, i := range c.shardIDs() {
 		for _, n := range c.wantOf(i).Needs {
 			if !n.Dire {
 				continue
 			}
-			dire = true
+			starved = true
 			k := supply.Borrower(c.shardCapacities("", c.shardCPUs()), i)
 			if k < 0 || !c.mine(k) {
 				continue
@@ -130,7 +132,7 @@
 			c.reclaimBlockFor(k, n)
 		}
 	}
-	if !dire && len(c.vacating) > 0 {
+	if !starved && len(c.vacating) > 0 {
 		for id := range c.vacating {
 			c.touchBlock(id)
 		}
@@ -138,7 +140,7 @@
 	}
 }
 
-// shardCPUs sums up the machines of each shard's blocks.
+// shardCPUs returns the CPUs of the machines in each shard's blocks.
 func (c *Core) shardCPUs() map[int]float64 {
 	have := map[int]float64{}
 	for i, types := range c.shardHas {
@@ -150,12 +152,13 @@
 	return have
 }
 
+// blockCPUs returns the CPUs of a block's machines.
 func (c *Core) blockCPUs(b *wire.Block) float64 {
 	full, _ := c.sizeOf(b.Type)
 	return full.CPUs * float64(len(b.Machines))
 }
 
-// guaranteedCPUs sums up the guarantees of a shard's teams.
+// guaranteedCPUs returns the sum of the CPU guarantees of a shard's teams.
 func (c *Core) guaranteedCPUs(shard int) float64 {
 	g := 0.0
 	for _, t := range c.shards[shard].rec.Teams {
@@ -164,6 +167,8 @@
 	return g
 }
 
+// reclaimBlockFor empties the block of a shard that serves a need of another shard at the least loss. A
+// block with urgent work, work of a higher tier than the need's or an unusable machine is not emptied.
 func (c *Core) reclaimBlockFor(shard int, n wire.Need) {
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
@@ -172,23 +177,23 @@
 			continue
 		}
 		full, _ := c.sizeOf(b.rec.Type)
-		x := disruption.Block{Name: id, Emptied: c.vacating[id] || b.rec.Idle, Holds: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
+		candidate := disruption.Block{Name: id, Emptied: c.vacating[id] || b.rec.Idle, Holds: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
 		for _, bm := range b.rec.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
-				x.Fixed = true
+				candidate.Fixed = true
 				break
 			}
 			for _, a := range m.attempts {
 				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > n.Rung) {
-					x.Fixed = true
+					candidate.Fixed = true
 				}
 				if a.status != wire.TaskEnded {
-					x.Lost += c.now - a.running + time.Second
+					candidate.Lost += c.now - a.running + time.Second
 				}
 			}
 		}
-		blocks = append(blocks, x)
+		blocks = append(blocks, candidate)
 	}
 	best, loss := disruption.Empty(blocks, n.Tasks)
 	if best == "" {
