--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -10,28 +10,31 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// chaining is what is known of jobs that wait for others (package dependency).
+// dependencyState is what this controller knows of jobs that wait for others (package dependency).
 type dependencyState struct {
 	dependencies    *dependency.Graph
-	waitingJobs     map[string]*jobEntry // jobs that wait, as they stand under wire.PrefixWaiting
-	recheckWaiting  bool                 // something has changed that a decision may hang on
-	movingWaiting   bool                 // a write that moves such jobs is under way
-	readingOutcomes bool                 // so is a read of ends
-	announcedChains ChainsSeen           // as last shown
-	oneJobPerWrite  bool                 // the last such write met a conflict: one job at a time
+	waitingJobs     map[string]*jobEntry // waiting jobs, as stored under wire.PrefixWaiting
+	recheckWaiting  bool                 // something changed that the outcome of a waiting job may depend on
+	movingWaiting   bool                 // a write that moves waiting jobs is in progress
+	readingOutcomes bool                 // a read of the outcomes of predecessors is in progress
+	announcedChains ChainsSeen           // the counts that were last reported as an effect
+	oneJobPerWrite  bool                 // the last write that moved jobs met a conflict: move one job at a time
 }
 
 func newDependencyState() dependencyState {
-	return dependencyState{dependencies: dependency.New(), waitingJobs: map[string]*jobEntry{}}
+	return dependencyState{
+		dependencies: dependency.New(),
+		waitingJobs:  map[string]*jobEntry{},
+	}
 }
 
-// isWaiting tells whether a job waits, as far as the mirror tells.
+// isWaiting reports whether a job waits for others, according to the mirror.
 func (c *Core) isWaiting(id string) bool { return c.waitingJobs[id] != nil }
 
-// isLive tells whether a job is known to be live.
+// isLive reports whether a job is known to be live: accepted, not waiting and not over.
 func (c *Core) isLive(id string) bool { return c.jobs[id] != nil }
 
-// putWaitingJob takes a new version of a job that waits.
+// putWaitingJob applies a new version of a waiting job.
 func (c *Core) putWaitingJob(r wire.Job, ver uint64) {
 	c.waitingJobs[r.ID] = &jobEntry{rec: r, ver: ver}
 	c.dependencies.Put(r.ID, r.Predecessors, c.demandOf(&r))
@@ -44,7 +47,7 @@
 	c.recheckWaiting, c.dirty = true, true
 }
 
-// removeWaitingJob is called when a job waits no longer.
+// removeWaitingJob is called when a job no longer waits.
 func (c *Core) removeWaitingJob(id string) {
 	before := c.dependencies.Before(id)
 	delete(c.waitingJobs, id)
@@ -53,7 +56,8 @@
 	c.recheckWaiting, c.dirty = true, true
 }
 
-// stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
+// stageOf returns what a job's expected length depends on, and how many seconds the machines that it may
+// use take to boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
 	rate, boot := supply.Speeds(c.types, j.Types)
 	s = dependency.Stage{Tasks: j.Tasks, Run: c.runs.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
@@ -63,7 +67,8 @@
 	return s, boot
 }
 
-// remainingSeconds is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
+// remainingSeconds returns in how many seconds a live job is expected to end, or +Inf unless all of its
+// tasks run on machines of this holder.
 func (c *Core) remainingSeconds(id string) float64 {
 	e := c.jobs[id]
 	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
@@ -80,8 +85,9 @@
 	return s.Left((c.now - last).Seconds())
 }
 
-// startingSoon lists the waiting jobs of a shard that machines are asked for already: those that begin within
-// a boot and would be late if it began then. They are asked for on a rung of normal work.
+// startingSoon lists the waiting jobs of a shard that machines are requested for already: those that are
+// expected to become ready within the boot time of a machine and would be late if the boot began only
+// then. They are requested at a tier of normal work.
 func (c *Core) startingSoon(shard int) (list []*wire.Job) {
 	for _, id := range c.dependencies.Waiting() {
 		j := &c.waitingJobs[id].rec
@@ -95,14 +101,15 @@
 	return list
 }
 
-// demandOf is what a job asks of those before it.
+// demandOf returns what a job requires of its predecessors.
 func (c *Core) demandOf(j *wire.Job) dependency.Demand {
 	s, _ := c.stageOf(j)
 	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.ladder.Rank(j), Due: c.aims.Due(workOf(j)), Length: dependency.Length(s)}
 }
 
-// rankJob puts a job on its rung, or on that of a job that needs it: on that one's own once there
-// is little slack, until then among normal work, which goes by due times and stops none of it.
+// rankJob sets a job's priority and tier: its own, or those inherited from a job that depends on it. The
+// full priority and tier are inherited only once there is little slack. Until then the job ranks at most
+// as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
 	d := c.dependencies.Inherited(e.rec.ID)
 	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), d.Due
@@ -126,7 +133,7 @@
 	}
 }
 
-// rankPredecessors does so for jobs whose dependents have changed.
+// rankPredecessors ranks jobs whose dependents have changed.
 func (c *Core) rankPredecessors(ids []string) {
 	for _, id := range ids {
 		if e := c.jobs[id]; e != nil {
@@ -136,7 +143,8 @@
 	}
 }
 
-// rankWaitingJobs weighs all that wait anew: the ladder, or what is known of run times, has changed.
+// rankWaitingJobs evaluates all waiting jobs and their predecessors again after a change of the tier
+// order or of the expected run times.
 func (c *Core) rankWaitingJobs() {
 	for _, id := range c.dependencies.Waiting() {
 		r := &c.waitingJobs[id].rec
@@ -147,15 +155,16 @@
 	}
 }
 
-// recheckDependents has dependents of a job looked at that has left the live keys.
+// recheckDependents has the dependents of a job evaluated again after it left the live keys.
 func (c *Core) recheckDependents(id string) {
 	if len(c.dependencies.Dependents(id)) > 0 {
 		c.recheckWaiting, c.dirty = true, true
 	}
 }
 
-// processWaitingJobs moves the waiting jobs of held shards on: those that are ready to the live ones, those
-// that are cancelled to their end, which follows from another's and is written at leisure.
+// processWaitingJobs moves the waiting jobs of held shards: jobs that are ready become live, and jobs that
+// are cancelled end. A cancellation already follows from the stored end of another job, so it is written
+// at low priority.
 func (c *Core) processWaitingJobs() {
 	if c.every("rankWaiting", tuning.ChainRank) {
 		c.rankWaitingJobs()
@@ -199,8 +208,9 @@
 	}
 }
 
-// moveWaitingJobs writes several waiting jobs to the live keys or, cancelled by others, to their end. Who
-// does so is of no matter: what it rests on never changes, and the record that waits is compared.
+// moveWaitingJobs moves several waiting jobs to the live keys or, if by names the jobs whose cancellation
+// they follow, to their final keys. It does not matter which controller does so, because the ends that
+// the decision rests on never change and the record of the waiting job is compared.
 func (c *Core) moveWaitingJobs(ids []string, by map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
 	if by != nil {
@@ -242,12 +252,13 @@
 				c.refresh(k)
 			}
 		}
-		c.log(2, "waiting jobs moved on", "jobs", len(keys), "cancelled", by != nil, "status", r.Status)
+		c.log(2, "waiting jobs moved", "jobs", len(keys), "cancelled", by != nil, "status", r.Status)
 		c.changed()
 	})
 }
 
-// readOutcomes reads how jobs are over, one after the other; false: not all could be told.
+// readOutcomes reads the final records of jobs one after the other. It calls f with false if one of them
+// could not be read.
 func (c *Core) readOutcomes(ids []string, f func(ok bool)) {
 	if len(ids) == 0 {
 		f(true)
@@ -271,7 +282,8 @@
 	})
 }
 
-// refreshMirror brings the mirror up to all that was written before this call.
+// refreshMirror updates the mirror with everything that was written before this call, and calls f with
+// whether that succeeded.
 func (c *Core) refreshMirror(f func(ok bool)) {
 	if !c.loaded || c.loading {
 		f(false)
@@ -286,15 +298,16 @@
 	})
 }
 
-// evaluateWaiting completes a look that has found a job waiting, by a mirror that is as fresh as the
-// look itself: who was told that a job before it is cancelled hears the same of this one.
+// evaluateWaiting completes a lookup that found a job waiting. The mirror must be as recent as the lookup
+// itself, so that a user who was told that a predecessor is cancelled gets the same answer for this job.
+// If it is not (fresh is false), the job counts as not found for now.
 func (c *Core) evaluateWaiting(id string, at found, fresh bool, f func(found)) {
 	if !fresh {
 		f(found{})
 		return
 	}
 	if !c.isWaiting(id) {
-		c.look(id, f) // it has moved on meanwhile
+		c.look(id, f) // it was moved meanwhile
 		return
 	}
 	switch v := c.dependencies.Judge(id, c.isLive); v.Outcome {
@@ -307,7 +320,8 @@
 	}
 }
 
-// acceptDependent takes a job that names others: each has to have been accepted once, by whoever.
+// acceptDependent accepts a job with predecessors, each of which must have been accepted before, by any
+// controller.
 func (c *Core) acceptDependent(req uint64, job wire.Job, known func(otherwise func())) {
 	refuse := func(status int, why string) {
 		known(func() { c.answer(req, status, wire.Problem{Error: why}) })
@@ -348,7 +362,7 @@
 			}
 			next(left[1:])
 		}
-		// That the mirror knows a job is enough: it was accepted, whatever has become of it.
+		// A job in the mirror was accepted, whatever happened to it since.
 		if e := c.jobs[id]; e != nil {
 			judge(found{job: &e.rec, ok: true})
 		} else if e := c.waitingJobs[id]; e != nil {
@@ -360,8 +374,8 @@
 	next(job.Predecessors)
 }
 
-// writeDependent accepts a job whose predecessors are known: to be live at once if they all are
-// done, to be over at once if one is cancelled, and to wait otherwise.
+// writeDependent writes a job whose predecessors are known: as live if they are all done, as aborted if
+// one was cancelled (by names that job), and as waiting otherwise.
 func (c *Core) writeDependent(req uint64, job wire.Job, done bool, by string, known func(otherwise func())) {
 	id := job.ID
 	status := wire.JobStatus{ID: id, Status: wire.JobQueued}
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -7,7 +7,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// onAdminChain draws the chain of a job.
+// onAdminChain answers with the chain of a job: all jobs that it depends on and that depend on it.
 func (c *Core) onAdminChain(v AdminChain) {
 	if !c.loaded || !wire.ValidJobID(v.ID) {
 		c.answerFound(v.Req, v.ID, found{ok: c.loaded})
@@ -28,7 +28,7 @@
 	})
 }
 
-// waitReason tells what a job waits for.
+// waitReason returns what a waiting job waits for, in words for its user.
 func (c *Core) waitReason(id string) []string {
 	if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
 		return []string{"cancelled with " + v.By}
@@ -43,31 +43,32 @@
 	return []string{"waits until these are done: " + strings.Join(left, ", ")}
 }
 
-// chainOf is all that a job awaits and all that awaits it, as far as this controller sees it.
+// chainOf returns what this controller knows of a job, of all its predecessors and of all jobs that depend
+// on it, by job ID.
 func (c *Core) chainOf(id string) map[string]dependency.Seen {
-	seen, todo := map[string]dependency.Seen{}, append([]string{id}, c.dependencies.After(id)...)
-	for ; len(todo) > 0; todo = todo[1:] {
-		id := todo[0]
+	seen, unvisited := map[string]dependency.Seen{}, append([]string{id}, c.dependencies.After(id)...)
+	for ; len(unvisited) > 0; unvisited = unvisited[1:] {
+		id := unvisited[0]
 		if _, is := seen[id]; is {
 			continue
 		}
-		e, x := c.jobs[id], dependency.Seen{}
-		if w := c.waitingJobs[id]; w != nil {
-			e, x.Waits, x.Status = w, true, c.statusOf(&w.rec)
+		e, view := c.jobs[id], dependency.Seen{}
+		if waiting := c.waitingJobs[id]; waiting != nil {
+			e, view.Waits, view.Status = waiting, true, c.statusOf(&waiting.rec)
 			if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
-				x.Status.Status, x.By = wire.JobAborted, v.By
+				view.Status.Status, view.By = wire.JobAborted, v.By
 			}
 		} else if e != nil {
-			x.Status = c.statusOf(&e.rec)
+			view.Status = c.statusOf(&e.rec)
 		} else if f, known := c.finals[id]; known {
-			x.Status, x.By = finalStatus(id, f), f.By
+			view.Status, view.By = finalStatus(id, f), f.By
 		}
 		if e != nil {
 			own := c.demandOf(&e.rec)
-			x.Job, x.Length, x.Due, x.Inherited = &e.rec, own.Length, own.Due, c.dependencies.Inherited(id)
-			todo = append(todo, e.rec.Predecessors...)
+			view.Job, view.Length, view.Due, view.Inherited = &e.rec, own.Length, own.Due, c.dependencies.Inherited(id)
+			unvisited = append(unvisited, e.rec.Predecessors...)
 		}
-		seen[id] = x
+		seen[id] = view
 	}
 	return seen
 }
