--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -15,7 +15,8 @@
 
 var reservationLimits = hold.Limits{Share: tuning.HoldShare, Horizon: tuning.HoldHorizon, Better: tuning.HoldBetter}
 
-// withoutReservation is what others than those it is held for see of a machine's room.
+// withoutReservation returns what is left of a machine's free capacity for jobs other than the one that
+// has a reservation on it.
 func (c *Core) withoutReservation(m *machine, free placement.Size) placement.Size {
 	if b := c.places[m.shard]; b != nil {
 		if h, is := b.Of(m); is {
@@ -25,9 +26,11 @@
 	return free
 }
 
+// unreservedFree returns the free capacity of a machine that is not reserved.
 func (c *Core) unreservedFree(m *machine) placement.Size { return c.withoutReservation(m, c.free(m)) }
 
-// reservedSoon counts the places of a job that are free before a rented machine would be.
+// reservedSoon returns the number of a job's reservations that become free before a machine rented now
+// would be up.
 func (c *Core) reservedSoon(shard int, j *wire.Job) int {
 	b := c.places[shard]
 	if b == nil || b.Len() == 0 {
@@ -37,7 +40,8 @@
 	return b.Within(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
-// planReservations keeps places for jobs whose tasks fit nowhere (package hold).
+// planReservations reserves capacity on the held shards for jobs whose tasks fit on no machine (package
+// hold).
 func (c *Core) planReservations() {
 	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
 		return
@@ -46,13 +50,13 @@
 		if !c.mine(i) {
 			continue
 		}
-		asks, least := c.unplaceableJobs(i)
+		requests, least := c.unplaceableJobs(i)
 		b := c.places[i]
 		if b == nil {
 			b = hold.New[*machine](reservationLimits)
 			c.places[i] = b
 		}
-		if len(asks) == 0 && b.Len() == 0 {
+		if len(requests) == 0 && b.Len() == 0 {
 			c.reserveTeamLimits(i, nil)
 			continue
 		}
@@ -62,25 +66,25 @@
 				machines = c.appendReservable(m, machines, &least)
 			}
 		}
-		wide := hold.Wide(asks, least, tuning.HoldTimes)
+		wide := hold.Wide(requests, least, tuning.HoldTimes)
 		c.reserveTeamLimits(i, wide)
 		for _, m := range b.Plan(c.now, wide, machines) {
 			if h, is := b.Of(m); is {
 				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
-				c.log(2, "place held", "machine", m.name, "job", h.Job, "free_in", (h.At - c.now).String())
+				c.log(2, "capacity reserved", "machine", m.name, "job", h.Job, "free_in", (h.At - c.now).String())
 			}
 			c.touch(m)
 		}
 	}
 }
 
-// unplaceableJobs lists the jobs of a shard that have waited for a while and find no machine, in
-// the order of service, and the least that any job asks for.
-func (c *Core) unplaceableJobs(shard int) (asks []hold.Ask[*machine], least placement.Size) {
+// unplaceableJobs lists the jobs of a shard that have waited for a while and fit on no machine, in the
+// order of service. least is the smallest size that any waiting job requests, by resource.
+func (c *Core) unplaceableJobs(shard int) (requests []hold.Ask[*machine], least placement.Size) {
 	if c.order.Len() == 0 {
 		return nil, least
 	}
-	most, used := c.room.Most(shard), map[string]placement.Size{}
+	largestFree, used := c.room.Most(shard), map[string]placement.Size{}
 	least = anyRoom("")
 	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.order.Walk(func(team string) placement.Size {
@@ -91,8 +95,8 @@
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.Ask
 		least = lesser(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(asks) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
-			return true // urgent work makes room for itself
+		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.Accepted > accepted || len(requests) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) || c.health.Trial(e.rec.ID) {
+			return true // urgent work preempts other work instead
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
@@ -100,23 +104,24 @@
 		}
 		n := placement.Under(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
-		if n == 0 || !placement.Fits(most, size) {
-			asks = append(asks, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
+		if n == 0 || !placement.Fits(largestFree, size) {
+			requests = append(requests, hold.Ask[*machine]{Job: e.rec.ID, Team: team, Size: size, Tasks: max(1, n), Full: n == 0, Allows: func(m *machine) bool { return allows(&e.rec, m) && !c.avoids(e, m) }})
 		}
 		return true
 	})
-	return asks, least
+	return requests, least
 }
 
-// reserveTeamLimits keeps parts of the limits of a shard's teams.
-func (c *Core) reserveTeamLimits(shard int, asks []hold.Ask[*machine]) {
+// reserveTeamLimits reserves parts of the limits of a shard's teams for jobs that do not fit into the rest.
+func (c *Core) reserveTeamLimits(shard int, requests []hold.Ask[*machine]) {
 	for _, t := range c.shards[shard].rec.Teams {
 		delete(c.kept, t)
 	}
-	maps.Copy(c.kept, hold.Kept(asks))
+	maps.Copy(c.kept, hold.Kept(requests))
 }
 
-// effectiveLimit is a team's limit as a job of it finds it.
+// effectiveLimit returns a job's team with its limit, less what is reserved of the limit for another job
+// of the team. Urgent jobs are not bound by such a reservation.
 func (c *Core) effectiveLimit(e *jobEntry) Team {
 	t := c.p.Teams[e.rec.Team]
 	if h, is := c.kept[e.rec.Team]; is && h.Job != e.rec.ID && e.prio < urgentRank {
@@ -125,15 +130,16 @@
 	return t
 }
 
-// appendReservable adds a machine that a place may be held on, with what is expected to leave it.
+// appendReservable appends a machine that may take a reservation, with the tasks that are expected to end
+// on it. It lowers least to the sizes of the machine's tasks.
 func (c *Core) appendReservable(m *machine, list []hold.Machine[*machine], least *placement.Size) []hold.Machine[*machine] {
-	x := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
-	if !x.Up {
+	candidate := hold.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.free(m)}
+	if !candidate.Up {
 		full, known := c.sizeOf(m.typ)
 		if !known || m.reported || m.inherited || !c.coming[m] {
 			return list
 		}
-		x.Free, x.Ready = full, m.since+seconds(c.types[m.typ].BootS*1.2)
+		candidate.Free, candidate.Ready = full, m.since+seconds(c.types[m.typ].BootS*1.2)
 	}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
@@ -142,13 +148,13 @@
 		}
 		*least = lesser(*least, a.size)
 		if at, leaves := c.expectedEnd(a); leaves {
-			x.Leaves = append(x.Leaves, hold.Leave{At: at, Size: a.size})
+			candidate.Leaves = append(candidate.Leaves, hold.Leave{At: at, Size: a.size})
 		}
 	}
-	return append(list, x)
+	return append(list, candidate)
 }
 
-// expectedEnd is when a task is expected to leave its machine; false: not foreseen.
+// expectedEnd returns when a task is expected to leave its machine, or false if that cannot be predicted.
 func (c *Core) expectedEnd(a *attempt) (time.Duration, bool) {
 	e := c.jobs[a.job]
 	if e == nil || a.stop {
@@ -159,12 +165,12 @@
 	}
 	runs := c.runs.Typical(e.rec.Class, e.rec.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
-		return max(a.running+runs, c.now+runs/8), true // one that should be over ends some time
+		return max(a.running+runs, c.now+runs/8), true // an overdue task is expected to end a little later
 	}
 	return max(a.created+c.fetchTime(e, a.m), c.now) + runs, true
 }
 
-// fetchTime is how long a machine fetches a job's image, alone.
+// fetchTime returns how long a machine takes to fetch a job's image if it fetches nothing else.
 func (c *Core) fetchTime(e *jobEntry, m *machine) time.Duration {
 	if rate := c.types[m.typ].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
 		return seconds(e.rec.ImageGB / rate)
@@ -172,9 +178,9 @@
 	return 0
 }
 
-// placeReserved gives held places to those they are held for, after all others have been
-// served. Urgent tasks that found nothing else take any of them; until its task fits a place
-// is lent to tasks that surely end before.
+// placeReserved places tasks on the reservations of their jobs, after all other jobs have been served.
+// Urgent tasks that found no other machine take any reservation. Until the task of its job fits, reserved
+// capacity is backfilled with tasks that certainly end before.
 func (c *Core) placeReserved() {
 	for _, i := range sortedInts(c.places) {
 		b := c.places[i]
@@ -192,7 +198,7 @@
 			if e := p.Handle; c.canPlace(e, m, i) {
 				b.Drop(m)
 				c.placeOn(e, m, true)
-				c.log(2, "task placed on a held place", "job", h.Job, "machine", m.name)
+				c.log(2, "task placed on its reservation", "job", h.Job, "machine", m.name)
 			} else if h.At-c.now > tuning.HoldFill {
 				c.backfill(m, i, h)
 			}
@@ -200,7 +206,7 @@
 	}
 }
 
-// canPlace tells whether a job's next task may be placed on a machine now, holds apart.
+// canPlace reports whether a job's next task may be placed on a machine now, regardless of reservations.
 func (c *Core) canPlace(e *jobEntry, m *machine, shard int) bool {
 	size, j := jobSize(&e.rec), &e.rec
 	f, ok := c.room.Of(m)
@@ -209,7 +215,7 @@
 		!c.effectiveLimit(e).exceeds(c.room.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
 }
 
-// placeUrgentOnReserved has urgent tasks that wait take held places.
+// placeUrgentOnReserved places waiting urgent tasks on reserved machines, whatever job they are reserved for.
 func (c *Core) placeUrgentOnReserved(shard int, b *hold.Book[*machine]) {
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
@@ -219,7 +225,7 @@
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
 		if e.prio < urgentRank || b.Len() == 0 {
-			return b.Len() > 0 && !c.ladder.Plain() // by priority the order begins with them
+			return b.Len() > 0 && !c.ladder.Plain() // in plain priority order no later job is urgent
 		}
 		for _, m := range b.Held() {
 			if c.trials(e) == 0 || e.rec.Shape == wire.ShapeGang || c.barred(e, shard) {
@@ -234,9 +240,9 @@
 	})
 }
 
-// backfill places tasks on a held machine that surely leave before it is needed.
+// backfill places tasks on a reserved machine that certainly end before the reservation is needed.
 func (c *Core) backfill(m *machine, shard int, h hold.Hold) {
-	looked := 0
+	examined := 0
 	c.order.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -244,7 +250,7 @@
 		return c.free(m)
 	}, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
-		if looked++; looked > tuning.HoldLook {
+		if examined++; examined > tuning.HoldLook {
 			return false
 		}
 		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.barred(e, shard) ||
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -7,7 +7,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// putTierOrder takes a new ladder: every job has its rung by it from now on.
+// putTierOrder applies a new tier order and ranks all jobs by it.
 func (c *Core) putTierOrder(r wire.Ladder) {
 	c.rungs, c.ladder = r, ladder.Of(r)
 	for _, e := range c.jobsByAge() {
@@ -17,10 +17,12 @@
 	c.rankWaitingJobs()
 }
 
+// tierOrderView returns the tier order that is in force, for the admin interface.
 func (c *Core) tierOrderView() wire.LadderView {
 	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Rungs()}
 }
 
+// onAdminTiers answers with the tier order, or checks and writes a new one.
 func (c *Core) onAdminTiers(v AdminLadder) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
@@ -53,6 +55,7 @@
 	}
 }
 
+// onAdminJobOrder answers with the first live jobs in the order of the tiers, and a digest of the whole order.
 func (c *Core) onAdminJobOrder(v AdminOrder) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -6,16 +6,29 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newWeights(s weights.Switches, k *weights.Caches) *weights.Book {
-	return weights.NewBook(s, weights.Limits{Many: tuning.WeightsMany, Degree: tuning.HandDegree, Sources: tuning.HandSources, Roots: tuning.HandRoots, Fetches: tuning.StoreFetches,
-		Bound: tuning.StoreBound, Spare: tuning.StoreSpare, Least: tuning.StoreLeast, Memory: tuning.StoreMemory, Stale: tuning.WeightsStale, Keep: tuning.WeightsKeep}, k)
+func newWeights(switches weights.Switches, caches *weights.Caches) *weights.Book {
+	return weights.NewBook(switches, weights.Limits{
+		Many:    tuning.WeightsMany,
+		Degree:  tuning.HandDegree,
+		Sources: tuning.HandSources,
+		Roots:   tuning.HandRoots,
+		Fetches: tuning.StoreFetches,
+		Bound:   tuning.StoreBound,
+		Spare:   tuning.StoreSpare,
+		Least:   tuning.StoreLeast,
+		Memory:  tuning.StoreMemory,
+		Stale:   tuning.WeightsStale,
+		Keep:    tuning.WeightsKeep,
+	}, caches)
 }
 
+// fetchMachine returns a machine as package weights describes it.
 func (c *Core) fetchMachine(m *machine) weights.Machine {
 	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.typ].FetchGBps}
 }
 
-// updateImageUse tells what the tasks on a machine want of images and have, by its newest report.
+// updateImageUse records which images the tasks on a machine need, and whether each is there already,
+// according to the machine's newest report.
 func (c *Core) updateImageUse(m *machine) {
 	var uses []weights.Use
 	for _, k := range sortedAttempts(m) {
@@ -27,40 +40,42 @@
 	c.weights.Seen(c.now, c.fetchMachine(m), uses)
 }
 
-// runCommand is the command that starts a reserved attempt, with who hands its image on; false: its fetch waits.
+// runCommand returns the command that starts a reserved attempt, with the machines that its image is
+// fetched from, or false if the fetch has to wait.
 func (c *Core) runCommand(a *attempt) (wire.Command, bool) {
-	cmd, e, now := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
-	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // a gang begins together
-		cmd.Sources, now = c.weights.Fetch(c.now, c.fetchMachine(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+	cmd, e, startNow := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
+	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
+		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
 	}
-	return cmd, now
+	return cmd, startNow
 }
 
-// shardImages lists the images that a shard's machines have.
-func (c *Core) shardImages(shard int) (has []weights.MachineImages) {
+// shardImages lists the images that a shard's machines have cached.
+func (c *Core) shardImages(shard int) (images []weights.MachineImages) {
 	for _, m := range c.heldMachines() {
 		if m.shard == shard && !m.drop && len(m.images) > 0 {
-			has = append(has, weights.MachineImages{Machine: m.name, Images: sortedKeys(m.images)})
+			images = append(images, weights.MachineImages{Machine: m.name, Images: sortedKeys(m.images)})
 		}
 	}
-	return has
+	return images
 }
 
-// publishImages writes which images the machines of a shard have, now and then, and what is planned for those
-// that many fetch.
+// publishImages periodically writes which images the machines of a held shard have, and the plans for
+// images that many machines fetch.
 func (c *Core) publishImages() {
 	if c.telling || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
 		return
 	}
-	if w, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.shardImages, c.p.ValueBytes-256); due {
+	if write, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.shardImages, c.p.ValueBytes-256); due {
 		c.telling = true
-		c.commit(LaneLater, []wire.Condition{c.shardCond(w.Shard)}, []wire.Change{{Put: w.Key, Value: w.Value}}, func(r StateReply) {
+		c.commit(LaneLater, []wire.Condition{c.shardCond(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.telling = false
-			w.Done(c.now, r.Status == 200)
+			write.Done(c.now, r.Status == 200)
 		})
 	}
 }
 
+// onAdminWeights answers with the fetches of images, and with the machines that have them.
 func (c *Core) onAdminWeights(v AdminWeights) {
 	view := c.weights.View(c.now, c.p.Node, v.Image)
 	for _, m := range c.heldMachines() {
