--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -16,16 +16,28 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// biasKey returns the key of a shard's record of estimate errors.
 func biasKey(shard int) string { return wire.PrefixBias + strconv.Itoa(shard) }
 
 func newCalendar() *calendar.Book {
-	return calendar.NewBook(calendar.Margins{Clock: tuning.CrewClock, Takeover: tuning.CrewTakeover, Failures: tuning.CrewFailures, Press: tuning.CrewPress, Rounds: tuning.CrewRounds},
-		calendar.Limits{Most: tuning.CrewsMost, Keep: tuning.CrewKeep, Settle: tuning.CrewSettle, Rent: tuning.RentMax})
+	return calendar.NewBook(calendar.Margins{
+		Clock:    tuning.CrewClock,
+		Takeover: tuning.CrewTakeover,
+		Failures: tuning.CrewFailures,
+		Press:    tuning.CrewPress,
+		Rounds:   tuning.CrewRounds,
+	}, calendar.Limits{
+		Most:   tuning.CrewsMost,
+		Keep:   tuning.CrewKeep,
+		Settle: tuning.CrewSettle,
+		Rent:   tuning.RentMax,
+	})
 }
 
-// crewWork is what the calendar asks of a core.
+// crewWork gives the calendar the view of the core's jobs and machines that it needs.
 type crewWork struct{ c *Core }
 
+// Jobs returns the live jobs in the order in which they were accepted.
 func (w crewWork) Jobs() iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
 		for _, e := range w.c.jobsByAge() {
@@ -36,6 +48,7 @@
 	}
 }
 
+// Left returns how many tasks of a live job are not done, and the expected run time of one.
 func (w crewWork) Left(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
 	left := e.rec.Tasks - w.c.knownDone(e).Count()
@@ -45,21 +58,23 @@
 	return left, w.c.runs.Typical(e.rec.Class, e.rec.EstimateS)
 }
 
-func (w crewWork) CPUs(team, zone string) (have float64) {
+// CPUs returns the CPUs that a team may use in a zone, or in all zones if it is empty.
+func (w crewWork) CPUs(team, zone string) (cpus float64) {
 	i := w.c.shardOf(team)
 	for _, id := range w.c.blockIDs() {
 		if b := w.c.blocks[id]; b.rec.Shard == i && (zone == "" || b.rec.Zone == zone) {
-			have += w.c.blockCPUs(&b.rec)
+			cpus += w.c.blockCPUs(&b.rec)
 		}
 	}
-	return min(have, w.c.p.Teams[team].CPUsMax)
+	return min(cpus, w.c.p.Teams[team].CPUsMax)
 }
 
+// Ended returns whether a job is live, and its final status if it is known to be over.
 func (w crewWork) Ended(job string) (bool, string) {
 	return w.c.jobs[job] != nil, w.c.finals[job].Status
 }
 
-// crewDue is by when a departure wants a job done.
+// crewDue returns the time (Unix seconds) by which a departure needs a job done, or +Inf.
 func (c *Core) crewDue(job string) float64 {
 	if d, ok := c.calendar.Demand(job); ok {
 		return d.Due
@@ -67,9 +82,12 @@
 	return inf
 }
 
+// crewPressed reports whether a departure leaves a job no slack, so that it goes before other work of its
+// tier.
 func (c *Core) crewPressed(job string) bool { d, _ := c.calendar.Demand(job); return d.Pressed }
 
-// planCrews plans the departures of the crews whose teams are served here, and writes how they went.
+// planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
+// past departures.
 func (c *Core) planCrews() {
 	if c.calendar.Idle() || !c.confirmed() || !c.every("crews", tuning.CrewEvery) {
 		return
@@ -77,13 +95,13 @@
 	served := func(team string) bool { i := c.shardOf(team); return i >= 0 && c.mine(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
 	for _, e := range events {
-		name, shard, o := e.Crew.Rec.Name, c.shardOf(e.Crew.Rec.Team), e.Outcome
-		if o == nil {
+		name, shard, outcome := e.Crew.Rec.Name, c.shardOf(e.Crew.Rec.Team), e.Outcome
+		if outcome == nil {
 			c.noteShard(trail.CrewMiss, shard, wire.TrailEvent{Count: e.Plan.Miss, Why: name + ": " + e.Plan.Say})
 			c.log(1, "departure", "crew", name, "plan", e.Plan.Say)
 			continue
 		}
-		c.noteShard(trail.CrewLeft, shard, wire.TrailEvent{Count: o.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, o.Met, o.Jobs, o.LateS)})
+		c.noteShard(trail.CrewLeft, shard, wire.TrailEvent{Count: outcome.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS)})
 		c.putCrew(calendar.Entry{Rec: e.Rec, Ver: e.Crew.Ver}, c.shardCond(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
@@ -94,76 +112,76 @@
 	c.publishBias()
 }
 
-// putCrew writes a crew's record, compared with the version that it replaces.
-func (c *Core) putCrew(x calendar.Entry, when wire.Condition, f func(StateReply)) {
-	key := wire.PrefixCrew + x.Rec.Name
-	c.calendar.Write(x.Rec.Name)
-	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: x.Ver}}, []wire.Change{{Put: key, Value: x.Rec}}, func(r StateReply) {
-		c.calendar.Written(x.Rec.Name)
+// putCrew writes a crew's record if the version that it replaces is unchanged.
+func (c *Core) putCrew(entry calendar.Entry, when wire.Condition, f func(StateReply)) {
+	key := wire.PrefixCrew + entry.Rec.Name
+	c.calendar.Write(entry.Rec.Name)
+	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Ver}}, []wire.Change{{Put: key, Value: entry.Rec}}, func(r StateReply) {
+		c.calendar.Written(entry.Rec.Name)
 		f(r)
 	})
 }
 
-// rentAhead has the leader book machines for work that crews expect: the names stand in the
-// record before anything is asked, so whoever leads asks for the same and no more.
+// rentAhead has the leader rent machines for work that crews expect. The request names are stored in the
+// crew's record before any request is sent, so every leader sends the same requests and no more.
 func (c *Core) rentAhead() {
 	if len(c.calendar.Names()) == 0 || len(c.types) == 0 || !c.every("ahead", tuning.CrewEvery) {
 		return
 	}
-	l := &c.leader
+	leader := &c.leader
 	for _, name := range c.calendar.Names() {
-		x, leaves, booked, ok := c.calendar.Expects(name, c.wall)
-		shard := c.shardOf(x.Rec.Team)
+		entry, leaves, booked, ok := c.calendar.Expects(name, c.wall)
+		shard := c.shardOf(entry.Rec.Team)
 		if !ok || shard < 0 {
 			continue
 		}
 		for _, b := range booked {
 			key := (&supply.Offer{Type: b.Type, Zone: b.Zone, Spot: b.Spot}).Key()
-			if c.calendar.Open(&b) && !l.servingShards[shard] && c.now >= l.offerRetryAt[key] && c.now >= l.cloudRetryAt {
+			if c.calendar.Open(&b) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
 				c.log(1, "renting ahead", "crew", name, "type", b.Type, "zone", b.Zone, "count", b.Count, "booking", b.Request)
-				l.servingShards[shard] = true
+				leader.servingShards[shard] = true
 				c.sendRental(shard, key, wire.RentRequest{Request: b.Request, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}, 0)
 			}
 		}
 		if len(booked) == 0 {
-			c.planRentAhead(x, leaves, shard)
+			c.planRentAhead(entry, leaves, shard)
 		}
 	}
 }
 
-// planRentAhead writes what is to be rented for a departure, once its time has come.
-func (c *Core) planRentAhead(x *calendar.Entry, leaves time.Time, shard int) {
-	e := x.Rec.Expect
-	n := wire.Need{Zone: x.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
-	offers := supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
+// planRentAhead writes the rentals for a departure into the crew's record once it is time to send them.
+func (c *Core) planRentAhead(entry *calendar.Entry, leaves time.Time, shard int) {
+	e := entry.Rec.Expect
+	need := wire.Need{Zone: entry.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
+	offers := supply.Offers(c.types, need, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
 	factor := 1.0
-	for _, class := range x.Rec.Classes {
+	for _, class := range entry.Rec.Classes {
 		factor = max(factor, c.runs.Factor(class))
 	}
-	o, t := &offers[0], c.types[offers[0].Type]
-	rec, due := c.calendar.Ahead(x, c.wall, leaves, calendar.Accepted(x, leaves, crewWork{c}), c.p.Teams[x.Rec.Team].CPUsMax,
-		wire.CrewBooking{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, t.CPUs, factor, seconds(t.BootS*tuning.BootHorizon))
+	offer, machineType := &offers[0], c.types[offers[0].Type]
+	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.p.Teams[entry.Rec.Team].CPUsMax,
+		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCondition(), func(StateReply) { c.changed() })
+		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.changed() })
 	}
 }
 
-// noteRentedAhead notes that a booking has been answered.
+// noteRentedAhead records in the crews' records that a rental was answered.
 func (c *Core) noteRentedAhead(request string) {
-	for _, x := range c.calendar.Answered(request) {
-		c.putCrew(x, c.leaderCondition(), func(StateReply) { c.calendar.Rented(request) })
+	for _, entry := range c.calendar.Answered(request) {
+		c.putCrew(entry, c.leaderCondition(), func(StateReply) { c.calendar.Rented(request) })
 	}
 }
 
-// awaitsCrew tells whether machines of a shard were rented ahead of a departure that is to come.
+// awaitsCrew reports whether machines of a shard were rented ahead of a departure that has not come yet.
 func (c *Core) awaitsCrew(shard int) bool {
 	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOf(team) == shard })
 }
 
-// publishBias writes how far estimates are off, when it has changed.
+// publishBias writes how far run time estimates are off, for the held shards where that has changed.
 func (c *Core) publishBias() {
 	if !c.every("bias", tuning.BiasEvery) {
 		return
@@ -175,6 +193,7 @@
 	}
 }
 
+// onAdminCrews answers with all crews and their plans.
 func (c *Core) onAdminCrews(v AdminCrews) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
@@ -187,30 +206,31 @@
 	c.answer(v.Req, 200, list)
 }
 
+// onAdminCrew creates, changes or deletes a crew, or only shows the result if it is a dry run.
 func (c *Core) onAdminCrew(v AdminCrew) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
 		return
 	}
-	view := func(x *calendar.Entry) any { return c.calendar.View(x, c.wall, crewWork{c}) }
-	x, key := c.calendar.Of(v.Name), wire.PrefixCrew+v.Name
+	view := func(entry *calendar.Entry) any { return c.calendar.View(entry, c.wall, crewWork{c}) }
+	entry, key := c.calendar.Of(v.Name), wire.PrefixCrew+v.Name
 	if v.Patch == nil {
 		switch {
-		case x == nil:
+		case entry == nil:
 			c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("no crew %q", v.Name)})
 		case v.DryRun:
-			c.answer(v.Req, 200, view(x))
+			c.answer(v.Req, 200, view(entry))
 		default:
 			c.commit(LaneUser, []wire.Condition{{Key: key, Version: v.Ver}}, []wire.Change{{Delete: key}}, func(r StateReply) {
-				c.adminDone(v.Req, r, func() any { return view(x) })
+				c.adminDone(v.Req, r, func() any { return view(entry) })
 			})
 		}
 		return
 	}
-	team := func(t string) bool { _, ok := c.p.Teams[t]; return ok }
-	zone := func(z string) bool {
-		for _, t := range c.types {
-			if slices.Contains(t.Zones, z) {
+	team := func(name string) bool { _, ok := c.p.Teams[name]; return ok }
+	zone := func(name string) bool {
+		for _, machineType := range c.types {
+			if slices.Contains(machineType.Zones, name) {
 				return true
 			}
 		}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -12,9 +12,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// shouldMarkIdle tells whether a block should stand as idle: nothing runs on it, this
-// shard has no use for it, and another asks. While it stands so, nothing is
-// started on it, and the leader may move it.
+// shouldMarkIdle reports whether a block should be marked idle: nothing runs on it, its shard has no use
+// for it, and another shard requests machines like it. While a block is marked idle, nothing is started
+// on it and the leader may move it.
 func (c *Core) shouldMarkIdle(b *blockEntry) bool {
 	if c.vacating[b.id] {
 		return c.emptyFor(b, 0)
@@ -22,18 +22,18 @@
 	if c.wantedHere(b.rec.Shard) {
 		return false
 	}
-	asked := false
+	requested := false
 	for _, i := range c.shardIDs() {
 		if i != b.rec.Shard {
 			for _, n := range c.wantOf(i).Needs {
-				asked = asked || c.serves(b, n)
+				requested = requested || c.serves(b, n)
 			}
 		}
 	}
-	return asked && c.emptyFor(b, tuning.IdleOffer) && c.hasSpareWithout(b.rec.Shard, c.machinesOf(b)...)
+	return requested && c.emptyFor(b, tuning.IdleOffer) && c.hasSpareWithout(b.rec.Shard, c.machinesOf(b)...)
 }
 
-// emptyFor tells whether nothing has been on a block for a while.
+// emptyFor reports whether nothing has been on any machine of a block for a duration.
 func (c *Core) emptyFor(b *blockEntry, since time.Duration) bool {
 	for _, bm := range b.rec.Machines {
 		m := c.machines[bm.Name]
@@ -44,7 +44,7 @@
 	return len(b.rec.Machines) > 0
 }
 
-// machinesOf lists the held machines of a block.
+// machinesOf lists the machines of a block that this controller holds.
 func (c *Core) machinesOf(b *blockEntry) (ms []*machine) {
 	for _, bm := range b.rec.Machines {
 		if m := c.machines[bm.Name]; m != nil {
@@ -54,41 +54,41 @@
 	return ms
 }
 
-// spareTarget is for how many urgent tasks a shard keeps room.
+// spareTarget returns for how many urgent tasks a shard keeps capacity free.
 func (c *Core) spareTarget(shard int) int {
 	_, boot := supply.Speeds(c.types, nil)
 	return c.reserve.Target(c.now, shard, boot)
 }
 
-// urgentCapacity counts the urgent tasks that a machine could take at once, lesser
-// work on it giving way.
-func (c *Core) urgentCapacity(m *machine, u placement.Size) int {
-	f := c.free(m)
+// urgentCapacity returns how many urgent tasks of size u a machine could take at once if less urgent work
+// on it were preempted.
+func (c *Core) urgentCapacity(m *machine, size placement.Size) int {
+	free := c.free(m)
 	for _, a := range m.attempts {
 		if a.lesser && a.status != wire.TaskEnded {
-			f = f.Add(a.size)
+			free = free.Add(a.size)
 		}
 	}
-	return placement.Beta(f, u) + 1
+	return placement.Beta(free, size) + 1
 }
 
-// hasSpareWithout tells whether a shard keeps room for urgent tasks without the
-// given machines: such work should not wait for a boot.
+// hasSpareWithout reports whether a shard keeps its spare capacity for urgent tasks without the given
+// machines, because urgent work should not wait for a machine to boot.
 func (c *Core) hasSpareWithout(shard int, without ...*machine) bool {
 	c.update()
 	n := c.room.Spare(shard)
 	for _, m := range without {
-		if f, ok := c.room.Of(m); ok && f.Usable && !f.Spot {
-			n -= f.Spare
+		if facts, ok := c.room.Of(m); ok && facts.Usable && !facts.Spot {
+			n -= facts.Spare
 		}
 	}
 	return n >= c.spareTarget(shard)
 }
 
-// consolidate frees rented machines that run nothing but a few replicas, if all of them find
-// room, and their image, on machines in use. Anchors spread by design; once the batches
-// around them have ended, each holds a machine alone. So many at a time as are a small
-// share of the shard: one at a time, a fleet's tail was paid for ten minutes.
+// consolidate frees rented machines that run only a few replicas, if all of these fit on other machines in
+// use that have their image. Anchors spread by design, so each is left alone on a machine once the batch
+// work around it has ended. A small share of the shard's machines is freed at a time: when it was one at
+// a time, the remaining machines of a fleet were paid for ten minutes longer.
 func (c *Core) consolidate(shard int) {
 	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
@@ -106,17 +106,17 @@
 	}
 	var list []disruption.Machine[*machine]
 	for _, m := range in {
-		x := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
+		candidate := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
 		for _, k := range sortedAttempts(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
-				x.Stays = true
+				candidate.Stays = true
 				break
 			}
 			j := &c.jobs[a.job].rec
-			x.Moves = append(x.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allows(j, o) }})
+			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allows(j, o) }})
 		}
-		list = append(list, x)
+		list = append(list, candidate)
 	}
 	for _, m := range disruption.Consolidate(list, max(1, len(in)/tuning.MoveShare)-moving, tuning.MoveLook) {
 		m.moving = true
@@ -128,17 +128,20 @@
 	}
 }
 
-// movable tells whether a task is a replica that has run for a while and is bound to no zone.
+// movable reports whether a task is a replica that has run for a while and is not bound to a zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
 	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stop &&
 		a.status == wire.TaskRunning && c.now-a.running >= tuning.MoveAfter
 }
 
-// retireMachines marks machines to be given back: idle, silent, never up, or taken.
+// retireMachines marks the machines of a shard that are to be returned: those that are idle, are silent, do
+// not receive answers, never came up, were taken by the cloud, or had their replicas moved off. busy
+// means that the shard has unmet demand, so no idle machine is returned.
 func (c *Core) retireMachines(shard int, busy bool) {
-	// Many that are silent at a time are a cut, and come back: a controller that lost its
-	// workers for half a minute, while another was down, gave 163 healthy machines away.
+	// Many machines that are silent at the same time indicate a network partition, after which they come
+	// back. A controller that lost its workers for half a minute, while another controller was down,
+	// returned 163 healthy machines.
 	silent := 0
 	for _, m := range c.heldMachines() {
 		if m.shard == shard && m.reported && !m.drop && (c.now-m.lastReport > c.freshFor() || m.ear.Deaf()) {
@@ -155,10 +158,11 @@
 		switch {
 		case why != "":
 		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
-			// A rented one costs as much as another; while not sure to be entitled we take no report.
+			// A replacement costs as much as a rented machine. Reports are not accepted while this
+			// controller's authority is unconfirmed, so that time does not count.
 			why = "silent"
 		case m.ear.Deaf() && !m.base && !cut:
-			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
+			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
 		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
@@ -171,7 +175,7 @@
 			m.drop = true
 			c.touch(m)
 			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
-			c.log(1, "giving a machine back", "machine", m.name, "why", why)
+			c.log(1, "returning a machine", "machine", m.name, "why", why)
 		}
 	}
 }
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -11,17 +11,17 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// writeBlocks forms blocks of one type, zone and kind out of machines and
-// writes as many as one transaction holds. Fresh machines have just been rented
-// and have never been in a block.
+// writeBlocks forms blocks, each of one machine type, zone and kind, and writes them in transactions of as
+// many as fit. assign sets a block's shard just before it is written; done is called at the end with
+// whether all writes succeeded. Fresh machines have just been rented and have never been in a block.
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
-	l := &c.leader
+	leader := &c.leader
 	blocks := supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, base, fresh)
-	l.writePending = true
+	leader.writePending = true
 	var write func(rest []wire.Block, allOK bool)
 	write = func(rest []wire.Block, allOK bool) {
 		if len(rest) == 0 || !c.isLeader() {
-			l.writePending = false
+			leader.writePending = false
 			if done != nil {
 				done(allOK && len(rest) == 0)
 			}
@@ -29,15 +29,15 @@
 			return
 		}
 		n := min(len(rest), c.form.Bounds().Short(tuning.ShortOps))
-		when := []wire.Condition{c.leaderCondition()}
-		var then []wire.Change
+		conditions := []wire.Condition{c.leaderCondition()}
+		var changes []wire.Change
 		for k := range rest[:n] {
 			assign(&rest[k])
 			id := supply.NewBlockID(rest[k].Machines[0].Name, func(id string) bool { return c.blocks[id] != nil })
-			when = append(when, wire.Condition{Key: blockKey(id)})
-			then = append(then, wire.Change{Put: blockKey(id), Value: rest[k]})
+			conditions = append(conditions, wire.Condition{Key: blockKey(id)})
+			changes = append(changes, wire.Change{Put: blockKey(id), Value: rest[k]})
 		}
-		c.commit(LaneUser, when, then, func(r StateReply) {
+		c.commit(LaneUser, conditions, changes, func(r StateReply) {
 			for _, b := range rest[:n] {
 				c.log(1, "block formed", "first", b.Machines[0].Name, "shard", b.Shard, "zone", b.Zone, "machines", len(b.Machines), "spot", b.Spot, "status", r.Status)
 			}
@@ -50,7 +50,8 @@
 	write(blocks, true)
 }
 
-// shardCapacities is what each shard has for its teams' guarantees, as machines of a zone see it.
+// shardCapacities returns, for each shard, the given CPUs, the guarantee of its teams, and whether its
+// holder is in the zone.
 func (c *Core) shardCapacities(zone string, have map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
 		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guaranteedCPUs(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
@@ -58,21 +59,22 @@
 	return list
 }
 
-// serveDemand gives shards the machines they ask for: idle blocks of others
-// first, then rented ones.
+// serveDemand gives shards the machines that they request: idle blocks of other shards first, then
+// rented machines.
 func (c *Core) serveDemand() {
-	l := &c.leader
-	if l.writePending || len(c.types) == 0 {
+	leader := &c.leader
+	if leader.writePending || len(c.types) == 0 {
 		return
 	}
 	var open []supply.Open
 	for _, i := range c.shardIDs() {
 		w := c.wantOf(i)
-		if len(w.Needs) == 0 || l.servingShards[i] || w.Seen < c.newestBlock(i) {
-			continue // served, or asked before it knew of what it has
+		if len(w.Needs) == 0 || leader.servingShards[i] || w.Seen < c.newestBlock(i) {
+			continue // being served, or the request is older than the newest block of the shard
 		}
-		// Rented and not yet in a block: the holder does not know of them. To wait for
-		// their blocks before renting more took ten seconds where changes were short.
+		// Subtract machines that are rented and in no block yet, which the holder does not know of.
+		// Waiting for their blocks before renting more took ten seconds when only short writes were
+		// possible.
 		open = append(open, supply.Lacking(i, w.Needs, c.rentedCapacity(i))...)
 	}
 	supply.ByRung(open)
@@ -83,7 +85,7 @@
 	}
 }
 
-// rentedCapacity is the room of a shard's machines that are rented and stand in no block yet.
+// rentedCapacity returns the capacity of a shard's machines that are rented and in no block yet.
 func (c *Core) rentedCapacity(shard int) (p supply.Pool) {
 	for _, info := range c.leader.rentedMachines[shard] {
 		if full, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
@@ -93,9 +95,10 @@
 	return p
 }
 
-// moveIdleBlock moves an idle block, which its holder has promised to keep empty.
+// moveIdleBlock moves an idle block of another shard, which its holder keeps empty while it is marked
+// idle, to a shard with a need. It reports whether there is such a block.
 func (c *Core) moveIdleBlock(shard int, n wire.Need) bool {
-	l := &c.leader
+	leader := &c.leader
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
 		if !b.rec.Idle || b.rec.Shard == shard || !c.serves(b, n) {
@@ -104,11 +107,11 @@
 		rec := b.rec
 		rec.Shard, rec.Idle = shard, false
 		from := b.rec.Shard
-		l.writePending = true
-		l.servingShards[shard] = true
+		leader.writePending = true
+		leader.servingShards[shard] = true
 		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: b.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
-			l.writePending = false
-			delete(l.servingShards, shard)
+			leader.writePending = false
+			delete(leader.servingShards, shard)
 			if r.Status == 200 {
 				c.noteShard(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
 			}
@@ -120,22 +123,22 @@
 	return false
 }
 
-// rentForNeed books machines for a need, the cheapest per task first, near the
-// shard's holder before elsewhere.
+// rentForNeed rents machines for a need, those that are cheapest per task first and those in the zone of the
+// shard's holder before others. It reports whether it sent a rental.
 func (c *Core) rentForNeed(shard int, n wire.Need) bool {
-	l := &c.leader
-	if c.now < l.cloudRetryAt {
+	leader := &c.leader
+	if c.now < leader.cloudRetryAt {
 		return false
 	}
 	var offers []supply.Offer
-	var asks []boot.Ask
+	var requests []boot.Ask
 	for _, o := range supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
-		if c.now >= l.offerRetryAt[o.Key()] {
+		if c.now >= leader.offerRetryAt[o.Key()] {
 			offers = append(offers, o)
-			asks = append(asks, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
+			requests = append(requests, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
 		}
 	}
-	k, count := c.boots.Choose(c.now, asks)
+	k, count := c.boots.Choose(c.now, requests)
 	if k < 0 {
 		return false
 	}
@@ -143,72 +146,73 @@
 	return true
 }
 
+// rentOffer sends a new rental of count machines of an offer.
 func (c *Core) rentOffer(shard int, o *supply.Offer, count int, n wire.Need) {
-	l := &c.leader
-	l.rentRequests++
-	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), l.rentRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
-	l.servingShards[shard] = true
+	leader := &c.leader
+	leader.rentRequests++
+	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), leader.rentRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
+	leader.servingShards[shard] = true
 	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", n.Tasks, n.CPUs)})
 	c.log(1, "renting", "shard", shard, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "booking", req.Request)
 	c.sendRental(shard, o.Key(), req, 0)
 }
 
-// sendRental sends a rental until it has a definite answer: the same name yields the
-// same machines, so that none is rented twice or lost.
+// sendRental sends a rental and repeats it until it gets a definite answer. A request with the same name
+// yields the same machines, so no machine is rented twice or lost.
 func (c *Core) sendRental(shard int, key string, req wire.RentRequest, tries int) {
-	l := &c.leader
+	leader := &c.leader
 	term := c.term.Since()
 	c.cloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
 		if !c.isLeader() || c.term.Since() != term {
-			return // the next leader finds the machines in the list
+			return // the next leader finds the machines in the cloud's list
 		}
 		switch {
 		case r.Status == 200:
-			l.cloudBackoff = 0
+			leader.cloudBackoff = 0
 			if len(r.Names) < req.Count {
-				l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+				leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
 			}
 			infos := supply.Machines(req, r.Names)
 			if len(infos) == 0 {
-				delete(l.servingShards, shard)
+				delete(leader.servingShards, shard)
 				return
 			}
-			l.rentedMachines[shard] = append(l.rentedMachines[shard], infos...)
+			leader.rentedMachines[shard] = append(leader.rentedMachines[shard], infos...)
 			c.noteRentedAhead(req.Request)
 			c.noteRented(infos)
-			delete(l.servingShards, shard)
+			delete(leader.servingShards, shard)
 			c.runLeader()
 		case r.Status == 503 && r.Err == "no capacity":
-			l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
-			delete(l.servingShards, shard)
+			leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			delete(leader.servingShards, shard)
 			c.noteShard(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
 			c.log(1, "no capacity", "type", req.Type, "zone", req.Zone, "spot", req.Spot)
 			c.runLeader()
 		case r.Status == 400:
 			c.log(0, "rental refused as malformed", "booking", req.Request, "err", r.Err)
-			l.offerRetryAt[key] = c.now + tuning.NoCapacityPause
-			delete(l.servingShards, shard)
+			leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			delete(leader.servingShards, shard)
 		case (r.Status == 429 || r.Status == 503) && tries == 0:
-			// Surely not executed.
+			// The first attempt was refused, so the rental was certainly not executed.
 			c.cloudFailed("rent", r)
-			delete(l.servingShards, shard)
+			delete(leader.servingShards, shard)
 		default:
 			c.cloudFailed("rent", r)
 			if tries < 20 {
 				c.sendRental(shard, key, req, tries+1)
 			} else {
-				delete(l.servingShards, shard)
+				delete(leader.servingShards, shard)
 			}
 		}
 	})
 }
 
-// writeRentedBlocks forms blocks of the machines just rented, shard by shard.
+// writeRentedBlocks forms blocks of the machines that were just rented, shard by shard.
 func (c *Core) writeRentedBlocks() {
-	l := &c.leader
+	leader := &c.leader
 	for _, shard := range c.shardIDs() {
-		infos := l.rentedMachines[shard]
-		if len(infos) == 0 || l.writePending || !c.every("booked", 50*time.Millisecond) || !c.canFormBlocks() {
+		infos := leader.rentedMachines[shard]
+		if len(infos) == 0 || leader.writePending || !c.every("booked", 50*time.Millisecond) || !c.canFormBlocks() {
 			continue
 		}
 		var rest []wire.MachineInfo
@@ -217,14 +221,14 @@
 				rest = append(rest, m)
 			}
 		}
-		l.rentedMachines[shard] = rest
+		leader.rentedMachines[shard] = rest
 		if len(rest) == 0 {
-			delete(l.rentedMachines, shard)
+			delete(leader.rentedMachines, shard)
 			continue
 		}
 		to := shard
 		c.writeBlocks(rest, false, true, func(b *wire.Block) { b.Shard = to }, func(ok bool) {
-			if !ok { // tried again with what still stands in no block
+			if !ok { // tried again with the machines that are still in no block
 				c.retryAt["booked"] = c.now + tuning.RetryAfter
 			}
 		})
