--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -60,7 +60,7 @@
 	return c.reserve.Target(c.now, shard, boot)
 }
 
-// urgentCapacity returns how many urgent tasks of size u a machine could take at once if less urgent work
+// urgentCapacity returns how many urgent tasks of the given size a machine could take at once if less urgent work
 // on it were preempted.
 func (c *Core) urgentCapacity(m *machine, size placement.Size) int {
 	free := c.free(m)
@@ -158,8 +158,9 @@
 		switch {
 		case why != "":
 		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
-			// A replacement costs as much as a rented machine. Reports are not accepted while this
-			// controller's authority is unconfirmed, so that time does not count.
+			// A rented machine whose lease is over is returned at once, since a replacement costs the
+			// same. Reports are not accepted while this controller's authority is unconfirmed, so
+			// silence counts only from when it was confirmed.
 			why = "silent"
 		case m.ear.Deaf() && !m.base && !cut:
 			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -7,12 +7,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// knownDone is which of a job's tasks stand as done in the state, as far as this version reads it.
+// knownDone returns the tasks of a job that are stored as done, as far as this version reads the records.
 func (c *Core) knownDone(e *jobEntry) ranges.Set {
 	return ranges.Set(e.rec.Done).Union(c.progress.Of(e.rec.ID))
 }
 
-// durableDone is which of a job's tasks whoever takes it over knows as done.
+// durableDone returns the tasks of a job that any controller that takes it over knows as done. Until all
+// controllers understand progress records, only the job's own record counts.
 func (c *Core) durableDone(e *jobEntry) ranges.Set {
 	if !c.understood(rollout.ProgressRecords) {
 		return e.rec.Done
@@ -20,43 +21,43 @@
 	return c.knownDone(e)
 }
 
-// addProgress adds a job's progress as it stands now. Its starts are written apart. What has
-// been written before stays: the tasks are cleared from their workers, and whoever took the
+// addProgress adds a job's current progress to the batch. Its starts are written separately. Tasks that
+// were written as done stay so: they have been cleared from their workers, so a controller that took the
 // job over would start them again.
 func (b *batch) addProgress(e *jobEntry) {
-	c, rec, further := b.c, e.rec, b.maxChanges-len(b.changes)
+	c, rec, maxParts := b.c, e.rec, b.maxChanges-len(b.changes)
 	if !c.understood(rollout.ProgressRecords) {
-		further = 0
+		maxParts = 0
 	}
-	p := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
+	plan := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
 		rec.Done = done
 		raw, err := wire.Marshal(rec)
 		return err == nil && wire.FitsIn(raw, c.p.ValueBytes)
-	}, further)
+	}, maxParts)
 	var changes []wire.Change
-	if rec.Done = p.Record.Clone(); p.Put {
+	if rec.Done = plan.Record.Clone(); plan.Put {
 		changes = append(changes, wire.Change{Put: jobKey(rec.ID), Value: rec})
 		raw, _ := wire.Marshal(rec)
 		b.bytes += len(raw)
 	}
-	for _, x := range p.Parts {
-		b.conditions = append(b.conditions, wire.Condition{Key: x.Key, Version: x.Ver})
-		changes = append(changes, wire.Change{Put: x.Key, Value: x.Record})
+	for _, part := range plan.Parts {
+		b.conditions = append(b.conditions, wire.Condition{Key: part.Key, Version: part.Ver})
+		changes = append(changes, wire.Change{Put: part.Key, Value: part.Record})
 	}
 	if len(changes) > 0 {
 		b.addJob(e, changes...)
 	}
 }
 
-// hasUnwrittenEnd tells whether an attempt has completed its task, and that does not stand in the state.
+// hasUnwrittenEnd reports whether an attempt has completed its task and that is not stored yet.
 func (c *Core) hasUnwrittenEnd(a *attempt) bool {
 	e := c.jobs[a.job]
 	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Has(a.idx)
 }
 
-// keepsUnwrittenEnds tells whether a machine's worker has told ends that do not stand in the state:
-// until they do it is not returned. If we ended then, nobody would know of them. One that is
-// drained and has not told us anything since a change of hands may keep some as well.
+// keepsUnwrittenEnds reports whether a machine's worker has reported ends that are not stored yet. Until
+// they are, the machine is not returned: if this controller stopped then, the ends would be lost. A
+// drained machine that has not reported since a takeover may have such ends as well.
 func (c *Core) keepsUnwrittenEnds(m *machine) bool {
 	if m.inherited && !m.accounted && c.cordons[m.name].Drain {
 		return true
@@ -69,19 +70,20 @@
 	return false
 }
 
-// expediteEnd has an end written at once that its worker will not tell for long, or no more.
+// expediteEnd has the end of an attempt written urgently because its worker may soon be unable to report
+// it again, or is already.
 func (c *Core) expediteEnd(a *attempt) {
 	if c.hasUnwrittenEnd(a) {
 		c.hasty[c.jobs[a.job]] = true
 	}
 }
 
-// addUrgentProgress adds the progress of jobs that cannot wait for others to end.
+// addUrgentProgress adds the progress of jobs whose ended tasks have to be written urgently.
 func (c *Core) addUrgentProgress(b *batch) {
 	for _, e := range sortedJobs(c.hasty) {
 		switch {
 		case !c.behind[e]:
-			delete(c.hasty, e) // written, or ended as a whole, or no longer ours
+			delete(c.hasty, e) // written, or the job is over or no longer held
 		case !b.full() && !e.run.writing && c.now-e.run.wrote >= tuning.HastyFlush:
 			e.run.wrote = c.now
 			b.addProgress(e)
@@ -89,8 +91,8 @@
 	}
 }
 
-// deleteStaleProgress removes what tells of done tasks of a job that is over: its own record is gone for
-// good, which the write compares.
+// deleteStaleProgress deletes the progress records of a job that is over. The write requires that the
+// job's own record does not exist, and a job that is over never gets one again.
 func (c *Core) deleteStaleProgress() {
 	if c.leader.deletingProgress || !c.every("tidyDone", tuning.TidyEvery) {
 		return
@@ -99,10 +101,10 @@
 	if id == "" {
 		return
 	}
-	var then []wire.Change
+	var changes []wire.Change
 	for _, k := range keys {
-		then = append(then, wire.Change{Delete: k})
+		changes = append(changes, wire.Change{Delete: k})
 	}
 	c.leader.deletingProgress = true
-	c.commit(LaneLater, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, then, func(StateReply) { c.leader.deletingProgress = false })
+	c.commit(LaneLater, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, changes, func(StateReply) { c.leader.deletingProgress = false })
 }
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -9,45 +9,62 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// newProvisioning returns a tracker of boots without observations. The prior stands for what the cloud's
+// documentation says of boot times, as multiples of the usual one.
 func newProvisioning() *boot.Book {
 	return boot.New(boot.Params{
-		Prior: []boot.Seen{{Ratio: 0.6, Weight: 2}, {Ratio: 0.9, Weight: 3}, {Ratio: 1.2, Weight: 3}, {Ratio: 1.5, Weight: 1.3},
-			{Ratio: 2.5, Weight: 0.25}, {Ratio: tuning.BootGiveUp, Weight: 0.25}, {Ratio: math.Inf(1), Weight: 0.2}},
-		Keep: tuning.BootKeep, Memory: tuning.BootMemory, Horizon: tuning.BootHorizon, Enough: tuning.BootEnough,
-		GiveUp: tuning.BootHopeless, Trust: tuning.BootTrust, Ahead: tuning.BootAhead})
+		Prior: []boot.Seen{
+			{Ratio: 0.6, Weight: 2},
+			{Ratio: 0.9, Weight: 3},
+			{Ratio: 1.2, Weight: 3},
+			{Ratio: 1.5, Weight: 1.3},
+			{Ratio: 2.5, Weight: 0.25},
+			{Ratio: tuning.BootGiveUp, Weight: 0.25},
+			{Ratio: math.Inf(1), Weight: 0.2},
+		},
+		Keep:    tuning.BootKeep,
+		Memory:  tuning.BootMemory,
+		Horizon: tuning.BootHorizon,
+		Enough:  tuning.BootEnough,
+		GiveUp:  tuning.BootHopeless,
+		Trust:   tuning.BootTrust,
+		Ahead:   tuning.BootAhead,
+	})
 }
 
-// trackProvisioning keeps the judgement of boots in step with a block's record. All controllers
-// follow all blocks, so the next leader knows what this one does.
+// trackProvisioning updates the tracker of boots after a change of a block's record. All controllers track
+// all blocks, so the next leader knows what this one knows.
 func (c *Core) trackProvisioning(old, now *blockEntry) {
-	// While the state is read blocks come before machine types and the notes of what has been
-	// used: what boots then is judged once all is read.
+	// While the state is read, blocks arrive before the machine types and the records of used machines.
+	// Blocks are tracked once everything is read.
 	if !c.loaded {
 		return
 	}
 	if now != nil {
-		k := boot.Kind{Type: now.rec.Type, Zone: now.rec.Zone, Spot: now.rec.Spot}
-		for _, bm := range now.rec.Machines {
-			switch m := c.machines[bm.Name]; {
-			case !bm.Fresh: // adopted: when it was rented is not known
-				c.boots.Forget(bm.Name)
-			case !c.everUsed(bm.Name) && (m == nil || !m.reported):
-				c.boots.Booked(c.now, bm.Name, k, c.bootTime(k.Type))
+		kind := boot.Kind{Type: now.rec.Type, Zone: now.rec.Zone, Spot: now.rec.Spot}
+		for _, blockMachine := range now.rec.Machines {
+			switch m := c.machines[blockMachine.Name]; {
+			case !blockMachine.Fresh: // adopted, so the time of its rental is not known
+				c.boots.Forget(blockMachine.Name)
+			case !c.everUsed(blockMachine.Name) && (m == nil || !m.reported):
+				c.boots.Booked(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
 			}
 		}
 	}
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if c.blockIn[bm.Name] == "" {
-				c.boots.Gone(c.now, bm.Name)
+		for _, blockMachine := range old.rec.Machines {
+			if c.blockIn[blockMachine.Name] == "" {
+				c.boots.Gone(c.now, blockMachine.Name)
 			}
 		}
 	}
 }
 
+// bootTime returns the usual boot time of a machine type.
 func (c *Core) bootTime(typ string) time.Duration { return seconds(c.types[typ].BootS) }
 
-// doubtedMachines lists the machines of a shard that boot and do not count as room to come.
+// doubtedMachines returns the booting machines of a shard that are late and do not count as future
+// capacity.
 func (c *Core) doubtedMachines(shard int) map[string]bool {
 	var names []string
 	for m := range c.coming {
@@ -61,7 +78,7 @@
 	return c.boots.Doubted(c.now, names)
 }
 
-// bootFailure tells why a machine that has not come up is to be given back, or "".
+// bootFailure returns why a machine that has not come up is to be returned, or "" if it is not.
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
@@ -71,7 +88,7 @@
 	return ""
 }
 
-// noteRented notes machines that have just been rented; their blocks are yet to be written.
+// noteRented tracks machines that have just been rented and are in no stored block yet.
 func (c *Core) noteRented(infos []wire.MachineInfo) {
 	for _, m := range infos {
 		c.boots.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootTime(m.Type))
