--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -60,7 +60,12 @@
 // use take to boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
 	rate, boot := supply.Speeds(c.types, j.Types)
-	s = dependency.Stage{Tasks: j.Tasks, Run: c.runs.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
+	s = dependency.Stage{
+		Tasks:  j.Tasks,
+		Run:    c.runs.Typical(j.Class, j.EstimateS).Seconds(),
+		Spread: tuning.ChainSpread,
+		Begin:  tuning.ChainBegin.Seconds(),
+	}
 	if rate > 0 {
 		s.Fetch = j.ImageGB / rate
 	}
@@ -74,15 +79,15 @@
 	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
 		return inf
 	}
-	var last Time
+	var lastStart Time
 	for _, a := range e.run.active {
 		if a.status == "" || a.status == wire.TaskPulling {
 			return inf
 		}
-		last = max(last, a.running)
+		lastStart = max(lastStart, a.running)
 	}
-	s, _ := c.stageOf(&e.rec)
-	return s.Left((c.now - last).Seconds())
+	stage, _ := c.stageOf(&e.rec)
+	return stage.Left((c.now - lastStart).Seconds())
 }
 
 // startingSoon lists the waiting jobs of a shard that machines are requested for already: those that are
@@ -90,12 +95,12 @@
 // then. They are requested at a tier of normal work.
 func (c *Core) startingSoon(shard int) (list []*wire.Job) {
 	for _, id := range c.dependencies.Waiting() {
-		j := &c.waitingJobs[id].rec
-		if c.shardOf(j.Team) != shard {
+		job := &c.waitingJobs[id].rec
+		if c.shardOf(job.Team) != shard {
 			continue
 		}
-		if s, boot := c.stageOf(j); c.aims.Ahead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
-			list = append(list, j)
+		if stage, boot := c.stageOf(job); c.aims.Ahead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
+			list = append(list, job)
 		}
 	}
 	return list
@@ -103,24 +108,29 @@
 
 // demandOf returns what a job requires of its predecessors.
 func (c *Core) demandOf(j *wire.Job) dependency.Demand {
-	s, _ := c.stageOf(j)
-	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.ladder.Rank(j), Due: c.aims.Due(workOf(j)), Length: dependency.Length(s)}
+	stage, _ := c.stageOf(j)
+	return dependency.Demand{
+		Priority: wire.PriorityRank(j.Priority),
+		Rank:     c.ladder.Rank(j),
+		Due:      c.aims.Due(workOf(j)),
+		Length:   dependency.Length(stage),
+	}
 }
 
 // rankJob sets a job's priority and tier: its own, or those inherited from a job that depends on it. The
 // full priority and tier are inherited only once there is little slack. Until then the job ranks at most
 // as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
-	d := c.dependencies.Inherited(e.rec.ID)
-	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), d.Due
-	if d.Priority > e.prio {
-		if own := c.demandOf(&e.rec); d.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
-			as := e.rec
-			as.Priority = wire.PriorityName(normalRank)
-			d.Priority, d.Rank = min(d.Priority, normalRank), min(d.Rank, c.ladder.Rank(&as))
+	inherited := c.dependencies.Inherited(e.rec.ID)
+	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), inherited.Due
+	if inherited.Priority > e.prio {
+		if own := c.demandOf(&e.rec); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+			normal := e.rec
+			normal.Priority = wire.PriorityName(normalRank)
+			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.ladder.Rank(&normal))
 		}
 	}
-	e.prio, e.rank = max(e.prio, d.Priority), max(e.rank, d.Rank)
+	e.prio, e.rank = max(e.prio, inherited.Priority), max(e.rank, inherited.Rank)
 	if e.run == nil {
 		return
 	}
@@ -179,24 +189,24 @@
 	c.recheckWaiting = false
 	var ready, cancelled []string
 	var lookUp []string
-	by := map[string]string{}
+	cancelledBy := map[string]string{}
 	for _, id := range c.dependencies.Waiting() {
 		if !c.mine(c.shardOf(c.waitingJobs[id].rec.Team)) {
 			continue
 		}
-		switch v := c.dependencies.Judge(id, c.isLive); v.Outcome {
+		switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
 		case dependency.Ready:
 			ready = append(ready, id)
 		case dependency.Cancelled:
-			cancelled, by[id] = append(cancelled, id), v.By
+			cancelled, cancelledBy[id] = append(cancelled, id), verdict.By
 		case dependency.Unknown:
-			lookUp = append(lookUp, v.LookUp...)
+			lookUp = append(lookUp, verdict.LookUp...)
 		}
 	}
 	if len(ready) > 0 {
 		c.moveWaitingJobs(ready, nil)
 	} else if len(cancelled) > 0 {
-		c.moveWaitingJobs(cancelled, by)
+		c.moveWaitingJobs(cancelled, cancelledBy)
 	}
 	if len(lookUp) > 0 {
 		c.readingOutcomes = true
@@ -208,12 +218,12 @@
 	}
 }
 
-// moveWaitingJobs moves several waiting jobs to the live keys or, if by names the jobs whose cancellation
-// they follow, to their final keys. It does not matter which controller does so, because the ends that
+// moveWaitingJobs moves several waiting jobs to the live keys or, if cancelledBy names the jobs whose
+// cancellation they follow, to their final keys. It does not matter which controller does so, because the ends that
 // the decision rests on never change and the record of the waiting job is compared.
-func (c *Core) moveWaitingJobs(ids []string, by map[string]string) {
+func (c *Core) moveWaitingJobs(ids []string, cancelledBy map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
-	if by != nil {
+	if cancelledBy != nil {
 		lane = LaneLater
 	}
 	var keys []string
@@ -225,8 +235,8 @@
 		keys = append(keys, waitingKey(id))
 		b.conditions = append(b.conditions, wire.Condition{Key: waitingKey(id), Version: e.ver}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
-		if by != nil {
-			finals[id] = wire.Final{Status: wire.JobAborted, By: by[id]}
+		if cancelledBy != nil {
+			finals[id] = wire.Final{Status: wire.JobAborted, By: cancelledBy[id]}
 			change.Value = finals[id]
 		} else {
 			rec := e.rec
@@ -244,7 +254,7 @@
 			}
 		}
 		if r.Status == 200 {
-			c.noteMoved(ids[:len(keys)], by)
+			c.noteMoved(ids[:len(keys)], cancelledBy)
 		}
 		if r.Status != 200 {
 			c.retryAt["chains"] = c.now + tuning.RetryAfter/2
@@ -252,41 +262,41 @@
 				c.refresh(k)
 			}
 		}
-		c.log(2, "waiting jobs moved", "jobs", len(keys), "cancelled", by != nil, "status", r.Status)
+		c.log(2, "waiting jobs moved", "jobs", len(keys), "cancelled", cancelledBy != nil, "status", r.Status)
 		c.changed()
 	})
 }
 
-// readOutcomes reads the final records of jobs one after the other. It calls f with false if one of them
+// readOutcomes reads the final records of jobs one after the other. It calls done with false if one of them
 // could not be read.
-func (c *Core) readOutcomes(ids []string, f func(ok bool)) {
+func (c *Core) readOutcomes(ids []string, done func(ok bool)) {
 	if len(ids) == 0 {
-		f(true)
+		done(true)
 		return
 	}
 	id := ids[0]
-	if fin, known := c.finals[id]; known || c.isLive(id) {
+	if final, known := c.finals[id]; known || c.isLive(id) {
 		if known {
-			c.dependencies.End(id, fin.Status == wire.JobDone, fin.By)
+			c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 		}
-		c.readOutcomes(ids[1:], f)
+		c.readOutcomes(ids[1:], done)
 		return
 	}
 	c.lookAt(id, []string{finalKey(id)}, func(at found) {
 		if at.fin == nil {
 			c.retryAt["chains"] = c.now + tuning.RetryAfter
-			f(false)
+			done(false)
 			return
 		}
-		c.readOutcomes(ids, f)
+		c.readOutcomes(ids, done)
 	})
 }
 
-// refreshMirror updates the mirror with everything that was written before this call, and calls f with
-// whether that succeeded.
-func (c *Core) refreshMirror(f func(ok bool)) {
+// refreshMirror updates the mirror with everything that was written before this call, and calls done
+// with whether that succeeded.
+func (c *Core) refreshMirror(done func(ok bool)) {
 	if !c.loaded || c.loading {
-		f(false)
+		done(false)
 		return
 	}
 	c.state(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.rev}, func(r StateReply) {
@@ -294,29 +304,29 @@
 			c.follow(&r.Events)
 			c.changed()
 		}
-		f(r.Status == 200 && !c.loading)
+		done(r.Status == 200 && !c.loading)
 	})
 }
 
 // evaluateWaiting completes a lookup that found a job waiting. The mirror must be as recent as the lookup
 // itself, so that a user who was told that a predecessor is cancelled gets the same answer for this job.
-// If it is not (fresh is false), the job counts as not found for now.
-func (c *Core) evaluateWaiting(id string, at found, fresh bool, f func(found)) {
+// If it is not (fresh is false), the lookup fails.
+func (c *Core) evaluateWaiting(id string, at found, fresh bool, done func(found)) {
 	if !fresh {
-		f(found{})
+		done(found{})
 		return
 	}
 	if !c.isWaiting(id) {
-		c.look(id, f) // it was moved meanwhile
+		c.look(id, done) // it was moved meanwhile
 		return
 	}
-	switch v := c.dependencies.Judge(id, c.isLive); v.Outcome {
+	switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
 	case dependency.Cancelled:
-		f(found{fin: &wire.Final{Status: wire.JobAborted, By: v.By}, ok: true})
+		done(found{fin: &wire.Final{Status: wire.JobAborted, By: verdict.By}, ok: true})
 	case dependency.Unknown:
-		c.readOutcomes(v.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, f) })
+		c.readOutcomes(verdict.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, done) })
 	default:
-		f(at)
+		done(at)
 	}
 }
 
@@ -334,14 +344,14 @@
 		refuse(422, "awaits: "+job.ID+" is the job itself")
 		return
 	}
-	done, by := true, ""
-	var next func(left []string)
-	next = func(left []string) {
-		if len(left) == 0 {
-			c.writeDependent(req, job, done, by, known)
+	allDone, cancelledBy := true, ""
+	var next func(remaining []string)
+	next = func(remaining []string) {
+		if len(remaining) == 0 {
+			c.writeDependent(req, job, allDone, cancelledBy, known)
 			return
 		}
-		id := left[0]
+		id := remaining[0]
 		judge := func(at found) {
 			switch {
 			case !at.ok:
@@ -354,13 +364,13 @@
 				refuse(422, "awaits: "+id+" is a service, which is never done")
 				return
 			case at.fin == nil:
-				done = false
-			case at.fin.Status != wire.JobDone && by == "":
-				if by = at.fin.By; by == "" {
-					by = id
+				allDone = false
+			case at.fin.Status != wire.JobDone && cancelledBy == "":
+				if cancelledBy = at.fin.By; cancelledBy == "" {
+					cancelledBy = id
 				}
 			}
-			next(left[1:])
+			next(remaining[1:])
 		}
 		// A job in the mirror was accepted, whatever happened to it since.
 		if e := c.jobs[id]; e != nil {
@@ -375,15 +385,15 @@
 }
 
 // writeDependent writes a job whose predecessors are known: as live if they are all done, as aborted if
-// one was cancelled (by names that job), and as waiting otherwise.
-func (c *Core) writeDependent(req uint64, job wire.Job, done bool, by string, known func(otherwise func())) {
+// one was cancelled (cancelledBy names that job), and as waiting otherwise.
+func (c *Core) writeDependent(req uint64, job wire.Job, allDone bool, cancelledBy string, known func(otherwise func())) {
 	id := job.ID
 	status := wire.JobStatus{ID: id, Status: wire.JobQueued}
 	switch {
-	case by != "":
-		f := wire.Final{Status: wire.JobAborted, By: by}
+	case cancelledBy != "":
+		f := wire.Final{Status: wire.JobAborted, By: cancelledBy}
 		c.accept(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
-	case done:
+	case allDone:
 		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.topRev
 		c.accept(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
 	default:
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -36,7 +36,11 @@
 // newBatch returns an empty batch for a short write, so that writes that users wait for get in between.
 // While the state service refuses writes because of their form, a batch takes at most two changes.
 func (c *Core) newBatch() *batch {
-	b := &batch{c: c, maxChanges: c.form.Bounds().Short(tuning.ShortOps), comparedShards: map[int]bool{}}
+	b := &batch{
+		c:              c,
+		maxChanges:     c.form.Bounds().Short(tuning.ShortOps),
+		comparedShards: map[int]bool{},
+	}
 	if c.form.Alone(c.now) {
 		b.maxChanges = 2
 	}
@@ -157,11 +161,11 @@
 		}
 	}
 	for _, i := range c.shardIDs() {
-		s := c.shards[i]
-		if !c.mine(i) || c.unsettle[i] || s.rec.Settled || b.full() {
+		shard := c.shards[i]
+		if !c.mine(i) || c.unsettle[i] || shard.rec.Settled || b.full() {
 			continue
 		}
-		rec := s.rec
+		rec := shard.rec
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
@@ -178,13 +182,13 @@
 	rec, change = block.rec, c.idleMarkPending(block) // a new write makes a late idle mark fail its comparison
 	rec.Machines = append([]wire.BlockMachine(nil), block.rec.Machines...)
 	for k := range rec.Machines {
-		m, blockMachine := c.machines[rec.Machines[k].Name], &rec.Machines[k]
-		if m == nil {
+		held, blockMachine := c.machines[rec.Machines[k].Name], &rec.Machines[k]
+		if held == nil {
 			continue
 		}
-		blockMachine.Fresh = m.fresh // also written among the starts, so it is no reason for a write by itself
-		if m.drop && !c.keepsUnwrittenEnds(m) {
-			if empty := m.accounted && len(m.attempts) == 0; !blockMachine.Drop || empty && !blockMachine.Empty {
+		blockMachine.Fresh = held.fresh // also written among the starts, so it is no reason for a write by itself
+		if held.drop && !c.keepsUnwrittenEnds(held) {
+			if empty := held.accounted && len(held.attempts) == 0; !blockMachine.Drop || empty && !blockMachine.Empty {
 				blockMachine.Drop, blockMachine.Empty, change = true, blockMachine.Empty || empty, true
 			}
 		}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -15,43 +15,43 @@
 // shouldMarkIdle reports whether a block should be marked idle: nothing runs on it, its shard has no use
 // for it, and another shard requests machines like it. While a block is marked idle, nothing is started
 // on it and the leader may move it.
-func (c *Core) shouldMarkIdle(b *blockEntry) bool {
-	if c.vacating[b.id] {
-		return c.emptyFor(b, 0)
+func (c *Core) shouldMarkIdle(block *blockEntry) bool {
+	if c.vacating[block.id] {
+		return c.emptyFor(block, 0)
 	}
-	if c.wantedHere(b.rec.Shard) {
+	if c.wantedHere(block.rec.Shard) {
 		return false
 	}
 	requested := false
 	for _, i := range c.shardIDs() {
-		if i != b.rec.Shard {
-			for _, n := range c.wantOf(i).Needs {
-				requested = requested || c.serves(b, n)
+		if i != block.rec.Shard {
+			for _, need := range c.wantOf(i).Needs {
+				requested = requested || c.serves(block, need)
 			}
 		}
 	}
-	return requested && c.emptyFor(b, tuning.IdleOffer) && c.hasSpareWithout(b.rec.Shard, c.machinesOf(b)...)
+	return requested && c.emptyFor(block, tuning.IdleOffer) && c.hasSpareWithout(block.rec.Shard, c.machinesOf(block)...)
 }
 
 // emptyFor reports whether nothing has been on any machine of a block for a duration.
-func (c *Core) emptyFor(b *blockEntry, since time.Duration) bool {
-	for _, bm := range b.rec.Machines {
+func (c *Core) emptyFor(block *blockEntry, duration time.Duration) bool {
+	for _, bm := range block.rec.Machines {
 		m := c.machines[bm.Name]
-		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
+		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < duration {
 			return false
 		}
 	}
-	return len(b.rec.Machines) > 0
+	return len(block.rec.Machines) > 0
 }
 
 // machinesOf lists the machines of a block that this controller holds.
-func (c *Core) machinesOf(b *blockEntry) (ms []*machine) {
+func (c *Core) machinesOf(b *blockEntry) (machines []*machine) {
 	for _, bm := range b.rec.Machines {
 		if m := c.machines[bm.Name]; m != nil {
-			ms = append(ms, m)
+			machines = append(machines, m)
 		}
 	}
-	return ms
+	return machines
 }
 
 // spareTarget returns for how many urgent tasks a shard keeps capacity free.
@@ -76,13 +76,13 @@
 // machines, because urgent work should not wait for a machine to boot.
 func (c *Core) hasSpareWithout(shard int, without ...*machine) bool {
 	c.update()
-	n := c.room.Spare(shard)
+	spare := c.room.Spare(shard)
 	for _, m := range without {
 		if facts, ok := c.room.Of(m); ok && facts.Usable && !facts.Spot {
-			n -= facts.Spare
+			spare -= facts.Spare
 		}
 	}
-	return n >= c.spareTarget(shard)
+	return spare >= c.spareTarget(shard)
 }
 
 // consolidate frees rented machines that run only a few replicas, if all of these fit on other machines in
@@ -93,7 +93,7 @@
 	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
-	var in []*machine
+	var inUse []*machine
 	moving := 0
 	for _, m := range c.heldMachines() {
 		switch {
@@ -101,11 +101,11 @@
 		case m.moving:
 			moving++
 		case c.usable(m) && len(m.attempts) > 0:
-			in = append(in, m)
+			inUse = append(inUse, m)
 		}
 	}
-	var list []disruption.Machine[*machine]
-	for _, m := range in {
+	var candidates []disruption.Machine[*machine]
+	for _, m := range inUse {
 		candidate := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
 		for _, k := range sortedAttempts(m) {
 			a := m.attempts[k]
@@ -113,12 +113,15 @@
 				candidate.Stays = true
 				break
 			}
-			j := &c.jobs[a.job].rec
-			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allows(j, o) }})
+			job := &c.jobs[a.job].rec
+			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{
+				Size:   a.size,
+				Allows: func(other *machine) bool { return !other.moving && other.images[job.Image] && allows(job, other) },
+			})
 		}
-		list = append(list, candidate)
+		candidates = append(candidates, candidate)
 	}
-	for _, m := range disruption.Consolidate(list, max(1, len(in)/tuning.MoveShare)-moving, tuning.MoveLook) {
+	for _, m := range disruption.Consolidate(candidates, max(1, len(inUse)/tuning.MoveShare)-moving, tuning.MoveLook) {
 		m.moving = true
 		c.touch(m)
 		for _, k := range sortedAttempts(m) {
@@ -148,12 +151,12 @@
 			silent++
 		}
 	}
-	cut := dutyLimits.Many(silent, c.machinesIn(shard))
+	partitioned := dutyLimits.Many(silent, c.machinesIn(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.drop {
 			continue
 		}
-		m.cut = m.over && (m.cut || cut)
+		m.cut = m.over && (m.cut || partitioned)
 		why := c.bootFailure(m)
 		switch {
 		case why != "":
@@ -162,7 +165,7 @@
 			// same. Reports are not accepted while this controller's authority is unconfirmed, so
 			// silence counts only from when it was confirmed.
 			why = "silent"
-		case m.ear.Deaf() && !m.base && !cut:
+		case m.ear.Deaf() && !m.base && !partitioned:
 			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
 		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -82,12 +82,15 @@
 		c.note(wire.TrailEvent{Kind: trail.Leading, Token: c.ver.Of(wire.KeyLeader)})
 		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
 	}
-	for n := range c.nodes {
-		if _, ok := leader.nodeSince[n]; !ok {
-			leader.nodeSince[n] = c.now
+	for name := range c.nodes {
+		if _, ok := leader.nodeSince[name]; !ok {
+			leader.nodeSince[name] = c.now
 		}
 	}
-	maps.DeleteFunc(leader.nodeSince, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
+	maps.DeleteFunc(leader.nodeSince, func(name string, _ Time) bool {
+		_, up := c.nodes[name]
+		return !up
+	})
 	c.assignShards()
 	c.writeRentedBlocks()
 	c.readTypes()
@@ -133,23 +136,29 @@
 			return
 		}
 		guarantees := map[string]float64{}
-		for n, t := range c.p.Teams {
-			guarantees[n] = t.CPUs
+		for name, team := range c.p.Teams {
+			guarantees[name] = team.CPUs
 		}
 		teams := duty.ShareTeams(guarantees, len(names))
 		var conditions []wire.Condition
 		var changes []wire.Change
 		conditions = append(conditions, c.leaderCondition())
-		for i, n := range names {
+		for i, name := range names {
 			if c.shards[i] != nil || len(changes) >= c.p.TxnOps {
 				continue
 			}
-			holder := n
-			if _, up := c.nodes[n]; !up {
+			holder := name
+			if _, up := c.nodes[name]; !up {
 				holder = c.p.Node
 			}
 			conditions = append(conditions, wire.Condition{Key: shardKey(i)})
-			changes = append(changes, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
+			changes = append(changes, wire.Change{Put: shardKey(i), Value: wire.Shard{
+				Holder: holder,
+				Boot:   c.nodes[holder].Boot,
+				Home:   name,
+				Teams:  teams[i],
+				Known:  true,
+			}})
 		}
 		leader.writePending = true
 		c.commit(LaneFirst, conditions, changes, func(r StateReply) {
@@ -163,23 +172,23 @@
 	}
 	held := c.shardsHeld()
 	for _, i := range c.shardIDs() {
-		s := c.shards[i]
-		n, up := c.nodes[s.rec.Holder]
-		to := ""
+		shard := c.shards[i]
+		node, up := c.nodes[shard.rec.Holder]
+		newHolder := ""
 		switch {
-		case !up || (n.Boot != s.rec.Boot && c.now-leader.nodeSince[s.rec.Holder] > tuning.GrantTTL):
+		case !up || (node.Boot != shard.rec.Boot && c.now-leader.nodeSince[shard.rec.Holder] > tuning.GrantTTL):
 			// The holder is dead, or has restarted without retaking the shard.
-			to = duty.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
-		case s.rec.Home != s.rec.Holder:
-			if at, here := leader.nodeSince[s.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
-				to = s.rec.Home
+			newHolder = duty.Successor(shard.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
+		case shard.rec.Home != shard.rec.Holder:
+			if since, here := leader.nodeSince[shard.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &shard.rec, since, held[shard.rec.Home]) {
+				newHolder = shard.rec.Home
 			}
 		}
-		if to != "" && (to != s.rec.Holder || c.nodes[to].Boot != s.rec.Boot) {
+		if newHolder != "" && (newHolder != shard.rec.Holder || c.nodes[newHolder].Boot != shard.rec.Boot) {
 			// A leader that was paused still believes it leads until it receives newer state. Without
 			// comparing the leader record, it once took its shard back from its successor for 10 ms.
-			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCondition())
-			held[to]++
+			c.takeShard(i, newHolder, c.nodes[newHolder].Boot, c.leaderCondition())
+			held[newHolder]++
 		}
 	}
 	c.addTeams()
@@ -187,8 +196,8 @@
 
 // addTeams assigns each team that was added to the settings to the shard with the fewest teams.
 func (c *Core) addTeams() {
-	for _, t := range sortedKeys(c.p.Teams) {
-		if c.shardOf(t) >= 0 {
+	for _, team := range sortedKeys(c.p.Teams) {
+		if c.shardOf(team) >= 0 {
 			continue
 		}
 		if !c.every("addTeams", tuning.RetryAfter) {
@@ -200,10 +209,10 @@
 				best = i
 			}
 		}
-		s := c.shards[best]
-		rec := s.rec
-		rec.Teams = append(append([]string(nil), rec.Teams...), t)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: s.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
+		shard := c.shards[best]
+		rec := shard.rec
+		rec.Teams = append(append([]string(nil), rec.Teams...), team)
+		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
 		return
 	}
 }
@@ -294,13 +303,13 @@
 			return
 		}
 		c.learnAddrs(all)
-		in := map[string]bool{}
+		inBlocks := map[string]bool{}
 		for _, b := range c.blocks {
 			for _, bm := range b.rec.Machines {
-				in[bm.Name] = true
+				inBlocks[bm.Name] = true
 			}
 		}
-		leader.cloudMachines.Read(c.now, all, in)
+		leader.cloudMachines.Read(c.now, all, inBlocks)
 		c.runLeader()
 	})
 }
@@ -316,7 +325,14 @@
 // noteAnswered records that a machine in no block has answered a call from this controller.
 func (c *Core) noteAnswered(r *wire.Report) {
 	if c.isLeader() && c.blockOf(r.Machine) == nil {
-		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Status: wire.MachineRunning})
+		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{
+			Name:   r.Machine,
+			Addr:   r.Addr,
+			Type:   r.Type,
+			Zone:   r.Zone,
+			Spot:   r.Spot,
+			Status: wire.MachineRunning,
+		})
 	}
 }
 
@@ -327,16 +343,16 @@
 	conditions := []wire.Condition{c.leaderCondition()}
 	var changes []wire.Change
 	done := map[string]bool{}
-	for _, n := range leader.cloudMachines.AllGone() {
-		id, in := c.blockIn[n]
-		if !in || done[id] || len(changes) >= c.p.TxnOps {
+	for _, name := range leader.cloudMachines.AllGone() {
+		id, inBlock := c.blockIn[name]
+		if !inBlock || done[id] || len(changes) >= c.p.TxnOps {
 			continue
 		}
 		done[id] = true
-		b := c.blocks[id]
-		rec := b.rec
+		block := c.blocks[id]
+		rec := block.rec
 		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.Gone(bm.Name) })
-		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: b.ver})
+		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: block.ver})
 		if len(rec.Machines) == 0 {
 			changes = append(changes, wire.Change{Delete: blockKey(id)})
 		} else {
@@ -345,7 +361,10 @@
 	}
 	if len(changes) > 0 {
 		leader.writePending = true
-		c.commit(LaneLater, conditions, changes, func(r StateReply) { leader.writePending = false; c.changed() })
+		c.commit(LaneLater, conditions, changes, func(r StateReply) {
+			leader.writePending = false
+			c.changed()
+		})
 		return true
 	}
 	leader.cloudMachines.Forget(c.now)
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -14,15 +14,15 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// preempt stops work of lower priority for urgent tasks that find no free capacity, and idle-priority
-// work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
+// preempt stops work of lower tiers for tasks that are urgent, or in a tier that operators named, and find
+// no free capacity, and idle-priority work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
 // machine where the least running time is lost. When they were served one by one, each waited until the
 // one before it had its machine.
 func (c *Core) preempt() {
 	if !c.confirmed() || !c.every("preempt", tuning.PreemptEvery) {
 		return
 	}
-	var list []*jobEntry
+	var jobs []*jobEntry
 	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
 		e := p.Handle
 		privileged := e.prio >= urgentRank || c.ladder.Named(e.rank)
@@ -33,29 +33,29 @@
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
-		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
-			list = append(list, e)
+		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+			jobs = append(jobs, e)
 		}
 		return true
 	})
-	if len(list) == 0 {
+	if len(jobs) == 0 {
 		return
 	}
-	least := list[0].rank // only work of a lower tier than all of these is preempted
-	for _, e := range list {
-		least = min(least, e.rank)
+	lowestTier := jobs[0].rank // only work of a lower tier than all of these is preempted
+	for _, e := range jobs {
+		lowestTier = min(lowestTier, e.rank)
 	}
 	machinesByShard := map[int][]*clearing.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
-			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, least))
+			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, lowestTier))
 		}
 	}
-	for _, e := range list {
-		i := c.shardOf(e.rec.Team)
-		used := c.room.Used(e.rec.Team, i)
-		for n := e.run.pending(&e.rec); n > 0; n-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, machinesByShard[i]) {
+	for _, e := range jobs {
+		shard := c.shardOf(e.rec.Team)
+		used := c.room.Used(e.rec.Team, shard)
+		for pending := e.run.pending(&e.rec); pending > 0; pending-- {
+			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, machinesByShard[shard]) {
 				break
 			}
 		}
@@ -63,18 +63,19 @@
 }
 
 // preemptionCandidate describes a machine for the choice of victims: its free capacity, including that of
-// tasks which are already stopping, and the attempts of a tier below least that may be stopped.
-func (c *Core) preemptionCandidate(m *machine, least int) *clearing.Machine[*machine, *attempt] {
+// tasks which are already stopping, and the attempts of tiers below lowestTier that may
+// be stopped.
+func (c *Core) preemptionCandidate(m *machine, lowestTier int) *clearing.Machine[*machine, *attempt] {
 	candidate := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].rec.Shape != wire.ShapeGang:
+		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].rec.Shape != wire.ShapeGang:
 			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.sent:
 		case a.stop || c.jobs[a.job] == nil:
 			candidate.Free = candidate.Free.Add(a.size) // already being stopped
-		case a.known && a.lesser && c.jobs[a.job].rank < least:
+		case a.known && a.lesser && c.jobs[a.job].rank < lowestTier:
 			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
 		}
 	}
@@ -84,14 +85,14 @@
 
 // preemptFor stops tasks to free capacity for one task of a job, unless enough is being freed already.
 // It reports whether there will be capacity.
-func (c *Core) preemptFor(e *jobEntry, in []*clearing.Machine[*machine, *attempt]) bool {
+func (c *Core) preemptFor(e *jobEntry, machines []*clearing.Machine[*machine, *attempt]) bool {
 	kinds := c.kinds(e, zonesOf(e))
-	stop, ok := clearing.Choose(in, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
+	victims, ok := clearing.Choose(machines, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
 		return kinds(ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
-	for _, v := range stop {
-		a := v.Handle
-		if v.Unsent { // never sent to a worker, so it runs nowhere
+	for _, victim := range victims {
+		a := victim.Handle
+		if victim.Unsent { // never sent to a worker, so it runs nowhere
 			c.attemptGone(a, "its place goes to "+e.rec.ID)
 			continue
 		}
@@ -120,16 +121,16 @@
 	}
 	starved := false
 	for _, i := range c.shardIDs() {
-		for _, n := range c.wantOf(i).Needs {
-			if !n.Dire {
+		for _, need := range c.wantOf(i).Needs {
+			if !need.Dire {
 				continue
 			}
 			starved = true
-			k := supply.Borrower(c.shardCapacities("", c.shardCPUs()), i)
-			if k < 0 || !c.mine(k) {
+			borrower := supply.Borrower(c.shardCapacities("", c.shardCPUs()), i)
+			if borrower < 0 || !c.mine(borrower) {
 				continue
 			}
-			c.reclaimBlockFor(k, n)
+			c.reclaimBlockFor(borrower, need)
 		}
 	}
 	if !starved && len(c.vacating) > 0 {
@@ -142,50 +143,54 @@
 
 // shardCPUs returns the CPUs of the machines in each shard's blocks.
 func (c *Core) shardCPUs() map[int]float64 {
-	have := map[int]float64{}
+	cpus := map[int]float64{}
 	for i, types := range c.shardHas {
-		for _, t := range sortedKeys(types) {
-			full, _ := c.sizeOf(t)
-			have[i] += full.CPUs * float64(types[t])
+		for _, machineType := range sortedKeys(types) {
+			size, _ := c.sizeOf(machineType)
+			cpus[i] += size.CPUs * float64(types[machineType])
 		}
 	}
-	return have
+	return cpus
 }
 
 // blockCPUs returns the CPUs of a block's machines.
 func (c *Core) blockCPUs(b *wire.Block) float64 {
-	full, _ := c.sizeOf(b.Type)
-	return full.CPUs * float64(len(b.Machines))
+	size, _ := c.sizeOf(b.Type)
+	return size.CPUs * float64(len(b.Machines))
 }
 
 // guaranteedCPUs returns the sum of the CPU guarantees of a shard's teams.
 func (c *Core) guaranteedCPUs(shard int) float64 {
-	g := 0.0
-	for _, t := range c.shards[shard].rec.Teams {
-		g += c.p.Teams[t].CPUs
+	cpus := 0.0
+	for _, team := range c.shards[shard].rec.Teams {
+		cpus += c.p.Teams[team].CPUs
 	}
-	return g
+	return cpus
 }
 
 // reclaimBlockFor empties the block of a shard that serves a need of another shard at the least loss. A
 // block with urgent work, work of a higher tier than the need's or an unusable machine is not emptied.
-func (c *Core) reclaimBlockFor(shard int, n wire.Need) {
+func (c *Core) reclaimBlockFor(shard int, need wire.Need) {
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
-		b := c.blocks[id]
-		if b.rec.Shard != shard || !c.serves(b, n) {
+		block := c.blocks[id]
+		if block.rec.Shard != shard || !c.serves(block, need) {
 			continue
 		}
-		full, _ := c.sizeOf(b.rec.Type)
-		candidate := disruption.Block{Name: id, Emptied: c.vacating[id] || b.rec.Idle, Holds: len(b.rec.Machines) * (placement.Beta(full, needSize(n)) + 1)}
-		for _, bm := range b.rec.Machines {
+		size, _ := c.sizeOf(block.rec.Type)
+		candidate := disruption.Block{
+			Name:    id,
+			Emptied: c.vacating[id] || block.rec.Idle,
+			Holds:   len(block.rec.Machines) * (placement.Beta(size, needSize(need)) + 1),
+		}
+		for _, bm := range block.rec.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
 				candidate.Fixed = true
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > n.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > need.Rung) {
 					candidate.Fixed = true
 				}
 				if a.status != wire.TaskEnded {
@@ -195,7 +200,7 @@
 		}
 		blocks = append(blocks, candidate)
 	}
-	best, loss := disruption.Empty(blocks, n.Tasks)
+	best, loss := disruption.Empty(blocks, need.Tasks)
 	if best == "" {
 		return
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -90,7 +90,7 @@
 
 // noteRented tracks machines that have just been rented and are in no stored block yet.
 func (c *Core) noteRented(infos []wire.MachineInfo) {
-	for _, m := range infos {
-		c.boots.Booked(c.now, m.Name, boot.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, c.bootTime(m.Type))
+	for _, info := range infos {
+		c.boots.Booked(c.now, info.Name, boot.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
 	}
 }
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -16,7 +16,11 @@
 // whether all writes succeeded. Fresh machines have just been rented and have never been in a block.
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
 	leader := &c.leader
-	blocks := supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, base, fresh)
+	blocks := supply.Blocks(infos, supply.BlockSizes{
+		Least:  tuning.BlockSize,
+		Most:   tuning.BlockSizeMax,
+		AtOnce: tuning.BlocksAtOnce,
+	}, base, fresh)
 	leader.writePending = true
 	var write func(rest []wire.Block, allOK bool)
 	write = func(rest []wire.Block, allOK bool) {
@@ -52,9 +56,14 @@
 
 // shardCapacities returns, for each shard, the given CPUs, the guarantee of its teams, and whether its
 // holder is in the zone.
-func (c *Core) shardCapacities(zone string, have map[int]float64) (list []supply.Shard) {
+func (c *Core) shardCapacities(zone string, cpus map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
-		list = append(list, supply.Shard{Shard: i, Have: have[i], Guarantee: c.guaranteedCPUs(i), Near: c.p.Nodes[c.shards[i].rec.Holder] == zone})
+		list = append(list, supply.Shard{
+			Shard:     i,
+			Have:      cpus[i],
+			Guarantee: c.guaranteedCPUs(i),
+			Near:      c.p.Nodes[c.shards[i].rec.Holder] == zone,
+		})
 	}
 	return list
 }
@@ -66,50 +75,50 @@
 	if leader.writePending || len(c.types) == 0 {
 		return
 	}
-	var open []supply.Open
+	var shortages []supply.Open
 	for _, i := range c.shardIDs() {
-		w := c.wantOf(i)
-		if len(w.Needs) == 0 || leader.servingShards[i] || w.Seen < c.newestBlock(i) {
+		want := c.wantOf(i)
+		if len(want.Needs) == 0 || leader.servingShards[i] || want.Seen < c.newestBlock(i) {
 			continue // being served, or the request is older than the newest block of the shard
 		}
 		// Subtract machines that are rented and in no block yet, which the holder does not know of.
 		// Waiting for their blocks before renting more took ten seconds when only short writes were
 		// possible.
-		open = append(open, supply.Lacking(i, w.Needs, c.rentedCapacity(i))...)
+		shortages = append(shortages, supply.Lacking(i, want.Needs, c.rentedCapacity(i))...)
 	}
-	supply.ByRung(open)
-	for _, x := range open {
-		if c.moveIdleBlock(x.Shard, x.Need) || !x.Need.Booting && c.rentForNeed(x.Shard, x.Need) {
+	supply.ByRung(shortages)
+	for _, shortage := range shortages {
+		if c.moveIdleBlock(shortage.Shard, shortage.Need) || !shortage.Need.Booting && c.rentForNeed(shortage.Shard, shortage.Need) {
 			return
 		}
 	}
 }
 
 // rentedCapacity returns the capacity of a shard's machines that are rented and in no block yet.
-func (c *Core) rentedCapacity(shard int) (p supply.Pool) {
+func (c *Core) rentedCapacity(shard int) (pool supply.Pool) {
 	for _, info := range c.leader.rentedMachines[shard] {
-		if full, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
-			p = append(p, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: full})
+		if size, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
+			pool = append(pool, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: size})
 		}
 	}
-	return p
+	return pool
 }
 
 // moveIdleBlock moves an idle block of another shard, which its holder keeps empty while it is marked
 // idle, to a shard with a need. It reports whether there is such a block.
-func (c *Core) moveIdleBlock(shard int, n wire.Need) bool {
+func (c *Core) moveIdleBlock(shard int, need wire.Need) bool {
 	leader := &c.leader
 	for _, id := range c.blockIDs() {
-		b := c.blocks[id]
-		if !b.rec.Idle || b.rec.Shard == shard || !c.serves(b, n) {
+		block := c.blocks[id]
+		if !block.rec.Idle || block.rec.Shard == shard || !c.serves(block, need) {
 			continue
 		}
-		rec := b.rec
+		rec := block.rec
 		rec.Shard, rec.Idle = shard, false
-		from := b.rec.Shard
+		from := block.rec.Shard
 		leader.writePending = true
 		leader.servingShards[shard] = true
-		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: b.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
+		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: block.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
 			leader.writePending = false
 			delete(leader.servingShards, shard)
 			if r.Status == 200 {
@@ -125,36 +134,45 @@
 
 // rentForNeed rents machines for a need, those that are cheapest per task first and those in the zone of the
 // shard's holder before others. It reports whether it sent a rental.
-func (c *Core) rentForNeed(shard int, n wire.Need) bool {
+func (c *Core) rentForNeed(shard int, need wire.Need) bool {
 	leader := &c.leader
 	if c.now < leader.cloudRetryAt {
 		return false
 	}
 	var offers []supply.Offer
 	var requests []boot.Ask
-	for _, o := range supply.Offers(c.types, n, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
-		if c.now >= leader.offerRetryAt[o.Key()] {
-			offers = append(offers, o)
-			requests = append(requests, boot.Ask{Kind: boot.Kind{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, Count: o.Machines(n.Tasks, tuning.RentMax)})
+	for _, offer := range supply.Offers(c.types, need, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
+		if c.now >= leader.offerRetryAt[offer.Key()] {
+			offers = append(offers, offer)
+			requests = append(requests, boot.Ask{
+				Kind:  boot.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
+				Count: offer.Machines(need.Tasks, tuning.RentMax),
+			})
 		}
 	}
-	k, count := c.boots.Choose(c.now, requests)
-	if k < 0 {
+	chosen, count := c.boots.Choose(c.now, requests)
+	if chosen < 0 {
 		return false
 	}
-	c.rentOffer(shard, &offers[k], count, n)
+	c.rentOffer(shard, &offers[chosen], count, need)
 	return true
 }
 
 // rentOffer sends a new rental of count machines of an offer.
-func (c *Core) rentOffer(shard int, o *supply.Offer, count int, n wire.Need) {
+func (c *Core) rentOffer(shard int, offer *supply.Offer, count int, need wire.Need) {
 	leader := &c.leader
 	leader.rentRequests++
-	req := wire.RentRequest{Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), leader.rentRequests), Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count}
+	req := wire.RentRequest{
+		Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), leader.rentRequests),
+		Type:    offer.Type,
+		Zone:    offer.Zone,
+		Spot:    offer.Spot,
+		Count:   count,
+	}
 	leader.servingShards[shard] = true
-	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", n.Tasks, n.CPUs)})
-	c.log(1, "renting", "shard", shard, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "booking", req.Request)
-	c.sendRental(shard, o.Key(), req, 0)
+	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", need.Tasks, need.CPUs)})
+	c.log(1, "renting", "shard", shard, "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "count", count, "booking", req.Request)
+	c.sendRental(shard, offer.Key(), req, 0)
 }
 
 // sendRental sends a rental and repeats it until it gets a definite answer. A request with the same name
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -37,19 +37,19 @@
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	ver := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(ladder.Revise(c.rungs, ver, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, ladder.Shorter)
+	version := c.ver.Of(wire.KeyLadder)
+	rec := limits.Fit(ladder.Revise(c.rungs, version, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, ladder.Shorter)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
 	switch {
 	case v.Patch.Check:
-		c.answer(v.Req, 200, wire.LadderView{Version: ver, Ladder: rec, All: ladder.Of(rec).Rungs()})
-	case v.Patch.Version != ver:
+		c.answer(v.Req, 200, wire.LadderView{Version: version, Ladder: rec, All: ladder.Of(rec).Rungs()})
+	case v.Patch.Version != version:
 		c.answer(v.Req, 409, c.tierOrderView())
 	default:
-		c.commit(LaneUser, []wire.Condition{{Key: wire.KeyLadder, Version: ver}}, []wire.Change{{Put: wire.KeyLadder, Value: rec}}, func(r StateReply) {
+		c.commit(LaneUser, []wire.Condition{{Key: wire.KeyLadder, Version: version}}, []wire.Change{{Put: wire.KeyLadder, Value: rec}}, func(r StateReply) {
 			c.adminDone(v.Req, r, func() any { return c.tierOrderView() })
 		})
 	}
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -24,7 +24,13 @@
 
 // fetchMachine returns a machine as package weights describes it.
 func (c *Core) fetchMachine(m *machine) weights.Machine {
-	return weights.Machine{Name: m.name, Zone: m.zone, Addr: m.addr, Shard: m.shard, Rate: c.types[m.typ].FetchGBps}
+	return weights.Machine{
+		Name:  m.name,
+		Zone:  m.zone,
+		Addr:  m.addr,
+		Shard: m.shard,
+		Rate:  c.types[m.typ].FetchGBps,
+	}
 }
 
 // updateImageUse records which images the tasks on a machine need, and whether each is there already,
@@ -34,7 +40,11 @@
 	for _, k := range sortedAttempts(m) {
 		a := m.attempts[k]
 		if e := c.jobs[a.job]; e != nil && a.sent && a.status != wire.TaskEnded {
-			uses = append(uses, weights.Use{Image: e.rec.Image, GB: e.rec.ImageGB, There: a.status == wire.TaskRunning || a.status == wire.TaskSaving})
+			uses = append(uses, weights.Use{
+				Image: e.rec.Image,
+				GB:    e.rec.ImageGB,
+				There: a.status == wire.TaskRunning || a.status == wire.TaskSaving,
+			})
 		}
 	}
 	c.weights.Seen(c.now, c.fetchMachine(m), uses)
