--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -14,15 +14,15 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// preempt stops work of lower priority for urgent tasks that find no free capacity, and idle-priority
-// work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
+// preempt stops work of lower tiers for tasks that are urgent, or in a tier that operators named, and find
+// no free capacity, and idle-priority work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
 // machine where the least running time is lost. When they were served one by one, each waited until the
 // one before it had its machine.
 func (c *Core) preempt() {
 	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
 		return
 	}
-	var list []*jobEntry
+	var jobs []*jobEntry
 	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
 		privileged := e.priority >= urgentRank || c.tierOrder.OperatorDefined(e.rank)
@@ -33,29 +33,29 @@
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
-		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(list) < tuning.PreemptJobs {
-			list = append(list, e)
+		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+			jobs = append(jobs, e)
 		}
 		return true
 	})
-	if len(list) == 0 {
+	if len(jobs) == 0 {
 		return
 	}
-	least := list[0].rank // only work of a lower tier than all of these is preempted
-	for _, e := range list {
-		least = min(least, e.rank)
+	lowestTier := jobs[0].rank // only work of a lower tier than all of these is preempted
+	for _, e := range jobs {
+		lowestTier = min(lowestTier, e.rank)
 	}
 	machinesByShard := map[int][]*preemption.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
-			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, least))
+			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, lowestTier))
 		}
 	}
-	for _, e := range list {
-		i := c.shardOfTeam(e.record.Team)
-		used := c.capacity.Used(e.record.Team, i)
-		for n := e.run.pendingTasks(&e.record); n > 0; n-- {
-			if used = used.Add(jobSize(&e.record)); c.params.Teams[e.record.Team].exceededBy(used) || !c.preemptFor(e, machinesByShard[i]) {
+	for _, e := range jobs {
+		shard := c.shardOfTeam(e.record.Team)
+		used := c.capacity.Used(e.record.Team, shard)
+		for pending := e.run.pendingTasks(&e.record); pending > 0; pending-- {
+			if used = used.Add(jobSize(&e.record)); c.params.Teams[e.record.Team].exceededBy(used) || !c.preemptFor(e, machinesByShard[shard]) {
 				break
 			}
 		}
@@ -63,18 +63,19 @@
 }
 
 // preemptionCandidate describes a machine for the choice of victims: its free capacity, including that of
-// tasks which are already stopping, and the attempts of a tier below least that may be stopped.
-func (c *Core) preemptionCandidate(m *machine, least int) *preemption.Machine[*machine, *attempt] {
+// tasks which are already stopping, and the attempts of tiers below lowestTier that may
+// be stopped.
+func (c *Core) preemptionCandidate(m *machine, lowestTier int) *preemption.Machine[*machine, *attempt] {
 	candidate := &preemption.Machine[*machine, *attempt]{Handle: m, Free: c.freeCapacity(m)}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < least && c.jobs[a.job].record.Shape != wire.ShapeGang:
+		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].record.Shape != wire.ShapeGang:
 			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.startSent:
 		case a.stopping || c.jobs[a.job] == nil:
 			candidate.Free = candidate.Free.Add(a.size) // already being stopped
-		case a.sizeKnown && a.belowUrgent && c.jobs[a.job].rank < least:
+		case a.sizeKnown && a.belowUrgent && c.jobs[a.job].rank < lowestTier:
 			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Runtime: c.now - a.runningSince, Idle: a.idlePriority})
 		}
 	}
@@ -84,14 +85,14 @@
 
 // preemptFor stops tasks to free capacity for one task of a job, unless enough is being freed already.
 // It reports whether there will be capacity.
-func (c *Core) preemptFor(e *jobEntry, in []*preemption.Machine[*machine, *attempt]) bool {
+func (c *Core) preemptFor(e *jobEntry, machines []*preemption.Machine[*machine, *attempt]) bool {
 	kinds := c.allowedKinds(e, tasksByZone(e))
-	stop, ok := preemption.Choose(in, jobSize(&e.record), e.priority >= urgentRank, func(m *machine) bool {
+	victims, ok := preemption.Choose(machines, jobSize(&e.record), e.priority >= urgentRank, func(m *machine) bool {
 		return kinds(ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
-	for _, v := range stop {
-		a := v.Handle
-		if v.Unsent { // never sent to a worker, so it runs nowhere
+	for _, victim := range victims {
+		a := victim.Handle
+		if victim.Unsent { // never sent to a worker, so it runs nowhere
 			c.attemptLost(a, "its place goes to "+e.record.ID)
 			continue
 		}
@@ -120,16 +121,16 @@
 	}
 	starved := false
 	for _, i := range c.shardIDs() {
-		for _, n := range c.shardDemand(i).Needs {
-			if !n.Dire {
+		for _, need := range c.shardDemand(i).Needs {
+			if !need.Dire {
 				continue
 			}
 			starved = true
-			k := supply.MostOversupplied(c.shardCapacities("", c.shardCPUs()), i)
-			if k < 0 || !c.holdsShard(k) {
+			borrower := supply.MostOversupplied(c.shardCapacities("", c.shardCPUs()), i)
+			if borrower < 0 || !c.holdsShard(borrower) {
 				continue
 			}
-			c.reclaimBlockFor(k, n)
+			c.reclaimBlockFor(borrower, need)
 		}
 	}
 	if !starved && len(c.vacating) > 0 {
@@ -142,50 +143,54 @@
 
 // shardCPUs returns the CPUs of the machines in each shard's blocks.
 func (c *Core) shardCPUs() map[int]float64 {
-	have := map[int]float64{}
+	cpus := map[int]float64{}
 	for i, types := range c.machineCounts {
-		for _, t := range sortedKeys(types) {
-			full, _ := c.machineSize(t)
-			have[i] += full.CPUs * float64(types[t])
+		for _, machineType := range sortedKeys(types) {
+			size, _ := c.machineSize(machineType)
+			cpus[i] += size.CPUs * float64(types[machineType])
 		}
 	}
-	return have
+	return cpus
 }
 
 // blockCPUs returns the CPUs of a block's machines.
 func (c *Core) blockCPUs(b *wire.Block) float64 {
-	full, _ := c.machineSize(b.Type)
-	return full.CPUs * float64(len(b.Machines))
+	size, _ := c.machineSize(b.Type)
+	return size.CPUs * float64(len(b.Machines))
 }
 
 // guaranteedCPUs returns the sum of the CPU guarantees of a shard's teams.
 func (c *Core) guaranteedCPUs(shard int) float64 {
-	g := 0.0
-	for _, t := range c.shards[shard].record.Teams {
-		g += c.params.Teams[t].CPUs
+	cpus := 0.0
+	for _, team := range c.shards[shard].record.Teams {
+		cpus += c.params.Teams[team].CPUs
 	}
-	return g
+	return cpus
 }
 
 // reclaimBlockFor empties the block of a shard that serves a need of another shard at the least loss. A
 // block with urgent work, work of a higher tier than the need's or an unusable machine is not emptied.
-func (c *Core) reclaimBlockFor(shard int, n wire.Need) {
+func (c *Core) reclaimBlockFor(shard int, need wire.Need) {
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
-		b := c.blocks[id]
-		if b.record.Shard != shard || !c.blockServes(b, n) {
+		block := c.blocks[id]
+		if block.record.Shard != shard || !c.blockServes(block, need) {
 			continue
 		}
-		full, _ := c.machineSize(b.record.Type)
-		candidate := disruption.Block{Name: id, Vacated: c.vacating[id] || b.record.Idle, TaskSlots: len(b.record.Machines) * (placement.Beta(full, needSize(n)) + 1)}
-		for _, bm := range b.record.Machines {
+		size, _ := c.machineSize(block.record.Type)
+		candidate := disruption.Block{
+			Name:      id,
+			Vacated:   c.vacating[id] || block.record.Idle,
+			TaskSlots: len(block.record.Machines) * (placement.Beta(size, needSize(need)) + 1),
+		}
+		for _, bm := range block.record.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
 				candidate.Pinned = true
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > n.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Rung) {
 					candidate.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
@@ -195,7 +200,7 @@
 		}
 		blocks = append(blocks, candidate)
 	}
-	best, loss := disruption.ChooseBlock(blocks, n.Tasks)
+	best, loss := disruption.ChooseBlock(blocks, need.Tasks)
 	if best == "" {
 		return
 	}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -13,14 +13,18 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var reservationLimits = reservation.Limits{MaxShare: tuning.HoldShare, Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter}
+var reservationLimits = reservation.Limits{
+	MaxShare: tuning.HoldShare,
+	Horizon:  tuning.HoldHorizon,
+	MinGain:  tuning.HoldBetter,
+}
 
 // withoutReservation returns what is left of a machine's free capacity for jobs other than the one that
 // has a reservation on it.
 func (c *Core) withoutReservation(m *machine, free placement.Size) placement.Size {
-	if b := c.reservations[m.shard]; b != nil {
-		if h, is := b.Get(m); is {
-			return free.Sub(h.Size)
+	if table := c.reservations[m.shard]; table != nil {
+		if held, ok := table.Get(m); ok {
+			return free.Sub(held.Size)
 		}
 	}
 	return free
@@ -34,12 +38,12 @@
 // reservedSoon returns the number of a job's reservations that become free before a machine rented now
 // would be up.
 func (c *Core) reservedSoon(shard int, j *wire.Job) int {
-	b := c.reservations[shard]
-	if b == nil || b.Len() == 0 {
+	table := c.reservations[shard]
+	if table == nil || table.Len() == 0 {
 		return 0
 	}
 	_, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
-	return b.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
+	return table.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
 // planReservations reserves capacity on the held shards for jobs whose tasks fit on no machine (package
@@ -48,32 +52,32 @@
 	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
 		return
 	}
-	for _, i := range c.shardIDs() {
-		if !c.holdsShard(i) {
+	for _, shard := range c.shardIDs() {
+		if !c.holdsShard(shard) {
 			continue
 		}
-		requests, least := c.unplaceableJobs(i)
-		b := c.reservations[i]
-		if b == nil {
-			b = reservation.New[*machine](reservationLimits)
-			c.reservations[i] = b
+		requests, least := c.unplaceableJobs(shard)
+		table := c.reservations[shard]
+		if table == nil {
+			table = reservation.New[*machine](reservationLimits)
+			c.reservations[shard] = table
 		}
-		if len(requests) == 0 && b.Len() == 0 {
-			c.reserveTeamLimits(i, nil)
+		if len(requests) == 0 && table.Len() == 0 {
+			c.reserveTeamLimits(shard, nil)
 			continue
 		}
 		var machines []reservation.Machine[*machine]
 		for _, m := range c.heldMachines() {
-			if m.shard == i {
+			if m.shard == shard {
 				machines = c.appendReservable(m, machines, &least)
 			}
 		}
 		wide := reservation.Oversized(requests, least, tuning.HoldTimes)
-		c.reserveTeamLimits(i, wide)
-		for _, m := range b.Plan(c.now, wide, machines) {
-			if h, is := b.Get(m); is {
-				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + h.Job + ", whose tasks fit nowhere"})
-				c.log(2, "capacity reserved", "machine", m.name, "job", h.Job, "free_in", (h.FitsAt - c.now).String())
+		c.reserveTeamLimits(shard, wide)
+		for _, m := range table.Plan(c.now, wide, machines) {
+			if held, ok := table.Get(m); ok {
+				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + held.Job + ", whose tasks fit nowhere"})
+				c.log(2, "capacity reserved", "machine", m.name, "job", held.Job, "free_in", (held.FitsAt - c.now).String())
 			}
 			c.markDirty(m)
 		}
@@ -81,14 +85,14 @@
 }
 
 // unplaceableJobs lists the jobs of a shard that have waited for a while and fit on no machine, in the
-// order of service. least is the smallest size that any waiting job requests, by resource.
+// order of service. least is the least that any waiting job requests of each resource.
 func (c *Core) unplaceableJobs(shard int) (requests []reservation.Request[*machine], least placement.Size) {
 	if c.jobQueue.Len() == 0 {
 		return nil, least
 	}
 	largestFree, used := c.capacity.MaxFree(shard), map[string]placement.Size{}
 	least = unlimitedCapacity("")
-	accepted := c.wall.Add(-tuning.HoldAfter).UnixMilli()
+	acceptedBefore := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -97,17 +101,24 @@
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.TaskSize
 		least = smallerSize(least, size)
-		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > accepted || len(requests) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
+		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
 			return true // urgent work preempts other work instead
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
 			used[team] = c.capacity.Used(team, shard)
 		}
-		n := placement.TasksUnderLimit(c.params.Teams[team].CPUsMax, c.params.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
-		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(n), GPUs: size.GPUs * float64(n)})
-		if n == 0 || !placement.Fits(largestFree, size) {
-			requests = append(requests, reservation.Request[*machine]{Job: e.record.ID, Team: team, Size: size, Tasks: max(1, n), TeamFull: n == 0, Allows: func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) }})
+		startable := placement.TasksUnderLimit(c.params.Teams[team].CPUsMax, c.params.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
+		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(startable), GPUs: size.GPUs * float64(startable)})
+		if startable == 0 || !placement.Fits(largestFree, size) {
+			requests = append(requests, reservation.Request[*machine]{
+				Job:      e.record.ID,
+				Team:     team,
+				Size:     size,
+				Tasks:    max(1, startable),
+				TeamFull: startable == 0,
+				Allows:   func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) },
+			})
 		}
 		return true
 	})
@@ -116,8 +127,8 @@
 
 // reserveTeamLimits reserves parts of the limits of a shard's teams for jobs that do not fit into the rest.
 func (c *Core) reserveTeamLimits(shard int, requests []reservation.Request[*machine]) {
-	for _, t := range c.shards[shard].record.Teams {
-		delete(c.limitReservations, t)
+	for _, team := range c.shards[shard].record.Teams {
+		delete(c.limitReservations, team)
 	}
 	maps.Copy(c.limitReservations, reservation.TeamReservations(requests))
 }
@@ -125,23 +136,23 @@
 // effectiveLimit returns a job's team with its limit, less what is reserved of the limit for another job
 // of the team. Urgent jobs are not bound by such a reservation.
 func (c *Core) effectiveLimit(e *jobEntry) Team {
-	t := c.params.Teams[e.record.Team]
-	if h, is := c.limitReservations[e.record.Team]; is && h.Job != e.record.ID && e.priority < urgentRank {
-		t.CPUsMax, t.GPUsMax = t.CPUsMax-h.Size.CPUs, t.GPUsMax-h.Size.GPUs
+	team := c.params.Teams[e.record.Team]
+	if held, ok := c.limitReservations[e.record.Team]; ok && held.Job != e.record.ID && e.priority < urgentRank {
+		team.CPUsMax, team.GPUsMax = team.CPUsMax-held.Size.CPUs, team.GPUsMax-held.Size.GPUs
 	}
-	return t
+	return team
 }
 
 // appendReservable appends a machine that may take a reservation, with the tasks that are expected to end
-// on it. It lowers least to the sizes of the machine's tasks.
+// on it. It lowers least to what the machine's tasks use, if that is less.
 func (c *Core) appendReservable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
 	candidate := reservation.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.freeCapacity(m)}
 	if !candidate.Up {
-		full, known := c.machineSize(m.machineType)
+		size, known := c.machineSize(m.machineType)
 		if !known || m.reported || m.inherited || !c.comingMachines[m] {
 			return list
 		}
-		candidate.Free, candidate.ReadyAt = full, m.heldSince+seconds(c.machineTypes[m.machineType].BootS*1.2)
+		candidate.Free, candidate.ReadyAt = size, m.heldSince+seconds(c.machineTypes[m.machineType].BootS*1.2)
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
@@ -149,8 +160,8 @@
 			continue
 		}
 		*least = smallerSize(*least, a.size)
-		if at, leaves := c.expectedEnd(a); leaves {
-			candidate.Releases = append(candidate.Releases, reservation.Release{At: at, Size: a.size})
+		if end, predictable := c.expectedEnd(a); predictable {
+			candidate.Releases = append(candidate.Releases, reservation.Release{At: end, Size: a.size})
 		}
 	}
 	return append(list, candidate)
@@ -165,11 +176,11 @@
 	if e.record.EstimateS <= 0 {
 		return 0, false
 	}
-	runs := c.runTimes.Typical(e.record.Class, e.record.EstimateS)
+	runTime := c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
-		return max(a.runningSince+runs, c.now+runs/8), true // an overdue task is expected to end a little later
+		return max(a.runningSince+runTime, c.now+runTime/8), true // an overdue task is expected to end a little later
 	}
-	return max(a.createdAt+c.fetchTime(e, a.machine), c.now) + runs, true
+	return max(a.createdAt+c.fetchTime(e, a.machine), c.now) + runTime, true
 }
 
 // fetchTime returns how long a machine takes to fetch a job's image if it fetches nothing else.
@@ -184,25 +195,25 @@
 // Urgent tasks that found no other machine take any reservation. Until the task of its job fits, reserved
 // capacity is backfilled with tasks that certainly end before.
 func (c *Core) placeReserved() {
-	for _, i := range sortedIntKeys(c.reservations) {
-		b := c.reservations[i]
-		if b.Len() == 0 || !c.holdsShard(i) {
+	for _, shard := range sortedIntKeys(c.reservations) {
+		table := c.reservations[shard]
+		if table.Len() == 0 || !c.holdsShard(shard) {
 			continue
 		}
 		c.refreshIndexes()
-		c.placeUrgentOnReserved(i, b)
-		for _, m := range b.Machines() {
-			h, _ := b.Get(m)
-			p := c.jobQueue.Get(h.Job)
-			if !c.usable(m) || p == nil || c.startableTasks(p.Handle) == 0 || c.placementBlocked(p.Handle, i) {
+		c.placeUrgentOnReserved(shard, table)
+		for _, m := range table.Machines() {
+			held, _ := table.Get(m)
+			p := c.jobQueue.Get(held.Job)
+			if !c.usable(m) || p == nil || c.startableTasks(p.Handle) == 0 || c.placementBlocked(p.Handle, shard) {
 				continue
 			}
-			if e := p.Handle; c.canPlace(e, m, i) {
-				b.Remove(m)
+			if e := p.Handle; c.canPlace(e, m, shard) {
+				table.Remove(m)
 				c.placeOn(e, m, true)
-				c.log(2, "task placed on its reservation", "job", h.Job, "machine", m.name)
-			} else if h.FitsAt-c.now > tuning.HoldFill {
-				c.backfill(m, i, h)
+				c.log(2, "task placed on its reservation", "job", held.Job, "machine", m.name)
+			} else if held.FitsAt-c.now > tuning.HoldFill {
+				c.backfill(m, shard, held)
 			}
 		}
 	}
@@ -210,15 +221,15 @@
 
 // canPlace reports whether a job's next task may be placed on a machine now, regardless of reservations.
 func (c *Core) canPlace(e *jobEntry, m *machine, shard int) bool {
-	size, j := jobSize(&e.record), &e.record
-	f, ok := c.capacity.Get(m)
-	n := float64(e.run.possiblyInherited() + 1)
-	return ok && f.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(f.Kind) && !c.avoids(e, m) &&
-		!c.effectiveLimit(e).exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * n, GPUs: size.GPUs * n}))
+	size, job := jobSize(&e.record), &e.record
+	facts, ok := c.capacity.Get(m)
+	unseenAndNext := float64(e.run.possiblyInherited() + 1)
+	return ok && facts.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(facts.Kind) && !c.avoids(e, m) &&
+		!c.effectiveLimit(e).exceededBy(c.capacity.Used(job.Team, shard).Add(placement.Size{CPUs: size.CPUs * unseenAndNext, GPUs: size.GPUs * unseenAndNext}))
 }
 
 // placeUrgentOnReserved places waiting urgent tasks on reserved machines, whatever job they are reserved for.
-func (c *Core) placeUrgentOnReserved(shard int, b *reservation.Table[*machine]) {
+func (c *Core) placeUrgentOnReserved(shard int, table *reservation.Table[*machine]) {
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -226,15 +237,15 @@
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		if e.priority < urgentRank || b.Len() == 0 {
-			return b.Len() > 0 && !c.tierOrder.PriorityOnly() // in plain priority order no later job is urgent
+		if e.priority < urgentRank || table.Len() == 0 {
+			return table.Len() > 0 && !c.tierOrder.PriorityOnly() // in plain priority order no later job is urgent
 		}
-		for _, m := range b.Machines() {
+		for _, m := range table.Machines() {
 			if c.startableTasks(e) == 0 || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
 				break
 			}
 			if c.usable(m) && c.canPlace(e, m, shard) {
-				b.Remove(m)
+				table.Remove(m)
 				c.placeOn(e, m, true)
 			}
 		}
@@ -243,7 +254,7 @@
 }
 
 // backfill places tasks on a reserved machine that certainly end before the reservation is needed.
-func (c *Core) backfill(m *machine, shard int, h reservation.Reservation) {
+func (c *Core) backfill(m *machine, shard int, held reservation.Reservation) {
 	examined := 0
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
@@ -256,7 +267,7 @@
 			return false
 		}
 		if e.record.EstimateS <= 0 || !m.images[e.record.Image] || e.record.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
-			c.now+c.runTimes.UpperBound(e.record.Class, e.record.EstimateS) > h.FitsAt {
+			c.now+c.runTimes.UpperBound(e.record.Class, e.record.EstimateS) > held.FitsAt {
 			return true
 		}
 		for c.startableTasks(e) > 0 && c.canPlace(e, m, shard) {
