--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -94,15 +94,15 @@
 	}
 	served := func(team string) bool { i := c.shardOf(team); return i >= 0 && c.mine(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
-	for _, e := range events {
-		name, shard, outcome := e.Crew.Rec.Name, c.shardOf(e.Crew.Rec.Team), e.Outcome
+	for _, event := range events {
+		name, shard, outcome := event.Crew.Rec.Name, c.shardOf(event.Crew.Rec.Team), event.Outcome
 		if outcome == nil {
-			c.noteShard(trail.CrewMiss, shard, wire.TrailEvent{Count: e.Plan.Miss, Why: name + ": " + e.Plan.Say})
-			c.log(1, "departure", "crew", name, "plan", e.Plan.Say)
+			c.noteShard(trail.CrewMiss, shard, wire.TrailEvent{Count: event.Plan.Miss, Why: name + ": " + event.Plan.Say})
+			c.log(1, "departure", "crew", name, "plan", event.Plan.Say)
 			continue
 		}
 		c.noteShard(trail.CrewLeft, shard, wire.TrailEvent{Count: outcome.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS)})
-		c.putCrew(calendar.Entry{Rec: e.Rec, Ver: e.Crew.Ver}, c.shardCond(shard), func(StateReply) {})
+		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardCond(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
@@ -135,12 +135,18 @@
 		if !ok || shard < 0 {
 			continue
 		}
-		for _, b := range booked {
-			key := (&supply.Offer{Type: b.Type, Zone: b.Zone, Spot: b.Spot}).Key()
-			if c.calendar.Open(&b) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
-				c.log(1, "renting ahead", "crew", name, "type", b.Type, "zone", b.Zone, "count", b.Count, "booking", b.Request)
+		for _, booking := range booked {
+			key := (&supply.Offer{Type: booking.Type, Zone: booking.Zone, Spot: booking.Spot}).Key()
+			if c.calendar.Open(&booking) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
+				c.log(1, "renting ahead", "crew", name, "type", booking.Type, "zone", booking.Zone, "count", booking.Count, "booking", booking.Request)
 				leader.servingShards[shard] = true
-				c.sendRental(shard, key, wire.RentRequest{Request: b.Request, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}, 0)
+				c.sendRental(shard, key, wire.RentRequest{
+					Request: booking.Request,
+					Type:    booking.Type,
+					Zone:    booking.Zone,
+					Spot:    booking.Spot,
+					Count:   booking.Count,
+				}, 0)
 			}
 		}
 		if len(booked) == 0 {
@@ -151,8 +157,14 @@
 
 // planRentAhead writes the rentals for a departure into the crew's record once it is time to send them.
 func (c *Core) planRentAhead(entry *calendar.Entry, leaves time.Time, shard int) {
-	e := entry.Rec.Expect
-	need := wire.Need{Zone: entry.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
+	expected := entry.Rec.Expect
+	need := wire.Need{
+		Zone:  entry.Rec.Zone,
+		Spot:  expected.Spot,
+		CPUs:  expected.CPUs,
+		MemGB: expected.MemoryGB,
+		Tasks: expected.Tasks,
+	}
 	offers := supply.Offers(c.types, need, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
@@ -187,8 +199,11 @@
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if was := c.biases[biasKey(i)]; c.mine(i) && c.runs.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.Shorter)}}, func(StateReply) {})
+		if stored := c.biases[biasKey(i)]; c.mine(i) && c.runs.Moved(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{
+				Put:   biasKey(i),
+				Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.Shorter),
+			}}, func(StateReply) {})
 		}
 	}
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -60,8 +60,8 @@
 	return c.reserve.Target(c.now, shard, boot)
 }
 
-// urgentCapacity returns how many urgent tasks of the given size a machine could take at once if less urgent work
-// on it were preempted.
+// urgentCapacity returns how many urgent tasks of the given size a machine could take at once if the less
+// urgent work on it were preempted.
 func (c *Core) urgentCapacity(m *machine, size placement.Size) int {
 	free := c.free(m)
 	for _, a := range m.attempts {
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -102,8 +102,8 @@
 		return
 	}
 	var changes []wire.Change
-	for _, k := range keys {
-		changes = append(changes, wire.Change{Delete: k})
+	for _, key := range keys {
+		changes = append(changes, wire.Change{Delete: key})
 	}
 	c.leader.deletingProgress = true
 	c.commit(LaneLater, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, changes, func(StateReply) { c.leader.deletingProgress = false })
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -79,7 +79,7 @@
 	for _, i := range c.shardIDs() {
 		want := c.wantOf(i)
 		if len(want.Needs) == 0 || leader.servingShards[i] || want.Seen < c.newestBlock(i) {
-			continue // being served, or the request is older than the newest block of the shard
+			continue // no demand, being served, or the demand is older than the shard's newest block
 		}
 		// Subtract machines that are rented and in no block yet, which the holder does not know of.
 		// Waiting for their blocks before renting more took ten seconds when only short writes were
@@ -132,8 +132,8 @@
 	return false
 }
 
-// rentForNeed rents machines for a need, those that are cheapest per task first and those in the zone of the
-// shard's holder before others. It reports whether it sent a rental.
+// rentForNeed rents machines for a need, those that are cheapest per task first and those in the zone of
+// the shard's holder before others. It reports whether it sent a rental.
 func (c *Core) rentForNeed(shard int, need wire.Need) bool {
 	leader := &c.leader
 	if c.now < leader.cloudRetryAt {
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -65,7 +65,13 @@
 	for _, e := range c.jobsByAge() {
 		jobs = append(jobs, &e.rec)
 	}
-	list, digest := c.ladder.Order(jobs)
-	c.answer(v.Req, 200, wire.OrderView{Node: c.p.Node, Revision: c.rev, Version: c.ver.Of(wire.KeyLadder), Digest: digest, Count: len(list),
-		Jobs: list[:min(len(list), tuning.OrderAnswer)]})
+	ordered, digest := c.ladder.Order(jobs)
+	c.answer(v.Req, 200, wire.OrderView{
+		Node:     c.p.Node,
+		Revision: c.rev,
+		Version:  c.ver.Of(wire.KeyLadder),
+		Digest:   digest,
+		Count:    len(ordered),
+		Jobs:     ordered[:min(len(ordered), tuning.OrderAnswer)],
+	})
 }
