--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -65,7 +65,13 @@
 	for _, e := range c.jobsByAge() {
 		jobs = append(jobs, &e.record)
 	}
-	list, digest := c.tierOrder.SortJobs(jobs)
-	c.answer(v.Req, 200, wire.OrderView{Node: c.params.Node, Revision: c.mirrorRevision, Version: c.versions.Of(wire.KeyLadder), Digest: digest, Count: len(list),
-		Jobs: list[:min(len(list), tuning.OrderAnswer)]})
+	ordered, digest := c.tierOrder.SortJobs(jobs)
+	c.answer(v.Req, 200, wire.OrderView{
+		Node:     c.params.Node,
+		Revision: c.mirrorRevision,
+		Version:  c.versions.Of(wire.KeyLadder),
+		Digest:   digest,
+		Count:    len(ordered),
+		Jobs:     ordered[:min(len(ordered), tuning.OrderAnswer)],
+	})
 }
