--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -44,7 +44,7 @@
 		}
 	}
 	c.rankPredecessors(c.dependencies.Before(r.ID))
-	c.recheckWaiting, c.dirty = true, true
+	c.recheckWaiting, c.placementDue = true, true
 }
 
 // removeWaitingJob is called when a job no longer waits.
@@ -53,13 +53,13 @@
 	delete(c.waitingJobs, id)
 	c.dependencies.Remove(id)
 	c.rankPredecessors(before)
-	c.recheckWaiting, c.dirty = true, true
+	c.recheckWaiting, c.placementDue = true, true
 }
 
 // stageOf returns what a job's expected length depends on, and how many seconds the machines that it may
 // use take to boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
-	rate, boot := supply.Speeds(c.types, j.Types)
+	rate, boot := supply.FetchAndBootBounds(c.types, j.Types)
 	s = dependency.Stage{
 		Tasks:  j.Tasks,
 		Run:    c.runs.Typical(j.Class, j.EstimateS).Seconds(),
@@ -76,7 +76,7 @@
 // tasks run on machines of this holder.
 func (c *Core) remainingSeconds(id string) float64 {
 	e := c.jobs[id]
-	if e == nil || e.run == nil || e.run.pending(&e.rec) > 0 || e.run.held > 0 {
+	if e == nil || e.run == nil || e.run.pendingTasks(&e.rec) > 0 || e.run.inheritedBelow > 0 {
 		return inf
 	}
 	var lastStart Time
@@ -84,7 +84,7 @@
 		if a.status == "" || a.status == wire.TaskPulling {
 			return inf
 		}
-		lastStart = max(lastStart, a.running)
+		lastStart = max(lastStart, a.runningSince)
 	}
 	stage, _ := c.stageOf(&e.rec)
 	return stage.Left((c.now - lastStart).Seconds())
@@ -99,7 +99,7 @@
 		if c.shardOf(job.Team) != shard {
 			continue
 		}
-		if stage, boot := c.stageOf(job); c.aims.Ahead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
+		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
 			list = append(list, job)
 		}
 	}
@@ -112,7 +112,7 @@
 	return dependency.Demand{
 		Priority: wire.PriorityRank(j.Priority),
 		Rank:     c.ladder.Rank(j),
-		Due:      c.aims.Due(workOf(j)),
+		Due:      c.objectives.Due(objectiveWork(j)),
 		Length:   dependency.Length(stage),
 	}
 }
@@ -134,10 +134,10 @@
 	if e.run == nil {
 		return
 	}
-	for _, k := range sortedInts(e.run.active) {
-		if a := e.run.active[k]; a.known && (a.lesser != (e.prio < urgentRank) || a.idle != (e.prio <= idleRank)) {
-			c.dropAttempt(a)
-			a.lesser, a.idle = e.prio < urgentRank, e.prio <= idleRank
+	for _, k := range sortedIntKeys(e.run.active) {
+		if a := e.run.active[k]; a.sizeKnown && (a.belowUrgent != (e.prio < urgentRank) || a.idlePriority != (e.prio <= idleRank)) {
+			c.removeAttempt(a)
+			a.belowUrgent, a.idlePriority = e.prio < urgentRank, e.prio <= idleRank
 			c.addAttempt(a)
 		}
 	}
@@ -148,7 +148,7 @@
 	for _, id := range ids {
 		if e := c.jobs[id]; e != nil {
 			c.rankJob(e)
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 // recheckDependents has the dependents of a job evaluated again after it left the live keys.
 func (c *Core) recheckDependents(id string) {
 	if len(c.dependencies.Dependents(id)) > 0 {
-		c.recheckWaiting, c.dirty = true, true
+		c.recheckWaiting, c.placementDue = true, true
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,17 +11,17 @@
 	"strings"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/aims"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
-	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
+	"github.com/barrowbridge/barrowbridge/internal/objectives"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
 	"github.com/barrowbridge/barrowbridge/internal/reach"
+	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/takeover"
@@ -43,7 +43,7 @@
 	// Lease, Cancel and Report are the workers' times.
 	Lease, Cancel, Report time.Duration
 	ListLag               time.Duration
-	Aims                  aims.Aims
+	Aims                  objectives.Objectives
 	TxnOps                int
 	ValueBytes            int
 	Version               string   // of the program, for operators
@@ -68,7 +68,7 @@
 	cloudWait map[uint64]func(CloudReply)
 
 	// Own presence.
-	member       *membership.Life
+	member       *membership.Presence
 	term         *membership.Term
 	wasConfirmed bool
 	sureSince    Time // since when confirmed, or not, without a break
@@ -86,21 +86,21 @@
 
 	mirror
 	rollout *rollout.Book // what the controllers understand
-	holder
-	books
-	desk     *prompt.Desk[*machine]       // workers to call directly
-	roll     *takeover.Roll[*machine]     // machines to be accounted for
-	places   map[int]*hold.Book[*machine] // by shard: kept for tasks that fit nowhere
-	kept     map[string]hold.Hold         // by team: of its limit, for a job that does not fit into the rest
-	runs     *forecast.Book
+	holderState
+	indexes
+	desk     *callqueue.Queue[*machine]           // workers to call directly
+	roll     *takeover.PendingMachines[*machine]  // machines to be accounted for
+	places   map[int]*reservation.Table[*machine] // by shard: kept for tasks that fit nowhere
+	kept     map[string]reservation.Reservation   // by team: of its limit, for a job that does not fit into the rest
+	runs     *forecast.Estimator
 	calendar *calendar.Book // the crews, and what is planned for their departures
 	weights  *weights.Book  // images that many machines want
 	dependencyState
-	addrs   *takeover.Book // where workers listen
-	listing bool           // the cloud's list is being read for that
+	addrs   *takeover.AddressBook // where workers listen
+	listing bool                  // the cloud's list is being read for that
 	users
 	peers
-	ways    *reach.Ways[StateReply]
+	ways    *reach.Router[StateReply]
 	probing bool // the link to the state service is being tried, while calls go around it
 	reaching
 	leader leaderState
@@ -119,26 +119,26 @@
 	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.Nodes), c.nodes)
-	c.holder = newHolder()
+	c.holderState = newHolderState()
 	c.started, c.boots, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
-	c.books = newBooks(p.Teams)
-	c.aims = p.Aims
-	c.desk = newDesk(p)
+	c.indexes = newIndexes(p.Teams)
+	c.objectives = p.Aims
+	c.desk = newCallQueue(p)
 	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(p.Weights, c.caches)
-	c.kept = map[string]hold.Hold{}
-	c.places = map[int]*hold.Book[*machine]{}
-	c.runs = forecast.New(forecast.Params{Prior: tuning.ForecastPrior, Keep: tuning.ForecastKeep, Spread: tuning.ForecastSpread})
-	c.roll, c.addrs = newRoll(), takeover.NewBook()
+	c.kept = map[string]reservation.Reservation{}
+	c.places = map[int]*reservation.Table[*machine]{}
+	c.runs = forecast.New(forecast.Params{PriorTasks: tuning.ForecastPrior, MaxTasks: tuning.ForecastKeep, PriorSpread: tuning.ForecastSpread})
+	c.roll, c.addrs = newPendingMachines(), takeover.NewAddressBook()
 	c.users = newUsers()
 	c.peers = newPeers(p)
 	c.ways = newWays()
 	c.reaching = newReaching(p, c.nodes)
 	// What may go unconfirmed spans several renewals.
-	c.member = membership.NewLife(membership.LifeTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
+	c.member = membership.NewPresence(membership.PresenceTimes{Retry: tuning.RetryAfter, Extend: min(tuning.ExtendEvery, c.unconfirmedMax()/4)})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.ListLag)
-	c.form = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
-	c.keepTo(c.form.Bounds())
+	c.form = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: p.ValueBytes, Changes: p.TxnOps})
+	c.applyWriteLimits(c.form.Bounds())
 	return c
 }
 
@@ -216,7 +216,7 @@
 }
 
 func (c *Core) answer(req uint64, status int, body any) {
-	if x, ok := c.relays.Return(req); ok { // the report came through a peer, so does its answer
+	if x, ok := c.relays.TakeOrigin(req); ok { // the report came through a peer, so does its answer
 		ans := &RelayAnswer{ID: x.ID, Status: status}
 		if r, ok := body.(wire.ReportReply); ok {
 			ans.Token, ans.Commands = r.Token, r.Commands
@@ -265,21 +265,21 @@
 		c.log(1, "entitlement confirmed", "now", ok, "renewed_ago", (c.now - c.member.LastRenewed()).String(), "watched_ago", (c.now - c.member.LastWatched()).String())
 	}
 	c.runLeader()
-	c.followAddrs()
+	c.refreshAddresses()
 	c.watchReach()
-	c.hold()
+	c.runHolder()
 	c.keepTrail()
 }
 
 // keepPresence holds a grant, and this node's key on it.
 func (c *Core) keepPresence() {
 	sent := c.now
-	if c.member.WantsGrant(c.now) {
+	if c.member.StartLeaseRequest(c.now) {
 		c.state(StateCall{Op: OpGrant}, func(r StateReply) {
 			if r.Status != 200 {
 				r.Lease = 0
 			}
-			news := c.member.Granted(c.now, sent, r.Lease)
+			news := c.member.LeaseAnswered(c.now, sent, r.Lease)
 			switch {
 			case r.Lease == 0 && news:
 				c.log(0, "no grant from the state service", "status", r.Status, "err", r.Err)
@@ -290,12 +290,12 @@
 				c.keepPresence()
 			}
 		})
-	} else if c.member.WantsWrite(c.now) {
+	} else if c.member.StartWrite(c.now) {
 		c.writePresence()
 	}
-	if g, due := c.member.WantsExtend(c.now); due {
+	if g, due := c.member.StartRenewal(c.now); due {
 		c.state(StateCall{Op: OpExtend, Lease: g}, func(r StateReply) {
-			switch c.member.Extended(c.now, sent, g, r.Status) {
+			switch c.member.RenewalAnswered(c.now, sent, g, r.Status) {
 			case membership.Ended:
 				c.log(0, "grant ended, taking another", "grant", g)
 			case membership.Unanswered:
@@ -309,14 +309,14 @@
 // stands there, the write of an earlier life that is executed late fails. It once replaced the
 // key and took it along when its own grant ended, and a controller that ran was taken for gone.
 func (c *Core) writePresence() {
-	g, key := c.member.Grant(), wire.PrefixNode+c.p.Node
+	g, key := c.member.StateLease(), wire.PrefixNode+c.p.Node
 	c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) {
-		if r.Status != 200 && r.Status != 404 || c.member.Grant() != g {
+		if r.Status != 200 && r.Status != 404 || c.member.StateLease() != g {
 			return
 		}
 		c.learn(key, r)
 		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: r.Item.Version}}, []wire.Change{{Put: key, Value: wire.Node{Boot: c.member.Boot(), Zone: c.p.Zone, Features: c.p.Features}, Lease: g}}, func(r StateReply) {
-			if c.member.Wrote(c.now, g, r.Status) {
+			if c.member.WriteAnswered(c.now, g, r.Status) {
 				c.retake()
 				c.log(1, "present", "node", c.p.Node, "boot", c.member.Boot(), "grant", g)
 			}
@@ -340,7 +340,7 @@
 			c.watching = false
 			switch r.Status {
 			case 200:
-				c.member.Watched(sent)
+				c.member.WatchAnswered(sent)
 				c.follow(&r.Events)
 				c.keepMirror()
 				c.changed()
@@ -369,7 +369,7 @@
 	}
 	c.rev = max(c.rev, ev.Revision)
 	c.ver.Forget(c.rev, c.oldestCall)
-	c.enterShards()
+	c.startHoldingShards()
 }
 
 func (c *Core) loadPage(after string, began Time) {
@@ -403,8 +403,8 @@
 		// Changes made while the pages were read come again with the watch.
 		c.ver.Read(c.listRev)
 		c.rev, c.loading, c.watching, c.listSeen = c.listRev, false, false, nil
-		c.member.Watched(began)
-		c.enterShards()
+		c.member.WatchAnswered(began)
+		c.startHoldingShards()
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
@@ -423,7 +423,7 @@
 // one else can act for it, and its workers' leases are running out. It is present first: a
 // record of an earlier life in its place would prove to others that this one is dead.
 func (c *Core) retake() {
-	if !c.loaded || !c.member.Here() {
+	if !c.loaded || !c.member.Registered() {
 		return
 	}
 	for _, i := range c.shardIDs() {
@@ -437,13 +437,13 @@
 // takeShard writes a new holder; the write's revision is the shard's token.
 func (c *Core) takeShard(i int, node string, boot uint64, when ...wire.Condition) {
 	e := c.shards[i]
-	rec := duty.NextHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
+	rec := assignment.WithNewHolder(e.rec, node, boot, tuning.PastLives, c.p.ValueBytes)
 	key := shardKey(i)
 	if !c.every("take:"+key, tuning.RetryAfter) {
 		return
 	}
 	from := e.rec.Holder
-	c.taking[i] = taking{rec, from}
+	c.takeovers[i] = taking{rec, from}
 	c.commit(LaneFirst, append(when, wire.Condition{Key: key, Version: e.ver}), []wire.Change{{Put: key, Value: rec}}, func(r StateReply) {
 		if r.Status == 200 {
 			c.noteTaken(i)
@@ -459,7 +459,7 @@
 	c.state(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: when, Then: then}}, func(r StateReply) {
 		switch r.Status {
 		case 400:
-			c.refusedForm(when, then, r.Err)
+			c.writeRefused(when, then, r.Err)
 		case 200:
 			for _, ch := range then {
 				c.form.Taken(limits.KindOf(ch.Put))
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -106,7 +106,7 @@
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
 	c.publishBias()
@@ -199,10 +199,10 @@
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if stored := c.biases[biasKey(i)]; c.mine(i) && c.runs.Moved(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+		if stored := c.biases[biasKey(i)]; c.mine(i) && c.runs.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
 			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{
 				Put:   biasKey(i),
-				Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.Shorter),
+				Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
 		}
 	}
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -65,7 +65,7 @@
 // addJob adds changes of one job and compares the job's record.
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
-	e.run.writing = true
+	e.run.writeInFlight = true
 	b.add(b.c.shardOf(e.rec.Team), &wire.Condition{Key: jobKey(e.rec.ID), Version: e.ver}, changes...)
 }
 
@@ -74,15 +74,15 @@
 	b.add(rec.Shard, &wire.Condition{Key: blockKey(block.id), Version: block.ver}, wire.Change{Put: blockKey(block.id), Value: rec})
 	if rec.Idle && !block.rec.Idle {
 		b.idleBlocks = append(b.idleBlocks, block.id)
-		b.c.offered[block.id] = block.ver
-		b.c.touchBlock(block.id)
+		b.c.idleMarkVersions[block.id] = block.ver
+		b.c.markBlockDirty(block.id)
 	}
 }
 
 // idleMarkPending reports whether a write that marks a block idle may still be in flight or be executed
 // late. Only a newer version of the block's record or a refusal of the write rules that out.
 func (c *Core) idleMarkPending(b *blockEntry) bool {
-	ver, sent := c.offered[b.id]
+	ver, sent := c.idleMarkVersions[b.id]
 	return sent && ver == b.ver
 }
 
@@ -90,8 +90,8 @@
 func (c *Core) clearIdleMarks(ids []string, status int) {
 	if status == 409 || status == 429 || status == 503 || status == 400 {
 		for _, id := range ids {
-			delete(c.offered, id)
-			c.touchBlock(id)
+			delete(c.idleMarkVersions, id)
+			c.markBlockDirty(id)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		c.clearIdleMarks(b.idleBlocks, r.Status)
 		for _, e := range b.jobs {
 			if e.run != nil {
-				e.run.writing = false
+				e.run.writeInFlight = false
 			}
 		}
 		if r.Status == 200 {
@@ -119,57 +119,57 @@
 			c.retryAt[duty] = c.now + tuning.RetryAfter/2
 			c.log(2, "batch not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
-		c.dirty = true
-		c.hold()
+		c.placementDue = true
+		c.runHolder()
 	})
 }
 
 // flushJobs writes urgent progress, the ends of jobs, urgent ones first, blocks whose record must change
 // soon, and that a shard is reconciled after a takeover.
 func (c *Core) flushJobs() {
-	if c.flushing || c.now < c.retryAt["flushJobs"] {
+	if c.writingJobs || c.now < c.retryAt["flushJobs"] {
 		return
 	}
 	b := c.newBatch() // short, so that writes of accepted jobs get in between
 	finals := map[string]wire.Final{}
-	c.update()
+	c.refreshIndexes()
 	c.addUrgentProgress(b)
-	for _, e := range sortedJobs(c.owed) {
+	for _, e := range sortedJobs(c.pendingWrites) {
 		if b.full() {
 			break
 		}
-		if e.run.writing || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
 			continue
 		}
-		if _, ended, _ := c.owes(e); !ended {
+		if _, ended, _ := c.unwrittenStarts(e); !ended {
 			continue
 		}
 		id, f := e.rec.ID, wire.Final{Status: wire.JobDone, Done: e.rec.Tasks}
 		finals[id] = f
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
-	for _, id := range sortedKeys(c.used) {
+	for _, id := range sortedKeys(c.urgentBlocks) {
 		block := c.blocks[id]
 		if block == nil || !c.mine(block.rec.Shard) {
-			delete(c.used, id)
+			delete(c.urgentBlocks, id)
 		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			if rec, change := c.desiredBlock(block); change {
 				b.addBlock(block, rec)
 			} else {
-				delete(c.used, id)
+				delete(c.urgentBlocks, id)
 			}
 		}
 	}
 	for _, i := range c.shardIDs() {
 		shard := c.shards[i]
-		if !c.mine(i) || c.unsettle[i] || shard.rec.Settled || b.full() {
+		if !c.mine(i) || c.unreconciledShards[i] || shard.rec.Settled || b.full() {
 			continue
 		}
 		rec := shard.rec
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
-	b.send(LaneUser, &c.flushing, "flushJobs", func(rev uint64) {
+	b.send(LaneUser, &c.writingJobs, "flushJobs", func(rev uint64) {
 		for _, id := range sortedKeys(finals) {
 			c.keepFinal(id, finals[id], rev)
 			c.log(1, "job done", "job", id)
@@ -187,7 +187,7 @@
 			continue
 		}
 		blockMachine.Fresh = held.fresh // also written among the starts, so it is no reason for a write by itself
-		if held.drop && !c.keepsUnwrittenEnds(held) {
+		if held.returning && !c.keepsUnwrittenEnds(held) {
 			if empty := held.accounted && len(held.attempts) == 0; !blockMachine.Drop || empty && !blockMachine.Empty {
 				blockMachine.Drop, blockMachine.Empty, change = true, blockMachine.Empty || empty, true
 			}
@@ -202,9 +202,9 @@
 // placementChanged reports whether a tracked job has a task on another machine than the one in its
 // stored record.
 func (c *Core) placementChanged(e *jobEntry) bool {
-	if tracked(&e.rec) {
+	if tracksMachines(&e.rec) {
 		for k, a := range e.run.active {
-			if onOf(&e.rec, k) != a.m.name {
+			if recordedMachine(&e.rec, k) != a.machine.name {
 				return true
 			}
 		}
@@ -214,33 +214,33 @@
 
 // flushLater writes changed block records and the progress of jobs, at low priority.
 func (c *Core) flushLater() {
-	if c.flushingLater || !c.every("flushLater", tuning.LaterEvery) {
+	if c.writingProgress || !c.every("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if !c.mine(block.rec.Shard) || c.used[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		if !c.mine(block.rec.Shard) || c.urgentBlocks[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
 		if rec, change := c.desiredBlock(block); change {
 			b.addBlock(block, rec)
 		}
 	}
-	c.update()
+	c.refreshIndexes()
 	// The fewer jobs have progress to write, the sooner each is written: ends that are not stored are lost
 	// if this controller stops and the leases of the workers expire.
-	pause := min(max(time.Duration(len(c.behind))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
-	for _, e := range sortedJobs(c.behind) {
+	pause := min(max(time.Duration(len(c.pendingProgress))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
+	for _, e := range sortedJobs(c.pendingProgress) {
 		if b.full() {
 			break
 		}
 		// A job whose record is being written is skipped; its progress follows later.
-		if e.run.writing || c.now-e.run.wrote < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
 			continue
 		}
-		e.run.wrote = c.now
+		e.run.progressWrittenAt = c.now
 		b.addProgress(e)
 	}
-	b.send(LaneLater, &c.flushingLater, "flushLater", func(uint64) {})
+	b.send(LaneLater, &c.writingProgress, "flushLater", func(uint64) {})
 }
--- a/internal/core/holding_test.go
+++ b/internal/core/holding_test.go
@@ -99,8 +99,8 @@
 	held := func() bool {
 		n := w.nodes[w.shardRec("red").Holder]
 		b := n.core.places[n.core.shardOf("red")]
-		for _, m := range b.Held() {
-			if n.core.free(m).CPUs >= 2 {
+		for _, m := range b.Machines() {
+			if n.core.freeCapacity(m).CPUs >= 2 {
 				at = m.name
 				return true
 			}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -19,14 +19,14 @@
 	if c.vacating[block.id] {
 		return c.emptyFor(block, 0)
 	}
-	if c.wantedHere(block.rec.Shard) {
+	if c.hasUnmetDemand(block.rec.Shard) {
 		return false
 	}
 	requested := false
 	for _, i := range c.shardIDs() {
 		if i != block.rec.Shard {
-			for _, need := range c.wantOf(i).Needs {
-				requested = requested || c.serves(block, need)
+			for _, need := range c.shardDemand(i).Needs {
+				requested = requested || c.blockServes(block, need)
 			}
 		}
 	}
@@ -37,7 +37,7 @@
 func (c *Core) emptyFor(block *blockEntry, duration time.Duration) bool {
 	for _, bm := range block.rec.Machines {
 		m := c.machines[bm.Name]
-		if m == nil || m.drop || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < duration {
+		if m == nil || m.returning || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < duration {
 			return false
 		}
 	}
@@ -56,16 +56,16 @@
 
 // spareTarget returns for how many urgent tasks a shard keeps capacity free.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.Speeds(c.types, nil)
-	return c.reserve.Target(c.now, shard, boot)
+	_, boot := supply.FetchAndBootBounds(c.types, nil)
+	return c.urgentReserve.Target(c.now, shard, boot)
 }
 
 // urgentCapacity returns how many urgent tasks of the given size a machine could take at once if the less
 // urgent work on it were preempted.
 func (c *Core) urgentCapacity(m *machine, size placement.Size) int {
-	free := c.free(m)
+	free := c.freeCapacity(m)
 	for _, a := range m.attempts {
-		if a.lesser && a.status != wire.TaskEnded {
+		if a.belowUrgent && a.status != wire.TaskEnded {
 			free = free.Add(a.size)
 		}
 	}
@@ -75,11 +75,11 @@
 // hasSpareWithout reports whether a shard keeps its spare capacity for urgent tasks without the given
 // machines, because urgent work should not wait for a machine to boot.
 func (c *Core) hasSpareWithout(shard int, without ...*machine) bool {
-	c.update()
-	spare := c.room.Spare(shard)
+	c.refreshIndexes()
+	spare := c.capacity.UrgentSlots(shard)
 	for _, m := range without {
-		if facts, ok := c.room.Of(m); ok && facts.Usable && !facts.Spot {
-			spare -= facts.Spare
+		if facts, ok := c.capacity.Get(m); ok && facts.Usable && !facts.Spot {
+			spare -= facts.UrgentSlots
 		}
 	}
 	return spare >= c.spareTarget(shard)
@@ -90,7 +90,7 @@
 // work around it has ended. A small share of the shard's machines is freed at a time: when it was one at
 // a time, the remaining machines of a fleet were paid for ten minutes longer.
 func (c *Core) consolidate(shard int) {
-	if c.unsettle[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+	if c.unreconciledShards[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
 	var inUse []*machine
@@ -106,25 +106,27 @@
 	}
 	var candidates []disruption.Machine[*machine]
 	for _, m := range inUse {
-		candidate := disruption.Machine[*machine]{Handle: m, Free: c.free(m), Stays: m.base}
-		for _, k := range sortedAttempts(m) {
+		candidate := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Pinned: m.base}
+		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
-				candidate.Stays = true
+				candidate.Pinned = true
 				break
 			}
 			job := &c.jobs[a.job].rec
 			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{
-				Size:   a.size,
-				Allows: func(other *machine) bool { return !other.moving && other.images[job.Image] && allows(job, other) },
+				Size: a.size,
+				Allows: func(other *machine) bool {
+					return !other.moving && other.images[job.Image] && allowsMachine(job, other)
+				},
 			})
 		}
 		candidates = append(candidates, candidate)
 	}
 	for _, m := range disruption.Consolidate(candidates, max(1, len(inUse)/tuning.MoveShare)-moving, tuning.MoveLook) {
 		m.moving = true
-		c.touch(m)
-		for _, k := range sortedAttempts(m) {
+		c.markDirty(m)
+		for _, k := range sortedAttemptKeys(m) {
 			c.stopAttempt(m.attempts[k])
 		}
 		c.log(1, "moving replicas off a machine", "machine", m.name, "replicas", len(m.attempts))
@@ -134,8 +136,8 @@
 // movable reports whether a task is a replica that has run for a while and is not bound to a zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stop &&
-		a.status == wire.TaskRunning && c.now-a.running >= tuning.MoveAfter
+	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stopping &&
+		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.MoveAfter
 }
 
 // retireMachines marks the machines of a shard that are to be returned: those that are idle, are silent, do
@@ -147,27 +149,27 @@
 	// returned 163 healthy machines.
 	silent := 0
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && m.reported && !m.drop && (c.now-m.lastReport > c.freshFor() || m.ear.Deaf()) {
+		if m.shard == shard && m.reported && !m.returning && (c.now-m.lastReport > c.reportMaxAge() || m.delivery.MissesAnswers()) {
 			silent++
 		}
 	}
-	partitioned := dutyLimits.Many(silent, c.machinesIn(shard))
+	partitioned := dutyLimits.TooManyMissing(silent, c.machineCount(shard))
 	for _, m := range c.heldMachines() {
-		if m.shard != shard || m.drop {
+		if m.shard != shard || m.returning {
 			continue
 		}
-		m.cut = m.over && (m.cut || partitioned)
+		m.silentWithMany = m.leaseOver && (m.silentWithMany || partitioned)
 		why := c.bootFailure(m)
 		switch {
 		case why != "":
-		case m.over && !m.base && !m.cut, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
+		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
 			// A rented machine whose lease is over is returned at once, since a replacement costs the
 			// same. Reports are not accepted while this controller's authority is unconfirmed, so
 			// silence counts only from when it was confirmed.
 			why = "silent"
-		case m.ear.Deaf() && !m.base && !partitioned:
+		case m.delivery.MissesAnswers() && !m.base && !partitioned:
 			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
-		case m.notice && c.now > m.noticeAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
+		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
@@ -176,8 +178,8 @@
 			why = "idle"
 		}
 		if why != "" {
-			m.drop = true
-			c.touch(m)
+			m.returning = true
+			c.markDirty(m)
 			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
 			c.log(1, "returning a machine", "machine", m.name, "why", why)
 		}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/inventory"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -60,7 +60,7 @@
 // leader's periodic work.
 func (c *Core) runLeader() {
 	leader := &c.leader
-	began, ended := c.term.Led(c.now, c.isLeader(), c.ver.Of(wire.KeyLeader))
+	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.ver.Of(wire.KeyLeader))
 	if !c.isLeader() {
 		if ended {
 			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
@@ -68,10 +68,10 @@
 			leader.reset(c.p.ListLag)
 		}
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
-		if c.term.Claims(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Here()) {
+		if c.term.StartClaim(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Registered()) {
 			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.Grant()}}, func(r StateReply) {
-					c.term.Answered()
+				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.StateLease()}}, func(r StateReply) {
+					c.term.WriteFinished()
 					c.changed()
 				})
 		}
@@ -114,13 +114,13 @@
 // holder. Therefore, after such a write got no answer, the leader record is rewritten as a fence, which
 // makes every write that compares the old version fail.
 func (c *Core) canFormBlocks() bool {
-	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Here())
+	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Registered())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.Grant()}}, func(r StateReply) {
-		c.term.Renewed(r.Status == 200, r.Txn.Revision)
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.StateLease()}}, func(r StateReply) {
+		c.term.FenceWritten(r.Status == 200, r.Txn.Revision)
 		c.changed()
 	})
 	return false
@@ -139,7 +139,7 @@
 		for name, team := range c.p.Teams {
 			guarantees[name] = team.CPUs
 		}
-		teams := duty.ShareTeams(guarantees, len(names))
+		teams := assignment.AssignTeams(guarantees, len(names))
 		var conditions []wire.Condition
 		var changes []wire.Change
 		conditions = append(conditions, c.leaderCondition())
@@ -178,9 +178,9 @@
 		switch {
 		case !up || (node.Boot != shard.rec.Boot && c.now-leader.nodeSince[shard.rec.Holder] > tuning.GrantTTL):
 			// The holder is dead, or has restarted without retaking the shard.
-			newHolder = duty.Successor(shard.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
+			newHolder = assignment.Successor(shard.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
 		case shard.rec.Home != shard.rec.Holder:
-			if since, here := leader.nodeSince[shard.rec.Home]; here && c.words.GoesHome(c.now, c.self(), i, &shard.rec, since, held[shard.rec.Home]) {
+			if since, here := leader.nodeSince[shard.rec.Home]; here && c.words.MayReturnHome(c.now, c.self(), i, &shard.rec, since, held[shard.rec.Home]) {
 				newHolder = shard.rec.Home
 			}
 		}
@@ -302,7 +302,7 @@
 		if !c.isLeader() {
 			return
 		}
-		c.learnAddrs(all)
+		c.learnAddresses(all)
 		inBlocks := map[string]bool{}
 		for _, b := range c.blocks {
 			for _, bm := range b.rec.Machines {
@@ -421,7 +421,7 @@
 	// never be returned and be paid for indefinitely.
 	have := c.shardCPUs()
 	c.writeBlocks(infos, first, false, func(b *wire.Block) {
-		b.Shard = supply.Poorest(c.shardCapacities(b.Zone, have))
+		b.Shard = supply.LeastSupplied(c.shardCapacities(b.Zone, have))
 		have[b.Shard] += c.blockCPUs(b)
 	}, nil)
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/clearing"
 	"github.com/barrowbridge/barrowbridge/internal/disruption"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
+	"github.com/barrowbridge/barrowbridge/internal/preemption"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -23,17 +23,17 @@
 		return
 	}
 	var jobs []*jobEntry
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		privileged := e.prio >= urgentRank || c.ladder.Named(e.rank)
-		if !privileged && (e.prio <= idleRank || len(c.idlers) == 0) {
-			return !c.ladder.Plain() // nothing is preemptible for it; in plain priority order no later job is urgent
+		privileged := e.prio >= urgentRank || c.ladder.OperatorDefined(e.rank)
+		if !privileged && (e.prio <= idleRank || len(c.idleAttempts) == 0) {
+			return !c.ladder.PriorityOnly() // nothing is preemptible for it; in plain priority order no later job is urgent
 		}
-		if !privileged && !p.Within || c.health.Trial(e.rec.ID) {
+		if !privileged && !p.WithinGuarantee || c.taskHealth.Trial(e.rec.ID) {
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
-		if !c.barred(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.since > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+		if !c.placementBlocked(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
 			jobs = append(jobs, e)
 		}
 		return true
@@ -45,7 +45,7 @@
 	for _, e := range jobs {
 		lowestTier = min(lowestTier, e.rank)
 	}
-	machinesByShard := map[int][]*clearing.Machine[*machine, *attempt]{}
+	machinesByShard := map[int][]*preemption.Machine[*machine, *attempt]{}
 	for _, m := range c.heldMachines() {
 		if c.usable(m) {
 			machinesByShard[m.shard] = append(machinesByShard[m.shard], c.preemptionCandidate(m, lowestTier))
@@ -53,9 +53,9 @@
 	}
 	for _, e := range jobs {
 		shard := c.shardOf(e.rec.Team)
-		used := c.room.Used(e.rec.Team, shard)
-		for pending := e.run.pending(&e.rec); pending > 0; pending-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceeds(used) || !c.preemptFor(e, machinesByShard[shard]) {
+		used := c.capacity.Used(e.rec.Team, shard)
+		for pending := e.run.pendingTasks(&e.rec); pending > 0; pending-- {
+			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceededBy(used) || !c.preemptFor(e, machinesByShard[shard]) {
 				break
 			}
 		}
@@ -65,50 +65,50 @@
 // preemptionCandidate describes a machine for the choice of victims: its free capacity, including that of
 // tasks which are already stopping, and the attempts of tiers below lowestTier that may
 // be stopped.
-func (c *Core) preemptionCandidate(m *machine, lowestTier int) *clearing.Machine[*machine, *attempt] {
-	candidate := &clearing.Machine[*machine, *attempt]{Handle: m, Free: c.free(m)}
-	for _, k := range sortedAttempts(m) {
+func (c *Core) preemptionCandidate(m *machine, lowestTier int) *preemption.Machine[*machine, *attempt] {
+	candidate := &preemption.Machine[*machine, *attempt]{Handle: m, Free: c.freeCapacity(m)}
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.sent && a.known && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].rec.Shape != wire.ShapeGang:
-			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
-		case a.status == wire.TaskEnded || !a.sent:
-		case a.stop || c.jobs[a.job] == nil:
+		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].rec.Shape != wire.ShapeGang:
+			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
+		case a.status == wire.TaskEnded || !a.startSent:
+		case a.stopping || c.jobs[a.job] == nil:
 			candidate.Free = candidate.Free.Add(a.size) // already being stopped
-		case a.known && a.lesser && c.jobs[a.job].rank < lowestTier:
-			candidate.Victims = append(candidate.Victims, clearing.Victim[*attempt]{Handle: a, Size: a.size, Ran: c.now - a.running, Idle: a.idle})
+		case a.sizeKnown && a.belowUrgent && c.jobs[a.job].rank < lowestTier:
+			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Runtime: c.now - a.runningSince, Idle: a.idlePriority})
 		}
 	}
-	candidate.Sort()
+	candidate.SortVictims()
 	return candidate
 }
 
 // preemptFor stops tasks to free capacity for one task of a job, unless enough is being freed already.
 // It reports whether there will be capacity.
-func (c *Core) preemptFor(e *jobEntry, machines []*clearing.Machine[*machine, *attempt]) bool {
-	kinds := c.kinds(e, zonesOf(e))
-	victims, ok := clearing.Choose(machines, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
-		return kinds(ledger.Kind{Shard: m.shard, Type: m.typ, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
+func (c *Core) preemptFor(e *jobEntry, machines []*preemption.Machine[*machine, *attempt]) bool {
+	kinds := c.allowedKinds(e, tasksByZone(e))
+	victims, ok := preemption.Choose(machines, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
+		return kinds(ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
 	for _, victim := range victims {
 		a := victim.Handle
 		if victim.Unsent { // never sent to a worker, so it runs nowhere
-			c.attemptGone(a, "its place goes to "+e.rec.ID)
+			c.attemptLost(a, "its place goes to "+e.rec.ID)
 			continue
 		}
 		c.stopAttempt(a)
 		c.noteTask(trail.TaskStopped, a, "for "+e.rec.ID+", which goes before it")
-		c.log(1, "preempting a task", "task", a.key.task, "machine", a.m.name, "for", e.rec.ID)
+		c.log(1, "preempting a task", "task", a.key.task, "machine", a.machine.name, "for", e.rec.ID)
 	}
 	return ok
 }
 
 // stopAttempt marks an attempt to be stopped, with a grace period to save if its job has checkpoints.
 func (c *Core) stopAttempt(a *attempt) {
-	a.stop = true
-	c.wantReport(a.m, true)
+	a.stopping = true
+	c.requestReport(a.machine, true)
 	if e := c.jobs[a.job]; e != nil && e.rec.CheckpointEvery > 0 {
-		a.graceS = e.rec.SaveS
+		a.stopGraceS = e.rec.SaveS
 	}
 }
 
@@ -121,12 +121,12 @@
 	}
 	starved := false
 	for _, i := range c.shardIDs() {
-		for _, need := range c.wantOf(i).Needs {
+		for _, need := range c.shardDemand(i).Needs {
 			if !need.Dire {
 				continue
 			}
 			starved = true
-			borrower := supply.Borrower(c.shardCapacities("", c.shardCPUs()), i)
+			borrower := supply.MostOversupplied(c.shardCapacities("", c.shardCPUs()), i)
 			if borrower < 0 || !c.mine(borrower) {
 				continue
 			}
@@ -135,7 +135,7 @@
 	}
 	if !starved && len(c.vacating) > 0 {
 		for id := range c.vacating {
-			c.touchBlock(id)
+			c.markBlockDirty(id)
 		}
 		c.vacating = map[string]bool{}
 	}
@@ -174,45 +174,45 @@
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if block.rec.Shard != shard || !c.serves(block, need) {
+		if block.rec.Shard != shard || !c.blockServes(block, need) {
 			continue
 		}
 		size, _ := c.sizeOf(block.rec.Type)
 		candidate := disruption.Block{
-			Name:    id,
-			Emptied: c.vacating[id] || block.rec.Idle,
-			Holds:   len(block.rec.Machines) * (placement.Beta(size, needSize(need)) + 1),
+			Name:      id,
+			Vacated:   c.vacating[id] || block.rec.Idle,
+			TaskSlots: len(block.rec.Machines) * (placement.Beta(size, needSize(need)) + 1),
 		}
 		for _, bm := range block.rec.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
-				candidate.Fixed = true
+				candidate.Pinned = true
 				break
 			}
 			for _, a := range m.attempts {
 				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > need.Rung) {
-					candidate.Fixed = true
+					candidate.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
-					candidate.Lost += c.now - a.running + time.Second
+					candidate.LostRuntime += c.now - a.runningSince + time.Second
 				}
 			}
 		}
 		blocks = append(blocks, candidate)
 	}
-	best, loss := disruption.Empty(blocks, need.Tasks)
+	best, loss := disruption.ChooseBlock(blocks, need.Tasks)
 	if best == "" {
 		return
 	}
 	c.vacating[best] = true
-	c.touchBlock(best)
+	c.markBlockDirty(best)
 	c.noteShard(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
 	c.log(1, "emptying a block for another team's guarantee", "block", best, "shard", shard, "lost", loss.String())
 	for _, bm := range c.blocks[best].rec.Machines {
 		m := c.machines[bm.Name]
-		for _, k := range sortedAttempts(m) {
+		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
-			if a.sent && a.status != wire.TaskEnded {
+			if a.startSent && a.status != wire.TaskEnded {
 				c.stopAttempt(a)
 				c.noteTask(trail.TaskStopped, a, "its block is emptied")
 			}
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -52,7 +52,7 @@
 // hasUnwrittenEnd reports whether an attempt has completed its task and that is not stored yet.
 func (c *Core) hasUnwrittenEnd(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Has(a.idx)
+	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Has(a.taskIndex)
 }
 
 // keepsUnwrittenEnds reports whether a machine's worker has reported ends that are not stored yet. Until
@@ -74,18 +74,18 @@
 // it again, or is already.
 func (c *Core) expediteEnd(a *attempt) {
 	if c.hasUnwrittenEnd(a) {
-		c.hasty[c.jobs[a.job]] = true
+		c.urgentProgress[c.jobs[a.job]] = true
 	}
 }
 
 // addUrgentProgress adds the progress of jobs whose ended tasks have to be written urgently.
 func (c *Core) addUrgentProgress(b *batch) {
-	for _, e := range sortedJobs(c.hasty) {
+	for _, e := range sortedJobs(c.urgentProgress) {
 		switch {
-		case !c.behind[e]:
-			delete(c.hasty, e) // written, or the job is over or no longer held
-		case !b.full() && !e.run.writing && c.now-e.run.wrote >= tuning.HastyFlush:
-			e.run.wrote = c.now
+		case !c.pendingProgress[e]:
+			delete(c.urgentProgress, e) // written, or the job is over or no longer held
+		case !b.full() && !e.run.writeInFlight && c.now-e.run.progressWrittenAt >= tuning.HastyFlush:
+			e.run.progressWrittenAt = c.now
 			b.addProgress(e)
 		}
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -46,7 +46,7 @@
 			switch m := c.machines[blockMachine.Name]; {
 			case !blockMachine.Fresh: // adopted, so the time of its rental is not known
 				c.boots.Forget(blockMachine.Name)
-			case !c.everUsed(blockMachine.Name) && (m == nil || !m.reported):
+			case !c.useRecorded(blockMachine.Name) && (m == nil || !m.reported):
 				c.boots.Booked(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
 			}
 		}
@@ -67,7 +67,7 @@
 // capacity.
 func (c *Core) doubtedMachines(shard int) map[string]bool {
 	var names []string
-	for m := range c.coming {
+	for m := range c.comingMachines {
 		if m.shard == shard && !m.reported && !m.inherited {
 			names = append(names, m.name)
 		}
@@ -82,7 +82,7 @@
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
-	case c.boots.Hopeless(c.now, m.name), c.now-m.since > max(seconds(c.types[m.typ].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.boots.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.types[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
 		return "never came up"
 	}
 	return ""
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -16,10 +16,10 @@
 // whether all writes succeeded. Fresh machines have just been rented and have never been in a block.
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
 	leader := &c.leader
-	blocks := supply.Blocks(infos, supply.BlockSizes{
-		Least:  tuning.BlockSize,
-		Most:   tuning.BlockSizeMax,
-		AtOnce: tuning.BlocksAtOnce,
+	blocks := supply.FormBlocks(infos, supply.BlockSizes{
+		Min:            tuning.BlockSize,
+		Max:            tuning.BlockSizeMax,
+		BlocksPerBatch: tuning.BlocksAtOnce,
 	}, base, fresh)
 	leader.writePending = true
 	var write func(rest []wire.Block, allOK bool)
@@ -46,7 +46,7 @@
 				c.log(1, "block formed", "first", b.Machines[0].Name, "shard", b.Shard, "zone", b.Zone, "machines", len(b.Machines), "spot", b.Spot, "status", r.Status)
 			}
 			if r.Status == 0 {
-				c.term.Unanswered()
+				c.term.WriteUncertain()
 			}
 			write(rest[n:], allOK && r.Status == 200)
 		})
@@ -59,10 +59,10 @@
 func (c *Core) shardCapacities(zone string, cpus map[int]float64) (list []supply.Shard) {
 	for _, i := range c.shardIDs() {
 		list = append(list, supply.Shard{
-			Shard:     i,
-			Have:      cpus[i],
-			Guarantee: c.guaranteedCPUs(i),
-			Near:      c.p.Nodes[c.shards[i].rec.Holder] == zone,
+			Index:          i,
+			HaveCPUs:       cpus[i],
+			GuaranteedCPUs: c.guaranteedCPUs(i),
+			SameZone:       c.p.Nodes[c.shards[i].rec.Holder] == zone,
 		})
 	}
 	return list
@@ -75,18 +75,18 @@
 	if leader.writePending || len(c.types) == 0 {
 		return
 	}
-	var shortages []supply.Open
+	var shortages []supply.Shortage
 	for _, i := range c.shardIDs() {
-		want := c.wantOf(i)
+		want := c.shardDemand(i)
 		if len(want.Needs) == 0 || leader.servingShards[i] || want.Seen < c.newestBlock(i) {
 			continue // no demand, being served, or the demand is older than the shard's newest block
 		}
 		// Subtract machines that are rented and in no block yet, which the holder does not know of.
 		// Waiting for their blocks before renting more took ten seconds when only short writes were
 		// possible.
-		shortages = append(shortages, supply.Lacking(i, want.Needs, c.rentedCapacity(i))...)
+		shortages = append(shortages, supply.Shortages(i, want.Needs, c.rentedCapacity(i))...)
 	}
-	supply.ByRung(shortages)
+	supply.SortByTier(shortages)
 	for _, shortage := range shortages {
 		if c.moveIdleBlock(shortage.Shard, shortage.Need) || !shortage.Need.Booting && c.rentForNeed(shortage.Shard, shortage.Need) {
 			return
@@ -98,7 +98,7 @@
 func (c *Core) rentedCapacity(shard int) (pool supply.Pool) {
 	for _, info := range c.leader.rentedMachines[shard] {
 		if size, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
-			pool = append(pool, supply.Room{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: size})
+			pool = append(pool, supply.Capacity{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: size})
 		}
 	}
 	return pool
@@ -110,7 +110,7 @@
 	leader := &c.leader
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if !block.rec.Idle || block.rec.Shard == shard || !c.serves(block, need) {
+		if !block.rec.Idle || block.rec.Shard == shard || !c.blockServes(block, need) {
 			continue
 		}
 		rec := block.rec
@@ -146,7 +146,7 @@
 			offers = append(offers, offer)
 			requests = append(requests, boot.Ask{
 				Kind:  boot.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
-				Count: offer.Machines(need.Tasks, tuning.RentMax),
+				Count: offer.MachineCount(need.Tasks, tuning.RentMax),
 			})
 		}
 	}
@@ -190,7 +190,7 @@
 			if len(r.Names) < req.Count {
 				leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
 			}
-			infos := supply.Machines(req, r.Names)
+			infos := supply.RentedMachines(req, r.Names)
 			if len(infos) == 0 {
 				delete(leader.servingShards, shard)
 				return
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -10,171 +10,176 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// onReport answers a worker. Only the holder of its block says 200.
+// onReport answers a worker's report. Only the holder of the machine's block answers 200.
 func (c *Core) onReport(v WorkerReport) {
 	r := &v.Report
 	c.addrs.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
-	from, passed := c.relays.Through(v.Req)
-	switch { // an older report is a copy: it says of no worker that we reach it
-	case m != nil && c.older(m, r):
-	case !passed:
-		c.workers.Heard(c.now, c.shardHeld(r.Machine), r.Machine)
+	origin, relayed := c.relays.OriginOf(v.Req)
+	switch { // an older report is a late copy: it does not prove that the worker reaches this controller
+	case m != nil && c.isStaleReport(m, r):
+	case !relayed:
+		c.workers.DirectReport(c.now, c.heldShardOf(r.Machine), r.Machine)
 	case m != nil:
-		c.workers.HeardThrough(c.now, m.shard)
+		c.workers.RelayedReport(c.now, m.shard)
 	}
 	if m == nil {
-		c.redirect(v.Req, r)
+		c.redirectReport(v.Req, r)
 		return
 	}
 	b := c.blocks[m.block]
 	if b == nil || !c.mine(m.shard) || !c.confirmed() {
-		// Not sure to be entitled: the worker may find one who is.
+		// The authority to act is not confirmed: the worker may find a controller with it.
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
 	}
-	c.test(m, passed)
-	token := c.tokenOf(m, b)
-	if r.Token > token || c.older(m, r) {
-		// A higher token: someone else is entitled and we have not heard yet.
-		// An older report: delayed on its way, its list is history.
+	c.testDelivery(m, relayed)
+	token := c.answerToken(m, b)
+	if r.Token > token || c.isStaleReport(m, r) {
+		// A higher token means that another controller has the authority to act and the
+		// mirror does not show it yet. An older report was delayed in transit, and its
+		// list of attempts is outdated.
 		c.answer(v.Req, 503, unavailable("report out of date"))
 		return
 	}
-	if !c.proves(m, r) {
-		c.trust(v.Req, m, r, token)
+	if !c.provesCurrent(m, r) {
+		c.answerUnproven(v.Req, m, r, token)
 		return
 	}
-	c.listen(m, r, from.From)
-	c.heardFrom(m, r)
-	c.takeStock(m, r)
+	c.trackDelivery(m, r, origin.From)
+	c.applyMachineReport(m, r)
+	c.applyAttemptReports(m, r)
 	if c.cordons[m.name].Drain {
 		c.cordonSeen(m.name)
 	}
-	if !m.accounted && r.Token >= m.takenToken {
-		c.account(m, "report")
+	if !m.accounted && r.Token >= m.takeoverToken {
+		c.markAccounted(m, "report")
 	}
-	if c.dirty { // a slot that this report frees is refilled in its answer
-		c.dirty = false
-		c.place()
+	if c.placementDue { // capacity that this report frees is used again in its answer
+		c.placementDue = false
+		c.placeTasks()
 	}
 	reply := wire.ReportReply{Token: token, Commands: c.commands(m)}
-	m.lastOK = c.now
-	m.ear.Answered(r, token, from.From, reply.Commands)
+	m.lastAnswered = c.now
+	m.delivery.Answered(r, token, origin.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
-	c.desk.Forget(m)
+	c.desk.Remove(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
-		if !a.sent && a.status == "" {
-			unsent, urgent = true, urgent || !a.lesser
+		if !a.startSent && a.status == "" {
+			unsent, urgent = true, urgent || !a.belowUrgent
 		}
 	}
-	if unsent { // starts that are still being written
-		c.wantReport(m, urgent)
+	if unsent { // their starts are still being written
+		c.requestReport(m, urgent)
 	}
 	c.flush()
 }
 
-// proves tells whether a report is known to be no late copy. Who has held a machine since it
-// was rented knows its reports by their numbers. Who has taken it over knows none: there a
-// report proves itself by naming a token that was given after that. Where nothing can be from
-// before it may lack that, for it cost blocks that had just moved a report each, but only if it
-// names no task: a copy that did had the task started anew, which by then was elsewhere.
-func (c *Core) proves(m *machine, r *wire.Report) bool {
-	m.proven = m.proven || r.Token >= m.takenToken
-	return m.proven || !m.inherited && len(r.Attempts) == 0
+// provesCurrent reports whether a report is known not to be a late copy. A controller that has
+// held a machine since it was rented recognizes copies by their report numbers. One that has
+// taken it over knows no earlier numbers: there a report must name a token that was granted with
+// the takeover or later. On a machine that no earlier holder can have used, a report may lack
+// such a token, because requiring it cost one extra report for each machine of a block that had
+// just moved, but only if it lists no attempt: a late copy that listed one caused its task to be
+// started again although it was running elsewhere by then.
+func (c *Core) provesCurrent(m *machine, r *wire.Report) bool {
+	m.currentReportsProven = m.currentReportsProven || r.Token >= m.takeoverToken
+	return m.currentReportsProven || !m.inherited && len(r.Attempts) == 0
 }
 
-// trust answers a report that proves nothing, so that the next one can: with our token and
-// no command. It changes nothing else here, and is done a few times only: copies of the last
-// reports of a dead machine would otherwise put off the end of its lease, as we must count
-// it, one after the other.
-func (c *Core) trust(req uint64, m *machine, r *wire.Report, token uint64) {
+// answerUnproven answers a report that does not prove that it is current with the token and no
+// command, so that the next report can prove it. It accepts nothing else from the report, and
+// does so only a few times: each answer moves the time at which the machine's lease is certainly
+// over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
+func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	spent := m.trusted >= tuning.TrustReports || m.trusted > 0 && (c.now-m.trustedAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
-	if spent && m.inherited && !m.accounted {
+	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
+	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
 	}
-	m.trusted, m.trustedAt, m.lastOK = m.trusted+1, c.now, c.now
+	m.unprovenAnswers, m.unprovenAnsweredAt, m.lastAnswered = m.unprovenAnswers+1, c.now, c.now
 	c.answer(req, 200, wire.ReportReply{Token: token, Commands: []wire.Command{}})
 }
 
-// test has the next answer to a machine carry a higher token if it is in doubt whether the
-// machine hears: it came by another way, or as late as one that waited in vain.
-func (c *Core) test(m *machine, passed bool) {
+// testDelivery makes the next answer to a machine carry a higher token if it is doubtful whether
+// the worker receives its answers: the report came by another route, or as late as the report of
+// a worker that timed out waiting for an answer.
+func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	odd := m.reported && c.now-m.lastOK < c.p.Lease && (passed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.ear.Test(c.now, odd, c.p.Lease/2) {
-		m.raised = max(m.raised, c.rev)
+	suspicious := m.reported && c.now-m.lastAnswered < c.p.Lease && (relayed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
+	if m.delivery.StartTest(c.now, suspicious, c.p.Lease/2) {
+		m.raisedToken = max(m.raisedToken, c.rev)
 	}
 }
 
-// listen judges by a new report whether its worker hears what it is answered.
-func (c *Core) listen(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastOK < c.p.Lease && m.reported && !m.over
-	changed := m.ear.Report(r, via, lapsed)
-	if m.ear.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
+// trackDelivery infers from a new report whether its worker receives the answers sent to it.
+func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
+	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
+	if m.delivery.Suspected() && r.Addr != "" && !c.workers.LacksWorkers(c.now) {
 		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
-	if changed {
-		c.hearingChanged(m)
+	if verdictChanged {
+		c.deliveryChanged(m)
 	}
 }
 
-func (c *Core) hearingChanged(m *machine) {
-	c.touch(m)
-	c.dirty = true
+// deliveryChanged records that the verdict on whether a worker receives its answers has changed.
+func (c *Core) deliveryChanged(m *machine) {
+	c.markDirty(m)
+	c.placementDue = true
 	kind := trail.MachineHears
-	if m.ear.Deaf() {
+	if m.delivery.MissesAnswers() {
 		kind = trail.MachineDeaf
 	}
 	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
-	c.log(1, "worker hears what it is answered", "machine", m.name, "now", !m.ear.Deaf())
+	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.MissesAnswers())
 }
 
-// older tells whether a report is history: a later one of its worker is known.
-func (c *Core) older(m *machine, r *wire.Report) bool {
+// isStaleReport reports whether this report or a later one of the same worker is already known.
+func (c *Core) isStaleReport(m *machine, r *wire.Report) bool {
 	return r.Session < m.session || r.Session == m.session && r.Seq <= m.seq
 }
 
-// heardFrom takes what a machine's newest report says of the machine itself.
-func (c *Core) heardFrom(m *machine, r *wire.Report) {
+// applyMachineReport applies what a machine's newest report says about the machine itself.
+func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
 		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
 	}
-	if m.over {
-		c.touch(m)
+	if m.leaseOver {
+		c.markDirty(m)
 	}
-	m.session, m.seq, m.lastReport, m.over = r.Session, r.Seq, c.now, false
-	m.addr, m.seenToken = r.Addr, r.Token
-	if c.room.Heard(m, m.name, c.now) {
-		c.touch(m)
+	m.session, m.seq, m.lastReport, m.leaseOver = r.Session, r.Seq, c.now, false
+	m.addr, m.reportedToken = r.Addr, r.Token
+	if c.capacity.RecordReport(m, m.name, c.now) {
+		c.markDirty(m)
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.p.Nodes) > 1 { // told with the next pings, and forgotten then
-			c.addrs.CameUp(c.now, m.name)
+		if len(c.p.Nodes) > 1 { // sent to the peers with the next pings, and forgotten then
+			c.addrs.MachineUp(c.now, m.name)
 		}
 		c.boots.Up(c.now, m.name)
 		if m.fresh {
-			c.warm[m.name] = true
+			c.firstUseUnwritten[m.name] = true
 		}
 		m.idleSince = c.now
-		c.touch(m)
+		c.markDirty(m)
 		c.log(2, "machine reports", "machine", m.name, "block", m.block)
 	}
-	if r.NoticeS != nil && !m.notice {
-		m.notice, m.noticeAt = true, c.now+seconds(*r.NoticeS)
-		c.touch(m)
+	if r.NoticeS != nil && !m.terminationNotice {
+		m.terminationNotice, m.terminatesAt = true, c.now+seconds(*r.NoticeS)
+		c.markDirty(m)
 		c.noteMachine(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
-		c.log(1, "machine will be taken", "machine", m.name, "in_s", *r.NoticeS)
+		c.log(1, "machine will be terminated by the cloud", "machine", m.name, "in_s", *r.NoticeS)
 	}
 }
 
-// redirect answers a worker of a block this controller does not hold.
-func (c *Core) redirect(req uint64, r *wire.Report) {
+// redirectReport answers a worker of a block that this controller does not hold.
+func (c *Core) redirectReport(req uint64, r *wire.Report) {
 	if c.loaded {
 		if b := c.blockOf(r.Machine); b != nil && c.shards[b.rec.Shard] != nil {
 			s := c.shards[b.rec.Shard]
@@ -182,19 +187,19 @@
 			if n, up := c.nodes[holder]; !up || n.Boot != s.rec.Boot {
 				holder = ""
 			}
-			if to, ok := c.yielded[b.rec.Shard]; ok {
-				holder = to
+			if successor, ok := c.yielded[b.rec.Shard]; ok {
+				holder = successor
 			}
-			// What we know of the holder is old: two controllers that a cut had left
-			// without news sent workers to each other until their leases were over.
+			// The mirror may be out of date: two controllers that a network partition had cut
+			// off from updates redirected workers to each other until their leases were over.
 			if r.Token > c.rev || c.cutOff() {
 				holder = ""
 			}
-			if _, ours := c.relays.Through(req); holder != "" && holder != c.p.Node && !ours {
+			if _, relayed := c.relays.OriginOf(req); holder != "" && holder != c.p.Node && !relayed {
 				switch {
 				case c.relay(req, r, holder, s.ver):
-				case c.deaf(holder, b.rec.Shard): // it would wait there in vain
-					c.sendBeside(req, holder)
+				case c.holderUnreachable(holder, b.rec.Shard): // it would get no answer there
+					c.redirectToRelay(req, holder)
 				default:
 					c.answer(req, 421, wire.Redirect{Holder: holder})
 				}
@@ -212,15 +217,16 @@
 	c.answer(req, 503, unavailable("machine not known"))
 }
 
-// deaf tells whether a holder has said that workers do not reach it.
-func (c *Core) deaf(holder string, shard int) bool {
+// holderUnreachable reports whether a holder has announced that workers do not reach it, either
+// none at all or not those of this shard.
+func (c *Core) holderUnreachable(holder string, shard int) bool {
 	w := c.wordOf(holder)
 	return w.Lacks || slices.Contains(w.Seeks, shard)
 }
 
-// sendBeside sends a worker to a controller that passes its reports on to a holder whom
-// neither it nor we can reach, if there is one.
-func (c *Core) sendBeside(req uint64, holder string) {
+// redirectToRelay redirects a worker to a controller that can relay its reports to a holder
+// that neither the worker nor this controller can reach, if there is one.
+func (c *Core) redirectToRelay(req uint64, holder string) {
 	for _, n := range sortedKeys(c.nodes) {
 		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
 			c.answer(req, 421, wire.Redirect{Holder: n})
@@ -230,8 +236,8 @@
 	c.answer(req, 503, unavailable("holder does not hear its workers"))
 }
 
-// takeStock brings the attempts of a machine in line with its newest report.
-func (c *Core) takeStock(m *machine, r *wire.Report) {
+// applyAttemptReports updates the attempts of a machine from its newest report.
+func (c *Core) applyAttemptReports(m *machine, r *wire.Report) {
 	present := map[attemptKey]bool{}
 	for _, t := range r.Attempts {
 		k := attemptKey{t.Task, t.Attempt}
@@ -240,57 +246,57 @@
 		if a == nil {
 			job, idx, err := wire.ParseTask(t.Task)
 			if err != nil {
-				c.log(0, "report names no task", "machine", m.name, "task", t.Task)
+				c.log(0, "report contains an invalid task name", "machine", m.name, "task", t.Task)
 				continue
 			}
-			a = &attempt{key: k, job: job, idx: idx, m: m, sent: true, created: c.now, running: c.now}
+			a = &attempt{key: k, job: job, taskIndex: idx, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
 			if e := c.jobs[job]; e != nil {
-				a.size, a.team, a.known, a.lesser, a.idle = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
-				c.touchJob(e)
+				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
+				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
-					if o := e.run.active[idx]; o != nil {
-						// One of the two is history, told by a delayed report; the
-						// next reports settle which.
-						c.log(0, "task named on two machines", "task", t.Task, "on", o.m.name, "and", m.name)
-						a.stop = o.m.accounted && m.accounted && o.m != m
+					if other := e.run.active[idx]; other != nil {
+						// One of the two is outdated and comes from a delayed report; the
+						// next reports show which.
+						c.log(0, "task reported by two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
+						a.stopping = other.machine.accounted && m.accounted && other.machine != m
 					} else {
 						e.run.active[idx] = a
-						e.run.retry = slices.DeleteFunc(e.run.retry, func(k int) bool { return k == idx })
+						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == idx })
 					}
 				}
 			}
 			c.addAttempt(a)
 		}
 		if a.status == t.Status {
-			c.hasProved(a)
+			c.countLongRunning(a)
 			continue
 		}
 		was := a.status
 		a.status, a.cause = t.Status, t.Cause
 		if t.Status == wire.TaskRunning || t.Status == wire.TaskSaving || t.Status == wire.TaskEnded && t.Cause == wire.CauseDone {
-			// After a takeover, what ended meanwhile tells it too: without that, tasks
-			// went where their image was not, and fetched it again.
-			c.hasImage(m, a.job)
+			// After a takeover, a task that has ended meanwhile shows it as well: without
+			// that, tasks were placed on machines without their image and fetched it again.
+			c.noteImage(m, a.job)
 		}
 		switch t.Status {
 		case wire.TaskRunning:
-			a.running = c.now
+			a.runningSince = c.now
 			c.noteBack(trail.TaskRuns, a)
-			c.log(2, "task runs", "task", a.key.task, "machine", m.name, "after", (c.now - a.created).String())
+			c.log(2, "task running", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
 		case wire.TaskEnded:
-			m.sum.ok = false
-			c.touch(m)
+			m.usage.valid = false
+			c.markDirty(m)
 			c.attemptEnded(a, was)
 		}
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		if present[k] || (!a.sent && a.status == "") {
+		if present[k] || (!a.startSent && a.status == "") {
 			continue
 		}
-		// A newer report without it: the answer that carried the start was
-		// dropped, the session is over, or it was cleared.
-		c.attemptGone(a, "not on its machine")
+		// A newer report does not list it: the answer that carried its start was
+		// lost, the session has ended, or the attempt was cleared.
+		c.attemptLost(a, "not on its machine")
 	}
 	if len(m.attempts) > 0 {
 		m.idleSince = c.now
@@ -298,37 +304,37 @@
 	c.updateImageUse(m)
 }
 
-// hasImage notes that a machine has the image of a job whose task ran there.
-func (c *Core) hasImage(m *machine, job string) {
+// noteImage records that a machine has the image of a job, because a task of it ran there.
+func (c *Core) noteImage(m *machine, job string) {
 	if e := c.jobs[job]; e != nil && !m.images[e.rec.Image] {
 		m.images[e.rec.Image] = true
 		c.caches.Learned(m.shard)
 	}
 }
 
-// attemptEnded handles an attempt's end as its worker reports it.
+// attemptEnded handles the end of an attempt that its worker has reported. was is the status before.
 func (c *Core) attemptEnded(a *attempt, was string) {
 	e := c.jobs[a.job]
 	if e == nil || e.run == nil {
 		return
 	}
-	c.touchJob(e)
+	c.markJobDirty(e)
 	if a.cause == wire.CauseDone {
 		if was == wire.TaskRunning {
-			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.running)
+			c.runs.Record(e.rec.Class, e.rec.EstimateS, c.now-a.runningSince)
 		}
-		e.run.done = e.run.done.Add(a.idx)
-		e.run.fails = 0
-		c.sicken(c.health.Completed(a.job, a.m.name))
-		if o := e.run.active[a.idx]; o == a {
-			delete(e.run.active, a.idx)
+		e.run.done = e.run.done.Add(a.taskIndex)
+		e.run.failures = 0
+		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
+		if current := e.run.active[a.taskIndex]; current == a {
+			delete(e.run.active, a.taskIndex)
 		}
-		e.run.retry = slices.DeleteFunc(e.run.retry, func(k int) bool { return k == a.idx })
-		c.log(2, "task done", "task", a.key.task, "machine", a.m.name)
+		e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == a.taskIndex })
+		c.log(2, "task done", "task", a.key.task, "machine", a.machine.name)
 		return
 	}
-	if e.run.active[a.idx] == a {
-		c.endActive(e, a)
+	if e.run.active[a.taskIndex] == a {
+		c.deactivateAttempt(e, a)
 		if a.cause == wire.CauseHalted {
 			c.noteTask(trail.TaskLost, a, "stopped")
 		}
@@ -337,54 +343,55 @@
 		return
 	}
 	c.noteTask(trail.TaskFailed, a, a.cause)
-	c.log(1, "task ended", "task", a.key.task, "machine", a.m.name, "cause", a.cause, "was", was)
+	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", was)
 	if a.cause == wire.CauseError {
 		c.taskFailed(e, a)
 		return
 	}
-	e.run.fails++
-	e.run.notYet = c.now + min(tuning.ErrorBackoff<<min(e.run.fails-1, 10), tuning.ErrorBackoffMax)
+	e.run.failures++
+	e.run.notBefore = c.now + min(tuning.ErrorBackoff<<min(e.run.failures-1, 10), tuning.ErrorBackoffMax)
 }
 
-// commands for a machine, in answer to its report.
+// commands returns the commands for a machine, in answer to its report.
 func (c *Core) commands(m *machine) []wire.Command { return c.commandsFor(m, false) }
 
-// startable tells whether a reserved attempt's start is written, so that it may be made.
+// startable reports whether the start of a reserved attempt is recorded in the state service, so that
+// the command may be sent.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && !a.stop && !a.m.fresh && e.rec.Started > a.idx && (!tracked(&e.rec) || onOf(&e.rec, a.idx) == a.m.name)
+	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex && (!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
 }
 
-// commandsFor lists commands for a machine; a look changes nothing.
-func (c *Core) commandsFor(m *machine, look bool) []wire.Command {
+// commandsFor returns the commands for a machine. A preview changes nothing and leaves out starts.
+func (c *Core) commandsFor(m *machine, preview bool) []wire.Command {
 	cmds := []wire.Command{}
 	if !m.accounted {
 		return cmds
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		if len(cmds) >= 200 {
-			break // the rest comes with the next report; a reply has its limit
+			break // the size of a reply is limited; the rest follows with the next report
 		}
 		a := m.attempts[k]
 		e := c.jobs[a.job]
 		live := e != nil && e.run != nil
 		switch {
 		case a.status == wire.TaskEnded:
-			// Cleared only once the outcome is written, or has no bearing.
-			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.idx) {
-				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.try})
+			// Cleared only once the outcome is recorded or no longer matters.
+			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.taskIndex) {
+				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
-		case !live || a.stop:
-			if a.sent {
-				g := a.graceS
+		case !live || a.stopping:
+			if a.startSent {
+				graceS := a.stopGraceS
 				if !live {
-					g = 0
+					graceS = 0
 				}
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.try, GraceS: &g})
+				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
 			}
-		case a.status == "" && c.startable(a) && !look:
+		case a.status == "" && c.startable(a) && !preview:
 			if run, now := c.runCommand(a); now {
-				a.sent = true
+				a.startSent = true
 				c.noteBack(trail.TaskAgain, a)
 				cmds = append(cmds, run)
 			}
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -1,25 +1,25 @@
 package core
 
 import (
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
 // putTierOrder applies a new tier order and ranks all jobs by it.
 func (c *Core) putTierOrder(r wire.Ladder) {
-	c.rungs, c.ladder = r, ladder.Of(r)
+	c.rungs, c.ladder = r, tiers.NewOrder(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
-		c.touchJob(e)
+		c.markJobDirty(e)
 	}
 	c.rankWaitingJobs()
 }
 
 // tierOrderView returns the tier order that is in force, for the admin interface.
 func (c *Core) tierOrderView() wire.LadderView {
-	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Rungs()}
+	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Tiers()}
 }
 
 // onAdminTiers answers with the tier order, or checks and writes a new one.
@@ -33,19 +33,19 @@
 		return
 	}
 	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
-	if err := ladder.Check(v.Patch.Rungs, known); err != nil {
+	if err := tiers.Validate(v.Patch.Rungs, known); err != nil {
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
 	version := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(ladder.Revise(c.rungs, version, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, ladder.Shorter)
+	rec := limits.Fit(tiers.Revise(c.rungs, version, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, tiers.DropOldestChange)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
 	switch {
 	case v.Patch.Check:
-		c.answer(v.Req, 200, wire.LadderView{Version: version, Ladder: rec, All: ladder.Of(rec).Rungs()})
+		c.answer(v.Req, 200, wire.LadderView{Version: version, Ladder: rec, All: tiers.NewOrder(rec).Tiers()})
 	case v.Patch.Version != version:
 		c.answer(v.Req, 409, c.tierOrderView())
 	default:
@@ -65,7 +65,7 @@
 	for _, e := range c.jobsByAge() {
 		jobs = append(jobs, &e.rec)
 	}
-	ordered, digest := c.ladder.Order(jobs)
+	ordered, digest := c.ladder.SortJobs(jobs)
 	c.answer(v.Req, 200, wire.OrderView{
 		Node:     c.p.Node,
 		Revision: c.rev,
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -66,7 +66,7 @@
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 3))
 	w.run(40 * sec)
 	c := w.nodes[holder].core
-	if via := c.ways.Around(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
+	if via := c.ways.BestPeer(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
 		t.Errorf("%s goes through %q, confirmed %v ago", holder, via, c.now-c.lastConfirmed())
 	}
 	if w.check.Final("job-000001") == "" {
@@ -247,18 +247,18 @@
 			m = x
 		}
 	}
-	if m == nil || m.lastOK == 0 {
+	if m == nil || m.lastAnswered == 0 {
 		t.Fatalf("the replicas are not known to %s", next.p.Node)
 	}
 	// What is not its report, or of another's token, accounts for nothing.
 	m.inherited, m.accounted = true, false
-	next.open[m.shard]++
+	next.unaccountedMachines[m.shard]++
 	next.roll.Add(m, false)
 	r, _ := w.machines[m.name].Inspect(w.now)
 	for what, d := range map[string]OrderDone{
 		"another machine's":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"refused":            {Machine: m.name, Status: 409, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
-		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takenToken - 1}},
+		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takeoverToken - 1}},
 		"with a later token": {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: 1 << 40}},
 		"only looked at":     {Machine: m.name, Status: 200, Look: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"older":              {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: 1, Token: r.Token}},
@@ -403,13 +403,13 @@
 	// They may have been heard on the way to their holder: that is not what is tested.
 	for _, n := range w.nodes {
 		if n.core != holder {
-			n.core.addrs = takeover.NewBook()
+			n.core.addrs = takeover.NewAddressBook()
 		}
 	}
 	w.run(700 * time.Millisecond) // a ping, and no list
 	for _, name := range names {
 		for _, n := range sortedKeys(w.nodes) {
-			if _, known := w.nodes[n].core.addrs.Of(name); !known {
+			if _, known := w.nodes[n].core.addrs.Lookup(name); !known {
 				t.Errorf("%s does not know where %s listens", n, name)
 			}
 		}
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -29,7 +29,7 @@
 		Zone:  m.zone,
 		Addr:  m.addr,
 		Shard: m.shard,
-		Rate:  c.types[m.typ].FetchGBps,
+		Rate:  c.types[m.machineType].FetchGBps,
 	}
 }
 
@@ -37,9 +37,9 @@
 // according to the machine's newest report.
 func (c *Core) updateImageUse(m *machine) {
 	var uses []weights.Use
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		if e := c.jobs[a.job]; e != nil && a.sent && a.status != wire.TaskEnded {
+		if e := c.jobs[a.job]; e != nil && a.startSent && a.status != wire.TaskEnded {
 			uses = append(uses, weights.Use{
 				Image: e.rec.Image,
 				GB:    e.rec.ImageGB,
@@ -53,9 +53,9 @@
 // runCommand returns the command that starts a reserved attempt, with the machines that its image is
 // fetched from, or false if the fetch has to wait.
 func (c *Core) runCommand(a *attempt) (wire.Command, bool) {
-	cmd, e, startNow := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.try}, c.jobs[a.job], true
-	if !a.m.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
-		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.m), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+	cmd, e, startNow := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.number}, c.jobs[a.job], true
+	if !a.machine.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
+		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.machine), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
 	}
 	return cmd, startNow
 }
@@ -63,7 +63,7 @@
 // shardImages lists the images that a shard's machines have cached.
 func (c *Core) shardImages(shard int) (images []weights.MachineImages) {
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && !m.drop && len(m.images) > 0 {
+		if m.shard == shard && !m.returning && len(m.images) > 0 {
 			images = append(images, weights.MachineImages{Machine: m.name, Images: sortedKeys(m.images)})
 		}
 	}
@@ -73,13 +73,13 @@
 // publishImages periodically writes which images the machines of a held shard have, and the plans for
 // images that many machines fetch.
 func (c *Core) publishImages() {
-	if c.telling || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
+	if c.writingImages || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
 		return
 	}
-	if write, due := c.weights.Next(c.now, sortedInts(c.held), c.mine, c.shardImages, c.p.ValueBytes-256); due {
-		c.telling = true
+	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.mine, c.shardImages, c.p.ValueBytes-256); due {
+		c.writingImages = true
 		c.commit(LaneLater, []wire.Condition{c.shardCond(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
-			c.telling = false
+			c.writingImages = false
 			write.Done(c.now, r.Status == 200)
 		})
 	}
