--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -36,10 +36,10 @@
 
 // putWaitingJob applies a new version of a waiting job.
 func (c *Core) putWaitingJob(r wire.Job, ver uint64) {
-	c.waitingJobs[r.ID] = &jobEntry{rec: r, ver: ver}
+	c.waitingJobs[r.ID] = &jobEntry{record: r, version: ver}
 	c.dependencies.Put(r.ID, r.Predecessors, c.demandOf(&r))
 	for _, p := range r.Predecessors {
-		if f, ok := c.finals[p]; ok {
+		if f, ok := c.finalStates[p]; ok {
 			c.dependencies.End(p, f.Status == wire.JobDone, f.By)
 		}
 	}
@@ -59,10 +59,10 @@
 // stageOf returns what a job's expected length depends on, and how many seconds the machines that it may
 // use take to boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
-	rate, boot := supply.FetchAndBootBounds(c.types, j.Types)
+	rate, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
 	s = dependency.Stage{
 		Tasks:  j.Tasks,
-		Run:    c.runs.Typical(j.Class, j.EstimateS).Seconds(),
+		Run:    c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
 		Spread: tuning.ChainSpread,
 		Begin:  tuning.ChainBegin.Seconds(),
 	}
@@ -76,7 +76,7 @@
 // tasks run on machines of this holder.
 func (c *Core) remainingSeconds(id string) float64 {
 	e := c.jobs[id]
-	if e == nil || e.run == nil || e.run.pendingTasks(&e.rec) > 0 || e.run.inheritedBelow > 0 {
+	if e == nil || e.run == nil || e.run.pendingTasks(&e.record) > 0 || e.run.inheritedBelow > 0 {
 		return inf
 	}
 	var lastStart Time
@@ -86,7 +86,7 @@
 		}
 		lastStart = max(lastStart, a.runningSince)
 	}
-	stage, _ := c.stageOf(&e.rec)
+	stage, _ := c.stageOf(&e.record)
 	return stage.Left((c.now - lastStart).Seconds())
 }
 
@@ -95,8 +95,8 @@
 // then. They are requested at a tier of normal work.
 func (c *Core) startingSoon(shard int) (list []*wire.Job) {
 	for _, id := range c.dependencies.Waiting() {
-		job := &c.waitingJobs[id].rec
-		if c.shardOf(job.Team) != shard {
+		job := &c.waitingJobs[id].record
+		if c.shardOfTeam(job.Team) != shard {
 			continue
 		}
 		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
@@ -111,7 +111,7 @@
 	stage, _ := c.stageOf(j)
 	return dependency.Demand{
 		Priority: wire.PriorityRank(j.Priority),
-		Rank:     c.ladder.Rank(j),
+		Rank:     c.tierOrder.Rank(j),
 		Due:      c.objectives.Due(objectiveWork(j)),
 		Length:   dependency.Length(stage),
 	}
@@ -121,23 +121,23 @@
 // full priority and tier are inherited only once there is little slack. Until then the job ranks at most
 // as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
-	inherited := c.dependencies.Inherited(e.rec.ID)
-	e.prio, e.rank, e.due = wire.PriorityRank(e.rec.Priority), c.ladder.Rank(&e.rec), inherited.Due
-	if inherited.Priority > e.prio {
-		if own := c.demandOf(&e.rec); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
-			normal := e.rec
+	inherited := c.dependencies.Inherited(e.record.ID)
+	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
+	if inherited.Priority > e.priority {
+		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+			normal := e.record
 			normal.Priority = wire.PriorityName(normalRank)
-			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.ladder.Rank(&normal))
+			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.tierOrder.Rank(&normal))
 		}
 	}
-	e.prio, e.rank = max(e.prio, inherited.Priority), max(e.rank, inherited.Rank)
+	e.priority, e.rank = max(e.priority, inherited.Priority), max(e.rank, inherited.Rank)
 	if e.run == nil {
 		return
 	}
 	for _, k := range sortedIntKeys(e.run.active) {
-		if a := e.run.active[k]; a.sizeKnown && (a.belowUrgent != (e.prio < urgentRank) || a.idlePriority != (e.prio <= idleRank)) {
+		if a := e.run.active[k]; a.sizeKnown && (a.belowUrgent != (e.priority < urgentRank) || a.idlePriority != (e.priority <= idleRank)) {
 			c.removeAttempt(a)
-			a.belowUrgent, a.idlePriority = e.prio < urgentRank, e.prio <= idleRank
+			a.belowUrgent, a.idlePriority = e.priority < urgentRank, e.priority <= idleRank
 			c.addAttempt(a)
 		}
 	}
@@ -157,7 +157,7 @@
 // order or of the expected run times.
 func (c *Core) rankWaitingJobs() {
 	for _, id := range c.dependencies.Waiting() {
-		r := &c.waitingJobs[id].rec
+		r := &c.waitingJobs[id].record
 		c.dependencies.Put(id, r.Predecessors, c.demandOf(r))
 	}
 	for _, id := range c.dependencies.Waiting() {
@@ -176,14 +176,14 @@
 // are cancelled end. A cancellation already follows from the stored end of another job, so it is written
 // at low priority.
 func (c *Core) processWaitingJobs() {
-	if c.every("rankWaiting", tuning.ChainRank) {
+	if c.dueEvery("rankWaiting", tuning.ChainRank) {
 		c.rankWaitingJobs()
 	}
 	if c.announcedChains.Waiting != len(c.waitingJobs) {
 		c.announcedChains.Waiting = len(c.waitingJobs)
-		c.out = append(c.out, c.announcedChains)
+		c.effects = append(c.effects, c.announcedChains)
 	}
-	if !c.recheckWaiting || c.movingWaiting || c.readingOutcomes || c.now < c.retryAt["chains"] {
+	if !c.recheckWaiting || c.movingWaiting || c.readingOutcomes || c.now < c.notBefore["chains"] {
 		return
 	}
 	c.recheckWaiting = false
@@ -191,7 +191,7 @@
 	var lookUp []string
 	cancelledBy := map[string]string{}
 	for _, id := range c.dependencies.Waiting() {
-		if !c.mine(c.shardOf(c.waitingJobs[id].rec.Team)) {
+		if !c.holdsShard(c.shardOfTeam(c.waitingJobs[id].record.Team)) {
 			continue
 		}
 		switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
@@ -213,7 +213,7 @@
 		slices.Sort(lookUp)
 		c.readOutcomes(slices.Compact(lookUp), func(bool) {
 			c.readingOutcomes, c.recheckWaiting = false, true
-			c.changed()
+			c.mirrorChanged()
 		})
 	}
 }
@@ -233,14 +233,14 @@
 		}
 		e := c.waitingJobs[id]
 		keys = append(keys, waitingKey(id))
-		b.conditions = append(b.conditions, wire.Condition{Key: waitingKey(id), Version: e.ver}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
+		b.conditions = append(b.conditions, wire.Condition{Key: waitingKey(id), Version: e.version}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
 		if cancelledBy != nil {
 			finals[id] = wire.Final{Status: wire.JobAborted, By: cancelledBy[id]}
 			change.Value = finals[id]
 		} else {
-			rec := e.rec
-			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.topRev
+			rec := e.record
+			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.newestRevision
 			change = wire.Change{Put: jobKey(id), Value: rec}
 		}
 		b.changes = append(b.changes, wire.Change{Delete: waitingKey(id)}, change)
@@ -250,20 +250,20 @@
 		c.movingWaiting, c.recheckWaiting, c.oneJobPerWrite = false, true, r.Status == 409
 		for _, id := range sortedKeys(finals) {
 			if r.Status == 200 {
-				c.keepFinal(id, finals[id], r.Txn.Revision)
+				c.cacheFinal(id, finals[id], r.Txn.Revision)
 			}
 		}
 		if r.Status == 200 {
-			c.noteMoved(ids[:len(keys)], cancelledBy)
+			c.recordDependentsMoved(ids[:len(keys)], cancelledBy)
 		}
 		if r.Status != 200 {
-			c.retryAt["chains"] = c.now + tuning.RetryAfter/2
+			c.notBefore["chains"] = c.now + tuning.RetryAfter/2
 			for _, k := range keys {
-				c.refresh(k)
+				c.rereadKey(k)
 			}
 		}
 		c.log(2, "waiting jobs moved", "jobs", len(keys), "cancelled", cancelledBy != nil, "status", r.Status)
-		c.changed()
+		c.mirrorChanged()
 	})
 }
 
@@ -275,16 +275,16 @@
 		return
 	}
 	id := ids[0]
-	if final, known := c.finals[id]; known || c.isLive(id) {
+	if final, known := c.finalStates[id]; known || c.isLive(id) {
 		if known {
 			c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 		}
 		c.readOutcomes(ids[1:], done)
 		return
 	}
-	c.lookAt(id, []string{finalKey(id)}, func(at found) {
-		if at.fin == nil {
-			c.retryAt["chains"] = c.now + tuning.RetryAfter
+	c.lookUpKeys(id, []string{finalKey(id)}, func(at jobLookup) {
+		if at.final == nil {
+			c.notBefore["chains"] = c.now + tuning.RetryAfter
 			done(false)
 			return
 		}
@@ -299,10 +299,10 @@
 		done(false)
 		return
 	}
-	c.state(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.rev}, func(r StateReply) {
+	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(r StateReply) {
 		if r.Status == 200 {
-			c.follow(&r.Events)
-			c.changed()
+			c.applyEvents(&r.Events)
+			c.mirrorChanged()
 		}
 		done(r.Status == 200 && !c.loading)
 	})
@@ -311,18 +311,18 @@
 // evaluateWaiting completes a lookup that found a job waiting. The mirror must be as recent as the lookup
 // itself, so that a user who was told that a predecessor is cancelled gets the same answer for this job.
 // If it is not (fresh is false), the lookup fails.
-func (c *Core) evaluateWaiting(id string, at found, fresh bool, done func(found)) {
+func (c *Core) evaluateWaiting(id string, at jobLookup, fresh bool, done func(jobLookup)) {
 	if !fresh {
-		done(found{})
+		done(jobLookup{})
 		return
 	}
 	if !c.isWaiting(id) {
-		c.look(id, done) // it was moved meanwhile
+		c.lookUpJob(id, done) // it was moved meanwhile
 		return
 	}
 	switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
 	case dependency.Cancelled:
-		done(found{fin: &wire.Final{Status: wire.JobAborted, By: verdict.By}, ok: true})
+		done(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: verdict.By}, ok: true})
 	case dependency.Unknown:
 		c.readOutcomes(verdict.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, done) })
 	default:
@@ -336,7 +336,7 @@
 	refuse := func(status int, why string) {
 		known(func() { c.answer(req, status, wire.Problem{Error: why}) })
 	}
-	if !c.understood(rollout.Chains) {
+	if !c.featureEnabled(rollout.Chains) {
 		refuse(503, "awaits: not before all controllers understand it")
 		return
 	}
@@ -352,21 +352,21 @@
 			return
 		}
 		id := remaining[0]
-		judge := func(at found) {
+		judge := func(at jobLookup) {
 			switch {
 			case !at.ok:
 				refuse(503, "awaits: "+id+" cannot be looked up now")
 				return
-			case at.job == nil && at.fin == nil:
+			case at.job == nil && at.final == nil:
 				refuse(422, "awaits: "+id+" was never accepted")
 				return
-			case at.fin == nil && at.job.Shape == wire.ShapeService:
+			case at.final == nil && at.job.Shape == wire.ShapeService:
 				refuse(422, "awaits: "+id+" is a service, which is never done")
 				return
-			case at.fin == nil:
+			case at.final == nil:
 				allDone = false
-			case at.fin.Status != wire.JobDone && cancelledBy == "":
-				if cancelledBy = at.fin.By; cancelledBy == "" {
+			case at.final.Status != wire.JobDone && cancelledBy == "":
+				if cancelledBy = at.final.By; cancelledBy == "" {
 					cancelledBy = id
 				}
 			}
@@ -374,11 +374,11 @@
 		}
 		// A job in the mirror was accepted, whatever happened to it since.
 		if e := c.jobs[id]; e != nil {
-			judge(found{job: &e.rec, ok: true})
+			judge(jobLookup{job: &e.record, ok: true})
 		} else if e := c.waitingJobs[id]; e != nil {
-			judge(found{job: &e.rec, ok: true})
+			judge(jobLookup{job: &e.record, ok: true})
 		} else {
-			c.look(id, judge)
+			c.lookUpJob(id, judge)
 		}
 	}
 	next(job.Predecessors)
@@ -392,11 +392,11 @@
 	switch {
 	case cancelledBy != "":
 		f := wire.Final{Status: wire.JobAborted, By: cancelledBy}
-		c.accept(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
+		c.acceptJob(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
 	case allDone:
-		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.topRev
-		c.accept(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
+		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.newestRevision
+		c.acceptJob(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
 	default:
-		c.accept(req, &job, wire.Change{Put: waitingKey(id), Value: job}, status, known)
+		c.acceptJob(req, &job, wire.Change{Put: waitingKey(id), Value: job}, status, known)
 	}
 }
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -10,21 +10,21 @@
 // onAdminChain answers with the chain of a job: all jobs that it depends on and that depend on it.
 func (c *Core) onAdminChain(v AdminChain) {
 	if !c.loaded || !wire.ValidJobID(v.ID) {
-		c.answerFound(v.Req, v.ID, found{ok: c.loaded})
+		c.answerLookup(v.Req, v.ID, jobLookup{ok: c.loaded})
 		return
 	}
 	if c.jobs[v.ID] != nil || c.isWaiting(v.ID) {
-		c.answer(v.Req, 200, dependency.View(c.p.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
+		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
 		return
 	}
-	c.look(v.ID, func(at found) {
-		if !at.ok || at.fin == nil {
-			c.answerFound(v.Req, v.ID, at)
+	c.lookUpJob(v.ID, func(at jobLookup) {
+		if !at.ok || at.final == nil {
+			c.answerLookup(v.Req, v.ID, at)
 			return
 		}
-		f := at.fin
+		f := at.final
 		seen := map[string]dependency.Seen{v.ID: {Status: finalStatus(v.ID, *f), By: f.By}}
-		c.answer(v.Req, 200, dependency.View(c.p.Node, v.ID, float64(c.wall.UnixMilli())/1000, seen))
+		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, seen))
 	})
 }
 
@@ -54,19 +54,19 @@
 		}
 		e, view := c.jobs[id], dependency.Seen{}
 		if waiting := c.waitingJobs[id]; waiting != nil {
-			e, view.Waits, view.Status = waiting, true, c.statusOf(&waiting.rec)
+			e, view.Waits, view.Status = waiting, true, c.jobStatus(&waiting.record)
 			if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
 				view.Status.Status, view.By = wire.JobAborted, v.By
 			}
 		} else if e != nil {
-			view.Status = c.statusOf(&e.rec)
-		} else if f, known := c.finals[id]; known {
+			view.Status = c.jobStatus(&e.record)
+		} else if f, known := c.finalStates[id]; known {
 			view.Status, view.By = finalStatus(id, f), f.By
 		}
 		if e != nil {
-			own := c.demandOf(&e.rec)
-			view.Job, view.Length, view.Due, view.Inherited = &e.rec, own.Length, own.Due, c.dependencies.Inherited(id)
-			unvisited = append(unvisited, e.rec.Predecessors...)
+			own := c.demandOf(&e.record)
+			view.Job, view.Length, view.Due, view.Inherited = &e.record, own.Length, own.Due, c.dependencies.Inherited(id)
+			unvisited = append(unvisited, e.record.Predecessors...)
 		}
 		seen[id] = view
 	}
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -41,7 +41,7 @@
 func (w crewWork) Jobs() iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
 		for _, e := range w.c.jobsByAge() {
-			if !yield(&e.rec) {
+			if !yield(&e.record) {
 				return
 			}
 		}
@@ -51,27 +51,27 @@
 // Left returns how many tasks of a live job are not done, and the expected run time of one.
 func (w crewWork) Left(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
-	left := e.rec.Tasks - w.c.knownDone(e).Count()
+	left := e.record.Tasks - w.c.knownDone(e).Count()
 	if e.run != nil {
-		left = e.rec.Tasks - e.run.done.Count()
+		left = e.record.Tasks - e.run.done.Count()
 	}
-	return left, w.c.runs.Typical(e.rec.Class, e.rec.EstimateS)
+	return left, w.c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 }
 
 // CPUs returns the CPUs that a team may use in a zone, or in all zones if it is empty.
 func (w crewWork) CPUs(team, zone string) (cpus float64) {
-	i := w.c.shardOf(team)
+	i := w.c.shardOfTeam(team)
 	for _, id := range w.c.blockIDs() {
-		if b := w.c.blocks[id]; b.rec.Shard == i && (zone == "" || b.rec.Zone == zone) {
-			cpus += w.c.blockCPUs(&b.rec)
+		if b := w.c.blocks[id]; b.record.Shard == i && (zone == "" || b.record.Zone == zone) {
+			cpus += w.c.blockCPUs(&b.record)
 		}
 	}
-	return min(cpus, w.c.p.Teams[team].CPUsMax)
+	return min(cpus, w.c.params.Teams[team].CPUsMax)
 }
 
 // Ended returns whether a job is live, and its final status if it is known to be over.
 func (w crewWork) Ended(job string) (bool, string) {
-	return w.c.jobs[job] != nil, w.c.finals[job].Status
+	return w.c.jobs[job] != nil, w.c.finalStates[job].Status
 }
 
 // crewDue returns the time (Unix seconds) by which a departure needs a job done, or +Inf.
@@ -89,20 +89,20 @@
 // planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
 // past departures.
 func (c *Core) planCrews() {
-	if c.calendar.Idle() || !c.confirmed() || !c.every("crews", tuning.CrewEvery) {
+	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
 		return
 	}
-	served := func(team string) bool { i := c.shardOf(team); return i >= 0 && c.mine(i) }
+	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
 	for _, event := range events {
-		name, shard, outcome := event.Crew.Rec.Name, c.shardOf(event.Crew.Rec.Team), event.Outcome
+		name, shard, outcome := event.Crew.Rec.Name, c.shardOfTeam(event.Crew.Rec.Team), event.Outcome
 		if outcome == nil {
-			c.noteShard(trail.CrewMiss, shard, wire.TrailEvent{Count: event.Plan.Miss, Why: name + ": " + event.Plan.Say})
+			c.recordShardEvent(trail.CrewMiss, shard, wire.TrailEvent{Count: event.Plan.Miss, Why: name + ": " + event.Plan.Say})
 			c.log(1, "departure", "crew", name, "plan", event.Plan.Say)
 			continue
 		}
-		c.noteShard(trail.CrewLeft, shard, wire.TrailEvent{Count: outcome.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS)})
-		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardCond(shard), func(StateReply) {})
+		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{Count: outcome.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS)})
+		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
@@ -125,13 +125,13 @@
 // rentAhead has the leader rent machines for work that crews expect. The request names are stored in the
 // crew's record before any request is sent, so every leader sends the same requests and no more.
 func (c *Core) rentAhead() {
-	if len(c.calendar.Names()) == 0 || len(c.types) == 0 || !c.every("ahead", tuning.CrewEvery) {
+	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewEvery) {
 		return
 	}
 	leader := &c.leader
 	for _, name := range c.calendar.Names() {
 		entry, leaves, booked, ok := c.calendar.Expects(name, c.wall)
-		shard := c.shardOf(entry.Rec.Team)
+		shard := c.shardOfTeam(entry.Rec.Team)
 		if !ok || shard < 0 {
 			continue
 		}
@@ -165,19 +165,19 @@
 		MemGB: expected.MemoryGB,
 		Tasks: expected.Tasks,
 	}
-	offers := supply.Offers(c.types, need, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot)
+	offers := supply.Offers(c.machineTypes, need, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
 	factor := 1.0
 	for _, class := range entry.Rec.Classes {
-		factor = max(factor, c.runs.Factor(class))
+		factor = max(factor, c.runTimes.Factor(class))
 	}
-	offer, machineType := &offers[0], c.types[offers[0].Type]
-	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.p.Teams[entry.Rec.Team].CPUsMax,
+	offer, machineType := &offers[0], c.machineTypes[offers[0].Type]
+	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.params.Teams[entry.Rec.Team].CPUsMax,
 		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.changed() })
+		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
 	}
 }
 
@@ -190,19 +190,19 @@
 
 // awaitsCrew reports whether machines of a shard were rented ahead of a departure that has not come yet.
 func (c *Core) awaitsCrew(shard int) bool {
-	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOf(team) == shard })
+	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOfTeam(team) == shard })
 }
 
 // publishBias writes how far run time estimates are off, for the held shards where that has changed.
 func (c *Core) publishBias() {
-	if !c.every("bias", tuning.BiasEvery) {
+	if !c.dueEvery("bias", tuning.BiasEvery) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if stored := c.biases[biasKey(i)]; c.mine(i) && c.runs.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardCond(i)}, []wire.Change{{
+		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
 				Put:   biasKey(i),
-				Value: limits.Fit(wire.Bias{Classes: c.runs.Export(tuning.BiasLeast)}, c.p.ValueBytes, forecast.DropLeastKnownClass),
+				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.ValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
 		}
 	}
@@ -237,21 +237,21 @@
 			c.answer(v.Req, 200, view(entry))
 		default:
 			c.commit(LaneUser, []wire.Condition{{Key: key, Version: v.Ver}}, []wire.Change{{Delete: key}}, func(r StateReply) {
-				c.adminDone(v.Req, r, func() any { return view(entry) })
+				c.answerAdminWrite(v.Req, r, func() any { return view(entry) })
 			})
 		}
 		return
 	}
-	team := func(name string) bool { _, ok := c.p.Teams[name]; return ok }
+	team := func(name string) bool { _, ok := c.params.Teams[name]; return ok }
 	zone := func(name string) bool {
-		for _, machineType := range c.types {
+		for _, machineType := range c.machineTypes {
 			if slices.Contains(machineType.Zones, name) {
 				return true
 			}
 		}
 		return false
 	}
-	switch to, err := c.calendar.Revise(v.Name, v.Patch.Crew, c.wall, c.p.Node, team, zone); {
+	switch to, err := c.calendar.Revise(v.Name, v.Patch.Crew, c.wall, c.params.Node, team, zone); {
 	case err != nil:
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 	case v.Patch.DryRun:
@@ -260,7 +260,7 @@
 		c.answer(v.Req, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	default:
 		c.commit(LaneUser, []wire.Condition{{Key: key, Version: to.Ver}}, []wire.Change{{Put: key, Value: to.Rec}}, func(r StateReply) {
-			c.adminDone(v.Req, r, func() any { return view(&calendar.Entry{Rec: to.Rec, Ver: r.Txn.Revision}) })
+			c.answerAdminWrite(v.Req, r, func() any { return view(&calendar.Entry{Rec: to.Rec, Ver: r.Txn.Revision}) })
 		})
 	}
 }
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -12,7 +12,7 @@
 // flush writes what the holder has to make durable, by compare-and-set. It writes what tasks and users
 // wait for first and the rest later, so that a low write rate never delays a start behind progress.
 func (c *Core) flush() {
-	if !c.every("flush", tuning.Tick) {
+	if !c.dueEvery("flush", tuning.Tick) {
 		return
 	}
 	c.flushStarts()
@@ -38,10 +38,10 @@
 func (c *Core) newBatch() *batch {
 	b := &batch{
 		c:              c,
-		maxChanges:     c.form.Bounds().Short(tuning.ShortOps),
+		maxChanges:     c.writeLimits.Bounds().Short(tuning.ShortOps),
 		comparedShards: map[int]bool{},
 	}
-	if c.form.Alone(c.now) {
+	if c.writeLimits.Alone(c.now) {
 		b.maxChanges = 2
 	}
 	return b
@@ -54,7 +54,7 @@
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
 	if !b.comparedShards[shard] {
 		b.comparedShards[shard] = true
-		b.conditions = append(b.conditions, b.c.shardCond(shard))
+		b.conditions = append(b.conditions, b.c.shardUnchanged(shard))
 	}
 	if cond != nil {
 		b.conditions = append(b.conditions, *cond)
@@ -66,15 +66,15 @@
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
 	e.run.writeInFlight = true
-	b.add(b.c.shardOf(e.rec.Team), &wire.Condition{Key: jobKey(e.rec.ID), Version: e.ver}, changes...)
+	b.add(b.c.shardOfTeam(e.record.Team), &wire.Condition{Key: jobKey(e.record.ID), Version: e.version}, changes...)
 }
 
 // addBlock adds a block's new record. It notes a mark as idle that is on its way (see idleMarkPending).
 func (b *batch) addBlock(block *blockEntry, rec wire.Block) {
-	b.add(rec.Shard, &wire.Condition{Key: blockKey(block.id), Version: block.ver}, wire.Change{Put: blockKey(block.id), Value: rec})
-	if rec.Idle && !block.rec.Idle {
+	b.add(rec.Shard, &wire.Condition{Key: blockKey(block.id), Version: block.version}, wire.Change{Put: blockKey(block.id), Value: rec})
+	if rec.Idle && !block.record.Idle {
 		b.idleBlocks = append(b.idleBlocks, block.id)
-		b.c.idleMarkVersions[block.id] = block.ver
+		b.c.idleMarkVersions[block.id] = block.version
 		b.c.markBlockDirty(block.id)
 	}
 }
@@ -83,7 +83,7 @@
 // late. Only a newer version of the block's record or a refusal of the write rules that out.
 func (c *Core) idleMarkPending(b *blockEntry) bool {
 	ver, sent := c.idleMarkVersions[b.id]
-	return sent && ver == b.ver
+	return sent && ver == b.version
 }
 
 // clearIdleMarks forgets the pending idle marks of blocks whose write was definitely refused.
@@ -116,7 +116,7 @@
 		if r.Status == 200 {
 			written(r.Txn.Revision)
 		} else {
-			c.retryAt[duty] = c.now + tuning.RetryAfter/2
+			c.notBefore[duty] = c.now + tuning.RetryAfter/2
 			c.log(2, "batch not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
@@ -127,7 +127,7 @@
 // flushJobs writes urgent progress, the ends of jobs, urgent ones first, blocks whose record must change
 // soon, and that a shard is reconciled after a takeover.
 func (c *Core) flushJobs() {
-	if c.writingJobs || c.now < c.retryAt["flushJobs"] {
+	if c.writingJobs || c.now < c.notBefore["flushJobs"] {
 		return
 	}
 	b := c.newBatch() // short, so that writes of accepted jobs get in between
@@ -138,21 +138,21 @@
 		if b.full() {
 			break
 		}
-		if e.run.writeInFlight || c.form.Aside(c.now, limits.Final, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.writeLimits.Aside(c.now, limits.Final, jobKey(e.record.ID)) {
 			continue
 		}
 		if _, ended, _ := c.unwrittenStarts(e); !ended {
 			continue
 		}
-		id, f := e.rec.ID, wire.Final{Status: wire.JobDone, Done: e.rec.Tasks}
+		id, f := e.record.ID, wire.Final{Status: wire.JobDone, Done: e.record.Tasks}
 		finals[id] = f
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
 	for _, id := range sortedKeys(c.urgentBlocks) {
 		block := c.blocks[id]
-		if block == nil || !c.mine(block.rec.Shard) {
+		if block == nil || !c.holdsShard(block.record.Shard) {
 			delete(c.urgentBlocks, id)
-		} else if !b.full() && !c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		} else if !b.full() && !c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
 			if rec, change := c.desiredBlock(block); change {
 				b.addBlock(block, rec)
 			} else {
@@ -162,16 +162,16 @@
 	}
 	for _, i := range c.shardIDs() {
 		shard := c.shards[i]
-		if !c.mine(i) || c.unreconciledShards[i] || shard.rec.Settled || b.full() {
+		if !c.holdsShard(i) || c.unreconciledShards[i] || shard.record.Settled || b.full() {
 			continue
 		}
-		rec := shard.rec
+		rec := shard.record
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
 	b.send(LaneUser, &c.writingJobs, "flushJobs", func(rev uint64) {
 		for _, id := range sortedKeys(finals) {
-			c.keepFinal(id, finals[id], rev)
+			c.cacheFinal(id, finals[id], rev)
 			c.log(1, "job done", "job", id)
 		}
 	})
@@ -179,8 +179,8 @@
 
 // desiredBlock returns a block's record as it should be, and whether that requires a write.
 func (c *Core) desiredBlock(block *blockEntry) (rec wire.Block, change bool) {
-	rec, change = block.rec, c.idleMarkPending(block) // a new write makes a late idle mark fail its comparison
-	rec.Machines = append([]wire.BlockMachine(nil), block.rec.Machines...)
+	rec, change = block.record, c.idleMarkPending(block) // a new write makes a late idle mark fail its comparison
+	rec.Machines = append([]wire.BlockMachine(nil), block.record.Machines...)
 	for k := range rec.Machines {
 		held, blockMachine := c.machines[rec.Machines[k].Name], &rec.Machines[k]
 		if held == nil {
@@ -202,9 +202,9 @@
 // placementChanged reports whether a tracked job has a task on another machine than the one in its
 // stored record.
 func (c *Core) placementChanged(e *jobEntry) bool {
-	if tracksMachines(&e.rec) {
+	if tracksMachines(&e.record) {
 		for k, a := range e.run.active {
-			if recordedMachine(&e.rec, k) != a.machine.name {
+			if recordedMachine(&e.record, k) != a.machine.name {
 				return true
 			}
 		}
@@ -214,13 +214,13 @@
 
 // flushLater writes changed block records and the progress of jobs, at low priority.
 func (c *Core) flushLater() {
-	if c.writingProgress || !c.every("flushLater", tuning.LaterEvery) {
+	if c.writingProgress || !c.dueEvery("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if !c.mine(block.rec.Shard) || c.urgentBlocks[id] || b.full() || c.form.Aside(c.now, limits.Block, blockKey(id)) {
+		if !c.holdsShard(block.record.Shard) || c.urgentBlocks[id] || b.full() || c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
 		if rec, change := c.desiredBlock(block); change {
@@ -236,7 +236,7 @@
 			break
 		}
 		// A job whose record is being written is skipped; its progress follows later.
-		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.form.Aside(c.now, limits.Job, jobKey(e.rec.ID)) {
+		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.writeLimits.Aside(c.now, limits.Job, jobKey(e.record.ID)) {
 			continue
 		}
 		e.run.progressWrittenAt = c.now
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -43,7 +43,7 @@
 	taskHealth        *health.Book
 	firstUseUnwritten map[string]bool // machines that are up, but recorded as never used
 	urgentBlocks      map[string]bool // blocks whose records are written with the urgent writes
-	takeovers         map[int]taking
+	takeovers         map[int]pendingTransfer
 
 	shardHeldSince          map[int]Time      // when a held shard was taken up
 	previousHolderDeadSince map[int]Time      // since when the previous holder's incarnation is known to be dead
@@ -159,7 +159,7 @@
 		startsPacedUntil:  map[int]Time{},
 		firstUseUnwritten: map[string]bool{},
 
-		takeovers:      map[int]taking{},
+		takeovers:      map[int]pendingTransfer{},
 		machines:       map[string]*machine{},
 		attemptsByTask: map[string][]*attempt{},
 
@@ -187,38 +187,38 @@
 // jobChanged is called for every new version of a live job.
 func (c *Core) jobChanged(e *jobEntry) {
 	c.markJobDirty(e)
-	shard := c.shardOf(e.rec.Team)
-	if !c.mine(shard) {
+	shard := c.shardOfTeam(e.record.Team)
+	if !c.holdsShard(shard) {
 		e.run = nil
 		return
 	}
 	firstSeen := e.run == nil
 	if firstSeen {
-		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.rec.Started, done: c.knownDone(e).Clone()}
-		if e.rec.Started > 0 {
-			e.run.inheritedBelow = e.rec.Started
-			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
+		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.knownDone(e).Clone()}
+		if e.record.Started > 0 {
+			e.run.inheritedBelow = e.record.Started
+			if s, _ := c.startLog.Of(e.record.ID); s.Bad && len(e.run.done) == 0 {
 				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
-				c.taskHealth.Condemn(c.now, e.rec.ID)
-				e.run.notBefore = c.taskHealth.NotBefore(e.rec.ID)
+				c.taskHealth.Condemn(c.now, e.record.ID)
+				e.run.notBefore = c.taskHealth.NotBefore(e.record.ID)
 			}
 			c.reconcileJob(e, shard, true)
 			c.awaitMachines(e)
-			c.noteHeld(e, shard)
+			c.recordHeldTasks(e, shard)
 		}
 	}
-	if e.prio >= urgentRank {
-		if c.urgentReserve.Observe(c.now, shard, jobSize(&e.rec), e.rank, firstSeen && e.rec.Started == 0) {
+	if e.priority >= urgentRank {
+		if c.urgentReserve.Observe(c.now, shard, jobSize(&e.record), e.rank, firstSeen && e.record.Started == 0) {
 			c.markShardDirty(shard) // free capacity is counted in tasks of this size
 		}
 	}
-	if e.rec.Started > e.run.nextIndex {
+	if e.record.Started > e.run.nextIndex {
 		// A late write of the earlier holder, from before the takeover, recorded
 		// further starts. Those tasks may have been started.
-		e.run.inheritedBelow, e.run.nextIndex = e.rec.Started, e.rec.Started
+		e.run.inheritedBelow, e.run.nextIndex = e.record.Started, e.record.Started
 		c.reconcileJob(e, shard, c.unreconciledShards[shard])
 		c.awaitMachines(e)
-		c.noteHeld(e, shard)
+		c.recordHeldTasks(e, shard)
 	}
 	e.run.done = e.run.done.Union(c.knownDone(e))
 }
@@ -227,7 +227,7 @@
 // Its tasks that are still on machines are stopped, and count until they are gone.
 func (c *Core) jobRemoved(e *jobEntry) {
 	c.markJobDirty(e)
-	c.taskHealth.ForgetJob(e.rec.ID)
+	c.taskHealth.ForgetJob(e.record.ID)
 	if e.run == nil {
 		return
 	}
@@ -261,14 +261,14 @@
 	}
 	delete(c.machines, m.name)
 	delete(c.comingMachines, m)
-	if b := c.places[m.shard]; b != nil {
+	if b := c.reservations[m.shard]; b != nil {
 		b.Remove(m)
 	}
 	c.taskHealth.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
 	c.capacity.Remove(m)
-	c.desk.Remove(m)
-	c.roll.Remove(m)
+	c.callQueue.Remove(m)
+	c.pendingMachines.Remove(m)
 	c.machinesByName = nil
 }
 
@@ -311,15 +311,15 @@
 // shardChanged is called for every new version of a shard record.
 func (c *Core) shardChanged(shard int, old *shardEntry) {
 	c.placementDue = true
-	delete(c.yielded, shard)
+	delete(c.yieldedTo, shard)
 	if old != nil {
-		c.words.HolderChanged(c.now, &old.rec, &c.shards[shard].rec)
+		c.assignments.HolderChanged(c.now, &old.record, &c.shards[shard].record)
 	}
-	namesUs := c.member.Boot() != 0 && c.shards[shard].rec.Holder == c.p.Node && c.shards[shard].rec.Boot == c.member.Boot()
-	if current := c.shards[shard]; old == nil || old.rec.Holder != current.rec.Holder || old.rec.Boot != current.rec.Boot || !slices.Equal(old.rec.Teams, current.rec.Teams) {
-		c.vouch.HolderAssigned(shardKey(shard), current.ver, namesUs)
+	namesUs := c.presence.Boot() != 0 && c.shards[shard].record.Holder == c.params.Node && c.shards[shard].record.Boot == c.presence.Boot()
+	if current := c.shards[shard]; old == nil || old.record.Holder != current.record.Holder || old.record.Boot != current.record.Boot || !slices.Equal(old.record.Teams, current.record.Teams) {
+		c.confirmation.HolderAssigned(shardKey(shard), current.version, namesUs)
 	}
-	if namesUs && c.heldShards[shard] && old != nil && assignment.Reacquired(old.rec, c.shards[shard].rec) {
+	if namesUs && c.heldShards[shard] && old != nil && assignment.Reacquired(old.record, c.shards[shard].record) {
 		c.stopHoldingShard(shard) // another controller held it meanwhile, and its writes are not in the mirror yet
 	}
 	switch {
@@ -328,7 +328,7 @@
 		c.startHoldingShards()
 	case namesUs:
 		for _, id := range sortedKeys(c.jobs) { // of a team that was just assigned to this shard
-			if e := c.jobs[id]; e.run == nil && c.shardOf(e.rec.Team) == shard {
+			if e := c.jobs[id]; e.run == nil && c.shardOfTeam(e.record.Team) == shard {
 				c.jobChanged(e)
 			}
 		}
@@ -346,23 +346,23 @@
 // again that its last writes record as started.
 func (c *Core) startHoldingShards() {
 	for _, shard := range c.shardIDs() {
-		if !c.grantedShards[shard] || c.rev < c.shards[shard].ver {
+		if !c.grantedShards[shard] || c.mirrorRevision < c.shards[shard].version {
 			continue
 		}
 		delete(c.grantedShards, shard)
 		c.heldShards[shard], c.unreconciledShards[shard], c.shardHeldSince[shard] = true, true, c.now
 		delete(c.previousHolderDeadSince, shard)
 		for _, id := range c.blockIDs() {
-			if b := c.blocks[id]; b.rec.Shard == shard {
-				c.holdMachines(b, !b.rec.Idle)
+			if b := c.blocks[id]; b.record.Shard == shard {
+				c.holdMachines(b, !b.record.Idle)
 			}
 		}
 		c.recheckWaiting = true
-		c.runs.Import(c.biases[biasKey(shard)].Classes)
-		c.noteShard(trail.ShardHeld, shard, wire.TrailEvent{Token: c.shards[shard].ver})
-		c.log(1, "holding shard", "shard", shard, "token", c.shards[shard].ver, "teams", len(c.shards[shard].rec.Teams))
+		c.runTimes.Import(c.biases[biasKey(shard)].Classes)
+		c.recordShardEvent(trail.ShardHeld, shard, wire.TrailEvent{Token: c.shards[shard].version})
+		c.log(1, "holding shard", "shard", shard, "token", c.shards[shard].version, "teams", len(c.shards[shard].record.Teams))
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; c.shardOf(e.rec.Team) == shard {
+			if e := c.jobs[id]; c.shardOfTeam(e.record.Team) == shard {
 				c.jobChanged(e)
 			}
 		}
@@ -375,7 +375,7 @@
 	delete(c.heldShards, shard)
 	delete(c.unreconciledShards, shard)
 	delete(c.demandPublishers, shard)
-	delete(c.places, shard)
+	delete(c.reservations, shard)
 	c.weights.Left(shard)
 	for _, m := range c.heldMachines() {
 		if m.shard == shard {
@@ -383,16 +383,16 @@
 		}
 	}
 	for _, e := range c.jobsByAge() {
-		if c.shardOf(e.rec.Team) == shard && e.run != nil {
+		if c.shardOfTeam(e.record.Team) == shard && e.run != nil {
 			e.run = nil
 			c.markJobDirty(e)
 		}
 	}
-	newHolder := c.shards[shard].rec.Holder
-	if y, ok := c.yielded[shard]; ok { // a peer has announced the change, and the record here is older
+	newHolder := c.shards[shard].record.Holder
+	if y, ok := c.yieldedTo[shard]; ok { // a peer has announced the change, and the record here is older
 		newHolder = y
 	}
-	c.noteShard(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].ver})
+	c.recordShardEvent(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].version})
 	c.log(1, "shard lost", "shard", shard, "to", newHolder)
 }
 
@@ -400,33 +400,33 @@
 func (c *Core) blockChanged(id string, old *blockEntry) {
 	c.placementDue = true
 	b := c.blocks[id]
-	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
-		c.vouch.HolderAssigned(blockKey(id), b.ver, c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard])
+	if b != nil && (old == nil || old.record.Shard != b.record.Shard) {
+		c.confirmation.HolderAssigned(blockKey(id), b.version, c.heldShards[b.record.Shard] || c.grantedShards[b.record.Shard])
 	}
 	listed := map[string]bool{}
-	if b != nil && c.mine(b.rec.Shard) {
+	if b != nil && c.holdsShard(b.record.Shard) {
 		// A block gained while the shard is held was just rented, or is guaranteed
 		// to be empty by the shard that gave it: no task of this shard can be on it.
 		c.holdMachines(b, false)
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			listed[bm.Name] = true
 		}
 	}
 	if old == nil {
 		return
 	}
-	if _, sent := c.idleMarkVersions[id]; sent || b != nil && b.rec.Idle != old.rec.Idle {
+	if _, sent := c.idleMarkVersions[id]; sent || b != nil && b.record.Idle != old.record.Idle {
 		delete(c.idleMarkVersions, id)
 		c.markBlockDirty(id)
 	}
-	for _, bm := range old.rec.Machines {
+	for _, bm := range old.record.Machines {
 		if m := c.machines[bm.Name]; m != nil && m.block == id && !listed[bm.Name] {
 			// The leader removes a machine from a block's record only once the cloud
 			// has deleted it; otherwise the block has moved, which only an empty one does.
-			if b != nil && b.rec.Shard != m.shard {
+			if b != nil && b.record.Shard != m.shard {
 				c.sendToNextHolder(m, b)
 			}
-			c.noteMachine(trail.MachineGone, m, wire.TrailEvent{Count: len(m.attempts), Why: "left its block"})
+			c.recordMachineEvent(trail.MachineGone, m, wire.TrailEvent{Count: len(m.attempts), Why: "left its block"})
 			c.machineGone(m, "deleted")
 			c.forgetMachine(m)
 			delete(c.vacating, id)
@@ -437,34 +437,34 @@
 // holdMachines adds the machines of a block to those held here, or moves them to the block's
 // shard. inherited: an earlier holder may have started tasks on them.
 func (c *Core) holdMachines(b *blockEntry, inherited bool) {
-	for _, bm := range b.rec.Machines {
+	for _, bm := range b.record.Machines {
 		m := c.machines[bm.Name]
 		if m == nil {
 			m = &machine{
-				name: bm.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
-				shard: b.rec.Shard, heldSince: c.now, takeoverToken: c.token(b),
+				name: bm.Name, block: b.id, machineType: b.record.Type, zone: b.record.Zone, spot: b.record.Spot,
+				shard: b.record.Shard, heldSince: c.now, takeoverToken: c.fencingToken(b),
 				inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
 				attempts:  map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now,
 			}
-			for _, image := range c.caches.Of(bm.Name) {
+			for _, image := range c.imageCaches.Of(bm.Name) {
 				m.images[image] = true
 			}
 			c.machines[bm.Name] = m
 			c.machinesByName = nil
 			if m.inherited {
 				c.unaccountedMachines[m.shard]++
-				c.roll.Add(m, false)
+				c.pendingMachines.Add(m, false)
 			}
-		} else if m.shard != b.rec.Shard && m.inherited && !m.accounted {
+		} else if m.shard != b.record.Shard && m.inherited && !m.accounted {
 			c.unaccountedMachines[m.shard]--
-			c.unaccountedMachines[b.rec.Shard]++
+			c.unaccountedMachines[b.record.Shard]++
 		}
 		m.fresh = bm.Fresh && !c.useRecorded(bm.Name)
 		// A block may move between two shards of one holder. A machine left in its
 		// old shard would be given tasks of that shard, and they would be lost from
 		// view with the next change of the holder.
-		m.shard, m.base, m.returning = b.rec.Shard, b.rec.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
+		m.shard, m.base, m.returning = b.record.Shard, b.record.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
 		c.markDirty(m)
 	}
 }
@@ -487,7 +487,7 @@
 		return
 	}
 	c.deactivateAttempt(e, a)
-	c.noteTask(trail.TaskLost, a, why)
+	c.recordTaskEvent(trail.TaskLost, a, why)
 	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", why)
 }
 
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -19,34 +19,34 @@
 	if c.vacating[block.id] {
 		return c.emptyFor(block, 0)
 	}
-	if c.hasUnmetDemand(block.rec.Shard) {
+	if c.hasUnmetDemand(block.record.Shard) {
 		return false
 	}
 	requested := false
 	for _, i := range c.shardIDs() {
-		if i != block.rec.Shard {
+		if i != block.record.Shard {
 			for _, need := range c.shardDemand(i).Needs {
 				requested = requested || c.blockServes(block, need)
 			}
 		}
 	}
-	return requested && c.emptyFor(block, tuning.IdleOffer) && c.hasSpareWithout(block.rec.Shard, c.machinesOf(block)...)
+	return requested && c.emptyFor(block, tuning.IdleOffer) && c.hasSpareWithout(block.record.Shard, c.machinesOf(block)...)
 }
 
 // emptyFor reports whether nothing has been on any machine of a block for a duration.
 func (c *Core) emptyFor(block *blockEntry, duration time.Duration) bool {
-	for _, bm := range block.rec.Machines {
+	for _, bm := range block.record.Machines {
 		m := c.machines[bm.Name]
 		if m == nil || m.returning || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < duration {
 			return false
 		}
 	}
-	return len(block.rec.Machines) > 0
+	return len(block.record.Machines) > 0
 }
 
 // machinesOf lists the machines of a block that this controller holds.
 func (c *Core) machinesOf(b *blockEntry) (machines []*machine) {
-	for _, bm := range b.rec.Machines {
+	for _, bm := range b.record.Machines {
 		if m := c.machines[bm.Name]; m != nil {
 			machines = append(machines, m)
 		}
@@ -56,7 +56,7 @@
 
 // spareTarget returns for how many urgent tasks a shard keeps capacity free.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.FetchAndBootBounds(c.types, nil)
+	_, boot := supply.FetchAndBootBounds(c.machineTypes, nil)
 	return c.urgentReserve.Target(c.now, shard, boot)
 }
 
@@ -90,7 +90,7 @@
 // work around it has ended. A small share of the shard's machines is freed at a time: when it was one at
 // a time, the remaining machines of a fleet were paid for ten minutes longer.
 func (c *Core) consolidate(shard int) {
-	if c.unreconciledShards[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+	if c.unreconciledShards[shard] || !c.dueEvery(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
 	var inUse []*machine
@@ -113,7 +113,7 @@
 				candidate.Pinned = true
 				break
 			}
-			job := &c.jobs[a.job].rec
+			job := &c.jobs[a.job].record
 			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{
 				Size: a.size,
 				Allows: func(other *machine) bool {
@@ -136,7 +136,7 @@
 // movable reports whether a task is a replica that has run for a while and is not bound to a zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stopping &&
+	return e != nil && e.run != nil && e.record.Shape == wire.ShapeService && !e.record.OneZone && !e.record.Spread && !a.stopping &&
 		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.MoveAfter
 }
 
@@ -153,7 +153,7 @@
 			silent++
 		}
 	}
-	partitioned := dutyLimits.TooManyMissing(silent, c.machineCount(shard))
+	partitioned := assignmentLimits.TooManyMissing(silent, c.machineCount(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.returning {
 			continue
@@ -162,14 +162,14 @@
 		why := c.bootFailure(m)
 		switch {
 		case why != "":
-		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
+		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.confirmationChangedAt) > seconds(c.settings.SilentDropS):
 			// A rented machine whose lease is over is returned at once, since a replacement costs the
 			// same. Reports are not accepted while this controller's authority is unconfirmed, so
 			// silence counts only from when it was confirmed.
 			why = "silent"
 		case m.delivery.MissesAnswers() && !m.base && !partitioned:
 			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
-		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
+		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.params.Report:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
@@ -180,7 +180,7 @@
 		if why != "" {
 			m.returning = true
 			c.markDirty(m)
-			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
+			c.recordMachineEvent(trail.MachineReturned, m, wire.TrailEvent{Why: why})
 			c.log(1, "returning a machine", "machine", m.name, "why", why)
 		}
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -53,34 +53,34 @@
 
 // isLeader reports whether the current incarnation of this controller is the leader.
 func (c *Core) isLeader() bool {
-	return c.chief.Node == c.p.Node && c.chief.Boot == c.member.Boot() && c.member.Boot() != 0
+	return c.leaderRecord.Node == c.params.Node && c.leaderRecord.Boot == c.presence.Boot() && c.presence.Boot() != 0
 }
 
 // runLeader claims the leadership if it is free and, while this controller leads, performs the
 // leader's periodic work.
 func (c *Core) runLeader() {
 	leader := &c.leader
-	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.ver.Of(wire.KeyLeader))
+	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.versions.Of(wire.KeyLeader))
 	if !c.isLeader() {
 		if ended {
-			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
+			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
 			c.log(1, "lost leadership")
-			leader.reset(c.p.ListLag)
+			leader.reset(c.params.ListLag)
 		}
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
-		if c.term.StartClaim(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Registered()) {
-			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.StateLease()}}, func(r StateReply) {
+		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
+			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
+				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()}, Lease: c.presence.StateLease()}}, func(r StateReply) {
 					c.term.WriteFinished()
-					c.changed()
+					c.mirrorChanged()
 				})
 		}
 		return
 	}
 	if began {
-		leader.reset(c.p.ListLag)
-		c.note(wire.TrailEvent{Kind: trail.Leading, Token: c.ver.Of(wire.KeyLeader)})
-		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
+		leader.reset(c.params.ListLag)
+		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
+		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
 	}
 	for name := range c.nodes {
 		if _, ok := leader.nodeSince[name]; !ok {
@@ -104,7 +104,7 @@
 
 // leaderCondition returns the condition that the leader record has not changed.
 func (c *Core) leaderCondition() wire.Condition {
-	return wire.Condition{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}
+	return wire.Condition{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}
 }
 
 // canFormBlocks reports whether blocks may be formed: no earlier write of this controller that forms
@@ -114,14 +114,14 @@
 // holder. Therefore, after such a write got no answer, the leader record is rewritten as a fence, which
 // makes every write that compares the old version fail.
 func (c *Core) canFormBlocks() bool {
-	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Registered())
+	ok, renew := c.term.Fenced(c.now, c.mirrorRevision, c.presence.Registered())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.StateLease()}}, func(r StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.leaderRecord, Lease: c.presence.StateLease()}}, func(r StateReply) {
 		c.term.FenceWritten(r.Status == 200, r.Txn.Revision)
-		c.changed()
+		c.mirrorChanged()
 	})
 	return false
 }
@@ -130,13 +130,13 @@
 // whole to one successor.
 func (c *Core) assignShards() {
 	leader := &c.leader
-	names := sortedKeys(c.p.Nodes)
+	names := sortedKeys(c.params.Nodes)
 	if len(c.shards) < len(names) {
-		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
+		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
 			return
 		}
 		guarantees := map[string]float64{}
-		for name, team := range c.p.Teams {
+		for name, team := range c.params.Teams {
 			guarantees[name] = team.CPUs
 		}
 		teams := assignment.AssignTeams(guarantees, len(names))
@@ -144,12 +144,12 @@
 		var changes []wire.Change
 		conditions = append(conditions, c.leaderCondition())
 		for i, name := range names {
-			if c.shards[i] != nil || len(changes) >= c.p.TxnOps {
+			if c.shards[i] != nil || len(changes) >= c.params.TxnOps {
 				continue
 			}
 			holder := name
 			if _, up := c.nodes[name]; !up {
-				holder = c.p.Node
+				holder = c.params.Node
 			}
 			conditions = append(conditions, wire.Condition{Key: shardKey(i)})
 			changes = append(changes, wire.Change{Put: shardKey(i), Value: wire.Shard{
@@ -166,28 +166,28 @@
 			if r.Status == 200 {
 				leader.shardsCreatedAt = c.now
 			}
-			c.changed()
+			c.mirrorChanged()
 		})
 		return
 	}
-	held := c.shardsHeld()
+	held := c.shardCounts()
 	for _, i := range c.shardIDs() {
 		shard := c.shards[i]
-		node, up := c.nodes[shard.rec.Holder]
+		node, up := c.nodes[shard.record.Holder]
 		newHolder := ""
 		switch {
-		case !up || (node.Boot != shard.rec.Boot && c.now-leader.nodeSince[shard.rec.Holder] > tuning.GrantTTL):
+		case !up || (node.Boot != shard.record.Boot && c.now-leader.nodeSince[shard.record.Holder] > tuning.GrantTTL):
 			// The holder is dead, or has restarted without retaking the shard.
-			newHolder = assignment.Successor(shard.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
-		case shard.rec.Home != shard.rec.Holder:
-			if since, here := leader.nodeSince[shard.rec.Home]; here && c.words.MayReturnHome(c.now, c.self(), i, &shard.rec, since, held[shard.rec.Home]) {
-				newHolder = shard.rec.Home
+			newHolder = assignment.Successor(shard.record.Home, c.params.Nodes, c.assignments.Members(c.now, c.self(), i, held))
+		case shard.record.Home != shard.record.Holder:
+			if since, here := leader.nodeSince[shard.record.Home]; here && c.assignments.MayReturnHome(c.now, c.self(), i, &shard.record, since, held[shard.record.Home]) {
+				newHolder = shard.record.Home
 			}
 		}
-		if newHolder != "" && (newHolder != shard.rec.Holder || c.nodes[newHolder].Boot != shard.rec.Boot) {
+		if newHolder != "" && (newHolder != shard.record.Holder || c.nodes[newHolder].Boot != shard.record.Boot) {
 			// A leader that was paused still believes it leads until it receives newer state. Without
 			// comparing the leader record, it once took its shard back from its successor for 10 ms.
-			c.takeShard(i, newHolder, c.nodes[newHolder].Boot, c.leaderCondition())
+			c.assignShard(i, newHolder, c.nodes[newHolder].Boot, c.leaderCondition())
 			held[newHolder]++
 		}
 	}
@@ -196,23 +196,23 @@
 
 // addTeams assigns each team that was added to the settings to the shard with the fewest teams.
 func (c *Core) addTeams() {
-	for _, team := range sortedKeys(c.p.Teams) {
-		if c.shardOf(team) >= 0 {
+	for _, team := range sortedKeys(c.params.Teams) {
+		if c.shardOfTeam(team) >= 0 {
 			continue
 		}
-		if !c.every("addTeams", tuning.RetryAfter) {
+		if !c.dueEvery("addTeams", tuning.RetryAfter) {
 			return
 		}
 		best := 0
 		for _, i := range c.shardIDs() {
-			if len(c.shards[i].rec.Teams) < len(c.shards[best].rec.Teams) {
+			if len(c.shards[i].record.Teams) < len(c.shards[best].record.Teams) {
 				best = i
 			}
 		}
 		shard := c.shards[best]
-		rec := shard.rec
+		rec := shard.record
 		rec.Teams = append(append([]string(nil), rec.Teams...), team)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
+		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.version}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.mirrorChanged() })
 		return
 	}
 }
@@ -222,21 +222,21 @@
 	leader := &c.leader
 	leader.cloudBackoff = min(max(2*leader.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
 	leader.cloudRetryAt = c.now + time.Duration(float64(leader.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
-	c.note(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
+	c.recordEvent(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
 	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", leader.cloudBackoff.String())
 }
 
 // readTypes reads the machine types from the cloud and writes them to the state service.
 func (c *Core) readTypes() {
 	leader := &c.leader
-	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.every("types", tuning.TypesEvery) {
+	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.dueEvery("types", tuning.TypesEvery) {
 		return
 	}
 	leader.readingTypes = true
-	c.cloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
 		leader.readingTypes = false
 		if r.Status != 200 {
-			c.retryAt["types"] = c.now + tuning.RetryAfter
+			c.notBefore["types"] = c.now + tuning.RetryAfter
 			c.cloudFailed("machine types", r)
 			return
 		}
@@ -245,7 +245,7 @@
 			return
 		}
 		for len(r.Types) > 0 {
-			n := min(len(r.Types), c.p.TxnOps)
+			n := min(len(r.Types), c.params.TxnOps)
 			var changes []wire.Change
 			for _, t := range r.Types[:n] {
 				changes = append(changes, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
@@ -253,9 +253,9 @@
 			r.Types = r.Types[n:]
 			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, changes, func(r StateReply) {
 				if r.Status != 200 {
-					c.retryAt["types"] = c.now + tuning.RetryAfter
+					c.notBefore["types"] = c.now + tuning.RetryAfter
 				}
-				c.changed()
+				c.mirrorChanged()
 			})
 		}
 	})
@@ -263,7 +263,7 @@
 
 // blockOf returns the block that contains a machine, or nil.
 func (c *Core) blockOf(name string) *blockEntry {
-	if id, ok := c.blockIn[name]; ok {
+	if id, ok := c.blockOfMachine[name]; ok {
 		return c.blocks[id]
 	}
 	return nil
@@ -273,7 +273,7 @@
 // failed or are no longer listed are deleted.
 func (c *Core) readMachines() {
 	leader := &c.leader
-	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.every("list", tuning.ListEvery) {
+	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.dueEvery("list", tuning.ListEvery) {
 		return
 	}
 	leader.listingMachines = true
@@ -283,7 +283,7 @@
 // listPage reads one page of the machine list into all and continues until the list is complete.
 func (c *Core) listPage(after string, all map[string]wire.MachineInfo) {
 	leader := &c.leader
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		if r.Status != 200 {
 			leader.listingMachines = false
 			c.cloudFailed("machine list", r)
@@ -305,7 +305,7 @@
 		c.learnAddresses(all)
 		inBlocks := map[string]bool{}
 		for _, b := range c.blocks {
-			for _, bm := range b.rec.Machines {
+			for _, bm := range b.record.Machines {
 				inBlocks[bm.Name] = true
 			}
 		}
@@ -318,7 +318,7 @@
 // old one, so the worker is probed before the machine is adopted.
 func (c *Core) onUnassignedReport(r *wire.Report) {
 	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
-		c.out = append(c.out, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
+		c.effects = append(c.effects, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
 
@@ -344,15 +344,15 @@
 	var changes []wire.Change
 	done := map[string]bool{}
 	for _, name := range leader.cloudMachines.AllGone() {
-		id, inBlock := c.blockIn[name]
-		if !inBlock || done[id] || len(changes) >= c.p.TxnOps {
+		id, inBlock := c.blockOfMachine[name]
+		if !inBlock || done[id] || len(changes) >= c.params.TxnOps {
 			continue
 		}
 		done[id] = true
 		block := c.blocks[id]
-		rec := block.rec
+		rec := block.record
 		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.Gone(bm.Name) })
-		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: block.ver})
+		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: block.version})
 		if len(rec.Machines) == 0 {
 			changes = append(changes, wire.Change{Delete: blockKey(id)})
 		} else {
@@ -363,7 +363,7 @@
 		leader.writePending = true
 		c.commit(LaneLater, conditions, changes, func(r StateReply) {
 			leader.writePending = false
-			c.changed()
+			c.mirrorChanged()
 		})
 		return true
 	}
@@ -378,19 +378,19 @@
 	if leader.writePending {
 		return
 	}
-	if leader.cloudMachines.AnyGone() && c.every("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
+	if leader.cloudMachines.AnyGone() && c.dueEvery("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
 		return
 	}
 	if leader.deletingMachines || c.now < leader.cloudRetryAt {
 		return
 	}
-	names := leader.cloudMachines.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
+	names := leader.cloudMachines.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
 	leader.deletingMachines = true
 	c.log(1, "deleting machines", "names", fmt.Sprint(names))
-	c.cloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
 		leader.deletingMachines = false
 		if r.Status != 200 {
 			c.cloudFailed("delete", r)
@@ -398,7 +398,7 @@
 		}
 		leader.cloudBackoff = 0
 		leader.cloudMachines.Deleted(c.now, names)
-		c.changed()
+		c.mirrorChanged()
 	})
 }
 
@@ -407,11 +407,11 @@
 	leader := &c.leader
 	// Without the machine types every block counts as having no CPUs, and all base machines once
 	// went to the same shard.
-	if leader.writePending || !leader.cloudMachines.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
+	if leader.writePending || !leader.cloudMachines.Strangers() || len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) || !c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
 	// The machine list may lag by up to twice the usual time.
-	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.p.ListLag && (len(c.blocks) == 0 || leader.adoptingBase)
+	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.params.ListLag && (len(c.blocks) == 0 || leader.adoptingBase)
 	infos := leader.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
 	if leader.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -19,21 +19,21 @@
 // machine where the least running time is lost. When they were served one by one, each waited until the
 // one before it had its machine.
 func (c *Core) preempt() {
-	if !c.confirmed() || !c.every("preempt", tuning.PreemptEvery) {
+	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
 		return
 	}
 	var jobs []*jobEntry
 	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		privileged := e.prio >= urgentRank || c.ladder.OperatorDefined(e.rank)
-		if !privileged && (e.prio <= idleRank || len(c.idleAttempts) == 0) {
-			return !c.ladder.PriorityOnly() // nothing is preemptible for it; in plain priority order no later job is urgent
+		privileged := e.priority >= urgentRank || c.tierOrder.OperatorDefined(e.rank)
+		if !privileged && (e.priority <= idleRank || len(c.idleAttempts) == 0) {
+			return !c.tierOrder.PriorityOnly() // nothing is preemptible for it; in plain priority order no later job is urgent
 		}
-		if !privileged && !p.WithinGuarantee || c.taskHealth.Trial(e.rec.ID) {
+		if !privileged && !p.WithinGuarantee || c.taskHealth.Trial(e.record.ID) {
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
-		if !c.placementBlocked(e, c.shardOf(e.rec.Team)) && e.rec.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
 			jobs = append(jobs, e)
 		}
 		return true
@@ -52,10 +52,10 @@
 		}
 	}
 	for _, e := range jobs {
-		shard := c.shardOf(e.rec.Team)
-		used := c.capacity.Used(e.rec.Team, shard)
-		for pending := e.run.pendingTasks(&e.rec); pending > 0; pending-- {
-			if used = used.Add(jobSize(&e.rec)); c.p.Teams[e.rec.Team].exceededBy(used) || !c.preemptFor(e, machinesByShard[shard]) {
+		shard := c.shardOfTeam(e.record.Team)
+		used := c.capacity.Used(e.record.Team, shard)
+		for pending := e.run.pendingTasks(&e.record); pending > 0; pending-- {
+			if used = used.Add(jobSize(&e.record)); c.params.Teams[e.record.Team].exceededBy(used) || !c.preemptFor(e, machinesByShard[shard]) {
 				break
 			}
 		}
@@ -70,7 +70,7 @@
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].rec.Shape != wire.ShapeGang:
+		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].record.Shape != wire.ShapeGang:
 			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.startSent:
 		case a.stopping || c.jobs[a.job] == nil:
@@ -87,18 +87,18 @@
 // It reports whether there will be capacity.
 func (c *Core) preemptFor(e *jobEntry, machines []*preemption.Machine[*machine, *attempt]) bool {
 	kinds := c.allowedKinds(e, tasksByZone(e))
-	victims, ok := preemption.Choose(machines, jobSize(&e.rec), e.prio >= urgentRank, func(m *machine) bool {
+	victims, ok := preemption.Choose(machines, jobSize(&e.record), e.priority >= urgentRank, func(m *machine) bool {
 		return kinds(ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot}) && !c.avoids(e, m)
 	})
 	for _, victim := range victims {
 		a := victim.Handle
 		if victim.Unsent { // never sent to a worker, so it runs nowhere
-			c.attemptLost(a, "its place goes to "+e.rec.ID)
+			c.attemptLost(a, "its place goes to "+e.record.ID)
 			continue
 		}
 		c.stopAttempt(a)
-		c.noteTask(trail.TaskStopped, a, "for "+e.rec.ID+", which goes before it")
-		c.log(1, "preempting a task", "task", a.key.task, "machine", a.machine.name, "for", e.rec.ID)
+		c.recordTaskEvent(trail.TaskStopped, a, "for "+e.record.ID+", which goes before it")
+		c.log(1, "preempting a task", "task", a.key.task, "machine", a.machine.name, "for", e.record.ID)
 	}
 	return ok
 }
@@ -107,8 +107,8 @@
 func (c *Core) stopAttempt(a *attempt) {
 	a.stopping = true
 	c.requestReport(a.machine, true)
-	if e := c.jobs[a.job]; e != nil && e.rec.CheckpointEvery > 0 {
-		a.stopGraceS = e.rec.SaveS
+	if e := c.jobs[a.job]; e != nil && e.record.CheckpointEvery > 0 {
+		a.stopGraceS = e.record.SaveS
 	}
 }
 
@@ -116,7 +116,7 @@
 // capacity. The shard that is furthest above its guarantee gives up the block where the least running
 // time is lost.
 func (c *Core) reclaimBlocks() {
-	if !c.every("vacate", 200*time.Millisecond) || !c.confirmed() {
+	if !c.dueEvery("vacate", 200*time.Millisecond) || !c.authorized() {
 		return
 	}
 	starved := false
@@ -127,7 +127,7 @@
 			}
 			starved = true
 			borrower := supply.MostOversupplied(c.shardCapacities("", c.shardCPUs()), i)
-			if borrower < 0 || !c.mine(borrower) {
+			if borrower < 0 || !c.holdsShard(borrower) {
 				continue
 			}
 			c.reclaimBlockFor(borrower, need)
@@ -144,9 +144,9 @@
 // shardCPUs returns the CPUs of the machines in each shard's blocks.
 func (c *Core) shardCPUs() map[int]float64 {
 	cpus := map[int]float64{}
-	for i, types := range c.shardHas {
+	for i, types := range c.machineCounts {
 		for _, machineType := range sortedKeys(types) {
-			size, _ := c.sizeOf(machineType)
+			size, _ := c.machineSize(machineType)
 			cpus[i] += size.CPUs * float64(types[machineType])
 		}
 	}
@@ -155,15 +155,15 @@
 
 // blockCPUs returns the CPUs of a block's machines.
 func (c *Core) blockCPUs(b *wire.Block) float64 {
-	size, _ := c.sizeOf(b.Type)
+	size, _ := c.machineSize(b.Type)
 	return size.CPUs * float64(len(b.Machines))
 }
 
 // guaranteedCPUs returns the sum of the CPU guarantees of a shard's teams.
 func (c *Core) guaranteedCPUs(shard int) float64 {
 	cpus := 0.0
-	for _, team := range c.shards[shard].rec.Teams {
-		cpus += c.p.Teams[team].CPUs
+	for _, team := range c.shards[shard].record.Teams {
+		cpus += c.params.Teams[team].CPUs
 	}
 	return cpus
 }
@@ -174,23 +174,23 @@
 	var blocks []disruption.Block
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if block.rec.Shard != shard || !c.blockServes(block, need) {
+		if block.record.Shard != shard || !c.blockServes(block, need) {
 			continue
 		}
-		size, _ := c.sizeOf(block.rec.Type)
+		size, _ := c.machineSize(block.record.Type)
 		candidate := disruption.Block{
 			Name:      id,
-			Vacated:   c.vacating[id] || block.rec.Idle,
-			TaskSlots: len(block.rec.Machines) * (placement.Beta(size, needSize(need)) + 1),
+			Vacated:   c.vacating[id] || block.record.Idle,
+			TaskSlots: len(block.record.Machines) * (placement.Beta(size, needSize(need)) + 1),
 		}
-		for _, bm := range block.rec.Machines {
+		for _, bm := range block.record.Machines {
 			m := c.machines[bm.Name]
 			if m == nil || !c.usable(m) {
 				candidate.Pinned = true
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.prio >= urgentRank || e.rank > need.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Rung) {
 					candidate.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
@@ -206,15 +206,15 @@
 	}
 	c.vacating[best] = true
 	c.markBlockDirty(best)
-	c.noteShard(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
+	c.recordShardEvent(trail.BlockEmptied, shard, wire.TrailEvent{Block: best, Why: "another team's guarantee"})
 	c.log(1, "emptying a block for another team's guarantee", "block", best, "shard", shard, "lost", loss.String())
-	for _, bm := range c.blocks[best].rec.Machines {
+	for _, bm := range c.blocks[best].record.Machines {
 		m := c.machines[bm.Name]
 		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
 			if a.startSent && a.status != wire.TaskEnded {
 				c.stopAttempt(a)
-				c.noteTask(trail.TaskStopped, a, "its block is emptied")
+				c.recordTaskEvent(trail.TaskStopped, a, "its block is emptied")
 			}
 		}
 	}
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -9,14 +9,14 @@
 
 // knownDone returns the tasks of a job that are stored as done, as far as this version reads the records.
 func (c *Core) knownDone(e *jobEntry) ranges.Set {
-	return ranges.Set(e.rec.Done).Union(c.progress.Of(e.rec.ID))
+	return ranges.Set(e.record.Done).Union(c.progress.Of(e.record.ID))
 }
 
 // durableDone returns the tasks of a job that any controller that takes it over knows as done. Until all
 // controllers understand progress records, only the job's own record counts.
 func (c *Core) durableDone(e *jobEntry) ranges.Set {
-	if !c.understood(rollout.ProgressRecords) {
-		return e.rec.Done
+	if !c.featureEnabled(rollout.ProgressRecords) {
+		return e.record.Done
 	}
 	return c.knownDone(e)
 }
@@ -25,14 +25,14 @@
 // were written as done stay so: they have been cleared from their workers, so a controller that took the
 // job over would start them again.
 func (b *batch) addProgress(e *jobEntry) {
-	c, rec, maxParts := b.c, e.rec, b.maxChanges-len(b.changes)
-	if !c.understood(rollout.ProgressRecords) {
+	c, rec, maxParts := b.c, e.record, b.maxChanges-len(b.changes)
+	if !c.featureEnabled(rollout.ProgressRecords) {
 		maxParts = 0
 	}
 	plan := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
 		rec.Done = done
 		raw, err := wire.Marshal(rec)
-		return err == nil && wire.FitsIn(raw, c.p.ValueBytes)
+		return err == nil && wire.FitsIn(raw, c.params.ValueBytes)
 	}, maxParts)
 	var changes []wire.Change
 	if rec.Done = plan.Record.Clone(); plan.Put {
@@ -94,10 +94,10 @@
 // deleteStaleProgress deletes the progress records of a job that is over. The write requires that the
 // job's own record does not exist, and a job that is over never gets one again.
 func (c *Core) deleteStaleProgress() {
-	if c.leader.deletingProgress || !c.every("tidyDone", tuning.TidyEvery) {
+	if c.leader.deletingProgress || !c.dueEvery("tidyDone", tuning.TidyEvery) {
 		return
 	}
-	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.p.TxnOps/2)
+	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.TxnOps/2)
 	if id == "" {
 		return
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -41,27 +41,27 @@
 		return
 	}
 	if now != nil {
-		kind := boot.Kind{Type: now.rec.Type, Zone: now.rec.Zone, Spot: now.rec.Spot}
-		for _, blockMachine := range now.rec.Machines {
+		kind := boot.Kind{Type: now.record.Type, Zone: now.record.Zone, Spot: now.record.Spot}
+		for _, blockMachine := range now.record.Machines {
 			switch m := c.machines[blockMachine.Name]; {
 			case !blockMachine.Fresh: // adopted, so the time of its rental is not known
-				c.boots.Forget(blockMachine.Name)
+				c.provisioning.Forget(blockMachine.Name)
 			case !c.useRecorded(blockMachine.Name) && (m == nil || !m.reported):
-				c.boots.Booked(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
+				c.provisioning.Booked(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
 			}
 		}
 	}
 	if old != nil {
-		for _, blockMachine := range old.rec.Machines {
-			if c.blockIn[blockMachine.Name] == "" {
-				c.boots.Gone(c.now, blockMachine.Name)
+		for _, blockMachine := range old.record.Machines {
+			if c.blockOfMachine[blockMachine.Name] == "" {
+				c.provisioning.Gone(c.now, blockMachine.Name)
 			}
 		}
 	}
 }
 
 // bootTime returns the usual boot time of a machine type.
-func (c *Core) bootTime(typ string) time.Duration { return seconds(c.types[typ].BootS) }
+func (c *Core) bootTime(typ string) time.Duration { return seconds(c.machineTypes[typ].BootS) }
 
 // doubtedMachines returns the booting machines of a shard that are late and do not count as future
 // capacity.
@@ -75,14 +75,14 @@
 	if len(names) == 0 {
 		return nil
 	}
-	return c.boots.Doubted(c.now, names)
+	return c.provisioning.Doubted(c.now, names)
 }
 
 // bootFailure returns why a machine that has not come up is to be returned, or "" if it is not.
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
-	case c.boots.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.types[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.provisioning.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
 		return "never came up"
 	}
 	return ""
@@ -91,6 +91,6 @@
 // noteRented tracks machines that have just been rented and are in no stored block yet.
 func (c *Core) noteRented(infos []wire.MachineInfo) {
 	for _, info := range infos {
-		c.boots.Booked(c.now, info.Name, boot.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
+		c.provisioning.Booked(c.now, info.Name, boot.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
 	}
 }
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -29,10 +29,10 @@
 			if done != nil {
 				done(allOK && len(rest) == 0)
 			}
-			c.changed()
+			c.mirrorChanged()
 			return
 		}
-		n := min(len(rest), c.form.Bounds().Short(tuning.ShortOps))
+		n := min(len(rest), c.writeLimits.Bounds().Short(tuning.ShortOps))
 		conditions := []wire.Condition{c.leaderCondition()}
 		var changes []wire.Change
 		for k := range rest[:n] {
@@ -62,7 +62,7 @@
 			Index:          i,
 			HaveCPUs:       cpus[i],
 			GuaranteedCPUs: c.guaranteedCPUs(i),
-			SameZone:       c.p.Nodes[c.shards[i].rec.Holder] == zone,
+			SameZone:       c.params.Nodes[c.shards[i].record.Holder] == zone,
 		})
 	}
 	return list
@@ -72,13 +72,13 @@
 // rented machines.
 func (c *Core) serveDemand() {
 	leader := &c.leader
-	if leader.writePending || len(c.types) == 0 {
+	if leader.writePending || len(c.machineTypes) == 0 {
 		return
 	}
 	var shortages []supply.Shortage
 	for _, i := range c.shardIDs() {
 		want := c.shardDemand(i)
-		if len(want.Needs) == 0 || leader.servingShards[i] || want.Seen < c.newestBlock(i) {
+		if len(want.Needs) == 0 || leader.servingShards[i] || want.Seen < c.latestBlockRevision(i) {
 			continue // no demand, being served, or the demand is older than the shard's newest block
 		}
 		// Subtract machines that are rented and in no block yet, which the holder does not know of.
@@ -97,7 +97,7 @@
 // rentedCapacity returns the capacity of a shard's machines that are rented and in no block yet.
 func (c *Core) rentedCapacity(shard int) (pool supply.Pool) {
 	for _, info := range c.leader.rentedMachines[shard] {
-		if size, ok := c.sizeOf(info.Type); ok && c.blockOf(info.Name) == nil {
+		if size, ok := c.machineSize(info.Type); ok && c.blockOf(info.Name) == nil {
 			pool = append(pool, supply.Capacity{Type: info.Type, Zone: info.Zone, Spot: info.Spot, Free: size})
 		}
 	}
@@ -110,22 +110,22 @@
 	leader := &c.leader
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if !block.rec.Idle || block.rec.Shard == shard || !c.blockServes(block, need) {
+		if !block.record.Idle || block.record.Shard == shard || !c.blockServes(block, need) {
 			continue
 		}
-		rec := block.rec
+		rec := block.record
 		rec.Shard, rec.Idle = shard, false
-		from := block.rec.Shard
+		from := block.record.Shard
 		leader.writePending = true
 		leader.servingShards[shard] = true
-		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: block.ver}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
+		c.commit(LaneUser, []wire.Condition{c.leaderCondition(), {Key: blockKey(id), Version: block.version}}, []wire.Change{{Put: blockKey(id), Value: rec}}, func(r StateReply) {
 			leader.writePending = false
 			delete(leader.servingShards, shard)
 			if r.Status == 200 {
-				c.noteShard(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
+				c.recordShardEvent(trail.BlockMoved, shard, wire.TrailEvent{Block: id, Why: fmt.Sprintf("idle in shard %d", from)})
 			}
 			c.log(1, "idle block moved", "block", id, "from", from, "to", shard, "status", r.Status)
-			c.changed()
+			c.mirrorChanged()
 		})
 		return true
 	}
@@ -141,7 +141,7 @@
 	}
 	var offers []supply.Offer
 	var requests []boot.Ask
-	for _, offer := range supply.Offers(c.types, need, c.p.Nodes[c.shards[shard].rec.Holder], c.settings.Spot) {
+	for _, offer := range supply.Offers(c.machineTypes, need, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= leader.offerRetryAt[offer.Key()] {
 			offers = append(offers, offer)
 			requests = append(requests, boot.Ask{
@@ -150,7 +150,7 @@
 			})
 		}
 	}
-	chosen, count := c.boots.Choose(c.now, requests)
+	chosen, count := c.provisioning.Choose(c.now, requests)
 	if chosen < 0 {
 		return false
 	}
@@ -163,14 +163,14 @@
 	leader := &c.leader
 	leader.rentRequests++
 	req := wire.RentRequest{
-		Request: fmt.Sprintf("%s-%d-%d", c.p.Node, c.member.Boot(), leader.rentRequests),
+		Request: fmt.Sprintf("%s-%d-%d", c.params.Node, c.presence.Boot(), leader.rentRequests),
 		Type:    offer.Type,
 		Zone:    offer.Zone,
 		Spot:    offer.Spot,
 		Count:   count,
 	}
 	leader.servingShards[shard] = true
-	c.noteShard(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", need.Tasks, need.CPUs)})
+	c.recordShardEvent(trail.Rented, shard, wire.TrailEvent{Count: count, Why: fmt.Sprintf("%d tasks of %g cpus find no machine", need.Tasks, need.CPUs)})
 	c.log(1, "renting", "shard", shard, "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "count", count, "booking", req.Request)
 	c.sendRental(shard, offer.Key(), req, 0)
 }
@@ -180,7 +180,7 @@
 func (c *Core) sendRental(shard int, key string, req wire.RentRequest, tries int) {
 	leader := &c.leader
 	term := c.term.Since()
-	c.cloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
+	c.callCloud(CloudCall{Op: OpRent, Rent: req}, func(r CloudReply) {
 		if !c.isLeader() || c.term.Since() != term {
 			return // the next leader finds the machines in the cloud's list
 		}
@@ -203,7 +203,7 @@
 		case r.Status == 503 && r.Err == "no capacity":
 			leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
 			delete(leader.servingShards, shard)
-			c.noteShard(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
+			c.recordShardEvent(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
 			c.log(1, "no capacity", "type", req.Type, "zone", req.Zone, "spot", req.Spot)
 			c.runLeader()
 		case r.Status == 400:
@@ -230,7 +230,7 @@
 	leader := &c.leader
 	for _, shard := range c.shardIDs() {
 		infos := leader.rentedMachines[shard]
-		if len(infos) == 0 || leader.writePending || !c.every("booked", 50*time.Millisecond) || !c.canFormBlocks() {
+		if len(infos) == 0 || leader.writePending || !c.dueEvery("booked", 50*time.Millisecond) || !c.canFormBlocks() {
 			continue
 		}
 		var rest []wire.MachineInfo
@@ -247,7 +247,7 @@
 		to := shard
 		c.writeBlocks(rest, false, true, func(b *wire.Block) { b.Shard = to }, func(ok bool) {
 			if !ok { // tried again with the machines that are still in no block
-				c.retryAt["booked"] = c.now + tuning.RetryAfter
+				c.notBefore["booked"] = c.now + tuning.RetryAfter
 			}
 		})
 	}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -22,7 +22,7 @@
 // withoutReservation returns what is left of a machine's free capacity for jobs other than the one that
 // has a reservation on it.
 func (c *Core) withoutReservation(m *machine, free placement.Size) placement.Size {
-	if table := c.places[m.shard]; table != nil {
+	if table := c.reservations[m.shard]; table != nil {
 		if held, ok := table.Get(m); ok {
 			return free.Sub(held.Size)
 		}
@@ -38,29 +38,29 @@
 // reservedSoon returns the number of a job's reservations that become free before a machine rented now
 // would be up.
 func (c *Core) reservedSoon(shard int, j *wire.Job) int {
-	table := c.places[shard]
+	table := c.reservations[shard]
 	if table == nil || table.Len() == 0 {
 		return 0
 	}
-	_, boot := supply.FetchAndBootBounds(c.types, j.Types)
+	_, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
 	return table.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
 }
 
 // planReservations reserves capacity on the held shards for jobs whose tasks fit on no machine (package
 // reservation).
 func (c *Core) planReservations() {
-	if !c.confirmed() || !c.every("holds", tuning.HoldEvery) {
+	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
 		return
 	}
 	for _, shard := range c.shardIDs() {
-		if !c.mine(shard) {
+		if !c.holdsShard(shard) {
 			continue
 		}
 		requests, least := c.unplaceableJobs(shard)
-		table := c.places[shard]
+		table := c.reservations[shard]
 		if table == nil {
 			table = reservation.New[*machine](reservationLimits)
-			c.places[shard] = table
+			c.reservations[shard] = table
 		}
 		if len(requests) == 0 && table.Len() == 0 {
 			c.reserveTeamLimits(shard, nil)
@@ -76,7 +76,7 @@
 		c.reserveTeamLimits(shard, wide)
 		for _, m := range table.Plan(c.now, wide, machines) {
 			if held, ok := table.Get(m); ok {
-				c.noteMachine(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + held.Job + ", whose tasks fit nowhere"})
+				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + held.Job + ", whose tasks fit nowhere"})
 				c.log(2, "capacity reserved", "machine", m.name, "job", held.Job, "free_in", (held.FitsAt - c.now).String())
 			}
 			c.markDirty(m)
@@ -94,30 +94,30 @@
 	least = unlimitedCapacity("")
 	acceptedBefore := c.wall.Add(-tuning.HoldAfter).UnixMilli()
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.TaskSize
 		least = smallerSize(least, size)
-		if e.prio >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.rec.ID) {
+		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
 			return true // urgent work preempts other work instead
 		}
 		team := p.Job.Team
 		if _, ok := used[team]; !ok {
 			used[team] = c.capacity.Used(team, shard)
 		}
-		startable := placement.TasksUnderLimit(c.p.Teams[team].CPUsMax, c.p.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
+		startable := placement.TasksUnderLimit(c.params.Teams[team].CPUsMax, c.params.Teams[team].GPUsMax, used[team], size, p.Job.Pending)
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(startable), GPUs: size.GPUs * float64(startable)})
 		if startable == 0 || !placement.Fits(largestFree, size) {
 			requests = append(requests, reservation.Request[*machine]{
-				Job:      e.rec.ID,
+				Job:      e.record.ID,
 				Team:     team,
 				Size:     size,
 				Tasks:    max(1, startable),
 				TeamFull: startable == 0,
-				Allows:   func(m *machine) bool { return allowsMachine(&e.rec, m) && !c.avoids(e, m) },
+				Allows:   func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) },
 			})
 		}
 		return true
@@ -127,17 +127,17 @@
 
 // reserveTeamLimits reserves parts of the limits of a shard's teams for jobs that do not fit into the rest.
 func (c *Core) reserveTeamLimits(shard int, requests []reservation.Request[*machine]) {
-	for _, team := range c.shards[shard].rec.Teams {
-		delete(c.kept, team)
+	for _, team := range c.shards[shard].record.Teams {
+		delete(c.limitReservations, team)
 	}
-	maps.Copy(c.kept, reservation.TeamReservations(requests))
+	maps.Copy(c.limitReservations, reservation.TeamReservations(requests))
 }
 
 // effectiveLimit returns a job's team with its limit, less what is reserved of the limit for another job
 // of the team. Urgent jobs are not bound by such a reservation.
 func (c *Core) effectiveLimit(e *jobEntry) Team {
-	team := c.p.Teams[e.rec.Team]
-	if held, ok := c.kept[e.rec.Team]; ok && held.Job != e.rec.ID && e.prio < urgentRank {
+	team := c.params.Teams[e.record.Team]
+	if held, ok := c.limitReservations[e.record.Team]; ok && held.Job != e.record.ID && e.priority < urgentRank {
 		team.CPUsMax, team.GPUsMax = team.CPUsMax-held.Size.CPUs, team.GPUsMax-held.Size.GPUs
 	}
 	return team
@@ -148,11 +148,11 @@
 func (c *Core) appendReservable(m *machine, list []reservation.Machine[*machine], least *placement.Size) []reservation.Machine[*machine] {
 	candidate := reservation.Machine[*machine]{Handle: m, Name: m.name, Up: c.usable(m), Free: c.freeCapacity(m)}
 	if !candidate.Up {
-		size, known := c.sizeOf(m.machineType)
+		size, known := c.machineSize(m.machineType)
 		if !known || m.reported || m.inherited || !c.comingMachines[m] {
 			return list
 		}
-		candidate.Free, candidate.ReadyAt = size, m.heldSince+seconds(c.types[m.machineType].BootS*1.2)
+		candidate.Free, candidate.ReadyAt = size, m.heldSince+seconds(c.machineTypes[m.machineType].BootS*1.2)
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
@@ -173,10 +173,10 @@
 	if e == nil || a.stopping {
 		return c.now + seconds(a.stopGraceS), true
 	}
-	if e.rec.EstimateS <= 0 {
+	if e.record.EstimateS <= 0 {
 		return 0, false
 	}
-	runTime := c.runs.Typical(e.rec.Class, e.rec.EstimateS)
+	runTime := c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 	if a.status == wire.TaskRunning || a.status == wire.TaskSaving {
 		return max(a.runningSince+runTime, c.now+runTime/8), true // an overdue task is expected to end a little later
 	}
@@ -185,8 +185,8 @@
 
 // fetchTime returns how long a machine takes to fetch a job's image if it fetches nothing else.
 func (c *Core) fetchTime(e *jobEntry, m *machine) time.Duration {
-	if rate := c.types[m.machineType].FetchGBps; rate > 0 && !m.images[e.rec.Image] {
-		return seconds(e.rec.ImageGB / rate)
+	if rate := c.machineTypes[m.machineType].FetchGBps; rate > 0 && !m.images[e.record.Image] {
+		return seconds(e.record.ImageGB / rate)
 	}
 	return 0
 }
@@ -195,9 +195,9 @@
 // Urgent tasks that found no other machine take any reservation. Until the task of its job fits, reserved
 // capacity is backfilled with tasks that certainly end before.
 func (c *Core) placeReserved() {
-	for _, shard := range sortedIntKeys(c.places) {
-		table := c.places[shard]
-		if table.Len() == 0 || !c.mine(shard) {
+	for _, shard := range sortedIntKeys(c.reservations) {
+		table := c.reservations[shard]
+		if table.Len() == 0 || !c.holdsShard(shard) {
 			continue
 		}
 		c.refreshIndexes()
@@ -221,7 +221,7 @@
 
 // canPlace reports whether a job's next task may be placed on a machine now, regardless of reservations.
 func (c *Core) canPlace(e *jobEntry, m *machine, shard int) bool {
-	size, job := jobSize(&e.rec), &e.rec
+	size, job := jobSize(&e.record), &e.record
 	facts, ok := c.capacity.Get(m)
 	inheritedAndNext := float64(e.run.possiblyInherited() + 1)
 	return ok && facts.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(facts.Kind) && !c.avoids(e, m) &&
@@ -231,17 +231,17 @@
 // placeUrgentOnReserved places waiting urgent tasks on reserved machines, whatever job they are reserved for.
 func (c *Core) placeUrgentOnReserved(shard int, table *reservation.Table[*machine]) {
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		if e.prio < urgentRank || table.Len() == 0 {
-			return table.Len() > 0 && !c.ladder.PriorityOnly() // in plain priority order no later job is urgent
+		if e.priority < urgentRank || table.Len() == 0 {
+			return table.Len() > 0 && !c.tierOrder.PriorityOnly() // in plain priority order no later job is urgent
 		}
 		for _, m := range table.Machines() {
-			if c.startableTasks(e) == 0 || e.rec.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
+			if c.startableTasks(e) == 0 || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) {
 				break
 			}
 			if c.usable(m) && c.canPlace(e, m, shard) {
@@ -257,7 +257,7 @@
 func (c *Core) backfill(m *machine, shard int, held reservation.Reservation) {
 	examined := 0
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return c.freeCapacity(m)
@@ -266,8 +266,8 @@
 		if examined++; examined > tuning.HoldLook {
 			return false
 		}
-		if e.rec.EstimateS <= 0 || !m.images[e.rec.Image] || e.rec.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
-			c.now+c.runs.UpperBound(e.rec.Class, e.rec.EstimateS) > held.FitsAt {
+		if e.record.EstimateS <= 0 || !m.images[e.record.Image] || e.record.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
+			c.now+c.runTimes.UpperBound(e.record.Class, e.record.EstimateS) > held.FitsAt {
 			return true
 		}
 		for c.startableTasks(e) > 0 && c.canPlace(e, m, shard) {
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -25,7 +25,7 @@
 	c.markJobDirty(e)
 	if c.taskHealth.Mistaken(a.job) && !was {
 		machines, times := c.taskHealth.Failures(a.job)
-		c.noteTask(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
+		c.recordTaskEvent(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
 		c.log(1, "job fails everywhere, tried rarely", "job", a.job, "machines", machines, "failures", times)
 	}
 }
@@ -38,7 +38,7 @@
 			continue
 		}
 		_, failures := c.taskHealth.Machine(n)
-		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
+		c.recordMachineEvent(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
 		c.log(1, "machine looks faulty, returning it", "machine", n, "failures", failures)
 		m.returning = true
 		c.markDirty(m)
@@ -51,7 +51,7 @@
 	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
 		return
 	}
-	if e := c.jobs[a.job]; e != nil && e.rec.Shape == wire.ShapeService {
+	if e := c.jobs[a.job]; e != nil && e.record.Shape == wire.ShapeService {
 		a.countedSound = true
 		trial := c.taskHealth.Trial(a.job)
 		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
@@ -64,13 +64,13 @@
 // avoids tells whether a job's tasks keep off a machine: they have failed there, or the
 // machine is suspected and they cannot wait.
 func (c *Core) avoids(e *jobEntry, m *machine) bool {
-	if c.taskHealth.Avoids(e.rec.ID, m.name) {
+	if c.taskHealth.Avoids(e.record.ID, m.name) {
 		return true
 	}
-	if c.taskHealth.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
+	if c.taskHealth.Mistaken(e.record.ID) && !m.images[e.record.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
 		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
 	}
-	if e.prio >= urgentRank {
+	if e.priority >= urgentRank {
 		verdict, _ := c.taskHealth.Machine(m.name)
 		return verdict != health.Well
 	}
@@ -80,8 +80,8 @@
 // trials is how many of a job's tasks may be started: of one that has failed on several
 // machines and completed nowhere, one at a time.
 func (c *Core) startableTasks(e *jobEntry) int {
-	n := e.run.pendingTasks(&e.rec)
-	if e.rec.Shape != wire.ShapeGang && c.taskHealth.Trial(e.rec.ID) {
+	n := e.run.pendingTasks(&e.record)
+	if e.record.Shape != wire.ShapeGang && c.taskHealth.Trial(e.record.ID) {
 		n = min(n, max(0, 1-len(e.run.active)))
 	}
 	return n
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -9,7 +9,7 @@
 
 // putTierOrder applies a new tier order and ranks all jobs by it.
 func (c *Core) putTierOrder(r wire.Ladder) {
-	c.rungs, c.ladder = r, tiers.NewOrder(r)
+	c.tierRecord, c.tierOrder = r, tiers.NewOrder(r)
 	for _, e := range c.jobsByAge() {
 		c.rankJob(e)
 		c.markJobDirty(e)
@@ -19,7 +19,7 @@
 
 // tierOrderView returns the tier order that is in force, for the admin interface.
 func (c *Core) tierOrderView() wire.LadderView {
-	return wire.LadderView{Version: c.ver.Of(wire.KeyLadder), Ladder: c.rungs, All: c.ladder.Tiers()}
+	return wire.LadderView{Version: c.versions.Of(wire.KeyLadder), Ladder: c.tierRecord, All: c.tierOrder.Tiers()}
 }
 
 // onAdminTiers answers with the tier order, or checks and writes a new one.
@@ -32,14 +32,14 @@
 		c.answer(v.Req, 200, c.tierOrderView())
 		return
 	}
-	known := func(team string) bool { _, ok := c.p.Teams[team]; return ok }
+	known := func(team string) bool { _, ok := c.params.Teams[team]; return ok }
 	if err := tiers.Validate(v.Patch.Rungs, known); err != nil {
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	version := c.ver.Of(wire.KeyLadder)
-	rec := limits.Fit(tiers.Revise(c.rungs, version, v.Patch.Rungs, c.wall, c.p.Node, tuning.LadderHistory), c.p.ValueBytes, tiers.DropOldestChange)
-	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.p.ValueBytes) {
+	version := c.versions.Of(wire.KeyLadder)
+	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.ValueBytes, tiers.DropOldestChange)
+	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.ValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
@@ -50,7 +50,7 @@
 		c.answer(v.Req, 409, c.tierOrderView())
 	default:
 		c.commit(LaneUser, []wire.Condition{{Key: wire.KeyLadder, Version: version}}, []wire.Change{{Put: wire.KeyLadder, Value: rec}}, func(r StateReply) {
-			c.adminDone(v.Req, r, func() any { return c.tierOrderView() })
+			c.answerAdminWrite(v.Req, r, func() any { return c.tierOrderView() })
 		})
 	}
 }
@@ -63,13 +63,13 @@
 	}
 	jobs := make([]*wire.Job, 0, len(c.jobs))
 	for _, e := range c.jobsByAge() {
-		jobs = append(jobs, &e.rec)
+		jobs = append(jobs, &e.record)
 	}
-	ordered, digest := c.ladder.SortJobs(jobs)
+	ordered, digest := c.tierOrder.SortJobs(jobs)
 	c.answer(v.Req, 200, wire.OrderView{
-		Node:     c.p.Node,
-		Revision: c.rev,
-		Version:  c.ver.Of(wire.KeyLadder),
+		Node:     c.params.Node,
+		Revision: c.mirrorRevision,
+		Version:  c.versions.Of(wire.KeyLadder),
 		Digest:   digest,
 		Count:    len(ordered),
 		Jobs:     ordered[:min(len(ordered), tuning.OrderAnswer)],
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -29,7 +29,7 @@
 		Zone:  m.zone,
 		Addr:  m.addr,
 		Shard: m.shard,
-		Rate:  c.types[m.machineType].FetchGBps,
+		Rate:  c.machineTypes[m.machineType].FetchGBps,
 	}
 }
 
@@ -41,8 +41,8 @@
 		a := m.attempts[k]
 		if e := c.jobs[a.job]; e != nil && a.startSent && a.status != wire.TaskEnded {
 			uses = append(uses, weights.Use{
-				Image: e.rec.Image,
-				GB:    e.rec.ImageGB,
+				Image: e.record.Image,
+				GB:    e.record.ImageGB,
 				There: a.status == wire.TaskRunning || a.status == wire.TaskSaving,
 			})
 		}
@@ -54,8 +54,8 @@
 // fetched from, or false if the fetch has to wait.
 func (c *Core) runCommand(a *attempt) (wire.Command, bool) {
 	cmd, e, startNow := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.number}, c.jobs[a.job], true
-	if !a.machine.images[e.rec.Image] && e.rec.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
-		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.machine), e.rec.Image, e.rec.ImageGB, e.rec.Tasks)
+	if !a.machine.images[e.record.Image] && e.record.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
+		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.machine), e.record.Image, e.record.ImageGB, e.record.Tasks)
 	}
 	return cmd, startNow
 }
@@ -73,12 +73,12 @@
 // publishImages periodically writes which images the machines of a held shard have, and the plans for
 // images that many machines fetch.
 func (c *Core) publishImages() {
-	if c.writingImages || !c.confirmed() || !c.every("images", tuning.WeightsEvery) {
+	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.mine, c.shardImages, c.p.ValueBytes-256); due {
+	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.ValueBytes-256); due {
 		c.writingImages = true
-		c.commit(LaneLater, []wire.Condition{c.shardCond(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
+		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.writingImages = false
 			write.Done(c.now, r.Status == 200)
 		})
@@ -87,7 +87,7 @@
 
 // onAdminWeights answers with the fetches of images, and with the machines that have them.
 func (c *Core) onAdminWeights(v AdminWeights) {
-	view := c.weights.View(c.now, c.p.Node, v.Image)
+	view := c.weights.View(c.now, c.params.Node, v.Image)
 	for _, m := range c.heldMachines() {
 		view.Cached(c.fetchMachine(m).Copy(), sortedKeys(m.images), v.Image)
 	}
