--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -233,7 +233,10 @@
 		}
 		e := c.waitingJobs[id]
 		keys = append(keys, waitingKey(id))
-		b.conditions = append(b.conditions, wire.Condition{Key: waitingKey(id), Version: e.version}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
+		b.conditions = append(b.conditions,
+			wire.Condition{Key: waitingKey(id), Version: e.version},
+			wire.Condition{Key: jobKey(id)},
+			wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
 		if cancelledBy != nil {
 			finals[id] = wire.Final{Status: wire.JobAborted, By: cancelledBy[id]}
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -101,7 +101,10 @@
 			c.log(1, "departure", "crew", name, "plan", event.Plan.Say)
 			continue
 		}
-		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{Count: outcome.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS)})
+		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{
+			Count: outcome.Met,
+			Why:   fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS),
+		})
 		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -69,8 +69,14 @@
 		}
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
 		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
-			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()}, Lease: c.presence.StateLease()}}, func(r StateReply) {
+			c.commit(LaneFirst,
+				[]wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
+				[]wire.Change{{
+					Put:   wire.KeyLeader,
+					Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()},
+					Lease: c.presence.StateLease(),
+				}},
+				func(r StateReply) {
 					c.term.WriteFinished()
 					c.mirrorChanged()
 				})
@@ -212,7 +218,10 @@
 		shard := c.shards[best]
 		rec := shard.record
 		rec.Teams = append(append([]string(nil), rec.Teams...), team)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.version}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.mirrorChanged() })
+		c.commit(LaneFirst,
+			[]wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.version}},
+			[]wire.Change{{Put: shardKey(best), Value: rec}},
+			func(StateReply) { c.mirrorChanged() })
 		return
 	}
 }
@@ -407,7 +416,9 @@
 	leader := &c.leader
 	// Without the machine types every block counts as having no CPUs, and all base machines once
 	// went to the same shard.
-	if leader.writePending || !leader.cloudMachines.Strangers() || len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) || !c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
+	if leader.writePending || !leader.cloudMachines.Strangers() ||
+		len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) ||
+		!c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
 	// The machine list may lag by up to twice the usual time.
--- a/internal/core/meeting_ahead_test.go
+++ b/internal/core/meeting_ahead_test.go
@@ -9,7 +9,7 @@
 
 // A wide stage is about to follow another, and its tasks would be late if machines were asked for only
 // then: they are up as it begins. If its holder has just ended it waits for a boot at most. For what is cancelled
-// before it could run nothing is kept. Fails (6 s instead of 4) without soon in unmetNeeds.
+// before it could run nothing is kept. Fails (6 s instead of 4) without startingSoon in unmetNeeds.
 func TestMachinesAreUpAsAStageBegins(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"", "its holder ends", "cancelled"} {
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -15,9 +15,9 @@
 )
 
 // preempt stops work of lower tiers for tasks that are urgent, or in a tier that operators named, and find
-// no free capacity, and idle-priority work for all tasks within their team's guarantee. All waiting jobs are served in one pass, each on the
-// machine where the least running time is lost. When they were served one by one, each waited until the
-// one before it had its machine.
+// no free capacity, and idle-priority work for all tasks within their team's guarantee. All waiting jobs
+// are served in one pass, each on the machine where the least running time is lost. When they were served
+// one by one, each waited until the one before it had its machine.
 func (c *Core) preempt() {
 	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
 		return
@@ -33,7 +33,8 @@
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
-		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang && c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang &&
+			c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
 			jobs = append(jobs, e)
 		}
 		return true
@@ -70,13 +71,19 @@
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
-		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil && c.jobs[a.job].rank < lowestTier && c.jobs[a.job].record.Shape != wire.ShapeGang:
+		case a.status == "" && !a.startSent && a.sizeKnown && c.jobs[a.job] != nil &&
+			c.jobs[a.job].rank < lowestTier && c.jobs[a.job].record.Shape != wire.ShapeGang:
 			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Unsent: true})
 		case a.status == wire.TaskEnded || !a.startSent:
 		case a.stopping || c.jobs[a.job] == nil:
 			candidate.Free = candidate.Free.Add(a.size) // already being stopped
 		case a.sizeKnown && a.belowUrgent && c.jobs[a.job].rank < lowestTier:
-			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{Handle: a, Size: a.size, Runtime: c.now - a.runningSince, Idle: a.idlePriority})
+			candidate.Victims = append(candidate.Victims, preemption.Victim[*attempt]{
+				Handle:  a,
+				Size:    a.size,
+				Runtime: c.now - a.runningSince,
+				Idle:    a.idlePriority,
+			})
 		}
 	}
 	candidate.SortVictims()
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -101,7 +101,9 @@
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, size := p.Handle, p.Job.TaskSize
 		least = smallerSize(least, size)
-		if e.priority >= urgentRank || p.Late && !p.Overdue || p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs || e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
+		if e.priority >= urgentRank || p.Late && !p.Overdue ||
+			p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs ||
+			e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
 			return true // urgent work preempts other work instead
 		}
 		team := p.Job.Team
@@ -224,8 +226,12 @@
 	size, job := jobSize(&e.record), &e.record
 	facts, ok := c.capacity.Get(m)
 	inheritedAndNext := float64(e.run.possiblyInherited() + 1)
-	return ok && facts.Usable && placement.Fits(c.freeCapacity(m), size) && c.allowedKinds(e, tasksByZone(e))(facts.Kind) && !c.avoids(e, m) &&
-		!c.effectiveLimit(e).exceededBy(c.capacity.Used(job.Team, shard).Add(placement.Size{CPUs: size.CPUs * inheritedAndNext, GPUs: size.GPUs * inheritedAndNext}))
+	return ok && facts.Usable && placement.Fits(c.freeCapacity(m), size) &&
+		c.allowedKinds(e, tasksByZone(e))(facts.Kind) && !c.avoids(e, m) &&
+		!c.effectiveLimit(e).exceededBy(c.capacity.Used(job.Team, shard).Add(placement.Size{
+			CPUs: size.CPUs * inheritedAndNext,
+			GPUs: size.GPUs * inheritedAndNext,
+		}))
 }
 
 // placeUrgentOnReserved places waiting urgent tasks on reserved machines, whatever job they are reserved for.
