--- a/internal/assignment/assignment.go
+++ b/internal/assignment/assignment.go
@@ -1,9 +1,9 @@
-// Package assignment decides which controller is to hold a shard: one that can do its work. A
-// holder that is cut off from its workers while another controller reaches them gives the
-// shard away, long before a lease ends; nobody gives anything away in an outage that all
-// share, or for a link that comes and goes.
+// Package assignment decides which controller holds a shard. A holder that is cut off from its
+// workers transfers the shard to a controller that reaches them, long before a lease ends. Shards
+// are not transferred in an outage that affects all controllers, nor because of a flapping link.
 //
-// Pure functions over what the controllers say of themselves.
+// The decisions are pure functions of the controllers' reachability reports, which a Tracker keeps.
+// No clock, no I/O, not for concurrent use.
 package assignment
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Reach is how many of a shard's machines a controller reaches, of those it knows to
-// speak for the rest.
+// Reach is how many of a shard's machines a controller reaches, out of a sample that stands for all
+// of them.
 type Reach struct{ Total, Reached int }
 
-// share is the part reached.
+// share returns the reached share, 0 for an empty sample.
 func (r Reach) share() float64 {
 	if r.Total == 0 {
 		return 0
@@ -25,34 +25,37 @@
 	return float64(r.Reached) / float64(r.Total)
 }
 
-// Member is a controller that is present in the state service: it reaches that, by itself
-// or through others, or it would not be.
+// Member is a controller that is present in the state service, which means that it reaches the state
+// service, directly or through others.
 type Member struct {
 	Node       string
 	Zone       string
-	HeldShards int // shards it holds
-	// Lacks: it is cut off from the workers, by its own word.
+	HeldShards int
+	// LacksWorkers: it reports that it is cut off from the workers.
 	LacksWorkers bool
-	// Reaches: it reaches these of the shard in question, by its own word; nil: it has
-	// said nothing of it.
+	// Reach is what it reports about the shard in question; nil without a report.
 	Reach *Reach
-	// Cloud: the cloud has just answered it.
+	// ReachesCloud: the cloud has answered it recently.
 	ReachesCloud bool
-	// Near: it and the holder can speak, so that reports reach the holder through it.
+	// Reachable: it and the holder can exchange messages, so workers' reports reach the holder
+	// through it.
 	Reachable bool
 }
 
-// Rules are what a move is weighed by.
+// Rules are the conditions for transferring a shard.
 type Rules struct {
-	// Gain is by how much more of the machines another must reach: a move has each of them
-	// accounted for anew, and the tasks that wait for that stand still meanwhile.
+	// MinGain is the share of the machines that a new holder must reach beyond the share that
+	// the present one reaches. After a transfer every machine has to be accounted for again, and
+	// the tasks that wait for that make no progress meanwhile.
 	MinGain float64
-	// After is how long the holder has not heard its machines before it gives them away.
+	// SilentAfter is how long none or few of the machines have reported before the holder
+	// transfers the shard.
 	SilentAfter time.Duration
 }
 
-// GiveTo is the member to whom a holder gives a shard whose machines it has not heard for
-// so long, or "". Who can speak to the holder passes reports on, which costs no move.
+// TransferTarget returns the member to which a holder transfers a shard whose machines have been
+// silent for that long, or "" to keep it. The shard stays if a member that reaches the machines can
+// also exchange messages with the holder: it relays their reports, which needs no transfer.
 func (r Rules) TransferTarget(own Reach, silent time.Duration, home string, zones map[string]string, others []Member) string {
 	if silent < r.SilentAfter {
 		return ""
@@ -70,9 +73,9 @@
 	return bestMember(candidates, home, zones)
 }
 
-// Successor is the member that takes over the shard of a holder that is gone: one that
-// reaches workers, if there is any, with the fewest shards, home first, then in the home's
-// zone.
+// Successor returns the member that takes over the shard of a holder that is gone, or "" without
+// members. Members that reach workers come before all others; among them one with few shards, the
+// home and members in the home's zone are preferred, as bestMember weighs them.
 func Successor(home string, zones map[string]string, members []Member) string {
 	var candidates []Member
 	for _, m := range members {
@@ -86,8 +89,8 @@
 	return bestMember(candidates, home, zones)
 }
 
-// Leader is the controller to whom a leader without the cloud leaves its duty, or "": one
-// that the cloud answers, and that reaches workers if there is such a one.
+// NextLeader returns the controller to which a leader that does not reach the cloud leaves
+// leadership, or "" if none reaches the cloud. One that also reaches workers is preferred.
 func NextLeader(others []Member) string {
 	name, lacksWorkers := "", true
 	for _, m := range others {
@@ -98,23 +101,27 @@
 	return name
 }
 
-// GoesHome tells whether a shard may go back to its home, present for so long: not while
-// that says it is cut off from the workers, and not while many of the shard's machines are
-// missed: each of them would have to be waited for anew.
+// MayReturnHome reports whether a shard may be returned to its home, which has been present for that
+// long. It may not while the home lacks workers or holds another shard, nor while many of the shard's
+// machines are missing, because the new holder would have to wait for each of them again.
 func (r Rules) MayReturnHome(home Member, manyMissing bool, presentFor, returnAfter time.Duration) bool {
 	return !home.LacksWorkers && home.HeldShards == 0 && !manyMissing && presentFor > returnAfter
 }
 
-// Regained tells whether between two versions of a shard's record that name the same life of the
-// same holder another held it: each change of hands names the last life or, if all was
-// accounted for, begins that list anew and takes the mark of it back. Past lives too many to be
-// named say nothing; but a holder itself writes only that the shard is settled, a leader that it
-// has another team.
+// Reacquired reports whether another controller held a shard between two versions of its record that
+// name the same incarnation of the same holder. Each change of holder adds the previous incarnation
+// to Past or, if all machines were accounted for, starts that list anew and clears Settled. Once
+// there are too many incarnations to list, Past no longer shows a change. Then an unsettled version
+// with the same teams does: a holder itself writes only that the shard is settled, and a leader only
+// that it has other teams.
 func Reacquired(old, now wire.Shard) bool {
 	return old.Settled && !now.Settled || !slices.Equal(old.Past, now.Past) || old.Known && !now.Known ||
 		!now.Settled && slices.Equal(old.Teams, now.Teams)
 }
 
+// bestMember returns the member with the lowest score, or "" without members. A shard held counts 2,
+// another zone than the home's 1, being the home -4; the reached share decides between equals, then
+// the name.
 func bestMember(members []Member, home string, zones map[string]string) string {
 	name, bestScore := "", 0.0
 	for _, m := range members {
@@ -126,7 +133,7 @@
 			memberScore -= 4
 		}
 		if m.Reach != nil {
-			memberScore -= m.Reach.share() / 2 // among equals
+			memberScore -= m.Reach.share() / 2 // less than any other difference
 		}
 		if name == "" || memberScore < bestScore || memberScore == bestScore && m.Node < name {
 			name, bestScore = m.Node, memberScore
--- a/internal/assignment/teams.go
+++ b/internal/assignment/teams.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// ShareTeams spreads teams over n shards by their guarantees in CPUs: the largest first,
-// each to the shard with the least so far.
+// AssignTeams distributes teams over a number of shards by their guarantees in CPUs: in descending
+// order, each to the shard with the lowest sum so far. It returns the teams of each shard.
 func AssignTeams(guarantees map[string]float64, shards int) [][]string {
 	assigned, load := make([][]string, shards), make([]float64, shards)
 	names := slices.Sorted(maps.Keys(guarantees))
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -9,87 +9,105 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Limits are the times by which words count, in the owner's steady time, and what is many.
+// Limits are the durations for which reachability reports and answers count, by the owner's
+// monotonic clock, and the number of machines of a shard that may be missing.
 type Limits struct {
-	ReportTTL           time.Duration // a word that a peer spoke counts for so long, then the one it wrote
-	ReachableFor        time.Duration // an answer to a ping shows for so long that messages get through
-	UnreachableAfter    time.Duration // a controller that has not answered for so long is named as out of reach
-	CloudAnswerTTL      time.Duration // an answer of the cloud shows for so long that it is reached
-	ReturnHomeAfter     time.Duration // a shard goes back to its home once that has been present for so long
-	AllowedMissing      int           // machines of a shard that may be missed
-	AllowedMissingShare int           // and one in so many
+	ReportTTL           time.Duration // a report received from a peer is used for this long, then the stored one
+	ReachableFor        time.Duration // a peer counts as reachable for this long after its last answer to a ping
+	UnreachableAfter    time.Duration // a peer without an answer for longer than this is reported as unreachable
+	CloudAnswerTTL      time.Duration // the cloud counts as reached for this long after an answered call was sent
+	ReturnHomeAfter     time.Duration // a shard may return home once its home has been present for longer than this
+	AllowedMissing      int           // machines of a shard that may be missing at any size
+	AllowedMissingShare int           // for larger shards: one machine in this many may be missing
 }
 
-// Many tells whether so many of a shard's machines are more than fail by themselves.
+// TooManyMissing reports whether more of a shard's machines are missing than independent
+// failures explain.
 func (l Limits) TooManyMissing(missing, total int) bool {
 	return missing > max(l.AllowedMissing, total/l.AllowedMissingShare)
 }
 
-// Self is what a controller knows of itself, as asked of a book.
+// Self is the owner's own state, as needed for its reports and decisions.
 type Self struct {
 	Boot    uint64
 	Leading bool
-	Leader  string // who leads, as far as is known
+	Leader  string // the current leader, as far as known
 }
 
-// Book is what one controller knows of what it and the others reach, by their words.
+// Tracker records which workers, peers and outside services the controllers reach, by the owner's
+// own measurements and the reachability reports of the other controllers.
 type Tracker struct {
 	self            string
-	zones           map[string]string    // of all controllers
-	present         map[string]wire.Node // the owner's, read only
+	zones           map[string]string    // zone of every controller
+	present         map[string]wire.Node // belongs to the owner, only read here
 	workers         *reach.Workers
 	cloud           *reach.Link
 	rules           Rules
 	limits          Limits
-	stored          map[string]wire.Reach     // by controller, as the state has them
-	received        map[string]receivedReport // as peers last told us
-	answeredAt      map[string]time.Duration
-	lackedWorkersAt map[string]time.Duration // when a controller last lacked workers, as far as we know
-	missingShards   []int                    // held shards of whose machines many are missed
-	startedAt       time.Duration            // when the owner began to judge
-	shownLevels     map[string]reach.Level   // links, as last told
+	stored          map[string]wire.Reach     // reports by controller, as stored in the state service
+	received        map[string]receivedReport // last report received from each peer directly
+	answeredAt      map[string]time.Duration  // when each peer last answered a ping
+	lackedWorkersAt map[string]time.Duration  // when each controller was last known to lack workers
+	missingShards   []int                     // held shards with too many missing machines
+	startedAt       time.Duration             // time of the first Update
+	shownLevels     map[string]reach.Level    // link levels last returned by ChangedLinks
 }
 
+// receivedReport is a report that a peer sent, and when it arrived.
 type receivedReport struct {
 	report wire.Reach
 	at     time.Duration
 }
 
-// NewBook returns a book without words. present are the controllers that are present; workers and
-// cloud are what the owner reaches of these.
+// NewTracker returns a tracker without reports. present holds the controllers that are present;
+// workers and cloud measure what the owner reaches itself.
 func NewTracker(self string, zones map[string]string, present map[string]wire.Node, workers *reach.Workers, cloud *reach.Link, rules Rules, limits Limits) *Tracker {
-	return &Tracker{self: self, zones: zones, present: present, workers: workers, cloud: cloud, rules: rules, limits: limits, stored: map[string]wire.Reach{},
-		received: map[string]receivedReport{}, answeredAt: map[string]time.Duration{}, lackedWorkersAt: map[string]time.Duration{}, shownLevels: map[string]reach.Level{}}
+	return &Tracker{
+		self:            self,
+		zones:           zones,
+		present:         present,
+		workers:         workers,
+		cloud:           cloud,
+		rules:           rules,
+		limits:          limits,
+		stored:          map[string]wire.Reach{},
+		received:        map[string]receivedReport{},
+		answeredAt:      map[string]time.Duration{},
+		lackedWorkersAt: map[string]time.Duration{},
+		shownLevels:     map[string]reach.Level{},
+	}
 }
 
-// Wrote takes a controller's word as the state has it, Withdrew that it is there no more.
+// SetStored records a controller's report as stored in the state service.
 func (t *Tracker) SetStored(node string, report wire.Reach) { t.stored[node] = report }
-func (t *Tracker) RemoveStored(node string)                 { delete(t.stored, node) }
 
-// Written is a controller's word as the state has it.
+// RemoveStored records that the state service no longer holds a report of a controller.
+func (t *Tracker) RemoveStored(node string) { delete(t.stored, node) }
+
+// Stored returns a controller's report as stored in the state service.
 func (t *Tracker) Stored(node string) wire.Reach { return t.stored[node] }
 
-// Spoke takes a controller's word from itself.
+// ReportReceived records a report that a controller has sent to us directly.
 func (t *Tracker) ReportReceived(now time.Duration, node string, report wire.Reach) {
 	t.received[node] = receivedReport{report, now}
 }
 
-// Answered notes that a controller has answered a ping.
+// PingAnswered records that a controller has answered a ping.
 func (t *Tracker) PingAnswered(now time.Duration, node string) { t.answeredAt[node] = now }
 
-// Near tells whether a controller has answered us just now.
+// Reachable reports whether a controller has answered a ping of ours recently.
 func (t *Tracker) Reachable(now time.Duration, node string) bool {
 	at, ok := t.answeredAt[node]
 	return ok && now-at <= t.limits.ReachableFor
 }
 
-// Hears tells whether messages between us and a controller, or ourselves, get through.
+// ReachableOrSelf reports whether messages get through to a controller, which may be ourselves.
 func (t *Tracker) ReachableOrSelf(now time.Duration, node string) bool {
 	return node == t.self || t.Reachable(now, node)
 }
 
-// ToWorkers is a controller that reaches workers and that we reach, if we reach none ourselves; "":
-// there is none, or we do.
+// WorkerProxy returns a reachable controller through which workers can be called, if we reach none
+// ourselves. It returns "" if we reach workers or there is no such controller.
 func (t *Tracker) WorkerProxy(now time.Duration) string {
 	if !t.workers.LacksWorkers(now) {
 		return ""
@@ -102,7 +120,8 @@
 	return ""
 }
 
-// Of is a controller's newest word that we have.
+// Latest returns the newest known report of a controller: the one it sent to us, while that is
+// recent, else the stored one if its present incarnation wrote it, else an empty report.
 func (t *Tracker) Latest(now time.Duration, node string) wire.Reach {
 	if received, ok := t.received[node]; ok && now-received.at < t.limits.ReportTTL {
 		return received.report
@@ -113,7 +132,7 @@
 	return wire.Reach{}
 }
 
-// Own is what the others should know of us.
+// OwnReport returns our own reachability report for the other controllers.
 func (t *Tracker) OwnReport(now time.Duration, self Self) wire.Reach {
 	report := t.workers.Report(now)
 	report.Boot, report.Misses = self.Boot, t.missingShards
@@ -128,7 +147,7 @@
 	return report
 }
 
-// word is a controller's newest word, or our own.
+// reportOf returns the newest known report of a controller, which may be ourselves.
 func (t *Tracker) reportOf(now time.Duration, self Self, node string) wire.Reach {
 	if node == t.self {
 		return t.OwnReport(now, self)
@@ -136,12 +155,13 @@
 	return t.Latest(now, node)
 }
 
-// others are the other controllers that are present, sorted.
+// others returns the other controllers that are present, sorted.
 func (t *Tracker) others() []string {
 	return slices.DeleteFunc(slices.Sorted(maps.Keys(t.present)), func(n string) bool { return n == t.self })
 }
 
-// Watch takes how many machines of each held shard are missed, and how many it has.
+// Update records how many machines of each held shard are missing; total returns how many machines
+// a shard has. It also records which controllers lack workers now.
 func (t *Tracker) Update(now time.Duration, missing map[int]int, total func(shard int) int) {
 	if t.startedAt == 0 {
 		t.startedAt = now
@@ -162,7 +182,8 @@
 	}
 }
 
-// Sought are the shards that others hold and seek the workers of.
+// SoughtShards returns the shards whose holders ask the other controllers whether they reach the
+// shard's machines, without those that we hold ourselves.
 func (t *Tracker) SoughtShards(now time.Duration, holdsShard func(shard int) bool) map[int]bool {
 	sought := map[int]bool{}
 	for _, n := range t.others() {
@@ -175,12 +196,18 @@
 	return sought
 }
 
-// Members are the controllers that are present, with their words on a shard. held is how many
-// shards each holds.
+// Members returns the controllers that are present, with what they report about a shard. held is
+// the number of shards that each controller holds.
 func (t *Tracker) Members(now time.Duration, self Self, shard int, held map[string]int) (members []Member) {
 	for _, n := range slices.Sorted(maps.Keys(t.present)) {
 		report := t.reportOf(now, self, n)
-		member := Member{Node: n, Zone: t.present[n].Zone, HeldShards: held[n], LacksWorkers: report.Lacks, Reachable: t.Reachable(now, n)}
+		member := Member{
+			Node:         n,
+			Zone:         t.present[n].Zone,
+			HeldShards:   held[n],
+			LacksWorkers: report.Lacks,
+			Reachable:    t.Reachable(now, n),
+		}
 		for _, h := range report.Hears {
 			if h.Shard == shard {
 				member.Reach = &Reach{Total: h.Of, Reached: h.Heard}
@@ -191,24 +218,26 @@
 	return members
 }
 
-// GiveTo is the controller to whom a held shard is given, of which so many machines are expected
-// and none or few have been heard for silent; "": it stays.
+// TransferTarget returns the controller to which we should transfer a held shard, or "" if we
+// should keep it. total is the number of machines expected to report; silent is how long none or
+// few of them have reported.
 func (t *Tracker) TransferTarget(now time.Duration, self Self, shard, total int, silent time.Duration, home string, held map[string]int) string {
 	others := slices.DeleteFunc(t.Members(now, self, shard, held), func(m Member) bool { return m.Node == t.self })
 	total, reached := t.workers.Reached(shard, total)
 	return t.rules.TransferTarget(Reach{Total: total, Reached: reached}, silent, home, t.zones, others)
 }
 
-// Moved takes a new version of a shard's record. A controller that is present and no longer holds its
-// own has given it away, as one that lacks workers; its word of that may end sooner than the cut.
+// HolderChanged takes a new version of a shard's record. A home that is present and no longer holds
+// its shard has transferred it because it lacks workers. It counts as lacking workers from then on
+// because its report of that may be withdrawn before the network partition ends.
 func (t *Tracker) HolderChanged(now time.Duration, old, rec *wire.Shard) {
 	if home, present := t.present[rec.Home]; present && old.Holder == rec.Home && rec.Holder != rec.Home && home.Boot == old.Boot {
 		t.lackedWorkersAt[rec.Home] = now
 	}
 }
 
-// GoesHome tells whether a shard may go back to the controller it is homed at, which has been
-// present since up and holds so many.
+// MayReturnHome reports whether a shard may be returned to its home controller, which has been
+// present since the given time and holds that many shards.
 func (t *Tracker) MayReturnHome(now time.Duration, self Self, shard int, rec *wire.Shard, since time.Duration, held int) bool {
 	if !rec.Settled {
 		return false
@@ -221,8 +250,9 @@
 	return t.rules.MayReturnHome(home, slices.Contains(holder.Misses, shard), presentFor, t.limits.ReturnHomeAfter)
 }
 
-// LeadTo is the controller to whom we leave leadership for want of the cloud, or "". In an outage
-// of the cloud that all share nobody has just been answered there.
+// LeadershipTarget returns the controller to which we should leave leadership because we do not
+// reach the cloud, or "" to keep it. In an outage of the cloud that affects all controllers none of
+// them has had a recent answer, so leadership stays.
 func (t *Tracker) LeadershipTarget(now time.Duration, self Self) string {
 	if !t.OwnReport(now, self).NoCloud {
 		return ""
@@ -235,14 +265,14 @@
 	return NextLeader(others)
 }
 
-// Link is what is believed of a link.
+// Link is the level of one of our links.
 type Link struct {
 	To    string
 	Level reach.Level
 }
 
-// Turned lists the links of which something else is believed than when last asked; state is the
-// level of that to the state service.
+// ChangedLinks returns the links whose level has changed since the last call. state is the level of
+// the link to the state service.
 func (t *Tracker) ChangedLinks(now time.Duration, state reach.Level) (changed []Link) {
 	workers := reach.Up
 	if t.workers.LacksWorkers(now) {
@@ -257,12 +287,17 @@
 	return changed
 }
 
-// View is what is believed of all links, for operators: that to the state service, the way around
-// it ("": none), the cloud, the other controllers and the workers of the held shards.
+// View returns the status of all links for operators: to the state service, to the cloud, to the
+// other controllers and to the workers of the held shards. through is the peer through which the
+// state service is called, "" if it is called directly.
 func (t *Tracker) View(now time.Duration, state reach.LinkStatus, through string, held []int) wire.ReachView {
 	link := state.View(now, "state")
 	link.Through = through
-	view := wire.ReachView{Node: t.self, Words: []wire.ReachWord{}, Links: []wire.LinkView{link, t.cloud.Evaluate(now).View(now, "cloud")}}
+	view := wire.ReachView{
+		Node:  t.self,
+		Words: []wire.ReachWord{},
+		Links: []wire.LinkView{link, t.cloud.Evaluate(now).View(now, "cloud")},
+	}
 	for _, n := range slices.Sorted(maps.Keys(t.zones)) {
 		if n != t.self {
 			at, ever := t.answeredAt[n]
--- a/internal/assignment/transfer.go
+++ b/internal/assignment/transfer.go
@@ -7,10 +7,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// NextHolder is a shard's record once it goes to another life. It names at most so many
-// earlier lives, and has at most so many bytes in JSON form, if its teams leave room. Two
-// crashes in a row used to hide who had held the shard before the last one, and its tasks
-// then waited half a minute for machines that never answer.
+// WithNewHolder returns a shard's record with another holder. It lists at most maxPast earlier
+// incarnations in Past, and drops them all if the record would exceed maxBytes in JSON form. Past
+// must list more than one incarnation: otherwise two crashes in a row hid who had held the shard
+// before the last one, and its tasks waited half a minute for machines that never answer.
 func WithNewHolder(rec wire.Shard, node string, boot uint64, maxPast, maxBytes int) wire.Shard {
 	last := wire.Life{Node: rec.Holder, Boot: rec.Boot}
 	if rec.Settled {
@@ -24,8 +24,8 @@
 	return limits.Fit(rec, maxBytes, dropPast)
 }
 
-// forget leaves out who held a shard before. Not to know is safe: a successor waits for the
-// end of leases instead.
+// dropPast removes the list of earlier holders, and reports whether there was one. This is safe: a
+// successor that does not know them waits for the leases to expire instead.
 func dropPast(shard *wire.Shard) bool {
 	if len(shard.Past) == 0 {
 		return false
