--- a/internal/delivery/monitor.go
+++ b/internal/delivery/monitor.go
@@ -1,11 +1,14 @@
-// Package delivery judges whether a worker hears what it is answered. Its reports may arrive
-// while answers and commands do not: it looks alive, takes no order, and its lease runs out.
+// Package delivery detects workers that do not receive the controller's answers. Their reports may
+// arrive while answers and commands do not: such a worker seems alive, but runs no command, and its
+// lease expires.
 //
-// What an answer carried shows in the next report: an order is carried out, a higher token is
-// named, and it comes the way that was answered, since a worker stays with a node that answers
-// 200 unless a report of its was lost, which leaves a gap in their numbers. It has one in flight, so a newer report that shows none of it proves that the
-// answer before it did not arrive in time. Once that may happen to anybody; twice in
-// a row is deafness. A session that ended though it had just been answered counts as one.
+// The effect of an answer shows in the next report: commands are carried out, a higher token is
+// named, and the report comes by the route that was answered. A worker stays with a controller that
+// answers 200 unless one of its reports was lost, which leaves a gap in their sequence numbers. A
+// worker has one report in flight, so a newer report that shows no effect proves that the answer
+// before it did not arrive in time. One missed answer may be chance; two in a row mean that the
+// worker does not receive answers. A session that ended although it had just been answered counts as
+// one missed answer.
 //
 // Plain structures: no clock, no I/O, not for concurrent use.
 package delivery
@@ -16,27 +19,29 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// misses in a row that make a worker deaf.
+// missedAnswersLimit is the number of answers missed in a row after which a worker counts as not
+// receiving answers.
 const missedAnswersLimit = 2
 
-// Ear is what is known of one worker. The zero Ear hears.
+// Monitor tracks whether one worker receives its answers. A zero Monitor assumes that it does.
 type Monitor struct {
-	commands      []wire.Command // by the last answer
-	token         uint64         // that it carried
-	seenToken     uint64         // what the worker named when it was answered
-	via           string         // the controller that passed the report on; "": none
-	nextSeq       uint64         // number of the report after the one that was answered; 0: judged already
-	missedAnswers int
-	testedAt      time.Duration // when a doubt was last put to the test
+	commands      []wire.Command // commands in the last answer
+	token         uint64         // token in the last answer
+	seenToken     uint64         // token that the answered report named
+	via           string         // controller that relayed the answered report; "" if none
+	nextSeq       uint64         // sequence number of the report after the answered one; 0 once evaluated
+	missedAnswers int            // in a row
+	testedAt      time.Duration  // when the last test began, see StartTest
 }
 
-// Answered notes what a report, which came through a controller, is answered with.
+// Answered records the answer to a report. via is the controller that relayed the report, or "".
 func (m *Monitor) Answered(r *wire.Report, token uint64, via string, commands []wire.Command) {
 	m.seenToken, m.token, m.via, m.commands, m.nextSeq = r.Token, token, via, commands, r.Seq+1
 }
 
-// Report judges by the next newer report. lapsed: its session is a later one, though the one
-// before had been answered within its lease. It tells whether that has changed the verdict.
+// ObserveReport evaluates the last answer by the next newer report. lapsed: the report has a later
+// session, although the previous session had been answered within its lease. It reports whether
+// MissesAnswers has changed.
 func (m *Monitor) ObserveReport(r *wire.Report, via string, lapsed bool) (changed bool) {
 	before := m.MissesAnswers()
 	received, missed := m.compareWithAnswer(r)
@@ -51,7 +56,8 @@
 	return m.MissesAnswers() != before
 }
 
-// shows tells whether a report proves that the last answer was heard, or that it was not.
+// compareWithAnswer reports whether a report proves that the last answer was received, or that it was
+// missed. Both are false if it proves neither.
 func (m *Monitor) compareWithAnswer(r *wire.Report) (received, missed bool) {
 	if m.token > m.seenToken {
 		received, missed = r.Token >= m.token, r.Token < m.token
@@ -77,11 +83,11 @@
 	return true, false
 }
 
-// Deaf tells whether the worker does not hear us.
+// MissesAnswers reports whether the worker does not receive answers.
 func (m *Monitor) MissesAnswers() bool { return m.missedAnswers >= missedAnswersLimit }
 
-// Unanswered notes that a call to a worker that has missed an answer was not answered either.
-// It tells whether that has changed the verdict.
+// CallUnanswered records that a call to the worker was not answered, which counts only after a missed
+// answer. It reports whether MissesAnswers has changed.
 func (m *Monitor) CallUnanswered() (changed bool) {
 	if m.missedAnswers != missedAnswersLimit-1 {
 		return false
@@ -90,12 +96,12 @@
 	return true
 }
 
-// Missed tells whether the last answer was missed, and the worker may be called to see.
+// Suspected reports whether the worker has missed one answer, so that it should be probed by a call.
 func (m *Monitor) Suspected() bool { return m.missedAnswers == missedAnswersLimit-1 }
 
-// Test tells whether the next answer should carry a higher token, so that the report after it
-// shows whether it was heard: after a miss, and where something looks odd, at most once in so
-// long, since a worker reports at once when it sees one.
+// StartTest reports whether the next answer should carry a higher token, so that the report after it
+// shows whether the answer was received. That is so after every missed answer, and for suspicious
+// reports at most once per interval, because a worker that sees a higher token reports at once.
 func (m *Monitor) StartTest(now time.Duration, suspicious bool, interval time.Duration) bool {
 	if m.missedAnswers == 0 && (!suspicious || m.testedAt > 0 && now-m.testedAt < interval) {
 		return false
