--- a/internal/membership/confirmation.go
+++ b/internal/membership/confirmation.go
@@ -1,7 +1,8 @@
-// Package membership decides how long a controller stays entitled to act without the state
-// service: until when the other controllers have vouched that nothing was done against it.
+// Package membership tracks a controller's presence in the state service, its leadership terms, and
+// how long it keeps its authority to act without the state service. Every other controller can confirm
+// up to when it has done nothing that conflicts with this controller's authority.
 //
-// A plain structure: times and messages go in, answers come out. No clock, no I/O, not for
+// Plain structures: times and messages go in, answers come out. No clock, no I/O, not for
 // concurrent use.
 package membership
 
@@ -11,90 +12,101 @@
 	"time"
 )
 
-// Time is steady time since the process began.
+// Time is monotonic time since the process started.
 type Time = time.Duration
 
-// Statement is what a controller says of itself in answer to a ping. It speaks of no more than
-// what it has itself done or told, so what it has not heard of does not matter.
+// Statement is what a controller states about itself in answer to a ping. It covers only what the
+// controller has itself done or told users, so records that it has not received yet do not matter.
 type Statement struct {
-	// News are the grants that it knows of and the ends of jobs that it may have told a user
-	// of, by records later than the mirror of the one who asked. It acts for machines by grants
-	// that it knows, by no others, and tells users of no other end.
+	// Entries are the assignments of shards and blocks that the controller knows of, and the ends
+	// of jobs that it may have told a user of, in records later than the asker's mirror. The
+	// controller acts for machines only under assignments that it knows of, and tells users of no
+	// other ends of jobs.
 	Entries []Entry `msgpack:"news,omitempty"`
-	// Partial: there were more than are kept, so News proves nothing.
+	// Partial: later records than the asker's mirror are no longer remembered, so Entries proves
+	// nothing.
 	Partial bool `msgpack:"partial,omitempty"`
 }
 
-// Entry is a record of a shard or block that was given to a holder, or of a job that is over,
+// Entry is a record of a shard or block that was assigned to a holder, or of a job that has ended,
 // done or cancelled, and the revision at which that was written.
 type Entry struct {
 	Key      string `msgpack:"k"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// Vouching is one controller's part in it: what it can say of itself, and until when each
-// other one has vouched for it.
+// PeerConfirmation keeps what a controller can state about itself, and up to when each of its peers
+// has confirmed its authority to act.
 type PeerConfirmation struct {
-	pingLimit       int               // that are remembered
+	pingLimit       int               // pings that are remembered
 	entryLimit      int               // entries that are remembered
 	pingSentAt      map[uint64]Time   // ping -> when it was sent
-	confirmedUntil  map[string]Time   // peer -> until then it had done nothing against us
-	mirrorRevisions map[string]uint64 // peer -> the revision its mirror had with its last ping
+	confirmedUntil  map[string]Time   // peer -> up to when it had done nothing that conflicts with our authority
+	mirrorRevisions map[string]uint64 // peer -> revision of its mirror at its last ping
 	entries         []Entry
-	droppedRevision uint64 // the latest revision of an entry that is remembered no more
+	droppedRevision uint64 // the highest revision of an entry that is no longer remembered
 }
 
-// New returns the vouching of a controller that knows nothing yet, among these others. It
-// remembers so many pings and so many entries.
+// NewPeerConfirmation returns the state of a controller with these peers that knows nothing yet. It
+// remembers up to pingLimit pings and entryLimit entries.
 func NewPeerConfirmation(peers []string, pingLimit, entryLimit int) *PeerConfirmation {
-	c := &PeerConfirmation{entryLimit: entryLimit, pingLimit: pingLimit, pingSentAt: map[uint64]Time{}, confirmedUntil: map[string]Time{}, mirrorRevisions: map[string]uint64{}}
+	c := &PeerConfirmation{
+		entryLimit:      entryLimit,
+		pingLimit:       pingLimit,
+		pingSentAt:      map[uint64]Time{},
+		confirmedUntil:  map[string]Time{},
+		mirrorRevisions: map[string]uint64{},
+	}
 	for _, p := range peers {
-		c.confirmedUntil[p], c.mirrorRevisions[p] = 0, 0 // nothing is known of them: they lack everything
+		c.confirmedUntil[p], c.mirrorRevisions[p] = 0, 0 // unknown peers may lack every record
 	}
 	return c
 }
 
-// Pinged notes that ping n has been sent; the numbers rise by one.
+// PingSent records that ping n has been sent to the peers; the numbers rise by one.
 func (c *PeerConfirmation) PingSent(now Time, n uint64) {
 	c.pingSentAt[n] = now
 	delete(c.pingSentAt, n-uint64(c.pingLimit))
 }
 
-// Sent tells when a ping was sent, if it is not too old to mean anything.
+// PingSentAt returns when a ping was sent; false if it is unknown or no longer remembered.
 func (c *PeerConfirmation) PingSentAt(n uint64) (Time, bool) {
 	at, ok := c.pingSentAt[n]
 	return at, ok
 }
 
-// Over notes the record of a job that is known to be over. Whoever tells a user so has noted
-// it before.
+// JobOver remembers the record of a job that is known to have ended. It has to be called before a user
+// is told of the end.
 func (c *PeerConfirmation) JobOver(key string, revision uint64) { c.remember(key, revision) }
 
-// Granted notes the record of a shard or a block that was given to a holder. If we gain by it,
-// what peers have said before was said of what we held then, and counts no more.
+// HolderAssigned remembers the record of a shard or a block that was assigned to a holder. ours: we
+// gain something by it. Then earlier confirmations no longer count, because the peers made them about
+// what we held before.
 func (c *PeerConfirmation) HolderAssigned(key string, revision uint64, ours bool) {
 	c.remember(key, revision)
 	if !ours {
-		return // an outage that ends with news of others would have workers turned away
+		return // otherwise workers would be rejected when an outage ends with assignments to others
 	}
 	for p := range c.confirmedUntil {
 		c.confirmedUntil[p] = 0
 	}
 }
 
+// remember adds an entry. Beyond the limit it forgets the entries that every peer has in its mirror
+// and, if that is not enough, those of the lowest revisions.
 func (c *PeerConfirmation) remember(key string, revision uint64) {
 	c.entries = append(c.entries, Entry{key, revision})
 	if len(c.entries) <= c.entryLimit {
 		return
 	}
 	c.forget(c.seenByAll())
-	if len(c.entries) > c.entryLimit { // a peer has been away for long: it is told less than all
+	if len(c.entries) > c.entryLimit { // a peer has been away for long; its next statement is partial
 		slices.SortFunc(c.entries, func(a, b Entry) int { return cmp.Compare(a.Revision, b.Revision) })
 		c.forget(c.entries[c.entryLimit/2].Revision)
 	}
 }
 
-// seenByAll is the revision that every peer's mirror has reached.
+// seenByAll returns the revision that every peer's mirror has reached.
 func (c *PeerConfirmation) seenByAll() uint64 {
 	seen := uint64(1<<64 - 1)
 	for _, revision := range c.mirrorRevisions {
@@ -103,7 +115,8 @@
 	return seen
 }
 
-// forget drops the entries up to a revision. To a mirror below it News proves nothing then.
+// forget drops the entries up to a revision. Statements for mirrors below the dropped entries are
+// partial from then on.
 func (c *PeerConfirmation) forget(revision uint64) {
 	c.entries = slices.DeleteFunc(c.entries, func(e Entry) bool {
 		if e.Revision <= revision {
@@ -113,7 +126,7 @@
 	})
 }
 
-// Answer is what to say to a peer whose mirror stands at a revision.
+// StatementFor returns the statement for a peer whose mirror is at that revision.
 func (c *PeerConfirmation) StatementFor(peer string, mirror uint64) Statement {
 	c.mirrorRevisions[peer] = mirror
 	c.forget(c.seenByAll())
@@ -126,23 +139,25 @@
 	return statement
 }
 
-// Peer is what is known of a peer that answers a ping.
+// Peer is what is known of a peer that has answered a ping.
 type Peer struct {
 	Name string
-	// Since is when its process began, at the latest.
+	// StartedAt is the latest time at which its process may have started.
 	StartedAt Time
-	// Revision is the newest that it has heard of. Statement is nil from versions that make none.
-	Revision  uint64
+	// Revision is the newest revision that it knows of.
+	Revision uint64
+	// Statement is nil from versions that make none.
 	Statement *Statement
-	// Against: the statement names a grant, later than our mirror, of what we hold.
+	// Conflict: the statement names an assignment, later than our mirror, of something that we hold.
 	Conflict bool
 }
 
-// Heard takes a peer's answer to a ping. Our mirror stands at a revision, all ends that the
-// answer names applied, and the state service itself has confirmed us up to a time. The peer
-// spoke after the ping left. If all that it has done to what we hold, and may have told, is known
-// here, and it has lived since that confirmation, then until the ping it had done nothing
-// against us. A restarted peer cannot speak for its earlier life.
+// AnswerReceived evaluates a peer's answer to a ping. mirror is the revision of our mirror, with all
+// ends of jobs that the answer names applied. confirmed is the time up to which the state service
+// itself has confirmed our authority. The peer made its statement after the ping was sent. If
+// everything that it has done to what we hold, and may have told users, is known here, and its process
+// started before that confirmation, then it had done nothing that conflicts with our authority up to
+// the time when the ping was sent. A restarted peer cannot answer for its earlier incarnation.
 func (c *PeerConfirmation) AnswerReceived(ping uint64, peer Peer, mirror uint64, confirmed Time) {
 	sent, ok := c.pingSentAt[ping]
 	if !ok || peer.StartedAt >= confirmed || sent <= c.confirmedUntil[peer.Name] {
@@ -153,7 +168,7 @@
 	}
 }
 
-// Until is the time up to which every peer has vouched for us; 0 if there is none.
+// ConfirmedUntil returns the time up to which every peer has confirmed our authority; 0 without peers.
 func (c *PeerConfirmation) ConfirmedUntil() Time {
 	if len(c.confirmedUntil) == 0 {
 		return 0
--- a/internal/membership/presence.go
+++ b/internal/membership/presence.go
@@ -2,30 +2,35 @@
 
 import "time"
 
-// Life is one process's part in the deployment: its grant, its key in the state service that hangs on
-// it, and when the state service last confirmed it. Its first grant names it for good, as the lease of
-// which a fencing token is made.
+// Presence is the presence of this controller process in the state service: its state lease, its key,
+// which is attached to that lease, and when the state service last confirmed it. The first state lease
+// identifies the incarnation for its whole life, because fencing tokens are made of it.
 type Presence struct {
-	times                                     PresenceTimes
-	boot, lease                               uint64
+	times       PresenceTimes
+	boot, lease uint64 // the first state lease, and the present one; 0: none
+	// requesting: a request for a state lease is in flight. refused: the last one got no lease.
+	// registered: the key is attached to the present lease. renewing: a renewal is in flight.
 	requesting, refused, registered, renewing bool
-	requestAt, writeAt, renewAt               Time // not before
-	renewedAt, watchedAt                      Time
+	requestAt, writeAt, renewAt               Time // earliest time of the next attempt
+	renewedAt, watchedAt                      Time // when the last answered renewal and watch were sent
 }
 
-// LifeTimes are the times between tries that failed, and between renewals.
+// PresenceTimes are the delay before a failed call is retried, and the interval between renewals.
 type PresenceTimes struct{ Retry, Extend time.Duration }
 
-// NewLife returns a life that holds nothing yet.
+// NewPresence returns the presence of a process that has no state lease yet.
 func NewPresence(times PresenceTimes) *Presence { return &Presence{times: times} }
 
-// Boot names this life: its first grant; 0: it has had none. Grant is the one that it holds; 0: none.
-// Here tells whether its key stands on that.
-func (p *Presence) Boot() uint64       { return p.boot }
+// Boot returns the ID of this incarnation, which is its first state lease; 0 if it has had none.
+func (p *Presence) Boot() uint64 { return p.boot }
+
+// StateLease returns the present state lease, 0 if there is none.
 func (p *Presence) StateLease() uint64 { return p.lease }
-func (p *Presence) Registered() bool   { return p.registered }
 
-// WantsGrant tells whether to ask for a grant now; Granted has to follow.
+// Registered reports whether the key is attached to the present state lease.
+func (p *Presence) Registered() bool { return p.registered }
+
+// StartLeaseRequest reports whether to request a state lease now. If so, LeaseAnswered has to follow.
 func (p *Presence) StartLeaseRequest(now Time) bool {
 	if p.lease != 0 || p.requesting || now < p.requestAt {
 		return false
@@ -34,8 +39,9 @@
 	return true
 }
 
-// Granted takes the answer to a question for a grant that was sent then; 0: there is none. News: it is not as
-// the last time; an outage is not news by the attempt.
+// LeaseAnswered records the answer to a request for a state lease; lease is 0 if there is none. sent is
+// when the request was sent. It reports whether the outcome, granted or refused, differs from that of
+// the last request, so that an outage is logged once and not with every attempt.
 func (p *Presence) LeaseAnswered(now, sent Time, lease uint64) (changed bool) {
 	p.requesting = false
 	changed, p.refused = p.refused != (lease == 0), lease == 0
@@ -50,7 +56,8 @@
 	return changed
 }
 
-// WantsWrite tells whether to write the key now; Wrote has to follow unless nothing was written.
+// StartWrite reports whether to write the key now. If so, WriteAnswered has to follow, unless nothing
+// was written.
 func (p *Presence) StartWrite(now Time) bool {
 	if p.lease == 0 || p.registered || now < p.writeAt {
 		return false
@@ -59,7 +66,8 @@
 	return true
 }
 
-// Wrote takes the answer to a write of the key on a grant, and tells whether it stands now.
+// WriteAnswered records the answer to a write of the key with a state lease, by its HTTP status. It
+// reports whether the key is registered by that answer.
 func (p *Presence) WriteAnswered(now Time, lease uint64, status int) bool {
 	switch {
 	case p.lease != lease:
@@ -67,14 +75,15 @@
 		p.registered = true
 		return true
 	case status == 400:
-		p.lease = 0 // it has ended
+		p.lease = 0 // the lease has expired
 	case status == 409:
-		p.writeAt = now // an earlier life's, or its end
+		p.writeAt = now // the key of an earlier incarnation exists, or has just been deleted
 	}
 	return false
 }
 
-// WantsExtend names the grant to renew now, if any; Extended has to follow.
+// StartRenewal returns the state lease to renew now, if a renewal is due. If so, RenewalAnswered has to
+// follow.
 func (p *Presence) StartRenewal(now Time) (lease uint64, due bool) {
 	if p.lease == 0 || p.renewing || now < p.renewAt {
 		return 0, false
@@ -83,21 +92,21 @@
 	return p.lease, true
 }
 
-// Hurry has the grant renewed at once.
+// RenewNow makes a renewal due at once.
 func (p *Presence) RenewNow(now Time) { p.renewAt = min(p.renewAt, now) }
 
-// How a renewal went.
+// Renewal is the outcome of a renewal.
 type Renewal int
 
-// Outcomes of a renewal: of a grant that is held no more, done, of a grant that has ended, and neither.
 const (
-	Stale Renewal = iota
-	Renewed
-	Ended
-	Unanswered
+	Stale      Renewal = iota // of a state lease that is no longer the present one
+	Renewed                   // done
+	Ended                     // the lease has expired
+	Unanswered                // none of these; to be retried
 )
 
-// Extended takes the answer to a renewal of a grant that was sent then.
+// RenewalAnswered records the answer to the renewal of a state lease, by its HTTP status. sent is when
+// the renewal was sent.
 func (p *Presence) RenewalAnswered(now, sent Time, lease uint64, status int) Renewal {
 	p.renewing = false
 	p.renewAt = sent + p.times.Extend
@@ -115,13 +124,15 @@
 	return Unanswered
 }
 
-// Watched notes that a call that tells of all changes, sent then, was answered.
+// WatchAnswered records that a call which returns all changes was answered; sent is when it was sent.
 func (p *Presence) WatchAnswered(sent Time) { p.watchedAt = sent }
 
-// LastRenewed is when the last renewal that was answered was sent; LastWatched the last watch.
+// LastRenewed returns when the last answered renewal was sent.
 func (p *Presence) LastRenewed() Time { return p.renewedAt }
+
+// LastWatched returns when the last answered watch was sent.
 func (p *Presence) LastWatched() Time { return p.watchedAt }
 
-// LastConfirmed is when the state service last confirmed the entitlement: the grant stands, and all that
-// was written against it is known.
+// LastConfirmed returns up to when the state service has confirmed our authority to act: the state
+// lease was valid, and everything that was written against it is known here.
 func (p *Presence) LastConfirmed() Time { return min(p.renewedAt, p.watchedAt) }
--- a/internal/membership/term_test.go
+++ b/internal/membership/term_test.go
@@ -5,64 +5,64 @@
 	"time"
 )
 
-// A free record is claimed once at a time; a term begins knowing nothing, and ends with all that it knew. Who has
-// resigned claims nothing for a while.
+// A free leader record is claimed once at a time. A term begins without an uncertain write and ends with
+// everything that it knew. A controller that has resigned does not claim the record for a while.
 func TestTerm(t *testing.T) {
-	x, s := NewTerm(time.Second), time.Second
-	if x.StartClaim(0, false) || !x.StartClaim(s, true) || x.StartClaim(5*s, true) {
-		t.Error("a free one, once at a time")
+	term, s := NewTerm(time.Second), time.Second
+	if term.StartClaim(0, false) || !term.StartClaim(s, true) || term.StartClaim(5*s, true) {
+		t.Error("must claim only a free record, once at a time")
 	}
-	if x.WriteFinished(); !x.StartClaim(5*s, true) {
-		t.Error("again after it failed")
+	if term.WriteFinished(); !term.StartClaim(5*s, true) {
+		t.Error("must claim again after a failed claim")
 	}
-	if x.WriteFinished(); x.StartClaim(5500*time.Millisecond, true) {
-		t.Error("not before the pause is over")
+	if term.WriteFinished(); term.StartClaim(5500*time.Millisecond, true) {
+		t.Error("must not write before the pause is over")
 	}
-	if began, ended := x.ObserveLeader(6*s, true, 40); !began || ended || x.Since() != 6*s {
-		t.Error("begun")
+	if began, ended := term.ObserveLeader(6*s, true, 40); !began || ended || term.Since() != 6*s {
+		t.Error("the term has not begun")
 	}
-	if began, ended := x.ObserveLeader(7*s, true, 40); began || ended {
-		t.Error("it goes on")
+	if began, ended := term.ObserveLeader(7*s, true, 40); began || ended {
+		t.Error("the term must go on")
 	}
-	if ok, _ := x.Fenced(7*s, 39, true); ok {
-		t.Error("the mirror has not reached the term")
+	if ok, _ := term.Fenced(7*s, 39, true); ok {
+		t.Error("fenced before the mirror has reached the start of the term")
 	}
-	if ok, _ := x.Fenced(7*s, 40, true); !ok {
-		t.Error("it has")
+	if ok, _ := term.Fenced(7*s, 40, true); !ok {
+		t.Error("not fenced though the mirror has reached the start of the term")
 	}
-	x.WriteUncertain()
-	if ok, renew := x.Fenced(8*s, 50, false); ok || renew {
-		t.Error("no write without a key")
+	term.WriteUncertain()
+	if ok, renew := term.Fenced(8*s, 50, false); ok || renew {
+		t.Error("must not write without a registered key")
 	}
-	if ok, renew := x.Fenced(8*s, 50, true); ok || !renew {
-		t.Error("the record is to be written anew")
+	if ok, renew := term.Fenced(8*s, 50, true); ok || !renew {
+		t.Error("the record must be rewritten")
 	}
-	if x.StartResignation(8*s, s) {
-		t.Error("one write at a time")
+	if term.StartResignation(8*s, s) {
+		t.Error("must write once at a time")
 	}
-	x.FenceWritten(false, 0)
-	if ok, renew := x.Fenced(8500*time.Millisecond, 50, true); ok || renew {
-		t.Error("not before the pause is over")
+	term.FenceWritten(false, 0)
+	if ok, renew := term.Fenced(8500*time.Millisecond, 50, true); ok || renew {
+		t.Error("must not write before the pause is over")
 	}
-	x.Fenced(9*s, 50, true)
-	x.FenceWritten(true, 60)
-	if ok, _ := x.Fenced(9*s, 59, true); ok {
-		t.Error("the mirror has not reached the new record")
+	term.Fenced(9*s, 50, true)
+	term.FenceWritten(true, 60)
+	if ok, _ := term.Fenced(9*s, 59, true); ok {
+		t.Error("fenced before the mirror has reached the rewritten record")
 	}
-	if ok, _ := x.Fenced(9*s, 60, true); !ok {
-		t.Error("nothing older can be executed")
+	if ok, _ := term.Fenced(9*s, 60, true); !ok {
+		t.Error("not fenced though no older write can be executed")
 	}
-	if !x.StartResignation(10*s, 5*s) {
-		t.Error("resigned")
+	if !term.StartResignation(10*s, 5*s) {
+		t.Error("must resign")
 	}
-	x.WriteFinished()
-	if _, ended := x.ObserveLeader(11*s, false, 0); !ended || x.Since() != 0 || x.StartClaim(14*s, true) || !x.StartClaim(15*s, true) {
-		t.Error("over, and it stands aside for a while")
+	term.WriteFinished()
+	if _, ended := term.ObserveLeader(11*s, false, 0); !ended || term.Since() != 0 || term.StartClaim(14*s, true) || !term.StartClaim(15*s, true) {
+		t.Error("the term must be over, and the next claim must wait for the pause")
 	}
-	if began, _ := x.ObserveLeader(16*s, true, 70); !began {
-		t.Error("another term")
+	if began, _ := term.ObserveLeader(16*s, true, 70); !began {
+		t.Error("another term must begin")
 	}
-	if x.WriteUncertain(); !x.StartResignation(16*s, s) {
-		t.Error("a claim that was won is over")
+	if term.WriteUncertain(); !term.StartResignation(16*s, s) {
+		t.Error("a claim that was won must not count as in flight")
 	}
 }
