--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,5 +1,5 @@
-// Package disruption chooses machines to be emptied, so that few tasks are away at a time and
-// all of them find room elsewhere. Pure.
+// Package disruption chooses machines to be emptied, so that few tasks are moved at a time and all
+// of them fit on other machines. The package has no clock and no I/O.
 package disruption
 
 import (
@@ -9,28 +9,29 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Machine is one in use.
+// Machine is a machine in use.
 type Machine[M comparable] struct {
 	Handle M
 	Free   placement.Size
-	// Moves are its tasks, if all of them may be moved and the machine is worth emptying;
-	// Stays: it is not.
+	// Moves are the machine's tasks. They count only if Pinned is false, which means that all of
+	// them may be moved and that the machine is worth emptying.
 	Moves  []Move[M]
 	Pinned bool
 }
 
-// Move is a task that would go to another machine.
+// Move is a task that would move to another machine.
 type Move[M comparable] struct {
 	Size   placement.Size
-	Allows func(M) bool // its image is there, and it may run there
+	Allows func(M) bool // the machine has its image, and the task may run there
 }
 
-// Consolidate chooses up to most machines, the emptiest first, whose tasks all fit on others
-// in use that are not emptied themselves; only the first look are considered. Anchors spread by
-// design; once the batches around them have ended, each holds a machine alone.
+// Consolidate chooses at most maxMachines machines, the emptiest first, whose tasks all fit on other
+// machines in use that are not emptied themselves. Only the first maxConsidered machines are
+// considered. Anchors are spread by design; once the batches around them have ended, each occupies a
+// machine alone.
 func Consolidate[M comparable](machines []Machine[M], maxMachines, maxConsidered int) (chosen []M) {
 	sort.SliceStable(machines, func(i, j int) bool { return machines[i].Free.CPUs > machines[j].Free.CPUs })
-	reserved := map[M]placement.Size{} // of the machines that tasks are moved to
+	reserved := map[M]placement.Size{} // on the machines that tasks are moved to
 	emptied := map[M]bool{}
 	for i := range machines {
 		machine := &machines[i]
@@ -51,7 +52,7 @@
 	return chosen
 }
 
-// fit finds room on the others for all tasks of a machine.
+// placeMoves finds capacity on the other machines for all tasks of a machine.
 func (machine *Machine[M]) placeMoves(machines []Machine[M], reserved map[M]placement.Size, emptied map[M]bool) (required map[M]placement.Size, ok bool) {
 	required = map[M]placement.Size{}
 	for _, move := range machine.Moves {
@@ -74,14 +75,14 @@
 // Block is a block that might be emptied for another shard.
 type Block struct {
 	Name        string
-	Vacated     bool          // it is being emptied, or stands idle
-	TaskSlots   int           // tasks of what is asked for
+	Vacated     bool          // it is being emptied, or idle
+	TaskSlots   int           // number of the requested tasks that it can hold
 	LostRuntime time.Duration // running time that would be lost
-	Pinned      bool          // work on it may not be stopped for this
+	Pinned      bool          // has work that may not be stopped for this
 }
 
-// Empty is the block where the least is lost, if those that are emptied already do not hold
-// all that is asked for; "": none.
+// ChooseBlock returns the block where the least running time is lost, and that time. It returns ""
+// if the blocks that are already vacated hold all requested tasks, or if there is no other block.
 func ChooseBlock(blocks []Block, tasks int) (best string, lost time.Duration) {
 	for _, block := range blocks {
 		switch {
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -10,8 +10,8 @@
 
 func size(cpus float64) placement.Size { return placement.Size{CPUs: cpus} }
 
-// The emptiest machines are emptied, as many as are asked for, onto machines that stay and
-// that allow it; room is given once.
+// The emptiest machines are emptied, as many as requested, onto machines that are not emptied and
+// that allow it. Their capacity is used once.
 func TestConsolidate(t *testing.T) {
 	onto := func(names ...string) Move[string] {
 		return Move[string]{size(1), func(m string) bool { return len(names) == 0 || fmt.Sprint(names) == fmt.Sprint([]string{m}) }}
@@ -34,14 +34,15 @@
 			t.Errorf("at most %d of %d: %s, want %s", c.most, c.look, got, c.want)
 		}
 	}
-	// a goes to b, which then stays; without a, b goes to the busy one, and d no longer fits.
+	// a moves to b, which then has to stay. Without a, b moves to the busy machine, and d no longer
+	// fits.
 	if got := fmt.Sprint(Consolidate(append(machines()[:2], machines()[3:]...), 9, 9)); got != "[b]" {
 		t.Errorf("without a: %s", got)
 	}
 }
 
-// The block where least is lost is emptied, unless those emptied already are enough.
-func TestEmpty(t *testing.T) {
+// The block with the least lost running time is chosen, unless the vacated blocks are enough.
+func TestChooseBlock(t *testing.T) {
 	blocks := []Block{{Name: "x", LostRuntime: 9 * time.Second}, {Name: "y", LostRuntime: 3 * time.Second}, {Name: "z", LostRuntime: 0, Pinned: true}, {Name: "w", Vacated: true, TaskSlots: 4}}
 	if got, _ := ChooseBlock(blocks, 5); got != "y" {
 		t.Errorf("emptied %q", got)
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,7 +1,8 @@
-// Package forecast tells how long tasks run: by their owners' estimates, corrected by how
-// far those of their class have been off. Owners err by half, and on some days all one way.
+// Package forecast estimates how long tasks run: by the estimates of their owners, corrected by how
+// far the estimates for their class have been off. Owners' estimates are off by up to half, and on
+// some days all in the same direction.
 //
-// A plain structure: no clock, no I/O, not for concurrent use.
+// An estimator has no clock and no I/O, and is not safe for concurrent use.
 package forecast
 
 import (
@@ -11,27 +12,29 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Params bound what is learned.
+// Params are the parameters of the correction.
 type Params struct {
-	PriorTasks  float64 // tasks that the owners' own estimate counts for, as far as correction goes
-	MaxTasks    float64 // tasks remembered: older ones weigh less
-	PriorSpread float64 // of the logarithm, until enough has been seen
+	PriorTasks  float64 // number of tasks that the owners' own estimate counts for
+	MaxTasks    float64 // number of tasks remembered; older ones have less weight
+	PriorSpread float64 // standard deviation of the logarithm, until enough tasks have run
 }
 
-// Book keeps the bias of each class.
+// Estimator keeps the bias of the estimates of each class.
 type Estimator struct {
 	params  Params
 	classes map[string]*classBias
 }
 
-type classBias struct{ weight, sum, squares float64 } // of log(ran/estimate)
+type classBias struct{ weight, sum, squares float64 } // of log(run time/estimate)
 
-// New returns a book that trusts estimates.
-func New(p Params) *Estimator { return &Estimator{params: p, classes: map[string]*classBias{}} }
+// New returns an estimator without observations, which returns the owners' estimates.
+func New(params Params) *Estimator {
+	return &Estimator{params: params, classes: map[string]*classBias{}}
+}
 
-// Ran notes that a task of a class, estimated at so many seconds, ran for so long.
-func (e *Estimator) Record(class string, estimateS float64, ran time.Duration) {
-	if estimateS <= 0 || ran <= 0 {
+// Record records that a task of a class with an estimate of estimateS seconds ran for a time.
+func (e *Estimator) Record(class string, estimateS float64, runtime time.Duration) {
+	if estimateS <= 0 || runtime <= 0 {
 		return
 	}
 	bias := e.classes[class]
@@ -43,20 +46,21 @@
 		decay := 1 - 1/e.params.MaxTasks
 		bias.weight, bias.sum, bias.squares = bias.weight*decay, bias.sum*decay, bias.squares*decay
 	}
-	logRatio := math.Log(ran.Seconds() / estimateS)
+	logRatio := math.Log(runtime.Seconds() / estimateS)
 	bias.weight, bias.sum, bias.squares = bias.weight+1, bias.sum+logRatio, bias.squares+logRatio*logRatio
 }
 
-// Factor corrects estimates of a class: its tasks run so many times as long, typically.
+// Factor returns the correction of estimates of a class: its tasks typically run for this multiple
+// of the estimate.
 func (e *Estimator) Factor(class string) float64 { f, _ := e.logBias(class); return math.Exp(f) }
 
-// Surely bounds the run time of a task of a class from above, nearly always.
+// UpperBound returns a time that a task of a class nearly always ends within.
 func (e *Estimator) UpperBound(class string, estimateS float64) time.Duration {
 	mean, spread := e.logBias(class)
 	return time.Duration(estimateS * math.Exp(mean+2*spread) * float64(time.Second))
 }
 
-// Typical is how long a task of a class runs.
+// Typical returns how long a task of a class typically runs.
 func (e *Estimator) Typical(class string, estimateS float64) time.Duration {
 	return time.Duration(estimateS * e.Factor(class) * float64(time.Second))
 }
@@ -71,7 +75,8 @@
 	return mean, math.Sqrt(max(variance, 0.01))
 }
 
-// Export is what is worth keeping: classes of which so many tasks have been seen.
+// Export returns what is worth storing: the classes with the weight of at least minWeight tasks, as
+// weight, sum and sum of squares.
 func (e *Estimator) Export(minWeight float64) map[string][3]float64 {
 	exported := map[string][3]float64{}
 	for class, bias := range e.classes {
@@ -82,11 +87,12 @@
 	return exported
 }
 
-// Shorter leaves out the class of which least is known, and tells whether there was one.
+// DropLeastKnownClass removes the class with the least weight from a record, and reports whether
+// there was one.
 func DropLeastKnownClass(record *wire.Bias) bool {
 	least, found := "", false
-	for class, v := range record.Classes {
-		if x := record.Classes[least]; !found || v[0] < x[0] || v[0] == x[0] && class < least {
+	for class, bias := range record.Classes {
+		if leastBias := record.Classes[least]; !found || bias[0] < leastBias[0] || bias[0] == leastBias[0] && class < least {
 			least, found = class, true
 		}
 	}
@@ -94,20 +100,21 @@
 	return found
 }
 
-// Import takes what another has learned, for classes of which less is known here.
+// Import takes over what another controller has learned, for classes of which less is known here.
 func (e *Estimator) Import(classes map[string][3]float64) {
-	for class, v := range classes {
-		if known := e.classes[class]; (known == nil || known.weight < v[0]) && v[0] > 0 && v[0] <= 2*e.params.MaxTasks {
-			e.classes[class] = &classBias{v[0], v[1], v[2]}
+	for class, stored := range classes {
+		if known := e.classes[class]; (known == nil || known.weight < stored[0]) && stored[0] > 0 && stored[0] <= 2*e.params.MaxTasks {
+			e.classes[class] = &classBias{stored[0], stored[1], stored[2]}
 		}
 	}
 }
 
-// Moved tells whether a class's factor differs by more than a share from what was exported.
+// Changed reports whether the logarithm of a class's factor differs by more than threshold from what
+// was exported.
 func (e *Estimator) Changed(exported map[string][3]float64, minWeight, threshold float64) bool {
 	for class := range e.Export(minWeight) {
-		old, known := exported[class]
-		if f := e.Factor(class); !known || math.Abs(math.Log(f)-old[1]/(old[0]+e.params.PriorTasks)) > threshold {
+		before, known := exported[class]
+		if f := e.Factor(class); !known || math.Abs(math.Log(f)-before[1]/(before[0]+e.params.PriorTasks)) > threshold {
 			return true
 		}
 	}
--- a/internal/forecast/forecast_test.go
+++ b/internal/forecast/forecast_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// A class whose tasks run three times as long as their owners say is forecast so, another is
-// not; what surely ends by then bounds nearly all of them.
+// The forecast of a class whose tasks run three times as long as estimated is corrected, that of
+// another class is not. The upper bound covers nearly all tasks.
 func TestBiasOfAClass(t *testing.T) {
-	b := New(Params{PriorTasks: 4, MaxTasks: 50, PriorSpread: 0.4})
-	if got := b.Typical("scan", 10); got != 10*time.Second {
+	estimator := New(Params{PriorTasks: 4, MaxTasks: 50, PriorSpread: 0.4})
+	if got := estimator.Typical("scan", 10); got != 10*time.Second {
 		t.Errorf("unseen: %v", got)
 	}
 	for i := range 200 {
-		b.Record("scan", 10, time.Duration(25+i%11)*time.Second)
+		estimator.Record("scan", 10, time.Duration(25+i%11)*time.Second)
 	}
-	if f := b.Factor("scan"); f < 2.5 || f > 3.2 {
+	if f := estimator.Factor("scan"); f < 2.5 || f > 3.2 {
 		t.Errorf("factor %.2f, want about 3 less what the prior holds back", f)
 	}
-	if s := b.UpperBound("scan", 10); s < 33*time.Second || s > 60*time.Second {
+	if s := estimator.UpperBound("scan", 10); s < 33*time.Second || s > 60*time.Second {
 		t.Errorf("surely within %v", s)
 	}
-	if f := b.Factor("other"); f != 1 {
+	if f := estimator.Factor("other"); f != 1 {
 		t.Errorf("another class: %.2f", f)
 	}
-	b.Record("scan", 0, time.Second) // a service has no estimate
+	estimator.Record("scan", 0, time.Second) // services have no estimate
 }
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -2,7 +2,7 @@
 
 import "github.com/barrowbridge/barrowbridge/internal/placement"
 
-// Found is a machine that has room.
+// Match is a machine with enough free capacity.
 type Match[H comparable] struct {
 	Handle H
 	Kind   Kind
@@ -12,15 +12,16 @@
 // eps absorbs the rounding of sums of decimal amounts.
 const eps = 1e-6
 
-// Find proposes machines with room for a task: of every kind those among which the
-// heuristic's choice is, at most `look` of a kind and walk. For an anchor that is the
-// largest beta, for others the smallest; better machines go before (for an anchor) or
-// break ties. A machine that is found twice stands twice.
+// Find appends to matches machines of a shard with free capacity for a task. Of every kind it
+// proposes those among which the heuristic's choice is: the machines with the largest beta for an
+// anchor, else those with the smallest. Preferred machines go first for an anchor, and break ties of
+// beta otherwise. limit bounds the machines of one kind that are examined in each search. A machine
+// that is found twice is listed twice.
 //
-// Beta is a minimum over resources, so its smallest value is the smallest of one
-// resource alone: each order is walked upwards from what is asked, as long as that
-// resource allows no more copies than the first that fits. The largest is found by
-// walking one order downwards until it allows fewer copies than what was found.
+// Beta is a minimum over resources, so the smallest beta is the smallest of one resource alone. For
+// each resource, the index is searched upwards from the requested amount, as long as that resource
+// allows no more copies than on the first machine that fits. For the largest beta one index is
+// searched downwards until its resource allows fewer copies than the best machine so far.
 func (l *Ledger[H]) Find(shard int, size placement.Size, anchor bool, limit int, kindAllowed func(Kind) bool, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
 	for _, kind := range l.kinds {
 		if kind.Shard != shard || !kindAllowed(kind) {
@@ -40,12 +41,13 @@
 	return matches
 }
 
-// pivot is an entry to start a walk at: what has this much left of every resource.
+// lowerBound returns an entry to start a search at: a machine that has exactly this much free of
+// every resource.
 func lowerBound[H comparable](size placement.Size) *entry[H] {
 	return &entry[H]{state: MachineState{Free: placement.Size{CPUs: size.CPUs - eps, GPUs: size.GPUs - eps, MemGB: size.MemGB - eps}}}
 }
 
-// only leaves one resource of an ask.
+// onlyResource returns the size with a single resource left.
 func onlyResource(size placement.Size, resource int) placement.Size {
 	switch resource {
 	case 0:
@@ -88,12 +90,12 @@
 			return true
 		}
 		seen++
-		if preferred(e.handle) { // the first that is better has the largest beta of these, nearly always
+		if preferred(e.handle) { // the first preferred machine nearly always has the largest beta of them
 			matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
 			return false
 		}
 		if copies := placement.Beta(e.state.Free, single); copies < maxCopies {
-			return true // only a better one counts from here on
+			return true // its beta is smaller too; from here on only preferred machines count
 		}
 		if copies := placement.Beta(e.state.Free, size); copies > maxCopies {
 			maxCopies = copies
@@ -104,8 +106,8 @@
 	return matches
 }
 
-// Each calls f with every usable machine of a shard that has room for a task. It
-// costs as much as there are such machines.
+// EachFitting calls visit with every usable machine of a shard that has free capacity for a task.
+// Its cost grows with the number of such machines.
 func (l *Ledger[H]) EachFitting(shard int, size placement.Size, kindAllowed func(Kind) bool, visit func(H, Kind, placement.Size)) {
 	for _, kind := range l.kinds {
 		if kind.Shard != shard || !kindAllowed(kind) {
@@ -120,7 +122,7 @@
 	}
 }
 
-// Of returns what is known of a machine.
+// Get returns the state of a machine, and false if none has been put.
 func (l *Ledger[H]) Get(h H) (MachineState, bool) {
 	e := l.byHandle[h]
 	if e == nil || !e.known {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,11 +1,10 @@
-// Package ledger keeps what is free where: for every machine what is left of it, what
-// each team has on it and whether tasks may be placed there now. Sums and indexes are
-// kept up machine by machine, so that asking costs the same however large the fleet
-// is. The ledger decides nothing; it proposes machines, and the heuristic of package
-// placement chooses among them.
+// Package ledger keeps the free capacity of machines: what is left of each machine, what each team
+// uses on it and whether tasks may be placed on it now. Sums and indexes are updated machine by
+// machine, so the cost of a query does not depend on the number of machines. The ledger decides
+// nothing: it proposes machines, and the heuristic of package placement chooses among them.
 //
-// Amounts are CPUs, GPUs and gigabytes of memory, as in placement.Size. A ledger is a
-// plain structure: no clock, no I/O, not for concurrent use.
+// Amounts are CPUs, GPUs and gigabytes of memory, as in placement.Size. A ledger has no clock and no
+// I/O, and is not safe for concurrent use.
 package ledger
 
 import (
@@ -18,56 +17,58 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Kind is what a job may demand of a machine, and whether it is empty and paid for.
+// Kind is what a job may require of a machine, and whether the machine is an empty rented one.
 type Kind struct {
 	Shard int
 	Type  string
 	Zone  string
 	Spot  bool
-	// Opens: empty and paid for by the second; see placement.Candidate.
+	// EmptyRental is whether the machine is empty and paid for by the second; see
+	// placement.Candidate.
 	EmptyRental bool
 }
 
-// Use is what one team has on a machine.
+// TeamUsage is what one team uses on a machine.
 type TeamUsage struct {
 	Team string
 	Size placement.Size
 }
 
-// Facts is what the owner of a machine says of it.
+// MachineState is what the caller knows of a machine.
 type MachineState struct {
 	Kind
 	Usable bool           // tasks may be placed on it now
-	Free   placement.Size // what nothing may be using
+	Free   placement.Size // certain not to be in use
 	Usage  []TeamUsage
-	// Unknown counts against every team of the shard: what may run there unseen.
+	// UnknownUse is what unknown tasks may use on the machine. It counts against every team of the
+	// shard.
 	UnknownUse placement.Size
-	// Spare is how many urgent tasks it could take at once, lesser work giving way.
+	// UrgentSlots is how many urgent tasks the machine could take at once, preempting work of lower
+	// priority.
 	UrgentSlots int
 }
 
-// Book is the ledger of the machines of one controller. H is the owner's handle of a
-// machine.
+// Ledger is the ledger of the machines of one controller. H is the caller's handle of a machine.
 type Ledger[H comparable] struct {
 	byHandle map[H]*entry[H]
 	groups   map[Kind]*group[H]
-	kinds    []Kind // of groups, in the order they came up
+	kinds    []Kind // of groups, in the order in which they were added
 	teams    map[string]*usageSum
 	shards   map[int]*shardSum
-	reports  *list.List // of *entry[H], the longest silent first
+	reports  *list.List // of *entry[H], the longest silent machine first
 }
 
 type entry[H comparable] struct {
 	handle     H
 	name       string
 	state      MachineState
-	known      bool // facts have been put
+	known      bool // a state has been put
 	reportedAt time.Duration
-	elem       *list.Element // in heard; nil: silent for too long, or never heard
+	elem       *list.Element // in reports; nil: silent for too long, or never reported
 }
 
-// teamSum adds and subtracts the same amounts many times; n tells when it is truly
-// zero, so that rounding never adds up.
+// usageSum adds and subtracts the same amounts many times. count shows when the sum is exactly zero,
+// so that rounding errors do not accumulate.
 type usageSum struct {
 	count int
 	size  placement.Size
@@ -78,8 +79,8 @@
 	urgentSlots int
 }
 
-// group holds the usable machines of a kind, ordered by what each has left of one
-// resource after the other.
+// group holds the usable machines of a kind, in one index for each resource, ordered by what is free
+// of it.
 type group[H comparable] struct {
 	byResource [resources]*btree.BTreeG[*entry[H]]
 }
@@ -96,7 +97,7 @@
 	return size.GPUs
 }
 
-// New returns an empty book.
+// New returns an empty ledger.
 func New[H comparable]() *Ledger[H] {
 	return &Ledger[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*usageSum{},
 		shards: map[int]*shardSum{}, reports: list.New()}
@@ -111,7 +112,7 @@
 	return e
 }
 
-// Put replaces what is known of a machine. Names order machines that are alike.
+// Put replaces the state of a machine. Machines with equal amounts are ordered by name.
 func (l *Ledger[H]) Put(handle H, name string, state MachineState) {
 	e := l.entryOf(handle, name)
 	l.subtract(e)
@@ -153,7 +154,7 @@
 	return g
 }
 
-// take undoes what Put added.
+// subtract undoes what Put added.
 func (l *Ledger[H]) subtract(e *entry[H]) {
 	if !e.known {
 		return
@@ -179,7 +180,7 @@
 	}
 }
 
-// Drop forgets a machine.
+// Remove removes a machine.
 func (l *Ledger[H]) Remove(h H) {
 	if e := l.byHandle[h]; e != nil {
 		l.subtract(e)
@@ -190,8 +191,8 @@
 	}
 }
 
-// Heard notes a report of a machine. It tells whether the machine had been silent for
-// too long, or was never heard, so that its facts have to be put anew.
+// RecordReport records a report of a machine. It reports whether the machine had been silent for too
+// long, or had never reported, so that its state has to be put anew.
 func (l *Ledger[H]) RecordReport(handle H, name string, now time.Duration) (returned bool) {
 	e := l.entryOf(handle, name)
 	e.reportedAt = now
@@ -203,7 +204,7 @@
 	return true
 }
 
-// Silent returns the machines last heard at or before a time, each once.
+// TakeSilent returns the machines whose last report came at or before a time, each once.
 func (l *Ledger[H]) TakeSilent(until time.Duration) (handles []H) {
 	for el := l.reports.Front(); el != nil; el = l.reports.Front() {
 		e := el.Value.(*entry[H])
@@ -245,8 +246,8 @@
 	}
 }
 
-// Used is what a team's tasks may use at the most, with all that may run unseen in
-// its shard.
+// Used returns the most that a team's tasks may use, including what unknown tasks may use in its
+// shard.
 func (l *Ledger[H]) Used(team string, shard int) placement.Size {
 	u := l.team(team).size
 	if s := l.shards[shard]; s != nil {
@@ -255,12 +256,12 @@
 	return u
 }
 
-// Spare is how many urgent tasks the usable machines of a shard could take at once,
-// spot machines apart.
+// UrgentSlots returns how many urgent tasks the usable machines of a shard could take at once, not
+// counting spot machines.
 func (l *Ledger[H]) UrgentSlots(shard int) int { return l.shard(shard).urgentSlots }
 
-// Most is, resource by resource, the most that any one usable machine of a shard has
-// left: what exceeds it fits nowhere.
+// MaxFree returns, for each resource, the most that any usable machine of a shard has free. A task
+// that exceeds it fits nowhere.
 func (l *Ledger[H]) MaxFree(shard int) placement.Size {
 	largest := [resources]float64{}
 	for _, k := range l.kinds {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,6 @@
-// Package placement is Pogonip's greedy heuristic as pure functions:
-// a machine is scored by beta, the further copies of a task it could hold; a
-// job's anchor takes the largest beta, its other tasks the first smallest.
+// Package placement implements Pogonip's greedy heuristic as pure functions. A machine is scored by
+// beta, the number of further copies of a task that it could hold. A job's anchor, its first task,
+// takes the machine with the largest beta, its other tasks the first one with the smallest.
 package placement
 
 import "math"
@@ -19,18 +19,18 @@
 // Add returns a plus b.
 func (a Size) Add(b Size) Size { return Size{a.CPUs + b.CPUs, a.GPUs + b.GPUs, a.MemGB + b.MemGB} }
 
-// Lesser is what two amounts both hold.
+// Min returns the minimum of each resource.
 func Min(a, b Size) Size {
 	return Size{min(a.CPUs, b.CPUs), min(a.GPUs, b.GPUs), min(a.MemGB, b.MemGB)}
 }
 
-// Fits tells whether an asked amount fits into the free one.
+// Fits reports whether a task of the given size fits into the free amount.
 func Fits(free, size Size) bool {
 	return size.CPUs <= free.CPUs+eps && size.GPUs <= free.GPUs+eps && size.MemGB <= free.MemGB+eps
 }
 
-// Beta is the minimum over the asked resources of floor((free-ask)/ask): the
-// copies a machine could still hold once this one is placed. Negative: does
+// Beta returns the minimum over the requested resources of floor((free-size)/size): the number of
+// copies that a machine could still hold once this task is placed. It is negative if the task does
 // not fit.
 func Beta(free, size Size) int {
 	copies := math.Inf(1)
@@ -48,21 +48,22 @@
 // Candidate is a machine that a task is allowed on.
 type Candidate struct {
 	Free Size
-	// Load is how many tasks of the same service its zone holds; 0 elsewhere.
+	// ServiceTasks is how many tasks of the same service run in the machine's zone; 0 for other
+	// jobs.
 	ServiceTasks int
-	// Opens: the machine is empty and paid for by the second. Exception to the
-	// paper, where nodes cost nothing while empty: an anchor takes the largest
-	// beta among the machines already in use, if one fits.
+	// EmptyRental is whether the machine is empty and paid for by the second. It makes an exception
+	// to the paper, where nodes cost nothing while empty: an anchor takes the largest beta among the
+	// machines already in use, if it fits on one.
 	EmptyRental bool
-	// Better, larger first, breaks ties of beta (an image at hand, say). Second
-	// exception: for an anchor it goes before beta, since a fetch takes longer
-	// than users wait for a first task.
+	// Preference breaks ties of beta, larger first; a machine may be preferred because it has the
+	// image, for example. It makes a second exception to the paper: for an anchor it goes before
+	// beta, since a fetch takes longer than users wait for a first task.
 	Preference int
 }
 
-// Pick returns the chosen candidate's index, or -1: the zone with the least
-// load; for the anchor then the largest beta, for others the first smallest.
-// The two exceptions stand with Candidate.
+// Pick returns the index of the chosen candidate, or -1. It takes the zone with the fewest tasks of
+// the same service, and there the largest beta for an anchor, else the first smallest. Candidate
+// documents the two exceptions.
 func Pick(candidates []Candidate, size Size, anchor bool) int {
 	best, bestBeta := -1, 0
 	for i, c := range candidates {
@@ -99,8 +100,8 @@
 	return best
 }
 
-// Under is how many more tasks of a size may start before a limit in CPUs and GPUs, at most
-// so many.
+// TasksUnderLimit returns how many more tasks of a size may start before a team reaches its limits
+// of CPUs and GPUs, and limit at most.
 func TasksUnderLimit(cpus, gpus float64, used, size Size, limit int) int {
 	tasks := float64(limit)
 	if size.CPUs > 0 {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The expected values are worked out by hand from the paper's formula
-// beta = min(floor((C-c)/c), floor((M-m)/m)).
+// The expected values are worked out by hand from the paper's formula beta = min(floor((C-c)/c),
+// floor((M-m)/m)).
 func TestBeta(t *testing.T) {
 	for _, test := range []struct {
 		name      string
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,9 +1,11 @@
-// Package queue keeps the order in which waiting jobs are served: rung (package tiers), the first task
-// of a job that has waited too long for it, work within its team's guarantee, the strictest closeness (Pogonip's order), what can
-// still be on time, deadline, age. The order is kept up job by job and is never
-// sorted anew, and a walk skips what fits nowhere without looking at each.
+// Package queue keeps waiting jobs in the order in which they are served. The order is, most
+// significant first: tier (package tiers); the first task of a job that has waited too long for it;
+// jobs that a departure leaves no slack; work within its team's guarantee; jobs bound to one zone
+// before others (Pogonip's order of strictness); jobs that can still be on time; deadline; age. The
+// order is updated job by job and never sorted anew, and a walk skips jobs that fit nowhere without
+// visiting each of them.
 //
-// A queue is a plain structure: no clock, no I/O, not for concurrent use.
+// A queue has no clock and no I/O, and is not safe for concurrent use.
 package queue
 
 import (
@@ -16,23 +18,23 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Job is what the order hangs on.
+// Job is what the order depends on of a job.
 type Job struct {
 	ID            string
 	Team          string
-	AcceptedMS    int64  // milliseconds of the day's time: its age
-	Number        uint64 // its age: orders jobs, and before the time if it is written
-	Rank          int    // of its rung, higher first
-	ZoneBound     bool   // bound to one zone
+	AcceptedMS    int64  // its age, in milliseconds of wall-clock time
+	Number        uint64 // its age, where one was written; compared before AcceptedMS
+	Rank          int    // of its tier, higher first
+	ZoneBound     bool   // has to run in one zone
 	Service       bool
-	Due           float64        // seconds of the day's time; +Inf without a deadline
-	VirtualFinish float64        // orders those that are due at the same time, or never; lower first
-	EstimateS     float64        // seconds of one task
+	Due           float64        // seconds of wall-clock time; +Inf without a deadline
+	VirtualFinish float64        // orders jobs that are due at the same time, or never; lower first
+	EstimateS     float64        // of one task
 	TaskSize      placement.Size // of one task
 	Unfinished    int            // tasks not done
 	Pending       int            // tasks to start; 0: it only counts against its team's guarantee
-	Pressed       bool           // a departure leaves it no slack: it goes before other work of its rung
-	Started       bool           // a task of it has been started, as far as records tell
+	Pressed       bool           // a departure leaves it no slack: it is served before other work of its tier
+	Started       bool           // one of its tasks has been started, as far as the records show
 }
 
 func (j *Job) demand() placement.Size {
@@ -40,16 +42,17 @@
 	return placement.Size{CPUs: j.TaskSize.CPUs * n, GPUs: j.TaskSize.GPUs * n}
 }
 
-// work is the CPU seconds left.
+// workLeft returns the CPU seconds of the unfinished tasks.
 func (j *Job) workLeft() float64 { return float64(j.Unfinished) * j.EstimateS * j.TaskSize.CPUs }
 
-// Place is a job with its place in the order. H is the owner's handle of a job.
+// Entry is a job with what determines its position in the order. H is the caller's handle of a job.
 type Entry[H any] struct {
 	Handle          H
 	Job             Job
-	WithinGuarantee bool // its team's unfinished jobs up to this one fit into the guarantee
+	WithinGuarantee bool // its team's unfinished jobs up to this one, by age, fit into the guarantee
 	Late            bool // cannot be on time without making more jobs late
-	// Overdue: it has waited too long for its first task, which goes ahead; the others do not.
+	// Overdue is whether the job has waited too long for its first task. That task goes ahead, the
+	// others do not.
 	Overdue bool
 	node    *node[H]
 }
@@ -59,24 +62,24 @@
 	guarantees map[string]placement.Size // by team
 	jobs       map[string]*Entry[H]
 	teams      map[string]*team[H]
-	teamNames  []string // of teams, in order
+	teamNames  []string // sorted
 }
 
-// team holds the jobs of one team: all by age, with the boundary of its guarantee, and
-// those that wait in the order they are served.
+// team holds the jobs of one team: all of them by age, with the boundary of its guarantee, and the
+// waiting ones in the order in which they are served.
 type team[H any] struct {
 	guarantee    placement.Size
 	byAge        *btree.BTreeG[*Entry[H]]
-	lastWithin   *Entry[H] // the youngest within the guarantee; nil: none
+	lastWithin   *Entry[H] // the youngest job within the guarantee; nil if there is none
 	withinDemand placement.Size
 	withinCount  int
-	serviceCPUs  float64 // CPUs of services
-	serviceTasks int     // services
+	serviceCPUs  float64 // used by unfinished services
+	serviceTasks int     // unfinished tasks of services
 	byDue        *btree.BTreeG[*Entry[H]]
 	waiting      tree[H]
 }
 
-// New returns an empty queue. Jobs of teams it does not know are never within a guarantee.
+// New returns an empty queue. Jobs of teams without a guarantee are never within one.
 func New[H any](guarantees map[string]placement.Size) *Queue[H] {
 	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Entry[H]{}, teams: map[string]*team[H]{}}
 }
@@ -101,7 +104,7 @@
 	return older(a, b)
 }
 
-// before is the order in which jobs are served.
+// servedBefore reports whether a is served before b.
 func servedBefore[H any](a, b *Entry[H]) bool {
 	switch {
 	case a.Job.Rank != b.Job.Rank:
@@ -133,7 +136,7 @@
 	return t
 }
 
-// Put adds a job or replaces what is known of it.
+// Put adds a job or replaces its data.
 func (q *Queue[H]) Put(handle H, job Job) {
 	if entry := q.jobs[job.ID]; entry != nil {
 		if entry.Job == job {
@@ -159,7 +162,8 @@
 	t.enqueue(entry)
 }
 
-// amend changes how much is left and waits; a job's place by age and deadline stays.
+// updateRemaining changes what is unfinished and pending of a job. Its position by age and by
+// deadline stays the same.
 func (q *Queue[H]) updateRemaining(entry *Entry[H], job Job) {
 	t := q.team(job.Team)
 	t.dequeue(entry)
@@ -174,7 +178,7 @@
 	t.enqueue(entry)
 }
 
-// Drop forgets a job.
+// Remove removes a job.
 func (q *Queue[H]) Remove(id string) {
 	entry := q.jobs[id]
 	if entry == nil {
@@ -190,7 +194,7 @@
 			t.lastWithin = t.neighbor(entry, false)
 		}
 		if t.withinCount == 0 {
-			t.withinDemand, t.lastWithin = placement.Size{}, nil // rounding ends here
+			t.withinDemand, t.lastWithin = placement.Size{}, nil // drops accumulated rounding errors
 		}
 	}
 	t.byAge.Delete(entry)
@@ -220,8 +224,8 @@
 	}
 }
 
-// wait puts a job among those that wait, leave takes it out; its place in the order
-// must not change in between.
+// enqueue adds a job to the waiting ones, and dequeue removes it. What its position depends on must
+// not change in between.
 func (t *team[H]) enqueue(entry *Entry[H]) {
 	if entry.Job.Pending > 0 && entry.node == nil {
 		entry.node = t.waiting.insert(entry)
@@ -235,7 +239,7 @@
 	}
 }
 
-// next is the neighbour by age, younger or older; nil: none.
+// neighbor returns the next younger or next older job of the team, or nil.
 func (t *team[H]) neighbor(entry *Entry[H], younger bool) (found *Entry[H]) {
 	visit := func(other *Entry[H]) bool {
 		if other == entry {
@@ -258,8 +262,8 @@
 	return size.CPUs <= limit.CPUs+eps && size.GPUs <= limit.GPUs+eps
 }
 
-// settle moves the boundary of the guarantee. Sums over jobs by age only grow, so what
-// is within is always the oldest jobs up to some one.
+// moveBoundary moves the boundary of the guarantee. The sum of demand only grows with each younger
+// job, so the jobs within the guarantee are always the oldest ones up to some job.
 func (t *team[H]) moveBoundary() {
 	for t.lastWithin != nil && !fits(t.withinDemand, t.guarantee) {
 		entry := t.lastWithin
@@ -292,9 +296,9 @@
 	t.enqueue(entry)
 }
 
-// Judge decides anew which jobs of each team are late, where anything has changed, and
-// which are overdue: accepted more than begin seconds ago, and not begun. now is in seconds
-// of the day's time, cpus what a team can use for its batches.
+// UpdateDeadlines recomputes which jobs of each team are late, and which are overdue: accepted more
+// than startWithinS seconds ago and not started. nowS is in seconds of wall-clock time. cpus returns
+// the CPUs that a team can use, its services included.
 func (q *Queue[H]) UpdateDeadlines(nowS, startWithinS float64, cpus func(team string) float64) {
 	for _, name := range q.teamNames {
 		t := q.teams[name]
@@ -306,9 +310,10 @@
 	}
 }
 
-// overdue marks the jobs accepted before a time that have not begun. Those that cannot be on
-// time go last, the largest of them after all others; without a bound one waited for seven
-// minutes while younger work kept coming. One task each goes ahead, so the others lose little.
+// updateOverdue marks the jobs accepted until a time that have not started. Jobs that cannot be on
+// time are served last, and the largest of them after all others. Without this limit, one of them
+// waited for seven minutes while younger work kept coming. Only one task of each goes ahead, so the
+// other jobs lose little.
 func (t *team[H]) updateOverdue(acceptedUntilS float64) {
 	var changed []*Entry[H]
 	t.byAge.Ascend(func(entry *Entry[H]) bool {
@@ -324,9 +329,9 @@
 	}
 }
 
-// judge gives up being on time for as few jobs as possible (Moore and Hodgson): in
-// order of deadline, and whenever one would be late, the largest so far is left out.
-// Plain order of deadline lets one hopeless job make all after it late.
+// updateLate chooses as few jobs as possible to be late, by the Moore-Hodgson algorithm: it adds
+// jobs in order of deadline, and whenever one would be late, it leaves out the largest so far. In
+// plain order of deadline, a single job that cannot be on time would make all jobs after it late.
 func (t *team[H]) updateLate(nowS, cpus float64) {
 	var onTime workHeap[H]
 	late := map[*Entry[H]]bool{}
@@ -358,7 +363,7 @@
 	}
 }
 
-// Len is how many jobs wait.
+// Len returns the number of waiting jobs.
 func (q *Queue[H]) Len() int {
 	n := 0
 	for _, t := range q.teams {
@@ -367,13 +372,13 @@
 	return n
 }
 
-// Of returns a job's place; nil: not known.
+// Get returns the entry of a job, or nil if it is not known.
 func (q *Queue[H]) Get(id string) *Entry[H] { return q.jobs[id] }
 
-// Walk calls f with the waiting jobs in the order they are served. room is asked anew
-// for each step what a job of the team may find at the most; jobs that ask for more
-// are skipped without a look at each. f may place tasks, but must not put or drop
-// jobs; it says whether to go on.
+// Walk calls visit with the waiting jobs in the order in which they are served, until visit returns
+// false. freeFor returns the most capacity that a task of the team may find; it is called again for
+// each step. Jobs whose tasks are larger are skipped without visiting each of them. visit may place
+// tasks, but must not put or remove jobs.
 func (q *Queue[H]) Walk(freeFor func(team string) placement.Size, visit func(*Entry[H]) bool) {
 	heads := make([]*Entry[H], 0, len(q.teamNames))
 	for _, name := range q.teamNames {
@@ -389,7 +394,7 @@
 			}
 		}
 		entry := heads[next]
-		// Room has shrunk since this head was found.
+		// There is less free capacity than when this head was found.
 		if free := freeFor(entry.Job.Team); !placement.Fits(free, entry.Job.TaskSize) {
 			if following := q.teams[entry.Job.Team].waiting.after(entry, free); following != nil {
 				heads[next] = following
@@ -409,7 +414,7 @@
 	}
 }
 
-// largest is a heap of jobs, the most work on top.
+// workHeap is a heap of jobs with the one with the most work on top.
 type workHeap[H any] []*Entry[H]
 
 func (h workHeap[H]) Len() int { return len(h) }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -27,9 +27,9 @@
 	return j
 }
 
-// However jobs come, change and go, they are served in the order that sorting them
-// afresh gives, what lies within a guarantee is counted anew, and a walk that is told
-// of little room meets just those that ask for no more.
+// However jobs are put, changed and removed: they are served in the order that a full sort gives,
+// the jobs within a guarantee are those that a recount finds, and a walk visits exactly the jobs
+// whose tasks fit into the given capacity.
 func TestOrderMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q, all := New[string](guarantees), map[string]Job{}
@@ -82,7 +82,7 @@
 	})
 }
 
-// One hopeless job does not make those after it late.
+// A job that cannot be on time does not make the jobs after it late.
 func TestLateJobDoesNotDelayOthers(t *testing.T) {
 	q := New[int](guarantees)
 	for i, work := range []int{1, 50, 1, 1} {
@@ -94,7 +94,7 @@
 	if fmt.Sprint(got) != "[0 2 3 1]" {
 		t.Errorf("served %v", got)
 	}
-	// It goes ahead for its first task once it has waited for too long, and no further.
+	// It goes ahead for its first task once it has waited too long, but not for the others.
 	q.UpdateDeadlines(200, 199.9985, func(string) float64 { return 2 })
 	order := func() (got []int) {
 		q.Walk(func(string) placement.Size { return placement.Size{CPUs: 4} }, func(p *Entry[int]) bool { got = append(got, p.Handle); return true })
--- a/internal/queue/tree.go
+++ b/internal/queue/tree.go
@@ -8,9 +8,9 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// tree is a treap of waiting jobs in the order they are served. Each node knows the
-// least that any job below it asks of each resource, so that a search passes over
-// whole branches that fit nowhere. Heights come from a hash of the id: the same jobs
+// tree is a treap of waiting jobs in the order in which they are served. Each node knows, per
+// resource, the smallest amount that any job below it asks for, so that a search skips whole
+// branches that fit nowhere. Node priorities come from a hash of the job ID: the same jobs always
 // make the same tree.
 type tree[H any] struct {
 	root *node[H]
@@ -58,7 +58,7 @@
 	return root
 }
 
-// split parts a tree into what is served before a job and the rest.
+// split divides a tree into the jobs that are served before entry, and the rest.
 func split[H any](root *node[H], entry *Entry[H]) (left, right *node[H]) {
 	if root == nil {
 		return nil, nil
@@ -107,10 +107,10 @@
 	return right
 }
 
-// first is the first job that asks for no more than there is.
+// first returns the first job whose tasks fit into the free capacity, or nil.
 func (t *tree[H]) first(free placement.Size) *Entry[H] { return find(t.root, nil, free) }
 
-// after is the first such job after p in the order.
+// after returns the next job after entry whose tasks fit into the free capacity, or nil.
 func (t *tree[H]) after(entry *Entry[H], free placement.Size) *Entry[H] {
 	return find(t.root, entry, free)
 }
--- a/internal/supply/blocks.go
+++ b/internal/supply/blocks.go
@@ -2,12 +2,13 @@
 
 import "github.com/barrowbridge/barrowbridge/wire"
 
-// BlockSizes bound blocks, in machines; AtOnce (blocks) is into how many those of one kind
-// that come together are split.
+// BlockSizes bound the machines of a block. BlocksPerBatch is into how many blocks the machines of
+// one kind that arrive together are split.
 type BlockSizes struct{ Min, Max, BlocksPerBatch int }
 
-// Blocks forms blocks of one type, zone and kind out of machines, in their order. Fresh
-// machines have just been rented and have never been in a block; base ones stand there.
+// FormBlocks forms blocks of machines of one type, zone and kind, in the order of machines. fresh is
+// set for machines that have just been rented and have never been in a block, base for machines that
+// are not rented.
 func FormBlocks(machines []wire.MachineInfo, sizes BlockSizes, base, fresh bool) (blocks []wire.Block) {
 	type kind struct {
 		typ, zone string
@@ -18,16 +19,16 @@
 	for _, machine := range machines {
 		size[kindOf(machine)]++
 	}
-	for kindOfMachine, n := range size {
-		size[kindOfMachine] = min(max(n/sizes.BlocksPerBatch, sizes.Min), sizes.Max)
+	for machineKind, n := range size {
+		size[machineKind] = min(max(n/sizes.BlocksPerBatch, sizes.Min), sizes.Max)
 	}
 	for _, machine := range machines {
-		kindOfMachine, blockMachine := kindOf(machine), wire.BlockMachine{Name: machine.Name, Fresh: fresh}
-		if i, ok := lastBlock[kindOfMachine]; ok && len(blocks[i].Machines) < size[kindOfMachine] {
+		machineKind, blockMachine := kindOf(machine), wire.BlockMachine{Name: machine.Name, Fresh: fresh}
+		if i, ok := lastBlock[machineKind]; ok && len(blocks[i].Machines) < size[machineKind] {
 			blocks[i].Machines = append(blocks[i].Machines, blockMachine)
 			continue
 		}
-		lastBlock[kindOfMachine] = len(blocks)
+		lastBlock[machineKind] = len(blocks)
 		blocks = append(blocks, wire.Block{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Base: base, Machines: []wire.BlockMachine{blockMachine}})
 	}
 	return blocks
--- a/internal/supply/reserve.go
+++ b/internal/supply/reserve.go
@@ -7,59 +7,61 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// ReserveLimits are the times by which urgent work counts.
+// ReserveLimits are the periods over which urgent work counts.
 type ReserveLimits struct {
-	Retention time.Duration // a shard that has seen no urgent job for so long reserves nothing
-	Window    time.Duration // arrivals are counted over so long
+	Retention time.Duration // a shard that has seen no urgent job for this long reserves nothing
+	Window    time.Duration // period over which arrivals are counted
 }
 
-// Reserve is the room that shards keep for the next urgent tasks, so that they do not wait for a
-// boot: for one, and as many as come while a machine boots. Times are those of the owner's steady
-// clock.
+// Reserve is the capacity that shards keep free for the next urgent tasks, so that these do not wait
+// for a boot: for one task, and for as many more as arrive while a machine boots. Times are those of
+// the caller's monotonic clock.
 type Reserve struct {
 	limits      ReserveLimits
 	urgentTasks map[int]urgentTask      // by shard
-	arrivals    map[int][]time.Duration // arrivals of urgent jobs, by shard
+	arrivals    map[int][]time.Duration // of urgent jobs, by shard
 }
 
-// urgent is the largest urgent task a shard has seen lately.
+// urgentTask is the largest urgent task that a shard has seen lately.
 type urgentTask struct {
 	size   placement.Size
-	rank   int // of its rung
+	rank   int // of its tier
 	seenAt time.Duration
 }
 
-// NewReserve returns a reserve of nothing.
-func NewReserve(l ReserveLimits) *Reserve {
-	return &Reserve{limits: l, urgentTasks: map[int]urgentTask{}, arrivals: map[int][]time.Duration{}}
+// NewReserve returns an empty reserve.
+func NewReserve(limits ReserveLimits) *Reserve {
+	return &Reserve{limits: limits, urgentTasks: map[int]urgentTask{}, arrivals: map[int][]time.Duration{}}
 }
 
-// Seen notes an urgent job of a shard, its task's size and its rung's rank; came: it is new. It
-// tells whether the size that room is counted in has changed.
+// Observe records an urgent job of a shard, with the size of its tasks and the rank of its tier.
+// isNew is whether the job has just arrived. Observe reports whether the task size that is reserved
+// has changed.
 func (r *Reserve) Observe(now time.Duration, shard int, size placement.Size, rank int, isNew bool) (changed bool) {
-	u := r.urgentTasks[shard]
-	if size.CPUs >= u.size.CPUs || now-u.seenAt > r.limits.Retention {
-		changed = u.size != size
-		u.size, u.rank = size, rank
+	task := r.urgentTasks[shard]
+	if size.CPUs >= task.size.CPUs || now-task.seenAt > r.limits.Retention {
+		changed = task.size != size
+		task.size, task.rank = size, rank
 	}
-	u.seenAt = now
-	r.urgentTasks[shard] = u
+	task.seenAt = now
+	r.urgentTasks[shard] = task
 	if isNew {
 		r.arrivals[shard] = append(r.arrivals[shard], now)
 	}
 	return changed
 }
 
-// Task is the size and rank of the tasks that a shard reserves room for.
+// TaskSize returns the size and rank of the tasks that a shard reserves capacity for.
 func (r *Reserve) TaskSize(shard int) (placement.Size, int) {
-	u := r.urgentTasks[shard]
-	return u.size, u.rank
+	task := r.urgentTasks[shard]
+	return task.size, task.rank
 }
 
-// Target is for how many urgent tasks a shard keeps room, if a machine boots in so many seconds.
+// Target returns for how many urgent tasks a shard keeps capacity free, if a machine boots in bootS
+// seconds.
 func (r *Reserve) Target(now time.Duration, shard int, bootS float64) int {
-	u, ok := r.urgentTasks[shard]
-	if !ok || now-u.seenAt > r.limits.Retention {
+	task, ok := r.urgentTasks[shard]
+	if !ok || now-task.seenAt > r.limits.Retention {
 		return 0
 	}
 	arrivals := r.arrivals[shard]
--- a/internal/supply/reserve_test.go
+++ b/internal/supply/reserve_test.go
@@ -7,7 +7,8 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Room is kept for the largest urgent task seen lately, and for as many as come while one boots.
+// Capacity is kept for the largest urgent task seen lately, and for as many more as arrive while a
+// machine boots.
 func TestReserve(t *testing.T) {
 	r := NewReserve(ReserveLimits{Retention: 10 * time.Minute, Window: time.Minute})
 	const boot = 20.0
@@ -15,7 +16,7 @@
 		t.Error("no urgent work has come")
 	}
 	big := placement.Size{CPUs: 2}
-	if !r.Observe(time.Second, 1, one, 5, true) || r.Observe(time.Second, 1, one, 5, false) || !r.Observe(2*time.Second, 1, big, 6, true) || r.Observe(3*time.Second, 1, one, 5, true) {
+	if !r.Observe(time.Second, 1, oneTask, 5, true) || r.Observe(time.Second, 1, oneTask, 5, false) || !r.Observe(2*time.Second, 1, big, 6, true) || r.Observe(3*time.Second, 1, oneTask, 5, true) {
 		t.Error("the size changes to that of a larger task, and of no smaller one")
 	}
 	if size, rank := r.TaskSize(1); size != big || rank != 6 {
@@ -29,14 +30,14 @@
 			t.Errorf("at %v: %d, want %d", c.at, got, c.want)
 		}
 	}
-	if r.Observe(20*time.Minute, 1, one, 5, false); r.Target(20*time.Minute, 1, boot) != 1 {
+	if r.Observe(20*time.Minute, 1, oneTask, 5, false); r.Target(20*time.Minute, 1, boot) != 1 {
 		t.Error("one that is there again")
 	}
-	if size, _ := r.TaskSize(1); size != one {
+	if size, _ := r.TaskSize(1); size != oneTask {
 		t.Errorf("the large one was long ago: %+v", size)
 	}
 	for range 7 {
-		r.Observe(21*time.Minute, 1, one, 5, true)
+		r.Observe(21*time.Minute, 1, oneTask, 5, true)
 	}
 	if got := r.Target(21*time.Minute, 1, boot); got != 4 {
 		t.Errorf("seven in a minute, a third of it to boot: %d", got)
--- a/internal/supply/rules.go
+++ b/internal/supply/rules.go
@@ -8,53 +8,58 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// AllowsType tells whether a list of machine types, where empty means any, has one.
-func AllowsType(types []string, t string) bool { return len(types) == 0 || slices.Contains(types, t) }
+// AllowsType reports whether a list of machine types has t. An empty list has any type.
+func AllowsType(types []string, machineType string) bool {
+	return len(types) == 0 || slices.Contains(types, machineType)
+}
 
-// Allows tells whether a job's tasks may run on machines of this type, zone and kind.
-func Allows(j *wire.Job, k ledger.Kind) bool {
-	return AllowsType(j.Types, k.Type) && (j.Zone == "" || k.Zone == j.Zone) && (!k.Spot || j.Spot)
+// Allows reports whether a job's tasks may run on machines of this type, zone and kind.
+func Allows(job *wire.Job, kind ledger.Kind) bool {
+	return AllowsType(job.Types, kind.Type) && (job.Zone == "" || kind.Zone == job.Zone) && (!kind.Spot || job.Spot)
 }
 
-// Kinds tells which kinds of machines a job's next task may be placed on, with so many of its others in
-// each zone. chosen is the zone of a gang that has to be in one.
-func KindFilter(j *wire.Job, chosen string, zones map[string]int) func(ledger.Kind) bool {
-	return func(k ledger.Kind) bool {
+// KindFilter returns a function that reports whether a job's next task may be placed on a kind of
+// machine. zones is the number of the job's other tasks in each zone, and chosen the zone of a gang
+// that has to run in a single one.
+func KindFilter(job *wire.Job, chosen string, zones map[string]int) func(ledger.Kind) bool {
+	return func(kind ledger.Kind) bool {
 		switch {
-		case !Allows(j, k):
+		case !Allows(job, kind):
 			return false
-		case j.OneZone && len(zones) > 0 && zones[k.Zone] == 0:
+		case job.OneZone && len(zones) > 0 && zones[kind.Zone] == 0:
 			return false
-		case j.Shape == wire.ShapeGang && j.OneZone && k.Zone != chosen:
+		case job.Shape == wire.ShapeGang && job.OneZone && kind.Zone != chosen:
 			return false
-		case j.Spread && zones[k.Zone]+1 > (j.Tasks+1)/2:
+		case job.Spread && zones[kind.Zone]+1 > (job.Tasks+1)/2:
 			return false
 		}
 		return true
 	}
 }
 
-// GangFits tells whether so many tasks of a gang find room at once, by how many each zone has room for,
-// and in which zone if all have to be in one: each is tried alone, for the first task's place binds the rest.
-func GangFits(j *wire.Job, waiting int, slots map[string]int) (zone string, ok bool) {
+// GangFits reports whether the waiting tasks of a gang all fit at once, and for a gang that has to
+// run in a single zone returns that zone. slots is how many of its tasks fit in each zone. Each zone
+// is tried alone in that case, because the place of the first task determines the zone of the
+// others.
+func GangFits(job *wire.Job, waiting int, slots map[string]int) (zone string, ok bool) {
 	total := 0
-	for _, z := range slices.Sorted(maps.Keys(slots)) {
+	for _, candidate := range slices.Sorted(maps.Keys(slots)) {
 		switch {
-		case j.OneZone:
-			if slots[z] >= waiting {
-				return z, true
+		case job.OneZone:
+			if slots[candidate] >= waiting {
+				return candidate, true
 			}
-		case j.Spread:
-			total += min(slots[z], (j.Tasks+1)/2)
+		case job.Spread:
+			total += min(slots[candidate], (job.Tasks+1)/2)
 		default:
-			total += slots[z]
+			total += slots[candidate]
 		}
 	}
 	return "", total >= waiting
 }
 
-// Speeds is how fast a machine of the types that are allowed fetches at best, GB/s, and how long one boots at
-// worst, s.
+// FetchAndBootBounds returns the highest fetch rate, in GB/s, and the longest boot, in seconds, of
+// the allowed machine types.
 func FetchAndBootBounds(types map[string]wire.MachineType, allowed []string) (fetch, boot float64) {
 	for name, t := range types {
 		if AllowsType(allowed, name) {
--- a/internal/supply/shards.go
+++ b/internal/supply/shards.go
@@ -8,9 +8,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// NewBlockID names a block after its first machine. A block outlives that machine
-// if others are in it, and a late list may bring the machine's name back: with
-// the same id twice, the leader once tried for minutes to form a block in vain.
+// NewBlockID returns an ID for a block, after its first machine. A block outlives that machine if it
+// has others, and an outdated list may bring the machine's name back. When the same ID was used
+// twice, the leader tried for minutes to form a block and could not.
 func NewBlockID(machine string, taken func(id string) bool) string {
 	id := machine
 	for i := 2; taken(id); i++ {
@@ -19,16 +19,16 @@
 	return id
 }
 
-// Shard is one that machines may go to.
+// Shard is a shard that machines may be assigned to.
 type Shard struct {
 	Index          int
-	HaveCPUs       float64 // CPUs
-	GuaranteedCPUs float64 // of its teams, in CPUs
-	SameZone       bool    // it is held in the machines' zone
+	HaveCPUs       float64
+	GuaranteedCPUs float64 // sum of its teams' guarantees
+	SameZone       bool    // its holder is in the machines' zone
 }
 
-// Poorest is the shard with the fewest CPUs for its teams' guarantees, one that is held near
-// before others; -1: there is none.
+// LeastSupplied returns the shard with the fewest CPUs in relation to its teams' guarantees, with a
+// preference for shards whose holder is in the machines' zone. It returns -1 if there is none.
 func LeastSupplied(shards []Shard) int {
 	best, score := -1, 0.0
 	for _, shard := range shards {
@@ -43,8 +43,8 @@
 	return best
 }
 
-// Borrower is the shard with the most CPUs beyond its teams' guarantees, another than one; -1:
-// there is none.
+// MostOversupplied returns the shard with the most CPUs beyond its teams' guarantees, other than
+// except. It returns -1 if there is none.
 func MostOversupplied(shards []Shard, except int) int {
 	best, most := -1, 0.0
 	for _, shard := range shards {
@@ -55,14 +55,15 @@
 	return best
 }
 
-// Open is what a shard lacks that is not on its way.
+// Shortage is demand of a shard that is not met by machines on their way.
 type Shortage struct {
 	Shard int
 	Need  wire.Need
 }
 
-// Lacking is what is left of a shard's needs once what is rented and stands in no block yet has
-// come; a need that waits for a boot at best stays whole.
+// Shortages returns what is left of a shard's needs once the rented machines that are in no block
+// yet have arrived. A need whose machines already boot stays whole: only blocks that are up would
+// help it.
 func Shortages(shard int, needs []wire.Need, incoming Pool) (shortages []Shortage) {
 	for _, need := range needs {
 		if !need.Booting {
@@ -75,16 +76,15 @@
 	return shortages
 }
 
-// ByRung puts in front what is lacked for an upper rung: it goes before what another shard lacks
-// for routine work.
+// SortByTier puts shortages of upper tiers first, before what another shard needs for routine work.
 func SortByTier(shortages []Shortage) {
 	slices.SortStableFunc(shortages, func(a, b Shortage) int { return cmp.Compare(b.Need.Rung, a.Need.Rung) })
 }
 
-// Machines is what the machines of a rental are, by the names that the cloud gave them.
-func RentedMachines(r wire.RentRequest, names []string) (infos []wire.MachineInfo) {
+// RentedMachines returns the machines of a rental, with the names that the cloud gave them.
+func RentedMachines(request wire.RentRequest, names []string) (infos []wire.MachineInfo) {
 	for _, n := range names {
-		infos = append(infos, wire.MachineInfo{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot})
+		infos = append(infos, wire.MachineInfo{Name: n, Type: request.Type, Zone: request.Zone, Spot: request.Spot})
 	}
 	return infos
 }
--- a/internal/supply/shards_test.go
+++ b/internal/supply/shards_test.go
@@ -13,9 +13,9 @@
 	}
 }
 
-// Machines go where the fewest are for what is guaranteed, near before far; they are asked back
-// of who has the most beyond that.
-func TestPoorestAndBorrower(t *testing.T) {
+// Machines go to the shard with the fewest CPUs in relation to its guarantees, in the same zone
+// before others. They are taken back from the shard with the most CPUs beyond its guarantees.
+func TestLeastSuppliedAndMostOversupplied(t *testing.T) {
 	even := []Shard{{0, 10, 20, false}, {1, 10, 20, true}, {2, 12, 20, true}}
 	if got := LeastSupplied(even); got != 1 {
 		t.Errorf("among equals the near one: %d", got)
@@ -29,18 +29,18 @@
 	}
 }
 
-// What is rented already is not rented again, and upper rungs come first.
-func TestLacking(t *testing.T) {
-	n := func(tasks, rung int, booting bool) wire.Need {
+// Machines that are rented already are not rented again, and upper tiers come first.
+func TestShortages(t *testing.T) {
+	need := func(tasks, rung int, booting bool) wire.Need {
 		return wire.Need{CPUs: 1, MemGB: 1, Tasks: tasks, Rung: rung, Booting: booting}
 	}
-	pool := Pool{{Type: "std", Zone: "n", Free: one.Add(one).Add(one)}} // three
-	open := Shortages(4, []wire.Need{n(2, 1, false), n(2, 2, false), n(5, 1, true)}, pool)
-	if len(open) != 2 || open[0].Need.Tasks != 1 || open[1].Need.Tasks != 5 || open[0].Shard != 4 {
-		t.Fatalf("%+v", open)
+	pool := Pool{{Type: "std", Zone: "n", Free: oneTask.Add(oneTask).Add(oneTask)}} // capacity for three tasks
+	shortages := Shortages(4, []wire.Need{need(2, 1, false), need(2, 2, false), need(5, 1, true)}, pool)
+	if len(shortages) != 2 || shortages[0].Need.Tasks != 1 || shortages[1].Need.Tasks != 5 || shortages[0].Shard != 4 {
+		t.Fatalf("%+v", shortages)
 	}
-	open = append(open, Shortage{5, n(1, 3, false)})
-	if SortByTier(open); open[0].Shard != 5 || open[1].Need.Rung != 2 {
-		t.Errorf("%+v", open)
+	shortages = append(shortages, Shortage{5, need(1, 3, false)})
+	if SortByTier(shortages); shortages[0].Shard != 5 || shortages[1].Need.Rung != 2 {
+		t.Errorf("%+v", shortages)
 	}
 }
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -1,7 +1,8 @@
-// Package supply matches what waiting work asks for with room that is there or to come,
-// and lists what is left to be asked of the cloud, and how: Pogonip's overflow.
+// Package supply matches the demand of waiting work with free capacity, present or expected, and
+// lists what is left to be rented from the cloud and how: Pogonip's overflow.
 //
-// Pure. Amounts are CPUs, GPUs and gigabytes of memory, prices those of the cloud.
+// The package has no clock and no I/O. Amounts are CPUs, GPUs and gigabytes of memory, and prices
+// are in the cloud's unit.
 package supply
 
 import (
@@ -14,56 +15,56 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Room is a machine with room, now or soon.
+// Capacity is a machine with free capacity, now or soon.
 type Capacity struct {
 	Type, Zone string
 	Spot       bool
 	Free       placement.Size
-	IdleUse    placement.Size // of that, taken by work that gives way to all other
-	// Doubted: it boots and is late. Urgent work has another rented in its place; for work
-	// that can wait that cost more than it brought (docs/rounds.md).
+	IdleUse    placement.Size // part of Free that is in use by work preemptible by all other work
+	// BootLate is whether the machine boots and is late. For urgent work another machine is rented
+	// in its place. For work that can wait, this cost more than it gained (docs/rounds.md).
 	BootLate bool
 }
 
-// Ask is what the tasks of a job ask for, each.
+// Request is what each task of a job asks for.
 type Request struct {
 	Types  []string // empty: any
 	Zone   string   // "": any
 	Spot   bool     // may use spot machines
 	Size   placement.Size
 	Urgent bool
-	Idle   bool // gives way to all other work
+	Idle   bool // preemptible by all other work
 }
 
-// JobSize is what each task of a job takes.
-func JobSize(j *wire.Job) placement.Size {
-	return placement.Size{CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemoryGB}
+// JobSize returns the size of each task of a job.
+func JobSize(job *wire.Job) placement.Size {
+	return placement.Size{CPUs: job.CPUs, GPUs: job.GPUs, MemGB: job.MemoryGB}
 }
 
-// NeedSize is what each task of a need takes.
-func NeedSize(n wire.Need) placement.Size {
-	return placement.Size{CPUs: n.CPUs, GPUs: n.GPUs, MemGB: n.MemGB}
+// NeedSize returns the size of each task of a need.
+func NeedSize(need wire.Need) placement.Size {
+	return placement.Size{CPUs: need.CPUs, GPUs: need.GPUs, MemGB: need.MemGB}
 }
 
-// AskOf is what a need asks for.
-func RequestOf(n wire.Need) Request {
-	return Request{Types: n.Types, Zone: n.Zone, Spot: n.Spot, Size: NeedSize(n)}
+// RequestOf returns what the tasks of a need ask for.
+func RequestOf(need wire.Need) Request {
+	return Request{Types: need.Types, Zone: need.Zone, Spot: need.Spot, Size: NeedSize(need)}
 }
 
-// NeedOf is a need of so many tasks of a job.
-func NeedOf(j *wire.Job, zone string, tasks, rung int) wire.Need {
-	s := JobSize(j)
-	return wire.Need{Types: j.Types, Zone: zone, Spot: j.Spot, CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB, Tasks: tasks, Rung: rung}
+// NeedOf returns a need for some tasks of a job.
+func NeedOf(job *wire.Job, zone string, tasks, rank int) wire.Need {
+	size := JobSize(job)
+	return wire.Need{Types: job.Types, Zone: zone, Spot: job.Spot, CPUs: size.CPUs, GPUs: size.GPUs, MemGB: size.MemGB, Tasks: tasks, Rung: rank}
 }
 
-func (request *Request) allows(machine *Capacity) bool {
-	return (len(request.Types) == 0 || slices.Contains(request.Types, machine.Type)) && (request.Zone == "" || request.Zone == machine.Zone) && (!machine.Spot || request.Spot) && !(machine.BootLate && request.Urgent)
+func (r *Request) allows(machine *Capacity) bool {
+	return (len(r.Types) == 0 || slices.Contains(r.Types, machine.Type)) && (r.Zone == "" || r.Zone == machine.Zone) && (!machine.Spot || r.Spot) && !(machine.BootLate && r.Urgent)
 }
 
-// Pool is room that is used up as it is taken.
+// Pool is free capacity that is used up as it is taken.
 type Pool []Capacity
 
-// Take uses up room for at most want tasks, and says for how many there was some.
+// Take takes capacity for at most want tasks, and returns for how many there was some.
 func (p Pool) Take(request Request, want int) (taken int) {
 	for k := range p {
 		if taken == want {
@@ -82,14 +83,14 @@
 	return taken
 }
 
-// Times is what n tasks take.
+// Multiply returns the size of several tasks together.
 func Multiply(size placement.Size, tasks int) placement.Size {
 	return placement.Size{CPUs: float64(tasks) * size.CPUs, GPUs: float64(tasks) * size.GPUs, MemGB: float64(tasks) * size.MemGB}
 }
 
-// Join adds a need to others, at most so many kinds. Many jobs of one task each used to be
-// as many needs, and got a machine each, one after the other, where one rental or a few of
-// another shard's blocks would have held them all.
+// MergeNeed adds a need to a list of at most maxNeeds kinds of needs. When needs were not merged,
+// many jobs of one task each made as many needs, and got a machine each, one after the other, where
+// one rental or a few of another shard's blocks would have held them all.
 func MergeNeed(needs []wire.Need, need wire.Need, maxNeeds int) []wire.Need {
 	for i := range needs {
 		if wants.SameKind(needs[i], need) {
@@ -103,20 +104,20 @@
 	return needs
 }
 
-// Offer is one way to rent.
+// Offer is a type, zone and price at which machines can be rented.
 type Offer struct {
 	Type, Zone      string
 	Spot            bool
-	TaskPrice       float64 // of a task's room
-	OtherZone       bool    // in another zone than the holder
-	TasksPerMachine int     // tasks
+	TaskPrice       float64 // of the capacity for one task
+	OtherZone       bool    // in another zone than the shard's holder
+	TasksPerMachine int
 }
 
-// Key names what is offered.
+// Key returns a name that is the same for equal offers.
 func (o *Offer) Key() string { return fmt.Sprintf("%s|%s|%v", o.Type, o.Zone, o.Spot) }
 
-// Offers lists the ways to rent for a need, the cheapest for a task first, in the holder's
-// zone before elsewhere. spot: such machines may be rented at all.
+// Offers returns the offers for a need, the cheapest per task first. Among equal prices, those in
+// the holder's zone come before others. spotAllowed is whether spot machines may be rented at all.
 func Offers(types map[string]wire.MachineType, need wire.Need, zone string, spotAllowed bool) (offers []Offer) {
 	request := RequestOf(need)
 	names := make([]string, 0, len(types))
@@ -150,7 +151,7 @@
 	return offers
 }
 
-// Machines is how many of an offer's machines hold so many tasks, at most most.
+// MachineCount returns how many machines of the offer hold a number of tasks, at most limit.
 func (o *Offer) MachineCount(tasks, limit int) int {
 	return min((tasks+o.TasksPerMachine-1)/o.TasksPerMachine, limit)
 }
--- a/internal/supply/supply_test.go
+++ b/internal/supply/supply_test.go
@@ -7,10 +7,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var one = placement.Size{CPUs: 1, MemGB: 2}
+var oneTask = placement.Size{CPUs: 1, MemGB: 2}
 
-// Room is taken once, by those it is for: idle work does not count what other idle work
-// holds, urgent work not what may never come.
+// Capacity is taken once, by the requests that may use it: idle work does not count what other idle
+// work uses, and urgent work does not count machines that are late.
 func TestTake(t *testing.T) {
 	full := placement.Size{CPUs: 4, MemGB: 16}
 	p := Pool{{Type: "std", Zone: "n", Free: full, IdleUse: placement.Size{CPUs: 3, MemGB: 6}}, {Type: "std", Zone: "s", Spot: true, Free: full}, {Type: "std", Zone: "n", Free: full, BootLate: true}}
@@ -20,15 +20,15 @@
 		want int
 		got  int
 	}{
-		{"idle, not spot", Request{Size: one, Idle: true}, 9, 5}, // 1 beside idle work, 4 that may come
-		{"urgent, spot", Request{Size: one, Spot: true, Urgent: true}, 9, 7},
-		{"normal, what is left", Request{Size: one, Spot: true}, 9, 0},
+		{"idle, not spot", Request{Size: oneTask, Idle: true}, 9, 5}, // 1 beside idle work, 4 on the machine that is late
+		{"urgent, spot", Request{Size: oneTask, Spot: true, Urgent: true}, 9, 7},
+		{"normal, what is left", Request{Size: oneTask, Spot: true}, 9, 0},
 	} {
 		if got := p.Take(x.ask, x.want); got != x.got {
 			t.Errorf("%s: %d, want %d", x.name, got, x.got)
 		}
 	}
-	if (Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Types: []string{"big"}, Size: one}, 1)+(Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Zone: "s", Size: one}, 1) != 0 {
+	if (Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Types: []string{"big"}, Size: oneTask}, 1)+(Pool{{Type: "std", Zone: "n", Free: full}}).Take(Request{Zone: "s", Size: oneTask}, 1) != 0 {
 		t.Error("a machine of another type or zone is taken")
 	}
 }
--- a/internal/tiers/tiers.go
+++ b/internal/tiers/tiers.go
@@ -118,8 +118,8 @@
 	revised := wire.Ladder{Rungs: tiers, History: slices.Clone(old.History)}
 	if version > 0 || len(old.Rungs) > 0 {
 		replaced := wire.LadderChange{Version: version, AtMS: now.UnixMilli(), Node: node, Rungs: []string{}}
-		for _, r := range old.Rungs {
-			replaced.Rungs = append(replaced.Rungs, r.Name)
+		for _, tier := range old.Rungs {
+			replaced.Rungs = append(replaced.Rungs, tier.Name)
 		}
 		revised.History = append(revised.History, replaced)
 	}
@@ -133,43 +133,43 @@
 		return fmt.Errorf("rungs: at most %d, got %d", MaxTiers, len(tiers))
 	}
 	names, classes := map[string]bool{}, map[string]string{}
-	for _, r := range priorityTiers {
-		names[r.Name] = true
+	for _, tier := range priorityTiers {
+		names[tier.Name] = true
 	}
-	for i, r := range tiers {
-		position := fmt.Sprintf("rung %d", i+1)
+	for index, tier := range tiers {
+		position := fmt.Sprintf("rung %d", index+1)
 		switch {
-		case r.Name == "" || len(r.Name) > 64:
+		case tier.Name == "" || len(tier.Name) > 64:
 			return fmt.Errorf("%s: name: must have 1 to 64 bytes", position)
-		case names[r.Name]:
-			return fmt.Errorf("%s: name: %q stands twice, or is one that comes from priorities", position, r.Name)
-		case len(r.Classes)+len(r.Teams)+len(r.Priorities)+len(r.Shapes) == 0:
-			return fmt.Errorf("%s: %q selects everything", position, r.Name)
-		case len(r.Classes) > MaxNames || len(r.Teams) > MaxNames:
+		case names[tier.Name]:
+			return fmt.Errorf("%s: name: %q stands twice, or is one that comes from priorities", position, tier.Name)
+		case len(tier.Classes)+len(tier.Teams)+len(tier.Priorities)+len(tier.Shapes) == 0:
+			return fmt.Errorf("%s: %q selects everything", position, tier.Name)
+		case len(tier.Classes) > MaxNames || len(tier.Teams) > MaxNames:
 			return fmt.Errorf("%s: at most %d classes and teams", position, MaxNames)
-		case len(r.Classes) > 0 && len(r.Teams) == 0:
+		case len(tier.Classes) > 0 && len(tier.Teams) == 0:
 			return fmt.Errorf("%s: classes: name the teams too, or any team climbs by naming the class; \"*\" stands for all", position)
 		}
-		names[r.Name] = true
-		for _, c := range r.Classes {
-			if other := classes[c]; other != "" {
-				return fmt.Errorf("%s: classes: %q stands on rung %q already", position, c, other)
+		names[tier.Name] = true
+		for _, class := range tier.Classes {
+			if other := classes[class]; other != "" {
+				return fmt.Errorf("%s: classes: %q stands on rung %q already", position, class, other)
 			}
-			classes[c] = r.Name
+			classes[class] = tier.Name
 		}
-		for _, t := range r.Teams {
-			if t != "*" && !knownTeam(t) {
-				return fmt.Errorf("%s: teams: %q is not known", position, t)
+		for _, team := range tier.Teams {
+			if team != "*" && !knownTeam(team) {
+				return fmt.Errorf("%s: teams: %q is not known", position, team)
 			}
 		}
-		for _, p := range r.Priorities {
-			if wire.PriorityRank(p) < 0 {
-				return fmt.Errorf("%s: priorities: must be production, urgent, normal or idle, got %q", position, p)
+		for _, priority := range tier.Priorities {
+			if wire.PriorityRank(priority) < 0 {
+				return fmt.Errorf("%s: priorities: must be production, urgent, normal or idle, got %q", position, priority)
 			}
 		}
-		for _, s := range r.Shapes {
-			if s != wire.ShapeBatch && s != wire.ShapeService {
-				return fmt.Errorf("%s: shapes: must be batch or service, got %q", position, s)
+		for _, shape := range tier.Shapes {
+			if shape != wire.ShapeBatch && shape != wire.ShapeService {
+				return fmt.Errorf("%s: shapes: must be batch or service, got %q", position, shape)
 			}
 		}
 	}
--- a/internal/tiers/tiers_test.go
+++ b/internal/tiers/tiers_test.go
@@ -121,13 +121,13 @@
 // history stays empty.
 func TestRevise(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	if rec := Revise(wire.Ladder{}, 0, alarmTiers, now, "a", 2); len(rec.History) != 0 || len(rec.Rungs) != len(alarmTiers) {
-		t.Errorf("the first record: %+v", rec)
+	if record := Revise(wire.Ladder{}, 0, alarmTiers, now, "a", 2); len(record.History) != 0 || len(record.Rungs) != len(alarmTiers) {
+		t.Errorf("the first record: %+v", record)
 	}
 	old := wire.Ladder{Rungs: alarmTiers, History: []wire.LadderChange{{Version: 1}, {Version: 2}}}
-	rec := Revise(old, 3, nil, now, "b", 2)
-	if len(rec.History) != 2 || rec.History[0].Version != 2 || rec.History[1].Version != 3 ||
-		rec.History[1].Node != "b" || len(rec.History[1].Rungs) != len(alarmTiers) || len(old.History) != 2 {
-		t.Errorf("%+v", rec)
+	record := Revise(old, 3, nil, now, "b", 2)
+	if len(record.History) != 2 || record.History[0].Version != 2 || record.History[1].Version != 3 ||
+		record.History[1].Node != "b" || len(record.History[1].Rungs) != len(alarmTiers) || len(old.History) != 2 {
+		t.Errorf("%+v", record)
 	}
 }
