--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -13,9 +13,10 @@
 type Machine[M comparable] struct {
 	Handle M
 	Free   placement.Size
-	// Moves are the machine's tasks. They count only if Pinned is false, which means that all of
-	// them may be moved and that the machine is worth emptying.
-	Moves  []Move[M]
+	// Moves are the machine's tasks, if Pinned is false.
+	Moves []Move[M]
+	// Pinned is whether the machine is not to be emptied, because a task may not be moved or because
+	// emptying it would gain nothing.
 	Pinned bool
 }
 
@@ -53,13 +54,15 @@
 }
 
 // placeMoves finds capacity on the other machines for all tasks of a machine.
-func (machine *Machine[M]) placeMoves(machines []Machine[M], reserved map[M]placement.Size, emptied map[M]bool) (required map[M]placement.Size, ok bool) {
+func (m *Machine[M]) placeMoves(machines []Machine[M], reserved map[M]placement.Size, emptied map[M]bool,
+) (required map[M]placement.Size, ok bool) {
 	required = map[M]placement.Size{}
-	for _, move := range machine.Moves {
+	for _, move := range m.Moves {
 		found := false
 		for k := range machines {
 			target := &machines[k]
-			if target.Handle != machine.Handle && !emptied[target.Handle] && move.Allows(target.Handle) && placement.Fits(target.Free.Sub(reserved[target.Handle]).Sub(required[target.Handle]), move.Size) {
+			if target.Handle != m.Handle && !emptied[target.Handle] && move.Allows(target.Handle) &&
+				placement.Fits(target.Free.Sub(reserved[target.Handle]).Sub(required[target.Handle]), move.Size) {
 				required[target.Handle] = required[target.Handle].Add(move.Size)
 				found = true
 				break
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -31,23 +31,28 @@
 		want       string
 	}{{9, 9, "[a d]"}, {1, 9, "[a]"}, {0, 9, "[]"}, {9, 0, "[]"}} {
 		if got := fmt.Sprint(Consolidate(machines(), c.most, c.look)); got != c.want {
-			t.Errorf("at most %d of %d: %s, want %s", c.most, c.look, got, c.want)
+			t.Errorf("at most %d of the first %d machines: %s, want %s", c.most, c.look, got, c.want)
 		}
 	}
 	// a moves to b, which then has to stay. Without a, b moves to the busy machine, and d no longer
 	// fits.
 	if got := fmt.Sprint(Consolidate(append(machines()[:2], machines()[3:]...), 9, 9)); got != "[b]" {
-		t.Errorf("without a: %s", got)
+		t.Errorf("without a: emptied %s, want [b]", got)
 	}
 }
 
 // The block with the least lost running time is chosen, unless the vacated blocks are enough.
 func TestChooseBlock(t *testing.T) {
-	blocks := []Block{{Name: "x", LostRuntime: 9 * time.Second}, {Name: "y", LostRuntime: 3 * time.Second}, {Name: "z", LostRuntime: 0, Pinned: true}, {Name: "w", Vacated: true, TaskSlots: 4}}
+	blocks := []Block{
+		{Name: "x", LostRuntime: 9 * time.Second},
+		{Name: "y", LostRuntime: 3 * time.Second},
+		{Name: "z", LostRuntime: 0, Pinned: true},
+		{Name: "w", Vacated: true, TaskSlots: 4},
+	}
 	if got, _ := ChooseBlock(blocks, 5); got != "y" {
-		t.Errorf("emptied %q", got)
+		t.Errorf("chose %q, want y", got)
 	}
 	if got, _ := ChooseBlock(blocks, 4); got != "" {
-		t.Errorf("enough is being emptied, and %q too", got)
+		t.Errorf("the vacated blocks are enough, but %q was chosen", got)
 	}
 }
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -52,7 +52,10 @@
 
 // Factor returns the correction of estimates of a class: its tasks typically run for this multiple
 // of the estimate.
-func (e *Estimator) Factor(class string) float64 { f, _ := e.logBias(class); return math.Exp(f) }
+func (e *Estimator) Factor(class string) float64 {
+	mean, _ := e.logBias(class)
+	return math.Exp(mean)
+}
 
 // UpperBound returns a time that a task of a class nearly always ends within.
 func (e *Estimator) UpperBound(class string, estimateS float64) time.Duration {
@@ -65,13 +68,15 @@
 	return time.Duration(estimateS * e.Factor(class) * float64(time.Second))
 }
 
+// logBias returns the mean and the standard deviation of log(run time/estimate) of a class.
 func (e *Estimator) logBias(class string) (mean, spread float64) {
 	bias := e.classes[class]
 	if bias == nil {
 		return 0, e.params.PriorSpread
 	}
 	mean = bias.sum / (bias.weight + e.params.PriorTasks)
-	variance := (bias.squares+e.params.PriorTasks*e.params.PriorSpread*e.params.PriorSpread)/(bias.weight+e.params.PriorTasks) - mean*mean
+	variance := (bias.squares+e.params.PriorTasks*e.params.PriorSpread*e.params.PriorSpread)/
+		(bias.weight+e.params.PriorTasks) - mean*mean
 	return mean, math.Sqrt(max(variance, 0.01))
 }
 
@@ -103,7 +108,8 @@
 // Import takes over what another controller has learned, for classes of which less is known here.
 func (e *Estimator) Import(classes map[string][3]float64) {
 	for class, stored := range classes {
-		if known := e.classes[class]; (known == nil || known.weight < stored[0]) && stored[0] > 0 && stored[0] <= 2*e.params.MaxTasks {
+		if known := e.classes[class]; (known == nil || known.weight < stored[0]) &&
+			stored[0] > 0 && stored[0] <= 2*e.params.MaxTasks {
 			e.classes[class] = &classBias{stored[0], stored[1], stored[2]}
 		}
 	}
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -22,7 +22,8 @@
 // each resource, the index is searched upwards from the requested amount, as long as that resource
 // allows no more copies than on the first machine that fits. For the largest beta one index is
 // searched downwards until its resource allows fewer copies than the best machine so far.
-func (l *Ledger[H]) Find(shard int, size placement.Size, anchor bool, limit int, kindAllowed func(Kind) bool, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+func (l *Ledger[H]) Find(shard int, size placement.Size, anchor bool, limit int,
+	kindAllowed func(Kind) bool, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
 	for _, kind := range l.kinds {
 		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
@@ -44,7 +45,11 @@
 // lowerBound returns an entry to start a search at: a machine that has exactly this much free of
 // every resource.
 func lowerBound[H comparable](size placement.Size) *entry[H] {
-	return &entry[H]{state: MachineState{Free: placement.Size{CPUs: size.CPUs - eps, GPUs: size.GPUs - eps, MemGB: size.MemGB - eps}}}
+	return &entry[H]{state: MachineState{Free: placement.Size{
+		CPUs:  size.CPUs - eps,
+		GPUs:  size.GPUs - eps,
+		MemGB: size.MemGB - eps,
+	}}}
 }
 
 // onlyResource returns the size with a single resource left.
@@ -58,7 +63,10 @@
 	return placement.Size{GPUs: size.GPUs}
 }
 
-func (g *group[H]) smallestBeta(kind Kind, resource int, size placement.Size, limit int, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+// smallestBeta appends the machines with the smallest beta, by the index of one resource. It stops at
+// the first preferred machine.
+func (g *group[H]) smallestBeta(kind Kind, resource int, size placement.Size, limit int,
+	allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
 	minCopies, single := -1, onlyResource(size, resource)
 	g.byResource[resource].AscendGreaterOrEqual(lowerBound[H](size), func(e *entry[H]) bool {
 		if !placement.Fits(e.state.Free, size) || !allowed(e.handle) {
@@ -76,7 +84,10 @@
 	return matches
 }
 
-func (g *group[H]) largestBeta(kind Kind, size placement.Size, limit int, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+// largestBeta appends machines of growing beta up to the largest, and the first preferred machine, by
+// the index of the first resource that the task asks for.
+func (g *group[H]) largestBeta(kind Kind, size placement.Size, limit int,
+	allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
 	resource := 0
 	for resource < resources-1 && amount(size, resource) <= 0 {
 		resource++
@@ -108,7 +119,8 @@
 
 // EachFitting calls visit with every usable machine of a shard that has free capacity for a task.
 // Its cost grows with the number of such machines.
-func (l *Ledger[H]) EachFitting(shard int, size placement.Size, kindAllowed func(Kind) bool, visit func(H, Kind, placement.Size)) {
+func (l *Ledger[H]) EachFitting(shard int, size placement.Size, kindAllowed func(Kind) bool,
+	visit func(H, Kind, placement.Size)) {
 	for _, kind := range l.kinds {
 		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,8 +11,11 @@
 )
 
 func drawState(t *rapid.T) MachineState {
-	state := MachineState{Kind: Kind{Shard: rapid.IntRange(0, 1).Draw(t, "shard"), Type: "std", Zone: rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
-		Spot: rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "opens")},
+	state := MachineState{Kind: Kind{
+		Shard: rapid.IntRange(0, 1).Draw(t, "shard"),
+		Type:  "std",
+		Zone:  rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
+		Spot:  rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "opens")},
 		Usable:      rapid.IntRange(0, 3).Draw(t, "usable") > 0,
 		Free:        placement.Size{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10, MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem"))},
 		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "spare")}
@@ -41,7 +44,10 @@
 			ledger.Put(h, fmt.Sprint(h), state)
 			states[h] = state
 		}
-		size := placement.Size{CPUs: float64(rapid.IntRange(1, 30).Draw(t, "ask")) / 10, MemGB: float64(rapid.IntRange(1, 8).Draw(t, "askmem"))}
+		size := placement.Size{
+			CPUs:  float64(rapid.IntRange(1, 30).Draw(t, "ask")) / 10,
+			MemGB: float64(rapid.IntRange(1, 8).Draw(t, "askmem")),
+		}
 		anchor := rapid.Bool().Draw(t, "anchor")
 		image := rapid.Map(rapid.IntRange(2, 9), func(n int) func(int) bool { return func(h int) bool { return h%n == 0 } }).Draw(t, "image")
 		kinds := func(k Kind) bool { return !k.Spot }
@@ -75,10 +81,10 @@
 			}
 		}
 		if got := ledger.UrgentSlots(0); got != spare {
-			t.Fatalf("spare room %d, counted afresh %d", got, spare)
+			t.Fatalf("%d urgent slots, recounted %d", got, spare)
 		}
 		if got := ledger.Used("red", 0); !placement.Fits(got, used) || !placement.Fits(used, got) {
-			t.Fatalf("used %v, counted afresh %v", got, used)
+			t.Fatalf("used %v, recounted %v", got, used)
 		}
 		var proposed []placement.Candidate
 		for _, state := range ledger.Find(0, size, anchor, 64, kinds, func(int) bool { return true }, image, nil) {
@@ -86,14 +92,15 @@
 		}
 		want, got := placement.Pick(all, size, anchor), placement.Pick(proposed, size, anchor)
 		if (want < 0) != (got < 0) {
-			t.Fatalf("found %d, the plain way %d", got, want)
+			t.Fatalf("chose candidate %d, a full scan chooses %d", got, want)
 		}
 		if want < 0 {
 			return
 		}
 		x, y := all[want], proposed[got]
-		if x.Preference != y.Preference || anchor && x.EmptyRental != y.EmptyRental || placement.Beta(x.Free, size) != placement.Beta(y.Free, size) {
-			t.Fatalf("chosen %+v, the plain way %+v", y, x)
+		if x.Preference != y.Preference || anchor && x.EmptyRental != y.EmptyRental ||
+			placement.Beta(x.Free, size) != placement.Beta(y.Free, size) {
+			t.Fatalf("chose %+v, a full scan chooses %+v", y, x)
 		}
 	})
 }
@@ -102,20 +109,20 @@
 	ledger := New[string]()
 	for i, h := range []string{"a", "b", "c"} {
 		if !ledger.RecordReport(h, h, time.Duration(i)*time.Second) {
-			t.Fatalf("%s was known before", h)
+			t.Fatalf("first report of %s: it counts as known", h)
 		}
 	}
 	if ledger.RecordReport("a", "a", 3*time.Second) {
-		t.Error("a was never silent")
+		t.Error("a has never been silent, but counts as returned")
 	}
 	if got := fmt.Sprint(ledger.TakeSilent(2 * time.Second)); got != "[b c]" {
-		t.Errorf("silent: %s", got)
+		t.Errorf("silent machines: %s, want [b c]", got)
 	}
 	if got := ledger.TakeSilent(2 * time.Second); got != nil {
-		t.Errorf("told twice: %v", got)
+		t.Errorf("returned as silent twice: %v", got)
 	}
 	if !ledger.RecordReport("c", "c", 4*time.Second) {
-		t.Error("c is back, and was not said to be")
+		t.Error("c reports again, but does not count as returned")
 	}
 }
 
@@ -131,7 +138,11 @@
 			b.Run(fmt.Sprintf("anchor-%v-%d", anchor, n), func(b *testing.B) {
 				var out []Match[int]
 				for range b.N {
-					out = ledger.Find(0, placement.Size{CPUs: 1.5, MemGB: 5}, anchor, 64, func(Kind) bool { return true }, func(int) bool { return true }, func(int) bool { return false }, out[:0])
+					out = ledger.Find(0, placement.Size{CPUs: 1.5, MemGB: 5}, anchor, 64,
+						func(Kind) bool { return true },
+						func(int) bool { return true },
+						func(int) bool { return false },
+						out[:0])
 				}
 			})
 		}
--- a/internal/objectives/objectives.go
+++ b/internal/objectives/objectives.go
@@ -29,7 +29,7 @@
 	ReferenceCPUs float64 // see VirtualFinish
 	HorizonS      float64 // work without an objective is to be done within this time
 	MinTimeS      float64 // the time to plan with is never less than this, however late the work is
-	Headroom      float64 // share of the remaining time that may be planned with; the rest is for boots, fetches and failures
+	Headroom      float64 // share of the remaining time to plan with, less boots, fetches and failures
 }
 
 // Work is what the decisions depend on of a job. Times are in seconds of wall-clock time.
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -142,7 +142,12 @@
 		if entry.Job == job {
 			return
 		}
-		if entry.Job.Team == job.Team && entry.Job.AcceptedMS == job.AcceptedMS && entry.Job.Number == job.Number && entry.Job.Due == job.Due && entry.Job.VirtualFinish == job.VirtualFinish && entry.Job.Service == job.Service {
+		if entry.Job.Team == job.Team &&
+			entry.Job.AcceptedMS == job.AcceptedMS &&
+			entry.Job.Number == job.Number &&
+			entry.Job.Due == job.Due &&
+			entry.Job.VirtualFinish == job.VirtualFinish &&
+			entry.Job.Service == job.Service {
 			q.updateRemaining(entry, job)
 			return
 		}
@@ -317,7 +322,8 @@
 func (t *team[H]) updateOverdue(acceptedUntilS float64) {
 	var changed []*Entry[H]
 	t.byAge.Ascend(func(entry *Entry[H]) bool {
-		if float64(entry.Job.AcceptedMS)/1000 <= acceptedUntilS && !entry.Job.Started && !entry.Overdue && entry.Job.Pending > 0 {
+		if float64(entry.Job.AcceptedMS)/1000 <= acceptedUntilS &&
+			!entry.Job.Started && !entry.Overdue && entry.Job.Pending > 0 {
 			changed = append(changed, entry)
 		}
 		return true
--- a/internal/supply/blocks.go
+++ b/internal/supply/blocks.go
@@ -11,8 +11,8 @@
 // are not rented.
 func FormBlocks(machines []wire.MachineInfo, sizes BlockSizes, base, fresh bool) (blocks []wire.Block) {
 	type kind struct {
-		typ, zone string
-		spot      bool
+		machineType, zone string
+		spot              bool
 	}
 	kindOf := func(machine wire.MachineInfo) kind { return kind{machine.Type, machine.Zone, machine.Spot} }
 	lastBlock, size := map[kind]int{}, map[kind]int{}
@@ -29,7 +29,13 @@
 			continue
 		}
 		lastBlock[machineKind] = len(blocks)
-		blocks = append(blocks, wire.Block{Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Base: base, Machines: []wire.BlockMachine{blockMachine}})
+		blocks = append(blocks, wire.Block{
+			Type:     machine.Type,
+			Zone:     machine.Zone,
+			Spot:     machine.Spot,
+			Base:     base,
+			Machines: []wire.BlockMachine{blockMachine},
+		})
 	}
 	return blocks
 }
--- a/internal/supply/shards_test.go
+++ b/internal/supply/shards_test.go
@@ -18,21 +18,24 @@
 func TestLeastSuppliedAndMostOversupplied(t *testing.T) {
 	even := []Shard{{0, 10, 20, false}, {1, 10, 20, true}, {2, 12, 20, true}}
 	if got := LeastSupplied(even); got != 1 {
-		t.Errorf("among equals the near one: %d", got)
+		t.Errorf("equal shards: got %d, want the one in the same zone", got)
 	}
 	if got := LeastSupplied([]Shard{{0, 5, 20, false}, {1, 10, 20, true}}); got != 0 {
-		t.Errorf("the poorest, though far: %d", got)
+		t.Errorf("got %d, want the least supplied shard, although in another zone", got)
 	}
 	rich := []Shard{{0, 30, 20, false}, {1, 25, 10, false}, {2, 10, 20, false}}
-	if LeastSupplied(nil) != -1 || MostOversupplied(rich, 0) != 1 || MostOversupplied(rich, 1) != 0 || MostOversupplied(even, 9) != -1 {
-		t.Error("who is beyond its guarantee the most gives way, nobody if nobody is")
+	if LeastSupplied(nil) != -1 ||
+		MostOversupplied(rich, 0) != 1 ||
+		MostOversupplied(rich, 1) != 0 ||
+		MostOversupplied(even, 9) != -1 {
+		t.Error("the shard with the most CPUs beyond its guarantees is not chosen, or one without a surplus is")
 	}
 }
 
 // Machines that are rented already are not rented again, and upper tiers come first.
 func TestShortages(t *testing.T) {
-	need := func(tasks, rung int, booting bool) wire.Need {
-		return wire.Need{CPUs: 1, MemGB: 1, Tasks: tasks, Rung: rung, Booting: booting}
+	need := func(tasks, rank int, booting bool) wire.Need {
+		return wire.Need{CPUs: 1, MemGB: 1, Tasks: tasks, Rung: rank, Booting: booting}
 	}
 	pool := Pool{{Type: "std", Zone: "n", Free: oneTask.Add(oneTask).Add(oneTask)}} // capacity for three tasks
 	shortages := Shortages(4, []wire.Need{need(2, 1, false), need(2, 2, false), need(5, 1, true)}, pool)
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -54,11 +54,24 @@
 // NeedOf returns a need for some tasks of a job.
 func NeedOf(job *wire.Job, zone string, tasks, rank int) wire.Need {
 	size := JobSize(job)
-	return wire.Need{Types: job.Types, Zone: zone, Spot: job.Spot, CPUs: size.CPUs, GPUs: size.GPUs, MemGB: size.MemGB, Tasks: tasks, Rung: rank}
+	return wire.Need{
+		Types: job.Types,
+		Zone:  zone,
+		Spot:  job.Spot,
+		CPUs:  size.CPUs,
+		GPUs:  size.GPUs,
+		MemGB: size.MemGB,
+		Tasks: tasks,
+		Rung:  rank,
+	}
 }
 
+// allows reports whether the tasks may run on a machine.
 func (r *Request) allows(machine *Capacity) bool {
-	return (len(r.Types) == 0 || slices.Contains(r.Types, machine.Type)) && (r.Zone == "" || r.Zone == machine.Zone) && (!machine.Spot || r.Spot) && !(machine.BootLate && r.Urgent)
+	return (len(r.Types) == 0 || slices.Contains(r.Types, machine.Type)) &&
+		(r.Zone == "" || r.Zone == machine.Zone) &&
+		(!machine.Spot || r.Spot) &&
+		!(machine.BootLate && r.Urgent)
 }
 
 // Pool is free capacity that is used up as it is taken.
@@ -85,7 +98,11 @@
 
 // Multiply returns the size of several tasks together.
 func Multiply(size placement.Size, tasks int) placement.Size {
-	return placement.Size{CPUs: float64(tasks) * size.CPUs, GPUs: float64(tasks) * size.GPUs, MemGB: float64(tasks) * size.MemGB}
+	return placement.Size{
+		CPUs:  float64(tasks) * size.CPUs,
+		GPUs:  float64(tasks) * size.GPUs,
+		MemGB: float64(tasks) * size.MemGB,
+	}
 }
 
 // MergeNeed adds a need to a list of at most maxNeeds kinds of needs. When needs were not merged,
