--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,10 +15,10 @@
 		Shard: rapid.IntRange(0, 1).Draw(t, "shard"),
 		Type:  "std",
 		Zone:  rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
-		Spot:  rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "opens")},
+		Spot:  rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "empty")},
 		Usable:      rapid.IntRange(0, 3).Draw(t, "usable") > 0,
 		Free:        placement.Size{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10, MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem"))},
-		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "spare")}
+		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "slots")}
 	if rapid.Bool().Draw(t, "used") {
 		state.Usage = []TeamUsage{{rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), placement.Size{CPUs: 0.1}}}
 	}
@@ -45,8 +45,8 @@
 			states[h] = state
 		}
 		size := placement.Size{
-			CPUs:  float64(rapid.IntRange(1, 30).Draw(t, "ask")) / 10,
-			MemGB: float64(rapid.IntRange(1, 8).Draw(t, "askmem")),
+			CPUs:  float64(rapid.IntRange(1, 30).Draw(t, "size")) / 10,
+			MemGB: float64(rapid.IntRange(1, 8).Draw(t, "size_mem")),
 		}
 		anchor := rapid.Bool().Draw(t, "anchor")
 		image := rapid.Map(rapid.IntRange(2, 9), func(n int) func(int) bool { return func(h int) bool { return h%n == 0 } }).Draw(t, "image")
--- a/internal/objectives/objectives_test.go
+++ b/internal/objectives/objectives_test.go
@@ -42,7 +42,7 @@
 // number the work is done in the time that is left, unless one task alone takes longer.
 func TestTargetParallelism(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		unfinished, estimate := rapid.IntRange(1, 30000).Draw(t, "rest"), rapid.Float64Range(0.5, 500).Draw(t, "estimate")
+		unfinished, estimate := rapid.IntRange(1, 30000).Draw(t, "unfinished"), rapid.Float64Range(0.5, 500).Draw(t, "estimate")
 		due := rapid.SampledFrom([]float64{math.Inf(1), 100, 400, 10000}).Draw(t, "due")
 		n := limits.TargetParallelism(unfinished, estimate, due, 50)
 		if n < 1 || n > unfinished {
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -20,7 +20,7 @@
 		Rank: n % 2, ZoneBound: n%5 == 0, Service: n%7 == 0, Pressed: n%6 == 1,
 		Due: math.Inf(1), EstimateS: float64(rapid.IntRange(1, 9).Draw(t, "estimate")),
 		TaskSize:   placement.Size{CPUs: float64(1 + n%3), MemGB: float64(1 + n%4)},
-		Unfinished: rapid.IntRange(1, 6).Draw(t, "rest")}
+		Unfinished: rapid.IntRange(1, 6).Draw(t, "unfinished")}
 	j.Pending = rapid.IntRange(0, j.Unfinished).Draw(t, "pending")
 	if n%4 > 0 {
 		j.Due = float64(rapid.IntRange(1, 40).Draw(t, "due"))
@@ -66,7 +66,7 @@
 			}
 		}
 		free := placement.Size{
-			CPUs:  float64(rapid.IntRange(1, 3).Draw(t, "room")),
+			CPUs:  float64(rapid.IntRange(1, 3).Draw(t, "free")),
 			MemGB: float64(rapid.IntRange(1, 4).Draw(t, "mem")),
 		}
 		sort.Slice(entries, func(i, j int) bool { return servedBefore(entries[i], entries[j]) })
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -85,7 +85,7 @@
 					Free:    size(float64(rapid.IntRange(0, 3).Draw(t, "free"))),
 					ReadyAt: 10 * sec,
 				}
-				for range rapid.IntRange(0, 3).Draw(t, "leaves") {
+				for range rapid.IntRange(0, 3).Draw(t, "releases") {
 					m.Releases = append(m.Releases, Release{time.Duration(rapid.IntRange(0, 150).Draw(t, "at")) * sec, size(1)})
 				}
 				if m.Up {
@@ -95,7 +95,7 @@
 			}
 			var requests []Request[int]
 			requestOf := map[string]*Request[int]{}
-			for i := range rapid.IntRange(0, 4).Draw(t, "asks") {
+			for i := range rapid.IntRange(0, 4).Draw(t, "requests") {
 				firstAllowed := rapid.IntRange(0, 3).Draw(t, "allowed from")
 				requests = append(requests, Request[int]{
 					Job:    fmt.Sprint("j", i),
