--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -38,7 +38,7 @@
 type MachineState struct {
 	Kind
 	Usable bool           // tasks may be placed on it now
-	Free   placement.Size // certain not to be in use
+	Free   placement.Size // capacity that no task can be using
 	Usage  []TeamUsage
 	// UnknownUse is what unknown tasks may use on the machine. It counts against every team of the
 	// shard.
@@ -85,8 +85,10 @@
 	byResource [resources]*btree.BTreeG[*entry[H]]
 }
 
+// resources is the number of resources in a placement.Size.
 const resources = 3
 
+// amount returns the amount of one resource, by its index in group.byResource.
 func amount(size placement.Size, resource int) float64 {
 	switch resource {
 	case 0:
@@ -103,6 +105,7 @@
 		shards: map[int]*shardSum{}, reports: list.New()}
 }
 
+// entryOf returns the entry of a machine, and adds one if there is none.
 func (l *Ledger[H]) entryOf(handle H, name string) *entry[H] {
 	e := l.byHandle[handle]
 	if e == nil {
@@ -236,6 +239,7 @@
 	return s
 }
 
+// add adds a size if sign is 1, and subtracts it if sign is -1.
 func (t *usageSum) add(s placement.Size, sign int) {
 	if t.count += sign; t.count == 0 {
 		t.size = placement.Size{}
--- a/internal/objectives/objectives.go
+++ b/internal/objectives/objectives.go
@@ -29,7 +29,9 @@
 	ReferenceCPUs float64 // see VirtualFinish
 	HorizonS      float64 // work without an objective is to be done within this time
 	MinTimeS      float64 // the time to plan with is never less than this, however late the work is
-	Headroom      float64 // share of the remaining time to plan with, less boots, fetches and failures
+	// Headroom is the share of the remaining time that the tasks may take. The rest is for boots,
+	// fetches and failures.
+	Headroom float64
 }
 
 // Work is what the decisions depend on of a job. Times are in seconds of wall-clock time.
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -16,7 +16,7 @@
 	Size    placement.Size
 	Runtime time.Duration
 	Idle    bool // preemptible by all other work; otherwise by urgent work only
-	// Unsent is whether the task is only reserved: no worker has been told to start it. It is
+	// Unsent is whether the task is only reserved: no worker has been sent its start. It is
 	// preempted by whatever is served first, and no running time is lost.
 	Unsent bool
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -37,6 +37,7 @@
 	Started       bool           // one of its tasks has been started, as far as the records show
 }
 
+// demand returns what the unfinished tasks count against the guarantee: CPUs and GPUs.
 func (j *Job) demand() placement.Size {
 	n := float64(j.Unfinished)
 	return placement.Size{CPUs: j.TaskSize.CPUs * n, GPUs: j.TaskSize.GPUs * n}
@@ -84,6 +85,7 @@
 	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Entry[H]{}, teams: map[string]*team[H]{}}
 }
 
+// older reports whether a comes before b by age.
 func older[H any](a, b *Entry[H]) bool {
 	if a.Job.Number != b.Job.Number {
 		return a.Job.Number < b.Job.Number
@@ -94,6 +96,7 @@
 	return a.Job.ID < b.Job.ID
 }
 
+// dueBefore reports whether a comes before b by deadline, then by virtual finish and age.
 func dueBefore[H any](a, b *Entry[H]) bool {
 	if a.Job.Due != b.Job.Due {
 		return a.Job.Due < b.Job.Due
@@ -125,6 +128,7 @@
 	return dueBefore(a, b)
 }
 
+// team returns the jobs of a team, and adds the team if it is not known yet.
 func (q *Queue[H]) team(name string) *team[H] {
 	t := q.teams[name]
 	if t == nil {
@@ -207,6 +211,8 @@
 	t.moveBoundary()
 }
 
+// addService adds the unfinished tasks of a service to the sums of the team if sign is 1, and subtracts
+// them if sign is -1. The sum of CPUs is reset at zero tasks, so that rounding errors do not accumulate.
 func (t *team[H]) addService(job *Job, sign int) {
 	if !job.Service {
 		return
@@ -218,6 +224,7 @@
 	}
 }
 
+// setByDue adds a job to the index by deadline, or removes it. Jobs without a deadline are not in it.
 func (t *team[H]) setByDue(entry *Entry[H], in bool) {
 	if math.IsInf(entry.Job.Due, 1) {
 		return
@@ -261,8 +268,10 @@
 	return found
 }
 
+// eps absorbs the rounding of sums of decimal amounts.
 const eps = 1e-6
 
+// fits reports whether demand is within a limit; a guarantee has no limit of memory.
 func fits(size, limit placement.Size) bool {
 	return size.CPUs <= limit.CPUs+eps && size.GPUs <= limit.GPUs+eps
 }
@@ -295,6 +304,7 @@
 	}
 }
 
+// setWithin sets WithinGuarantee, which changes the position of a waiting job.
 func (t *team[H]) setWithin(entry *Entry[H], within bool) {
 	t.dequeue(entry)
 	entry.WithinGuarantee = within
--- a/internal/queue/tree.go
+++ b/internal/queue/tree.go
@@ -17,6 +17,7 @@
 	len  int
 }
 
+// node is a waiting job in the tree. minSize is the smallest amount of each resource in its subtree.
 type node[H any] struct {
 	entry       *Entry[H]
 	priority    uint64
@@ -45,6 +46,7 @@
 	return n
 }
 
+// insertNode inserts n and returns the new root. Parents have higher priorities than their children.
 func insertNode[H any](root, n *node[H]) *node[H] {
 	switch {
 	case root == nil:
@@ -82,6 +84,7 @@
 	t.root = removeNode(t.root, entry)
 }
 
+// removeNode removes the node of entry and returns the new root.
 func removeNode[H any](root *node[H], entry *Entry[H]) *node[H] {
 	switch {
 	case root.entry == entry:
@@ -95,6 +98,7 @@
 	return root
 }
 
+// join returns one tree of two, where all jobs in left are served before those in right.
 func join[H any](left, right *node[H]) *node[H] {
 	switch {
 	case left == nil:
@@ -119,6 +123,7 @@
 	return find(t.root, entry, free)
 }
 
+// find returns the first job after a job, or of all if after is nil, whose tasks fit; nil if there is none.
 func find[H any](root *node[H], after *Entry[H], free placement.Size) *Entry[H] {
 	if root == nil || !placement.Fits(free, root.minSize) {
 		return nil
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -140,9 +140,9 @@
 	if placement.Fits(free, size) {
 		return at, true
 	}
-	for _, l := range m.Releases {
-		if free = free.Add(l.Size); placement.Fits(free, size) {
-			return max(at, l.At), true
+	for _, release := range m.Releases {
+		if free = free.Add(release.Size); placement.Fits(free, size) {
+			return max(at, release.At), true
 		}
 	}
 	return 0, false
@@ -182,12 +182,12 @@
 	for round := 1; ; round++ {
 		progress := false
 		for i := range requests {
-			a := &requests[i]
-			if granted[i] >= min(round, a.Tasks) {
+			request := &requests[i]
+			if granted[i] >= min(round, request.Tasks) {
 				continue
 			}
-			if k, at := t.earliest(now, a, machines, reserved < maxReserved); k >= 0 {
-				t.reservations[machines[k].Handle] = Reservation{a.Job, a.Size, at}
+			if k, at := t.earliest(now, request, machines, reserved < maxReserved); k >= 0 {
+				t.reservations[machines[k].Handle] = Reservation{request.Job, request.Size, at}
 				granted[i]++
 				progress = true
 				if machines[k].Up {
@@ -224,7 +224,7 @@
 	}
 	t.order = make([]M, 0, len(t.reservations))
 	for k := range machines {
-		if _, is := t.reservations[machines[k].Handle]; is {
+		if _, exists := t.reservations[machines[k].Handle]; exists {
 			t.order = append(t.order, machines[k].Handle)
 		}
 	}
@@ -269,10 +269,12 @@
 	best = -1
 	for k := range machines {
 		machine := &machines[k]
-		if _, reserved := t.reservations[machine.Handle]; reserved || machine.Up && !allowUp || !request.Allows(machine.Handle) {
+		if _, reserved := t.reservations[machine.Handle]; reserved ||
+			machine.Up && !allowUp || !request.Allows(machine.Handle) {
 			continue
 		}
-		if fitsAt, ok := machine.FitTime(now, request.Size); ok && fitsAt <= now+t.limits.Horizon && (best < 0 || fitsAt < at) {
+		if fitsAt, ok := machine.FitTime(now, request.Size); ok &&
+			fitsAt <= now+t.limits.Horizon && (best < 0 || fitsAt < at) {
 			best, at = k, fitsAt
 		}
 	}
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -2,7 +2,7 @@
 // lists what is left to be rented from the cloud and how: Pogonip's overflow.
 //
 // The package has no clock and no I/O. Amounts are CPUs, GPUs and gigabytes of memory, and prices
-// are in the cloud's unit.
+// are those of the cloud.
 package supply
 
 import (
