--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
-	"github.com/barrowbridge/barrowbridge/internal/duty"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
@@ -70,7 +70,7 @@
 			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []starts.Entry
 			for k := range each {
-				entries = append(entries, starts.Entry{Name: machineEntry + long(k)})
+				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
 			}
 			for k := range each { // services, and arrays of 250 small and 400 tasks
 				e := starts.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
@@ -155,7 +155,7 @@
 		shard.Teams = append(shard.Teams, fmt.Sprintf("team-of-a-long-name-%02d", k))
 	}
 	for k := range 20 {
-		shard = duty.NextHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
+		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
 		w.put(shardKey(0), shard)
 	}
 
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -50,16 +50,16 @@
 	c := w.nodes["c0"].core
 	m, other := c.machines[a], c.machines[b]
 	for i, lesser := range []bool{true, false, true} {
-		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", idx: i, lesser: lesser, known: true, m: m, created: c.now, running: c.now})
+		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", taskIndex: i, belowUrgent: lesser, sizeKnown: true, machine: m, createdAt: c.now, runningSince: c.now})
 	}
 	for k := range 12 {
-		c.desk.Forget(m)
-		c.desk.Forget(other)
-		c.desk.Want(c.now, other, false)
+		c.desk.Remove(m)
+		c.desk.Remove(other)
+		c.desk.Request(c.now, other, false)
 		r, _ := w.machines[a].Inspect(w.now)
 		r.Seq += uint64(50 + k)
 		c.Step(c.now+sec, c.wall, WorkerReport{Req: uint64(1000 + k), Report: r})
-		if calls := c.desk.Take(c.now, func(*machine) prompt.Verdict { return prompt.Call }); len(calls) != 2 || calls[0] != m {
+		if calls := c.desk.Take(c.now, func(*machine) callqueue.Decision { return callqueue.Call }); len(calls) != 2 || calls[0] != m {
 			t.Fatalf("%d are called, the machine with an urgent start not first", len(calls))
 		}
 	}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -42,7 +42,7 @@
 				c.log(1, "block formed", "first", b.Machines[0].Name, "shard", b.Shard, "zone", b.Zone, "machines", len(b.Machines), "spot", b.Spot, "status", r.Status)
 			}
 			if r.Status == 0 {
-				c.term.Unanswered()
+				c.term.WriteUncertain()
 			}
 			write(rest[n:], allOK && r.Status == 200)
 		})
@@ -67,7 +67,7 @@
 	}
 	var open []supply.Shortage
 	for _, i := range c.shardIDs() {
-		w := c.wantOf(i)
+		w := c.shardDemand(i)
 		if len(w.Needs) == 0 || l.renting[i] || w.Seen < c.newestBlock(i) {
 			continue // served, or asked before it knew of what it has
 		}
@@ -98,7 +98,7 @@
 	l := &c.leader
 	for _, id := range c.blockIDs() {
 		b := c.blocks[id]
-		if !b.rec.Idle || b.rec.Shard == shard || !c.serves(b, n) {
+		if !b.rec.Idle || b.rec.Shard == shard || !c.blockServes(b, n) {
 			continue
 		}
 		rec := b.rec
--- /dev/null
+++ b/internal/core/startlog.go
@@ -0,0 +1,194 @@
+package core
+
+import (
+	"strings"
+
+	"github.com/barrowbridge/barrowbridge/internal/limits"
+	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/tuning"
+	"github.com/barrowbridge/barrowbridge/wire"
+)
+
+// machineEntryPrefix begins the names of entries of the start log that record the first use of a
+// machine. Other entries are named by their job.
+const machineEntryPrefix = "m:"
+
+var writeLimitParams = limits.FormParams{
+	Least:  limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
+	Factor: tuning.FormFactor,
+	Aside:  tuning.FormAside,
+	AsideM: tuning.FormAsideMax,
+	Alone:  tuning.FormAlone,
+	Stuck:  tuning.FormStuck,
+	Again:  tuning.FormAgain,
+}
+
+// writeRefused lowers the limits of writes after the state service has refused one as malformed.
+func (c *Core) writeRefused(when []wire.Condition, then []wire.Change, why string) {
+	if strings.Contains(why, "lease") {
+		return // the state lease has ended: its holder requests another one
+	}
+	write := limits.Describe(when, then)
+	c.out = append(c.out, WriteRefused{Kind: write.Kind})
+	if c.form.Refused(c.now, write, why) {
+		bounds := c.form.Bounds()
+		c.log(3, "state service refused a write as malformed", "kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", why, "now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
+	}
+	c.applyWriteLimits(c.form.Bounds())
+}
+
+// applyWriteLimits makes all further writes respect the bounds.
+func (c *Core) applyWriteLimits(bounds limits.Bounds) {
+	c.p.ValueBytes, c.p.TxnOps = bounds.ValueBytes, bounds.Changes
+	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
+	c.calendar.KeepTo(bounds.ValueBytes)
+}
+
+// overlayStarts updates a job's record with the starts that were recorded separately, in the start log.
+func (c *Core) overlayStarts(r *wire.Job) {
+	if s, ok := c.started.Of(r.ID); ok {
+		r.Started = max(r.Started, s.Started)
+		if s.On != nil {
+			r.On = s.On
+		}
+	}
+}
+
+// applyStarts applies a new version of a start log record.
+func (c *Core) applyStarts(key string, ver uint64, r wire.Starts) error {
+	changed, err := c.started.Put(key, ver, r)
+	for _, name := range changed {
+		if e := c.jobs[name]; e != nil {
+			c.overlayStarts(&e.rec)
+			c.jobChanged(e)
+		} else if m := c.machines[strings.TrimPrefix(name, machineEntryPrefix)]; m != nil {
+			m.fresh = false
+			c.markDirty(m)
+		}
+		if machine, isMachine := strings.CutPrefix(name, machineEntryPrefix); isMachine {
+			c.boots.Up(c.now, machine)
+		}
+	}
+	return err
+}
+
+// useRecorded reports whether the start log records the first use of a machine.
+func (c *Core) useRecorded(machine string) bool {
+	_, ok := c.started.Of(machineEntryPrefix + machine)
+	return ok
+}
+
+// startEntryNeeded reports whether an entry of the start log is still needed: that of a job while
+// the job is live, that of a machine while its block records it as never used.
+func (c *Core) startEntryNeeded(name string) bool {
+	machine, isMachine := strings.CutPrefix(name, machineEntryPrefix)
+	if !isMachine {
+		return c.jobs[name] != nil
+	}
+	if b := c.blockOf(machine); b != nil {
+		for _, bm := range b.rec.Machines {
+			if bm.Name == machine {
+				return bm.Fresh
+			}
+		}
+	}
+	return false
+}
+
+// flushStarts records starts before they are made: for each shard one record with the starts
+// of many jobs, urgent ones first. The write is conditional on the versions of the shard, of the
+// record and of each job, so that no task is started of a job that has ended or been aborted.
+func (c *Core) flushStarts() {
+	if len(c.pendingWrites) == 0 && len(c.firstUseUnwritten) == 0 {
+		return
+	}
+	c.refreshIndexes()
+	jobs := sortedJobs(c.pendingWrites)
+	for _, shard := range c.shardIDs() {
+		// Urgent jobs come first in the list; their starts do not wait to share a write with others.
+		paced := c.now < c.startsPacedUntil[shard] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
+		if !c.mine(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
+			continue
+		}
+		var entries []starts.Entry
+		for _, name := range sortedKeys(c.firstUseUnwritten) {
+			if m := c.machines[name]; m == nil || !m.fresh {
+				delete(c.firstUseUnwritten, name)
+			} else if m.shard == shard {
+				entries = append(entries, starts.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
+			}
+		}
+		jobsByID := map[string]*jobEntry{}
+		for _, e := range jobs {
+			if len(jobsByID) >= 4*c.p.TxnOps-2 {
+				break // the number of conditions in one call is limited
+			}
+			started, ended, due := c.unwrittenStarts(e)
+			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOf(e.rec.Team) != shard || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
+				continue
+			}
+			jobsByID[e.rec.ID] = e
+			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startRecord(e, started)})
+		}
+		if c.form.Alone(c.now) && len(jobsByID) > 0 {
+			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
+		}
+		if len(entries) > 0 {
+			c.writeStarts(shard, entries, jobsByID)
+		}
+	}
+}
+
+// startRecord returns the entry to be written for a job's starts.
+func (c *Core) startRecord(e *jobEntry, started int) wire.Start {
+	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.taskHealth.Mistaken(e.rec.ID)}
+	if tracksMachines(&e.rec) {
+		s.On = make([]string, e.rec.Tasks)
+		copy(s.On, e.rec.On)
+		for k, a := range e.run.active {
+			s.On[k] = a.machine.name
+		}
+	}
+	return s
+}
+
+// failureUnrecorded reports whether a job fails on all machines and the start log does not record
+// that yet.
+func (c *Core) failureUnrecorded(e *jobEntry) bool {
+	if !c.taskHealth.Mistaken(e.rec.ID) {
+		return false
+	}
+	s, _ := c.started.Of(e.rec.ID)
+	return !s.Bad
+}
+
+// writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
+func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
+	plan := c.started.Plan(shard, entries, c.startEntryNeeded)
+	conditions := []wire.Condition{c.shardCond(shard), {Key: plan.Key, Version: plan.Ver}}
+	var busy []*jobEntry
+	for _, x := range entries[:plan.Taken] {
+		if e := jobsByID[x.Name]; e != nil {
+			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
+			e.run.writeInFlight = true
+			busy = append(busy, e)
+		}
+	}
+	c.startsInFlight[shard] = true
+	c.startsPacedUntil[shard] = c.now + tuning.StartsEvery
+	c.commit(LaneUser, conditions, []wire.Change{{Put: plan.Key, Value: plan.Record}}, func(r StateReply) {
+		delete(c.startsInFlight, shard)
+		for _, e := range busy {
+			if e.run != nil {
+				e.run.writeInFlight = false
+			}
+		}
+		if r.Status != 200 {
+			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
+			c.log(2, "starts not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+		}
+		c.placementDue = true
+		c.runHolder()
+	})
+}
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -31,7 +31,7 @@
 	if _, ok := c.finals[id]; ok {
 		return
 	}
-	c.vouch.Over(jobKey(id), rev)
+	c.vouch.JobOver(jobKey(id), rev)
 	c.finals[id] = f
 	c.chain.End(id, f.Status == wire.JobDone, f.By)
 	c.finalAge = append(c.finalAge, id)
@@ -313,7 +313,7 @@
 	if j.Shape != wire.ShapeBatch {
 		n = float64(j.Tasks)
 	}
-	if t.exceeds(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
+	if t.exceededBy(placement.Size{CPUs: j.CPUs * n, GPUs: j.GPUs * n}) {
 		return fmt.Sprintf("the job needs more than team %q may use", j.Team)
 	}
 	for _, name := range sortedKeys(c.types) {
