--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -27,11 +27,11 @@
 		}
 	}
 	for _, c := range []struct {
-		most, look int
-		want       string
+		maxMachines, maxConsidered int
+		want                       string
 	}{{9, 9, "[a d]"}, {1, 9, "[a]"}, {0, 9, "[]"}, {9, 0, "[]"}} {
-		if got := fmt.Sprint(Consolidate(machines(), c.most, c.look)); got != c.want {
-			t.Errorf("at most %d of the first %d machines: %s, want %s", c.most, c.look, got, c.want)
+		if got := fmt.Sprint(Consolidate(machines(), c.maxMachines, c.maxConsidered)); got != c.want {
+			t.Errorf("at most %d of the first %d machines: %s, want %s", c.maxMachines, c.maxConsidered, got, c.want)
 		}
 	}
 	// a moves to b, which then has to stay. Without a, b moves to the busy machine, and d no longer
