--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -9,7 +9,7 @@
 // callWorker calls a worker, through a peer if we reach none of them and it does. A peer on the
 // way is like a slow network: the worker compares token and session of what we sent.
 func (c *Core) callWorker(v Order) {
-	if n := c.words.ToWorkers(c.now); n != "" {
+	if n := c.words.WorkerProxy(c.now); n != "" {
 		v.For = c.p.Node
 		c.tell(n, PeerMessage{Order: &v})
 		return
@@ -17,8 +17,8 @@
 	c.out = append(c.out, v)
 }
 
-func newCallQueue(p Params) *prompt.Desk[*machine] {
-	return prompt.New[*machine](prompt.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, Look: tuning.OrderLook, Keep: 2 * p.Report})
+func newCallQueue(p Params) *callqueue.Queue[*machine] {
+	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, ScanLimit: tuning.OrderLook, MaxAge: 2 * p.Report})
 }
 
 // tokenOf is the token of answers to a machine: its block's, or a later revision at
@@ -27,7 +27,7 @@
 func (c *Core) answerToken(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raisedToken) }
 
 // wantReport asks for a machine's next report soon.
-func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Want(c.now, m, urgent) }
+func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Request(c.now, m, urgent) }
 
 // promptWorkers calls workers that have something to hear.
 func (c *Core) callQueuedWorkers() {
@@ -48,14 +48,14 @@
 }
 
 // dueFor tells whether a machine should be called now.
-func (c *Core) callVerdict(m *machine) prompt.Verdict {
+func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.Deaf() || !m.reported || !m.accounted || !c.mine(m.shard):
-		return prompt.Forget
+	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
+		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
-		return prompt.Wait // what we just answered must not be overtaken
+		return callqueue.Wait // what we just answered must not be overtaken
 	case len(c.stopCommands(m)) > 0:
-		return prompt.Call
+		return callqueue.Call
 	}
 	unsent := false
 	for _, a := range m.attempts {
@@ -65,13 +65,13 @@
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
 		if c.startable(a) && c.rev > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.p.Lease/2) {
-			return prompt.Call
+			return callqueue.Call
 		}
 	}
 	if unsent {
-		return prompt.Wait
+		return callqueue.Wait
 	}
-	return prompt.Forget
+	return callqueue.Forget
 }
 
 // stops lists what is to be stopped on a machine.
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -13,7 +13,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var jobSize, needSize, smallerSize = supply.JobSize, supply.NeedSize, placement.Lesser
+var jobSize, needSize, smallerSize = supply.JobSize, supply.NeedSize, placement.Min
 
 // anyRoom walks over all waiting jobs, whatever they ask for.
 func unlimitedCapacity(string) placement.Size {
@@ -25,10 +25,10 @@
 // some now.
 func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
 	var machines []*machine
-	roomOf := map[*machine]supply.Room{}
+	roomOf := map[*machine]supply.Capacity{}
 	add := func(m *machine, free placement.Size, doubted bool) {
 		machines = append(machines, m)
-		roomOf[m] = supply.Room{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, Doubted: doubted}
+		roomOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
@@ -40,15 +40,15 @@
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
-	most := c.capacity.Most(shard)
+	most := c.capacity.MaxFree(shard)
 	var least *placement.Size
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return most
-	}, func(p *queue.Place[*jobEntry]) bool {
-		if s := p.Job.Ask; least == nil {
+	}, func(p *queue.Entry[*jobEntry]) bool {
+		if s := p.Job.TaskSize; least == nil {
 			least = &s
 		} else {
 			*least = smallerSize(*least, s)
@@ -63,17 +63,17 @@
 		least = &s
 	}
 	if least != nil {
-		c.capacity.Each(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
+		c.capacity.EachFitting(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
 	}
 	sorted := len(machines)
 	for m := range c.idleAttempts {
-		if f, ok := c.capacity.Of(m); ok && f.Usable && m.shard == shard {
+		if f, ok := c.capacity.Get(m); ok && f.Usable && m.shard == shard {
 			if _, in := roomOf[m]; !in {
 				add(m, f.Free, false)
 			}
 			r := roomOf[m]
-			r.Idle = c.idleUsage(m)
-			r.Free = r.Free.Add(r.Idle)
+			r.IdleUse = c.idleUsage(m)
+			r.Free = r.Free.Add(r.IdleUse)
 			roomOf[m] = r
 		}
 	}
@@ -102,8 +102,8 @@
 	if missing <= 0 {
 		return wire.Need{}, false
 	}
-	missing -= c.capacity.Spare(shard)
-	urgentTask, rank := c.urgentReserve.Task(shard)
+	missing -= c.capacity.UrgentSlots(shard)
+	urgentTask, rank := c.urgentReserve.TaskSize(shard)
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
@@ -124,7 +124,7 @@
 	c.refreshIndexes()
 	var out []wire.Need
 	if need, short := c.spareNeed(shard); short {
-		out = supply.Join(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.NeedsMax)
 	}
 	starved := false
 	used := map[string]placement.Size{}
@@ -138,7 +138,7 @@
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, j := p.Handle, &p.Handle.rec
 		if e.run == nil || c.taskHealth.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
@@ -153,11 +153,11 @@
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
-		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
-		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
+		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
+		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
-		missing := want - pool.Take(supply.Ask{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		overdue := p.Within && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		missing := want - pool.Take(supply.Request{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
+		overdue := p.WithinGuarantee && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if missing == 0 && !overdue {
 			return true
 		}
@@ -166,13 +166,13 @@
 			// A boot is on its way at best; a borrowed machine is there now.
 			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
-		if p.Within && missing > 0 {
+		if p.WithinGuarantee && missing > 0 {
 			starved = true
 			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.DireAfter {
 				need.Dire = true
 			}
 		}
-		out = supply.Join(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.NeedsMax)
 		return true
 	})
 	for _, j := range soon { // after all that could run now
@@ -180,10 +180,10 @@
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
-		want := placement.Under(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
-		used[j.Team] = used[j.Team].Add(supply.Times(size, want))
-		if missing := want - pool.Take(supply.Ask{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
-			out = supply.Join(out, supply.NeedOf(j, j.Zone, missing, c.ladder.Rank(j)), tuning.NeedsMax)
+		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
+		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
+		if missing := want - pool.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.ladder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -197,15 +197,15 @@
 // deserves is for how many of a job's waiting tasks machines are asked for. Of work that
 // is run when there is nothing else to do, and of arrays with a deadline beyond a guarantee, it
 // is as many as are needed in time.
-func (c *Core) requestedTasks(p *queue.Place[*jobEntry]) int {
-	e, pace, run := p.Handle, objectiveLimits, p.Job.Estimate
+func (c *Core) requestedTasks(p *queue.Entry[*jobEntry]) int {
+	e, pace, run := p.Handle, objectiveLimits, p.Job.EstimateS
 	if e.prio > idleRank {
-		if e.prio >= urgentRank || p.Within || p.Job.Service || e.rec.DueS <= 0 {
+		if e.prio >= urgentRank || p.WithinGuarantee || p.Job.Service || e.rec.DueS <= 0 {
 			return p.Job.Pending
 		}
 		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
 	}
-	places := pace.Places(p.Job.Rest, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
+	places := pace.TargetParallelism(p.Job.Unfinished, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
@@ -234,7 +234,7 @@
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
-		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.wants[shard], c.words.Hears(c.now, c.chief.Node))
+		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.wants[shard], c.words.ReachableOrSelf(c.now, c.chief.Node))
 		if announce {
 			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: unmet})
 		}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -5,9 +5,9 @@
 	"maps"
 	"slices"
 
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
+	"github.com/barrowbridge/barrowbridge/internal/delivery"
 	"github.com/barrowbridge/barrowbridge/internal/health"
-	"github.com/barrowbridge/barrowbridge/internal/hearing"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/ranges"
@@ -77,7 +77,7 @@
 	currentReportsProven bool   // has named a token that only this holder can have given it
 	unprovenAnswers      int    // answers given to reports that prove nothing
 	unprovenAnsweredAt   Time   // when the last of these was given
-	delivery             hearing.Ear
+	delivery             delivery.Monitor
 	raisedToken          uint64 // token of the last call that requested an early report
 	earlyCallAt          Time   // when that call was made
 
@@ -101,7 +101,7 @@
 	valid           bool
 	sizesVersion    int // version of the machine types it was computed with
 	free            placement.Size
-	teams           []ledger.Use
+	teams           []ledger.TeamUsage
 	unknownAttempts int // attempts of unknown size
 }
 
@@ -178,8 +178,8 @@
 		idleMarkVersions:        map[string]uint64{},
 		starvedSince:            map[int]Time{},
 		urgentReserve: supply.NewReserve(supply.ReserveLimits{
-			Memory: tuning.UrgentMemory,
-			Window: tuning.ArrivalWindow,
+			Retention: tuning.UrgentMemory,
+			Window:    tuning.ArrivalWindow,
 		}),
 	}
 }
@@ -208,7 +208,7 @@
 		}
 	}
 	if e.prio >= urgentRank {
-		if c.urgentReserve.Seen(c.now, shard, jobSize(&e.rec), e.rank, firstSeen && e.rec.Started == 0) {
+		if c.urgentReserve.Observe(c.now, shard, jobSize(&e.rec), e.rank, firstSeen && e.rec.Started == 0) {
 			c.markShardDirty(shard) // free capacity is counted in tasks of this size
 		}
 	}
@@ -262,13 +262,13 @@
 	delete(c.machines, m.name)
 	delete(c.comingMachines, m)
 	if b := c.places[m.shard]; b != nil {
-		b.Drop(m)
+		b.Remove(m)
 	}
 	c.taskHealth.ForgetMachine(m.name)
 	c.weights.Gone(m.name)
-	c.capacity.Drop(m)
-	c.desk.Forget(m)
-	c.roll.Drop(m)
+	c.capacity.Remove(m)
+	c.desk.Remove(m)
+	c.roll.Remove(m)
 	c.machinesByName = nil
 }
 
@@ -313,13 +313,13 @@
 	c.placementDue = true
 	delete(c.yielded, shard)
 	if old != nil {
-		c.words.Moved(c.now, &old.rec, &c.shards[shard].rec)
+		c.words.HolderChanged(c.now, &old.rec, &c.shards[shard].rec)
 	}
 	namesUs := c.member.Boot() != 0 && c.shards[shard].rec.Holder == c.p.Node && c.shards[shard].rec.Boot == c.member.Boot()
 	if current := c.shards[shard]; old == nil || old.rec.Holder != current.rec.Holder || old.rec.Boot != current.rec.Boot || !slices.Equal(old.rec.Teams, current.rec.Teams) {
-		c.vouch.Granted(shardKey(shard), current.ver, namesUs)
+		c.vouch.HolderAssigned(shardKey(shard), current.ver, namesUs)
 	}
-	if namesUs && c.heldShards[shard] && old != nil && duty.Regained(old.rec, c.shards[shard].rec) {
+	if namesUs && c.heldShards[shard] && old != nil && assignment.Reacquired(old.rec, c.shards[shard].rec) {
 		c.stopHoldingShard(shard) // another controller held it meanwhile, and its writes are not in the mirror yet
 	}
 	switch {
@@ -401,7 +401,7 @@
 	c.placementDue = true
 	b := c.blocks[id]
 	if b != nil && (old == nil || old.rec.Shard != b.rec.Shard) {
-		c.vouch.Granted(blockKey(id), b.ver, c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard])
+		c.vouch.HolderAssigned(blockKey(id), b.ver, c.heldShards[b.rec.Shard] || c.grantedShards[b.rec.Shard])
 	}
 	listed := map[string]bool{}
 	if b != nil && c.mine(b.rec.Shard) {
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -56,7 +56,7 @@
 
 // spareTarget is for how many urgent tasks a shard keeps room.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.Speeds(c.types, nil)
+	_, boot := supply.FetchAndBootBounds(c.types, nil)
 	return c.urgentReserve.Target(c.now, shard, boot)
 }
 
@@ -76,10 +76,10 @@
 // given machines: such work should not wait for a boot.
 func (c *Core) spareBeyond(shard int, without ...*machine) bool {
 	c.refreshIndexes()
-	n := c.capacity.Spare(shard)
+	n := c.capacity.UrgentSlots(shard)
 	for _, m := range without {
-		if f, ok := c.capacity.Of(m); ok && f.Usable && !f.Spot {
-			n -= f.Spare
+		if f, ok := c.capacity.Get(m); ok && f.Usable && !f.Spot {
+			n -= f.UrgentSlots
 		}
 	}
 	return n >= c.spareTarget(shard)
@@ -106,11 +106,11 @@
 	}
 	var list []disruption.Machine[*machine]
 	for _, m := range in {
-		x := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Stays: m.base}
+		x := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Pinned: m.base}
 		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
-				x.Stays = true
+				x.Pinned = true
 				break
 			}
 			j := &c.jobs[a.job].rec
@@ -141,11 +141,11 @@
 	// workers for half a minute, while another was down, gave 163 healthy machines away.
 	silent := 0
 	for _, m := range c.heldMachines() {
-		if m.shard == shard && m.reported && !m.returning && (c.now-m.lastReport > c.reportMaxAge() || m.delivery.Deaf()) {
+		if m.shard == shard && m.reported && !m.returning && (c.now-m.lastReport > c.reportMaxAge() || m.delivery.MissesAnswers()) {
 			silent++
 		}
 	}
-	cut := dutyLimits.Many(silent, c.machineCount(shard))
+	cut := dutyLimits.TooManyMissing(silent, c.machineCount(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.returning {
 			continue
@@ -157,7 +157,7 @@
 		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
 			// A rented one costs as much as another; while not sure to be entitled we take no report.
 			why = "silent"
-		case m.delivery.Deaf() && !m.base && !cut:
+		case m.delivery.MissesAnswers() && !m.base && !cut:
 			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
 		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
 			why = "taken"
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -6,11 +6,11 @@
 	"slices"
 	"sort"
 
-	"github.com/barrowbridge/barrowbridge/internal/aims"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
+	"github.com/barrowbridge/barrowbridge/internal/objectives"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -20,10 +20,10 @@
 // refreshIndexes recomputes the entries marked so. Nothing is decided here: all of it can
 // be recomputed from scratch.
 type indexes struct {
-	objectives     aims.Aims
-	capacity       *ledger.Book[*machine]
+	objectives     objectives.Objectives
+	capacity       *ledger.Ledger[*machine]
 	jobQueue       *queue.Queue[*jobEntry]
-	foundMachines  []ledger.Found[*machine] // buffer reused between choices, as is candidates
+	foundMachines  []ledger.Match[*machine] // buffer reused between choices, as is candidates
 	candidates     []placement.Candidate
 	dirtyMachines  []*machine
 	dirtyJobs      []*jobEntry
@@ -98,7 +98,7 @@
 
 // refreshIndexes recomputes the index entries of all dirty machines and jobs.
 func (c *Core) refreshIndexes() {
-	for _, m := range c.capacity.Silent(c.now - c.reportMaxAge()) {
+	for _, m := range c.capacity.TakeSilent(c.now - c.reportMaxAge()) {
 		c.markDirty(m)
 	}
 	for len(c.dirtyMachines) > 0 { // loops: a machine that became unusable loses its unsent attempts, which marks it dirty again
@@ -143,22 +143,22 @@
 	if m.inherited && !m.accounted {
 		unknown++ // anything may run there, for any team
 	}
-	urgent, _ := c.urgentReserve.Task(m.shard)
-	facts := ledger.Facts{
+	urgent, _ := c.urgentReserve.TaskSize(m.shard)
+	facts := ledger.MachineState{
 		Kind: ledger.Kind{
-			Shard: m.shard,
-			Type:  m.machineType,
-			Zone:  m.zone,
-			Spot:  m.spot,
-			Opens: !m.base && len(m.attempts) == 0,
+			Shard:       m.shard,
+			Type:        m.machineType,
+			Zone:        m.zone,
+			Spot:        m.spot,
+			EmptyRental: !m.base && len(m.attempts) == 0,
 		},
-		Usable: usable,
-		Free:   c.freeToAll(m),
-		Uses:   usage.teams,
-		Spare:  c.roomFor(m, urgent),
+		Usable:      usable,
+		Free:        c.freeToAll(m),
+		Usage:       usage.teams,
+		UrgentSlots: c.roomFor(m, urgent),
 	}
 	for range unknown {
-		facts.Unknown = facts.Unknown.Add(full)
+		facts.UnknownUse = facts.UnknownUse.Add(full)
 	}
 	c.capacity.Put(m, m.name, facts)
 	if known && !m.returning && !m.terminationNotice && !m.leaseOver && (!m.reported || !m.accounted) {
@@ -173,29 +173,29 @@
 	delete(c.pendingWrites, e)
 	delete(c.pendingProgress, e)
 	if e.run == nil || c.jobs[e.rec.ID] != e {
-		c.jobQueue.Drop(e.rec.ID)
+		c.jobQueue.Remove(e.rec.ID)
 		return
 	}
 	j, run := &e.rec, e.run
 	queued := queue.Job{
-		ID:       j.ID,
-		Team:     j.Team,
-		Accepted: j.ReadySince(),
-		Number:   j.Number,
-		Rank:     e.rank,
-		Strict:   j.Zone != "" || j.OneZone,
-		Service:  j.Shape == wire.ShapeService,
-		Due:      min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due),
-		Pressed:  c.crewPressed(j.ID),
-		Turn:     objectiveLimits.Turn(objectiveWork(j)),
-		Estimate: j.EstimateS,
-		Ask:      jobSize(j),
-		Rest:     j.Tasks - run.done.Count(),
-		Pending:  c.startableTasks(e),
-		Begun:    j.Started > 0 || run.nextIndex > 0,
+		ID:            j.ID,
+		Team:          j.Team,
+		AcceptedMS:    j.ReadySince(),
+		Number:        j.Number,
+		Rank:          e.rank,
+		ZoneBound:     j.Zone != "" || j.OneZone,
+		Service:       j.Shape == wire.ShapeService,
+		Due:           min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due),
+		Pressed:       c.crewPressed(j.ID),
+		VirtualFinish: objectiveLimits.VirtualFinish(objectiveWork(j)),
+		EstimateS:     j.EstimateS,
+		TaskSize:      jobSize(j),
+		Unfinished:    j.Tasks - run.done.Count(),
+		Pending:       c.startableTasks(e),
+		Started:       j.Started > 0 || run.nextIndex > 0,
 	}
 	if c.taskHealth.Trial(j.ID) {
-		queued.Rest = min(queued.Rest, 1) // it reserves no capacity that other jobs could use
+		queued.Unfinished = min(queued.Unfinished, 1) // it reserves no capacity that other jobs could use
 	}
 	c.jobQueue.Put(e, queued)
 	_, ended, due := c.unwrittenStarts(e)
@@ -207,20 +207,20 @@
 	}
 }
 
-var objectiveLimits = aims.Limits{
-	CPUs:     tuning.TurnCPUs,
-	Horizon:  tuning.IdleHorizon.Seconds(),
-	Least:    tuning.IdleLeast.Seconds(),
-	Headroom: tuning.IdleHeadroom,
+var objectiveLimits = objectives.Limits{
+	ReferenceCPUs: tuning.TurnCPUs,
+	HorizonS:      tuning.IdleHorizon.Seconds(),
+	MinTimeS:      tuning.IdleLeast.Seconds(),
+	Headroom:      tuning.IdleHeadroom,
 }
 
 // objectiveWork returns a job as the objectives see it. Times are in seconds.
-func objectiveWork(j *wire.Job) aims.Work {
+func objectiveWork(j *wire.Job) objectives.Work {
 	due, ready := j.DueS, float64(j.ReadySince())/1000
 	if due > 0 && j.ReadyMS > 0 { // the deadline counts from the submission, all else from when the job could run
 		due = max(math.SmallestNonzeroFloat64, due-ready+float64(j.AcceptedMS)/1000)
 	}
-	return aims.Work{Class: j.Class, Accepted: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, Estimate: j.EstimateS}
+	return objectives.Work{Class: j.Class, AcceptedS: ready, DueS: due, CPUs: j.CPUs, Tasks: j.Tasks, EstimateS: j.EstimateS}
 }
 
 // pendingTasks returns the number of tasks that are still to be started.
@@ -246,7 +246,7 @@
 		return
 	}
 	have := c.shardCPUs()
-	c.jobQueue.Judge(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
+	c.jobQueue.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
 		t := c.p.Teams[team]
 		return min(t.CPUsMax, max(have[c.shardOf(team)], t.CPUs))
 	})
@@ -263,4 +263,4 @@
 }
 
 // isOlderJob reports whether a is served before b within the same tier.
-func isOlderJob(a, b *jobEntry) bool { return ladder.Older(&a.rec, &b.rec) }
+func isOlderJob(a, b *jobEntry) bool { return tiers.Older(&a.rec, &b.rec) }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -7,10 +7,10 @@
 	"strings"
 
 	"github.com/barrowbridge/barrowbridge/internal/boot"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	records "github.com/barrowbridge/barrowbridge/internal/mirror"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/internal/weights"
@@ -30,7 +30,7 @@
 	chief    wire.Leader
 	settings wire.Settings
 	cordons  map[string]wire.Cordon
-	ladder   *ladder.Ladder
+	ladder   *tiers.Order
 	rungs    wire.Ladder // the record that it was read from
 	started  *starts.Book
 	progress *progress.Book
@@ -76,7 +76,7 @@
 	return mirror{ver: records.New(), jobs: map[string]*jobEntry{},
 		blocks: map[string]*blockEntry{}, shards: map[int]*shardEntry{}, nodes: map[string]wire.Node{},
 		wants: map[int]wire.Want{}, types: map[string]wire.MachineType{},
-		settings: defaultSettings(), ladder: ladder.Of(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
+		settings: defaultSettings(), ladder: tiers.NewOrder(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
 		blockIn: map[string]string{}, dropping: map[string]bool{}, shardHas: map[int]map[string]int{}, newest: map[int]uint64{}, teamHome: map[string]int{}, caches: weights.NewCaches(tuning.CachesEvery)}
 }
 
@@ -191,7 +191,7 @@
 }
 
 // oldestCall is the first call of the state service that is under way.
-func (c *Core) oldestCall() uint64 { return c.ways.Oldest(c.seq + 1) }
+func (c *Core) oldestCall() uint64 { return c.ways.OldestID(c.seq + 1) }
 
 // put applies a write. Older news of the same key changes nothing, whichever
 // way it came: watch, list, read or own commit.
@@ -244,7 +244,7 @@
 	case strings.HasPrefix(key, wire.PrefixReach):
 		var r wire.Reach
 		if read(&r) {
-			c.words.Wrote(key[len(wire.PrefixReach):], r)
+			c.words.SetStored(key[len(wire.PrefixReach):], r)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
 		var r wire.Node
@@ -392,7 +392,7 @@
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		c.calendar.Remove(key[len(wire.PrefixCrew):])
 	case strings.HasPrefix(key, wire.PrefixReach):
-		c.words.Withdrew(key[len(wire.PrefixReach):])
+		c.words.RemoveStored(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
 		c.note(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -41,7 +41,7 @@
 			i++
 		}
 		if i == len(usage.teams) {
-			usage.teams = append(usage.teams, ledger.Use{Team: a.team})
+			usage.teams = append(usage.teams, ledger.TeamUsage{Team: a.team})
 		}
 		usage.teams[i].Size = usage.teams[i].Size.Add(a.size)
 	}
@@ -67,7 +67,7 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.delivery.Deaf() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
@@ -102,12 +102,12 @@
 		shard := c.shardOf(team)
 		m, ok := largestFree[shard]
 		if !ok {
-			m = c.capacity.Most(shard)
+			m = c.capacity.MaxFree(shard)
 			largestFree[shard] = m
 		}
 		t, u := c.p.Teams[team], c.capacity.Used(team, shard)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
-	}, func(p *queue.Place[*jobEntry]) bool {
+	}, func(p *queue.Entry[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
 			delete(largestFree, c.shardOf(p.Job.Team))
 		}
@@ -130,7 +130,7 @@
 
 // kinds tells which kinds of machines a job's next task may be placed on.
 func (c *Core) allowedKinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
-	return supply.Kinds(&e.rec, e.run.zone, zones)
+	return supply.KindFilter(&e.rec, e.run.zone, zones)
 }
 
 // unseen counts a job's tasks that may run on machines of an earlier holder: they count
@@ -154,7 +154,7 @@
 }
 
 // placeJob starts as many of a job's waiting tasks as fit, and says how many.
-func (c *Core) placeJob(p *queue.Place[*jobEntry]) (placed int) {
+func (c *Core) placeJob(p *queue.Entry[*jobEntry]) (placed int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
 	shard := c.shardOf(j.Team)
@@ -219,7 +219,7 @@
 
 // choose picks the machine of a job's next task among those the ledger proposes, nil if
 // none has room, and tells its beta.
-func (c *Core) chooseMachine(p *queue.Place[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
+func (c *Core) chooseMachine(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
 	kinds := c.allowedKinds(e, zones)
@@ -227,7 +227,7 @@
 		// Back to where it was: its image is there, and that start is written
 		// already. After an outage hundreds start again at once.
 		if m := c.machines[recordedMachine(j, run.retryIndexes[0])]; m != nil {
-			facts, ok := c.capacity.Of(m)
+			facts, ok := c.capacity.Get(m)
 			if ok && facts.Usable && facts.Shard == shard && kinds(facts.Kind) && placement.Fits(facts.Free, size) && !c.avoids(e, m) {
 				return m, placement.Beta(facts.Free, size)
 			}
@@ -249,7 +249,7 @@
 // that is served as early and has its image there: the fetch takes as long as many a
 // task, and where tasks end all the time a place with the image comes soon. For a while
 // only: a job that has been passed over for long takes what there is.
-func (c *Core) leaveToLocalJob(p *queue.Place[*jobEntry], m *machine) bool {
+func (c *Core) leaveToLocalJob(p *queue.Entry[*jobEntry], m *machine) bool {
 	run, examined, found := p.Handle.run, 0, false
 	if run.passedOverSince > 0 && c.now-run.passedOverSince > tuning.LocalWait {
 		return false
@@ -261,12 +261,12 @@
 		}
 		t, u := c.p.Teams[team], c.capacity.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
-	}, func(other *queue.Place[*jobEntry]) bool {
+	}, func(other *queue.Entry[*jobEntry]) bool {
 		e := other.Handle
 		if examined++; examined > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = other != p && e.rank == p.Handle.rank && other.Within == p.Within && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
+		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
 			e.run.pendingTasks(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
@@ -283,14 +283,14 @@
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
 	c.candidates = c.candidates[:0]
 	for _, found := range c.foundMachines {
-		candidate := placement.Candidate{Free: found.Free, Opens: found.Kind.Opens}
+		candidate := placement.Candidate{Free: found.Free, EmptyRental: found.Kind.EmptyRental}
 		if j.Shape == wire.ShapeService {
-			candidate.Load = zones[found.Kind.Zone]
+			candidate.ServiceTasks = zones[found.Kind.Zone]
 		}
 		if found.Handle.images[j.Image] {
-			candidate.Better = 1
+			candidate.Preference = 1
 		} else if e.prio >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
-			candidate.Better = -1 // they would share its rate
+			candidate.Preference = -1 // they would share its rate
 		}
 		c.candidates = append(c.candidates, candidate)
 	}
@@ -314,7 +314,7 @@
 		return false
 	}
 	placesByZone := map[string]int{}
-	c.capacity.Each(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) {
+	c.capacity.EachFitting(shard, size, func(k ledger.Kind) bool { return supply.Allows(j, k) }, func(_ *machine, k ledger.Kind, free placement.Size) {
 		placesByZone[k.Zone] += placement.Beta(free, size) + 1
 	})
 	zone, fits := supply.GangFits(j, waiting, placesByZone)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -27,7 +27,7 @@
 		c.unaccountedMachines[m.shard]--
 	}
 	m.accounted = true
-	c.roll.Drop(m)
+	c.roll.Remove(m)
 	c.markDirty(m)
 	c.reconcileJobsOn(m)
 	c.reconcileShards()
@@ -238,7 +238,7 @@
 		for _, m := range c.heldMachines() {
 			// A machine counts as missing after two calls without a usable answer. One whose
 			// address is not known gets until its next report is overdue.
-			waited := c.roll.Tries(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
+			waited := c.roll.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
 			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
 				m.returning = true
 				c.markDirty(m)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -15,13 +15,13 @@
 	r := &v.Report
 	c.addrs.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
-	origin, relayed := c.relays.Through(v.Req)
+	origin, relayed := c.relays.OriginOf(v.Req)
 	switch { // an older report is a late copy: it does not prove that the worker reaches this controller
 	case m != nil && c.isStaleReport(m, r):
 	case !relayed:
-		c.workers.Heard(c.now, c.heldShardOf(r.Machine), r.Machine)
+		c.workers.DirectReport(c.now, c.heldShardOf(r.Machine), r.Machine)
 	case m != nil:
-		c.workers.HeardThrough(c.now, m.shard)
+		c.workers.RelayedReport(c.now, m.shard)
 	}
 	if m == nil {
 		c.redirectReport(v.Req, r)
@@ -63,7 +63,7 @@
 	m.lastAnswered = c.now
 	m.delivery.Answered(r, token, origin.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
-	c.desk.Forget(m)
+	c.desk.Remove(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
 		if !a.startSent && a.status == "" {
@@ -94,7 +94,7 @@
 // over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.Tries(m) > 1)
+	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
 	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -109,7 +109,7 @@
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
 	suspicious := m.reported && c.now-m.lastAnswered < c.p.Lease && (relayed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.delivery.Test(c.now, suspicious, c.p.Lease/2) {
+	if m.delivery.StartTest(c.now, suspicious, c.p.Lease/2) {
 		m.raisedToken = max(m.raisedToken, c.rev)
 	}
 }
@@ -117,8 +117,8 @@
 // trackDelivery infers from a new report whether its worker receives the answers sent to it.
 func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
-	verdictChanged := m.delivery.Report(r, via, lapsed)
-	if m.delivery.Missed() && r.Addr != "" && !c.workers.Lacks(c.now) {
+	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
+	if m.delivery.Suspected() && r.Addr != "" && !c.workers.LacksWorkers(c.now) {
 		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
 	if verdictChanged {
@@ -131,11 +131,11 @@
 	c.markDirty(m)
 	c.placementDue = true
 	kind := trail.MachineHears
-	if m.delivery.Deaf() {
+	if m.delivery.MissesAnswers() {
 		kind = trail.MachineDeaf
 	}
 	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
-	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.Deaf())
+	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.MissesAnswers())
 }
 
 // isStaleReport reports whether this report or a later one of the same worker is already known.
@@ -154,13 +154,13 @@
 	}
 	m.session, m.seq, m.lastReport, m.leaseOver = r.Session, r.Seq, c.now, false
 	m.addr, m.reportedToken = r.Addr, r.Token
-	if c.capacity.Heard(m, m.name, c.now) {
+	if c.capacity.RecordReport(m, m.name, c.now) {
 		c.markDirty(m)
 	}
 	if !m.reported {
 		m.reported = true
 		if len(c.p.Nodes) > 1 { // sent to the peers with the next pings, and forgotten then
-			c.addrs.CameUp(c.now, m.name)
+			c.addrs.MachineUp(c.now, m.name)
 		}
 		c.boots.Up(c.now, m.name)
 		if m.fresh {
@@ -195,7 +195,7 @@
 			if r.Token > c.rev || c.cutOff() {
 				holder = ""
 			}
-			if _, relayed := c.relays.Through(req); holder != "" && holder != c.p.Node && !relayed {
+			if _, relayed := c.relays.OriginOf(req); holder != "" && holder != c.p.Node && !relayed {
 				switch {
 				case c.relay(req, r, holder, s.ver):
 				case c.holderUnreachable(holder, b.rec.Shard): // it would get no answer there
@@ -321,7 +321,7 @@
 	c.markJobDirty(e)
 	if a.cause == wire.CauseDone {
 		if was == wire.TaskRunning {
-			c.runs.Ran(e.rec.Class, e.rec.EstimateS, c.now-a.runningSince)
+			c.runs.Record(e.rec.Class, e.rec.EstimateS, c.now-a.runningSince)
 		}
 		e.run.done = e.run.done.Add(a.taskIndex)
 		e.run.failures = 0
