--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -15,14 +15,14 @@
 
 var jobSize, needSize, smallerSize = supply.JobSize, supply.NeedSize, placement.Min
 
-// anyRoom walks over all waiting jobs, whatever they ask for.
+// unlimitedCapacity makes a walk of the job queue visit all waiting jobs, whatever they ask for.
 func unlimitedCapacity(string) placement.Size {
 	return placement.Size{CPUs: inf, GPUs: inf, MemGB: inf}
 }
 
-// supplies is the room of a shard that waiting tasks may find: on machines that come up or
-// are not accounted for yet, and, if any of the waiting fits at all, on those that have
-// some now.
+// supplyPool returns the capacity of a shard that waiting tasks may use: on machines that are
+// coming up or are not accounted for yet and, if any of the waiting tasks fits at all, on those
+// that have free capacity now.
 func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
 	var machines []*machine
 	roomOf := map[*machine]supply.Capacity{}
@@ -33,8 +33,8 @@
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
 		if m.shard == shard {
-			// What is on a machine not accounted for is not known: it may be empty,
-			// so only what finds no room even then is asked for.
+			// A machine that is not accounted for may be empty: machines are requested
+			// only for tasks that would not fit even then.
 			full, _ := c.sizeOf(m.machineType)
 			add(m, c.unheld(m, full), doubted[m.name])
 		}
@@ -85,7 +85,8 @@
 	return pool
 }
 
-// idleOn is what work on a machine that gives way to all other takes.
+// idleUsage returns the capacity that work of idle priority, preemptible by all other work, uses on
+// a machine.
 func (c *Core) idleUsage(m *machine) (s placement.Size) {
 	for _, a := range m.attempts {
 		if a.idlePriority && a.status != wire.TaskEnded {
@@ -95,8 +96,8 @@
 	return s
 }
 
-// spareNeed is the room for the next urgent tasks that a shard lacks, so that they do
-// not wait for a boot.
+// spareNeed returns the capacity that a shard is short of for the next urgent tasks, so that they
+// do not wait for a machine to boot, and reports whether there is any such shortage.
 func (c *Core) spareNeed(shard int) (wire.Need, bool) {
 	missing := c.spareTarget(shard)
 	if missing <= 0 {
@@ -115,11 +116,11 @@
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
 	}
-	return wire.Need{CPUs: urgentTask.CPUs, GPUs: urgentTask.GPUs, MemGB: urgentTask.MemGB, Tasks: missing, Rung: rank}, missing > 0 // joins what such a task asks for itself
+	return wire.Need{CPUs: urgentTask.CPUs, GPUs: urgentTask.GPUs, MemGB: urgentTask.MemGB, Tasks: missing, Rung: rank}, missing > 0 // MergeNeed joins it with the need of such a task itself
 }
 
-// needs lists the tasks of a shard that no held machine has room for, those
-// still booting included: Pogonip's overflow.
+// unmetNeeds returns the needs of a shard's tasks that do not fit on any held machine, machines
+// that are still booting included: Pogonip's overflow.
 func (c *Core) unmetNeeds(shard int) []wire.Need {
 	c.refreshIndexes()
 	var out []wire.Need
@@ -163,7 +164,7 @@
 		}
 		need := supply.NeedOf(j, zone, missing, e.rank)
 		if overdue {
-			// A boot is on its way at best; a borrowed machine is there now.
+			// At best a machine is booting for it; a borrowed machine is available now.
 			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
 		if p.WithinGuarantee && missing > 0 {
@@ -175,7 +176,7 @@
 		out = supply.MergeNeed(out, need, tuning.NeedsMax)
 		return true
 	})
-	for _, j := range soon { // after all that could run now
+	for _, j := range soon { // after all jobs that could run now
 		size, team := jobSize(j), c.p.Teams[j.Team]
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.capacity.Used(j.Team, shard)
@@ -194,9 +195,9 @@
 	return out
 }
 
-// deserves is for how many of a job's waiting tasks machines are asked for. Of work that
-// is run when there is nothing else to do, and of arrays with a deadline beyond a guarantee, it
-// is as many as are needed in time.
+// requestedTasks returns for how many of a job's waiting tasks machines are requested. For work of
+// idle priority, and for arrays with a deadline beyond their team's guarantee, these are only as
+// many as are needed to finish in time.
 func (c *Core) requestedTasks(p *queue.Entry[*jobEntry]) int {
 	e, pace, run := p.Handle, objectiveLimits, p.Job.EstimateS
 	if e.prio > idleRank {
@@ -211,7 +212,7 @@
 
 var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
 
-// tellWants tells what each held shard lacks, for the leader and the other holders.
+// publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
 	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
 		return
@@ -222,7 +223,7 @@
 			continue
 		}
 		unmet := wire.Want{Seen: c.newestBlock(shard)}
-		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
+		if !c.form.Stuck(c.now) { // while starts are stuck, nothing is rented for tasks that cannot start, and no machine is given back as idle
 			unmet.Needs = c.unmetNeeds(shard)
 			c.retire(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
@@ -239,7 +240,7 @@
 			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: unmet})
 		}
 		if write {
-			c.log(2, "asking the leader for machines", "shard", shard, "needs", len(unmet.Needs))
+			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
 			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: unmet}}, func(StateReply) { c.changed() })
 		}
 	}
@@ -252,7 +253,7 @@
 	}
 }
 
-// wantOf is what a shard lacks, as far as we know.
+// shardDemand returns the unmet demand of a shard, as far as it is known here.
 func (c *Core) shardDemand(shard int) wire.Want {
 	entry := c.shards[shard]
 	switch {
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -15,10 +15,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// free is what a machine has left, counting every attempt that may be on it.
+// freeCapacity returns the free capacity of a machine, with every attempt that may be on it counted.
 func (c *Core) freeCapacity(m *machine) placement.Size { return c.usageOf(m).free }
 
-// sumOf adds up what is on a machine, if that has changed since.
+// usageOf returns the usage of a machine, and recomputes it first if it is out of date.
 func (c *Core) usageOf(m *machine) *machineUsage {
 	usage := &m.usage
 	if usage.valid && usage.sizesVersion == c.sizes {
@@ -46,22 +46,22 @@
 		usage.teams[i].Size = usage.teams[i].Size.Add(a.size)
 	}
 	if usage.unknownAttempts > 0 {
-		usage.free = placement.Size{} // a stranger of unknown size: leave room for it all
+		usage.free = placement.Size{} // an attempt of unknown size may need the whole machine
 	}
 	return usage
 }
 
-// allows tells whether a job's tasks may run on machines of this type, zone and kind.
+// allowsMachine reports whether a job's tasks may run on machines of this type, zone and pricing (spot or not).
 func allowsMachine(j *wire.Job, m *machine) bool {
 	return supply.Allows(j, ledger.Kind{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 }
 
-// exceeds tells whether a use is over the team's limit.
+// exceededBy reports whether usage is over the team's limit.
 func (t Team) exceededBy(use placement.Size) bool {
 	return use.CPUs > t.CPUsMax+1e-6 || use.GPUs > t.GPUsMax+1e-6
 }
 
-// usable tells whether tasks may be placed on a machine now.
+// usable reports whether tasks may be placed on a machine now.
 func (c *Core) usable(m *machine) bool {
 	b := c.blocks[m.block]
 	if _, cordoned := c.cordons[m.name]; cordoned {
@@ -71,23 +71,23 @@
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
-// freshFor is how long after its last report a machine is given tasks: two reports
-// may be late, or one lost.
+// reportMaxAge returns how long after its last report a machine is still given tasks. It allows
+// for two late reports, or a lost one.
 func (c *Core) reportMaxAge() time.Duration { return 2*c.p.Report + tuning.FreshMargin }
 
-// urgentRank is the lowest priority that is served ahead of room and cost.
+// urgentRank is the lowest priority that is served regardless of free capacity and cost.
 var urgentRank = wire.PriorityRank("urgent")
 
-// normalRank is the priority of work that can wait for room, and for nothing else.
+// normalRank is the priority of work that waits for free capacity and for nothing else.
 var normalRank = wire.PriorityRank("normal")
 
-// idleRank is the priority of work that is run when there is nothing else to do.
+// idleRank is the priority of work that runs only when no other work needs the capacity.
 var idleRank = wire.PriorityRank("idle")
 
-// inf is the deadline of a job without one.
+// inf is the deadline of a job without a deadline, and an unlimited amount of a resource.
 var inf = math.Inf(1)
 
-// place is one Pogonip pass over the waiting jobs.
+// placeTasks makes one Pogonip pass over the waiting jobs.
 func (c *Core) placeTasks() {
 	if !c.confirmed() || len(c.machines) == 0 {
 		return
@@ -116,7 +116,8 @@
 	c.placeHeld()
 }
 
-// zonesOf counts a job's tasks by zone, where its placement hangs on that.
+// tasksByZone counts a job's active tasks by zone if its placement depends on that; otherwise
+// it returns nil.
 func tasksByZone(e *jobEntry) map[string]int {
 	if j := &e.rec; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
 		return nil
@@ -128,13 +129,13 @@
 	return zones
 }
 
-// kinds tells which kinds of machines a job's next task may be placed on.
+// allowedKinds returns a predicate for the kinds of machines that a job's next task may be placed on.
 func (c *Core) allowedKinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
 	return supply.KindFilter(&e.rec, e.run.zone, zones)
 }
 
-// unseen counts a job's tasks that may run on machines of an earlier holder: they count
-// against the team's limit.
+// possiblyInherited returns the number of tasks that may run on machines of an earlier holder.
+// They count against the team's limit.
 func (r *jobRun) possiblyInherited() int {
 	n := r.inheritedBelow - r.done.Below(r.inheritedBelow)
 	for k := range r.active {
@@ -145,15 +146,15 @@
 	return n
 }
 
-// barred tells whether nothing of a job may be placed now: it pauses after failures, or
-// where its other tasks are, on which its places hang, is not known yet.
+// placementBlocked reports whether no task of a job may be placed now: it backs off after
+// failures, or its placement depends on the zones of its other tasks and they are not known yet.
 func (c *Core) placementBlocked(e *jobEntry, shard int) bool {
 	j, run := &e.rec, e.run
 	return run == nil || c.now < run.notBefore ||
 		c.unreconciledShards[shard] && run.inheritedBelow > 0 && j.Tasks > 1 && (j.OneZone || j.Spread || j.Shape == wire.ShapeService)
 }
 
-// placeJob starts as many of a job's waiting tasks as fit, and says how many.
+// placeJob places as many of a job's waiting tasks as fit, and returns their number.
 func (c *Core) placeJob(p *queue.Entry[*jobEntry]) (placed int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
@@ -169,11 +170,11 @@
 		if len(run.active) > 0 || !c.gangFits(e, shard) {
 			return 0
 		}
-		c.lastAttemptNumber++ // workers let a gang run when all of it is there under one attempt number
+		c.lastAttemptNumber++ // workers run a gang once all its tasks are present with the same attempt number
 	}
 	for c.startableTasks(e) > 0 {
 		if p.Overdue && placed > 0 {
-			return placed // the others wait for their turn
+			return placed // the remaining tasks wait for their turn in the queue
 		}
 		if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: size.CPUs * tasksCounted, GPUs: size.GPUs * tasksCounted})) {
 			return placed
@@ -193,8 +194,8 @@
 	return placed
 }
 
-// placeOn reserves a machine for a job's next task, under a try of its own or, a gang's,
-// under that of the others.
+// placeOn reserves a machine for a job's next task, with an attempt number of its own or, for a
+// gang, with the number that all its tasks share.
 func (c *Core) placeOn(e *jobEntry, m *machine, own bool) {
 	j, run := &e.rec, e.run
 	run.passedOverSince = 0
@@ -217,15 +218,15 @@
 	c.requestReport(m, e.prio >= urgentRank)
 }
 
-// choose picks the machine of a job's next task among those the ledger proposes, nil if
-// none has room, and tells its beta.
+// chooseMachine returns the machine for a job's next task and its beta, or nil if none has
+// enough free capacity.
 func (c *Core) chooseMachine(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
 	kinds := c.allowedKinds(e, zones)
 	if len(run.retryIndexes) > 0 && tracksMachines(j) {
-		// Back to where it was: its image is there, and that start is written
-		// already. After an outage hundreds start again at once.
+		// The machine that ran the task before has its image, and the start there is
+		// recorded already. After an outage hundreds of tasks start again at once.
 		if m := c.machines[recordedMachine(j, run.retryIndexes[0])]; m != nil {
 			facts, ok := c.capacity.Get(m)
 			if ok && facts.Usable && facts.Shard == shard && kinds(facts.Kind) && placement.Fits(facts.Free, size) && !c.avoids(e, m) {
@@ -236,7 +237,7 @@
 	leftToOthers := []*machine{}
 	for range tuning.LocalTries {
 		m, beta := c.pickMachine(e, shard, size, anchor, zones, kinds, leftToOthers)
-		// A gang has been found room for as a whole: it leaves none of it.
+		// gangFits has counted capacity for the whole gang, so it may not pass over any of it.
 		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
 			return m, beta
 		}
@@ -245,10 +246,10 @@
 	return nil, 0
 }
 
-// leaveToLocal tells whether a machine without a job's image is better left to a job
-// that is served as early and has its image there: the fetch takes as long as many a
-// task, and where tasks end all the time a place with the image comes soon. For a while
-// only: a job that has been passed over for long takes what there is.
+// leaveToLocalJob reports whether a machine without a job's image is better left to another job
+// that is served equally early and has its image there. A fetch takes as long as many tasks do,
+// and where tasks end all the time a machine with the image soon has free capacity. After
+// tuning.LocalWait of this, the job takes any machine.
 func (c *Core) leaveToLocalJob(p *queue.Entry[*jobEntry], m *machine) bool {
 	run, examined, found := p.Handle.run, 0, false
 	if run.passedOverSince > 0 && c.now-run.passedOverSince > tuning.LocalWait {
@@ -276,7 +277,8 @@
 	return found
 }
 
-// pick is the heuristic's choice among the machines that the ledger proposes, some apart.
+// pickMachine returns the heuristic's choice among the machines that the ledger proposes, except
+// the excluded ones, and its beta; nil if there is none.
 func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
 	j := &e.rec
 	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
@@ -290,7 +292,7 @@
 		if found.Handle.images[j.Image] {
 			candidate.Preference = 1
 		} else if e.prio >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
-			candidate.Preference = -1 // they would share its rate
+			candidate.Preference = -1 // fetches there would share its bandwidth
 		}
 		c.candidates = append(c.candidates, candidate)
 	}
@@ -301,10 +303,10 @@
 	return c.foundMachines[k].Handle, placement.Beta(c.candidates[k].Free, size)
 }
 
-// gangFits tells whether all waiting tasks of a gang, none of which is placed,
-// find room at once; a part
-// of a gang would only wait on its machines. On a yes for a gang bound to one
-// zone, the anchor's choice binds the rest, so each zone is tried alone.
+// gangFits reports whether all waiting tasks of a gang, none of which is placed, fit at once; a
+// part of a gang would only occupy its machines and wait. In a gang bound to one zone the
+// placement of the anchor determines the zone of the rest, so each zone is tried on its own and
+// the zone found is stored in the job's run.
 func (c *Core) gangFits(e *jobEntry, shard int) bool {
 	j, run := &e.rec, e.run
 	size, team := jobSize(j), c.p.Teams[j.Team]
@@ -322,19 +324,22 @@
 	return fits
 }
 
+// sortedIntKeys returns the keys of a map in ascending order.
 func sortedIntKeys[V any](m map[int]V) []int {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// serves tells whether a block's machines could hold a task of a need.
+// blockServes reports whether an empty machine of a block could run a task of the need.
 func (c *Core) blockServes(b *blockEntry, n wire.Need) bool {
 	full, ok := c.sizeOf(b.rec.Type)
 	return ok && supply.AllowsType(n.Types, b.rec.Type) && (n.Zone == "" || n.Zone == b.rec.Zone) && (!b.rec.Spot || n.Spot) &&
 		placement.Fits(full, needSize(n))
 }
 
+// hasUnmetDemand reports whether the demand last published for a held shard asks for machines.
 func (c *Core) hasUnmetDemand(shard int) bool {
 	return len(c.publishedDemand[shard].Needs) > 0
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
