--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -6,8 +6,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// callWorker calls a worker, through a peer if we reach none of them and it does. A peer on the
-// way is like a slow network: the worker compares token and session of what we sent.
+// callWorker calls a worker, through a peer if this controller reaches no worker and the peer does.
+// Relaying through a peer is no different from a slow network: the worker checks the token and the
+// session of the call.
 func (c *Core) callWorker(v Order) {
 	if n := c.words.WorkerProxy(c.now); n != "" {
 		v.For = c.p.Node
@@ -18,18 +19,23 @@
 }
 
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
-	return callqueue.New[*machine](callqueue.Limits{PerSecond: tuning.OrdersPerSecond, Burst: tuning.OrdersPerSecond / 2, ScanLimit: tuning.OrderLook, MaxAge: 2 * p.Report})
+	return callqueue.New[*machine](callqueue.Limits{
+		PerSecond: tuning.OrdersPerSecond,
+		Burst:     tuning.OrdersPerSecond / 2,
+		ScanLimit: tuning.OrderLook,
+		MaxAge:    2 * p.Report,
+	})
 }
 
-// tokenOf is the token of answers to a machine: its block's, or a later revision at
-// which our copy of the state still showed that we hold it. Whoever is granted it next
-// is so by a later write, so has a higher one.
+// answerToken returns the token of answers to a machine: that of its block, or a later revision
+// at which the mirror still showed that this controller holds the block. The next holder is
+// granted the block by a later write, so its token is higher.
 func (c *Core) answerToken(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raisedToken) }
 
-// wantReport asks for a machine's next report soon.
+// requestReport queues a call that makes a worker report early.
 func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Request(c.now, m, urgent) }
 
-// promptWorkers calls workers that have something to hear.
+// callQueuedWorkers calls the queued workers for which a start or a stop is ready.
 func (c *Core) callQueuedWorkers() {
 	if c.desk.Len() == 0 || !c.confirmed() {
 		return
@@ -47,13 +53,13 @@
 	}
 }
 
-// dueFor tells whether a machine should be called now.
+// callVerdict decides whether a queued machine is called now, later or not at all.
 func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
 	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
-		return callqueue.Wait // what we just answered must not be overtaken
+		return callqueue.Wait // the call must not overtake the last answer
 	case len(c.stopCommands(m)) > 0:
 		return callqueue.Call
 	}
@@ -74,7 +80,7 @@
 	return callqueue.Forget
 }
 
-// stops lists what is to be stopped on a machine.
+// stopCommands returns the commands that stop attempts on a machine.
 func (c *Core) stopCommands(m *machine) []wire.Command {
 	cmds := []wire.Command{}
 	for _, cmd := range c.commandsFor(m, true) {
@@ -85,9 +91,10 @@
 	return cmds
 }
 
-// passOn has the workers of a block that was ours report at once: they are sent on to
-// the block's next holder, who has no address to call them at. The token is the one
-// that the next holder was granted, so that ours count no more.
+// sendToNextHolder makes the worker of a machine whose block has left this controller's shards
+// report at once. The worker is then redirected to the block's next holder, which has no address
+// to call it at. The call carries the token that the next holder was granted, so that calls and
+// answers with this controller's tokens are no longer valid.
 func (c *Core) sendToNextHolder(m *machine, b *blockEntry) {
 	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.confirmed() {
 		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.token(b), Session: m.session, Commands: []wire.Command{}}})
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -7,14 +7,23 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// newPendingMachines returns an empty set of machines to be accounted for.
 func newPendingMachines() *takeover.PendingMachines[*machine] {
-	return takeover.NewPendingMachines[*machine](takeover.Limits{PerSecond: tuning.RollPerSecond, Burst: tuning.RollBurst, MaxInFlight: tuning.RollOpen, ScanLimit: tuning.RollLook,
-		LostAfter: 2 * tuning.OrderTimeout, RetryDelay: tuning.RollPause, RetryDelayMax: tuning.RollPauseMax})
+	return takeover.NewPendingMachines[*machine](takeover.Limits{
+		PerSecond:     tuning.RollPerSecond,
+		Burst:         tuning.RollBurst,
+		MaxInFlight:   tuning.RollOpen,
+		ScanLimit:     tuning.RollLook,
+		LostAfter:     2 * tuning.OrderTimeout,
+		RetryDelay:    tuning.RollPause,
+		RetryDelayMax: tuning.RollPauseMax,
+	})
 }
 
-// callRoll calls the workers of machines that are not accounted for, with our token and
-// no command. After a cut they may be answered by a former holder for as long as it may
-// go unconfirmed, and by nobody who can reach us: the roll does not wait for them to come.
+// queryPendingMachines calls the workers of machines that are not accounted for, with the token
+// of this controller and no command. It does not wait for their own reports: after a network
+// partition a former holder may answer these for as long as it may go without confirmation, and
+// they may reach no controller that can reach this one.
 func (c *Core) queryPendingMachines() {
 	if c.roll.Len() == 0 || !c.confirmed() {
 		return
@@ -32,10 +41,10 @@
 	}
 }
 
-// onOrderDone takes the report that a called worker answered with. It accounts for the
-// machine as its own report would: it names our token, so every lower one is refused from
-// then on, and nothing that we have answered it with can still be on its way, since a
-// machine that is not accounted for is sent no command.
+// onOrderDone handles the outcome of a call to a worker. A report in the answer accounts for the
+// machine as a report that the worker sends by itself: it names the token of this controller, so
+// the worker refuses every lower one from then on, and no command of this controller can still be
+// in transit, since a machine that is not accounted for is sent none.
 func (c *Core) onOrderDone(v OrderDone) {
 	r := &v.Report
 	if v.Status != 0 && r.Machine == v.Machine {
@@ -52,13 +61,13 @@
 	}
 	m := c.machines[v.Machine]
 	if v.Look && v.Status == 200 && r.Machine == v.Machine {
-		c.lives(r) // an answer to our own call is no copy
+		c.lives(r) // an answer to this controller's own call is no late copy
 	}
 	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.delivery.CallUnanswered() {
 		c.deliveryChanged(m)
 	}
 	if v.Look || m == nil || m.accounted || !c.mine(m.shard) {
-		return // it has reported by itself meanwhile, or is no longer ours
+		return // it has reported by itself meanwhile, or is no longer held here
 	}
 	b := c.blocks[m.block]
 	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takeoverToken || c.isStaleReport(m, r) || r.Token > c.answerToken(m, b) {
@@ -67,15 +76,15 @@
 	}
 	m.currentReportsProven = true
 	c.applyMachineReport(m, r)
-	// The last report that anybody answered left its worker before the call came there,
-	// so its lease is over no later than one that began now.
+	// The last report that any controller answered left the worker before the call arrived
+	// there, so its lease ends no later than one that begins now.
 	m.lastAnswered = max(m.lastAnswered, c.now)
 	c.applyAttemptReports(m, r)
 	c.markAccounted(m, "call")
 	c.runHolder()
 }
 
-// shardHeld is the shard of a machine that is held here.
+// heldShardOf returns the shard of a machine that is held here, or reach.Anywhere.
 func (c *Core) heldShardOf(name string) int {
 	if m := c.machines[name]; m != nil {
 		return m.shard
@@ -83,7 +92,7 @@
 	return reach.AnyShard
 }
 
-// learnAddrs takes note of where a list says that workers listen.
+// learnAddresses stores the addresses of workers from the cloud's list of machines.
 func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
 	for n, i := range list {
 		if c.blockIn[n] != "" || c.leader.known.Stranger(n) {
@@ -93,8 +102,9 @@
 	c.addrs.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockIn[n] != "" })
 }
 
-// followAddrs has the addresses at hand before they are needed. Only the leader reads the
-// list for what it decides; the others read it for the addresses that they lack.
+// refreshAddresses reads the addresses of workers before they are needed. The leader reads the
+// cloud's list anyway for its own decisions; the other controllers read it only if addresses are
+// missing.
 func (c *Core) refreshAddresses() {
 	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
 		return
@@ -112,6 +122,8 @@
 	}
 }
 
+// readAddressPage reads the pages of the cloud's list after a machine, adds them to machines and
+// stores the addresses once the list is complete.
 func (c *Core) readAddressPage(after string, machines map[string]wire.MachineInfo) {
 	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		for _, m := range r.List.Machines {
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -10,13 +10,23 @@
 )
 
 func newHealth() *health.Book {
-	return health.New(health.Params{SoundJob: tuning.BlameSoundJob, NewJob: tuning.BlameNewJob, FailsElsewhere: tuning.BlameElsewhere,
-		Suspect: tuning.BlameSuspect, Sick: tuning.BlameSick,
-		SoundMachine: tuning.BlameSoundMachine, NewMachine: tuning.BlameNewMachine, TroubledMachine: tuning.BlameTroubled, Mistaken: tuning.BlameMistaken,
-		Pause: tuning.ErrorBackoff, PauseMax: tuning.ErrorBackoffMax, MistakenMax: tuning.MistakenMax})
+	return health.New(health.Params{
+		SoundJob:        tuning.BlameSoundJob,
+		NewJob:          tuning.BlameNewJob,
+		FailsElsewhere:  tuning.BlameElsewhere,
+		Suspect:         tuning.BlameSuspect,
+		Sick:            tuning.BlameSick,
+		SoundMachine:    tuning.BlameSoundMachine,
+		NewMachine:      tuning.BlameNewMachine,
+		TroubledMachine: tuning.BlameTroubled,
+		Mistaken:        tuning.BlameMistaken,
+		Pause:           tuning.ErrorBackoff,
+		PauseMax:        tuning.ErrorBackoffMax,
+		MistakenMax:     tuning.MistakenMax,
+	})
 }
 
-// taskFailed weighs who is to blame for a task that failed.
+// taskFailed records that a task failed and acts on what that says about its machine and its job.
 func (c *Core) taskFailed(e *jobEntry, a *attempt) {
 	was := c.taskHealth.Mistaken(a.job)
 	c.returnFaulty(c.taskHealth.Failed(c.now, a.job, a.machine.name))
@@ -26,11 +36,11 @@
 	if c.taskHealth.Mistaken(a.job) && !was {
 		machines, times := c.taskHealth.Failures(a.job)
 		c.noteTask(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
-		c.log(1, "job fails everywhere, tried rarely", "job", a.job, "machines", machines, "failures", times)
+		c.log(1, "job fails on every machine; retrying it rarely", "job", a.job, "machines", machines, "failures", times)
 	}
 }
 
-// sicken gives back machines that are to blame.
+// returnFaulty gives back machines that were found faulty.
 func (c *Core) returnFaulty(names []string) {
 	for _, n := range names {
 		m := c.machines[n]
@@ -39,14 +49,14 @@
 		}
 		_, failures := c.taskHealth.Machine(n)
 		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
-		c.log(1, "machine looks faulty, returning it", "machine", n, "failures", failures)
+		c.log(1, "machine seems faulty; returning it", "machine", n, "failures", failures)
 		m.returning = true
 		c.markDirty(m)
 	}
 }
 
-// hasProved counts a replica that has run for long as one that completed: a service
-// never does, and a faulty machine or a mistake shows sooner.
+// countLongRunning counts a replica of a service that has run for long as a completed task:
+// services never complete, and a faulty machine or a mistake in the job shows sooner.
 func (c *Core) countLongRunning(a *attempt) {
 	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
 		return
@@ -61,14 +71,14 @@
 	}
 }
 
-// avoids tells whether a job's tasks keep off a machine: they have failed there, or the
-// machine is suspected and they cannot wait.
+// avoids reports whether a job's tasks are not placed on a machine: they have failed there, or
+// the machine is suspected to be faulty and they are urgent.
 func (c *Core) avoids(e *jobEntry, m *machine) bool {
 	if c.taskHealth.Avoids(e.rec.ID, m.name) {
 		return true
 	}
 	if c.taskHealth.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
-		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
+		return true // a job that fails everywhere causes no fetch, unless no machine has its image any more
 	}
 	if e.prio >= urgentRank {
 		verdict, _ := c.taskHealth.Machine(m.name)
@@ -77,8 +87,8 @@
 	return false
 }
 
-// trials is how many of a job's tasks may be started: of one that has failed on several
-// machines and completed nowhere, one at a time.
+// startableTasks returns how many of a job's tasks may be started now. A job that has failed on
+// several machines and completed on none runs one task at a time.
 func (c *Core) startableTasks(e *jobEntry) int {
 	n := e.run.pendingTasks(&e.rec)
 	if e.rec.Shape != wire.ShapeGang && c.taskHealth.Trial(e.rec.ID) {
