--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -18,6 +18,7 @@
 	c.out = append(c.out, v)
 }
 
+// newCallQueue returns an empty queue of workers to be called.
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
 	return callqueue.New[*machine](callqueue.Limits{
 		PerSecond: tuning.OrdersPerSecond,
@@ -56,7 +57,8 @@
 // callVerdict decides whether a queued machine is called now, later or not at all.
 func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
+	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent ||
+		m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
 		return callqueue.Wait // the call must not overtake the last answer
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -40,30 +40,32 @@
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
-	most := c.capacity.MaxFree(shard)
-	var least *placement.Size
+	largest := c.capacity.MaxFree(shard)
+	var smallest *placement.Size
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOf(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return most
+		return largest
 	}, func(p *queue.Entry[*jobEntry]) bool {
-		if s := p.Job.TaskSize; least == nil {
-			least = &s
+		if s := p.Job.TaskSize; smallest == nil {
+			smallest = &s
 		} else {
-			*least = smallerSize(*least, s)
+			*smallest = smallerSize(*smallest, s)
 		}
 		return true
 	})
 	for _, j := range soon {
 		s := jobSize(j)
-		if least != nil {
-			s = smallerSize(*least, s)
+		if smallest != nil {
+			s = smallerSize(*smallest, s)
 		}
-		least = &s
+		smallest = &s
 	}
-	if least != nil {
-		c.capacity.EachFitting(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
+	if smallest != nil {
+		c.capacity.EachFitting(shard, *smallest, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) {
+			add(m, free, false)
+		})
 	}
 	sorted := len(machines)
 	for m := range c.idleAttempts {
@@ -104,7 +106,7 @@
 		return wire.Need{}, false
 	}
 	missing -= c.capacity.UrgentSlots(shard)
-	urgentTask, rank := c.urgentReserve.TaskSize(shard)
+	urgentTask, tier := c.urgentReserve.TaskSize(shard)
 	doubted := c.doubted(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
@@ -116,7 +118,13 @@
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
 	}
-	return wire.Need{CPUs: urgentTask.CPUs, GPUs: urgentTask.GPUs, MemGB: urgentTask.MemGB, Tasks: missing, Rung: rank}, missing > 0 // MergeNeed joins it with the need of such a task itself
+	return wire.Need{ // MergeNeed joins it with the need of such a task itself
+		CPUs:  urgentTask.CPUs,
+		GPUs:  urgentTask.GPUs,
+		MemGB: urgentTask.MemGB,
+		Tasks: missing,
+		Rung:  tier,
+	}, missing > 0
 }
 
 // unmetNeeds returns the needs of a shard's tasks that do not fit on any held machine, machines
@@ -157,7 +165,14 @@
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		want = max(0, want-c.heldSoon(shard, j))
-		missing := want - pool.Take(supply.Request{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
+		missing := want - pool.Take(supply.Request{
+			Types:  j.Types,
+			Zone:   zone,
+			Spot:   j.Spot,
+			Size:   size,
+			Urgent: e.prio >= urgentRank,
+			Idle:   e.prio <= idleRank,
+		}, want)
 		overdue := p.WithinGuarantee && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if missing == 0 && !overdue {
 			return true
@@ -199,17 +214,18 @@
 // idle priority, and for arrays with a deadline beyond their team's guarantee, these are only as
 // many as are needed to finish in time.
 func (c *Core) requestedTasks(p *queue.Entry[*jobEntry]) int {
-	e, pace, run := p.Handle, objectiveLimits, p.Job.EstimateS
+	e, bounds, runtimeS := p.Handle, objectiveLimits, p.Job.EstimateS
 	if e.prio > idleRank {
 		if e.prio >= urgentRank || p.WithinGuarantee || p.Job.Service || e.rec.DueS <= 0 {
 			return p.Job.Pending
 		}
-		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
+		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
 	}
-	places := pace.TargetParallelism(p.Job.Unfinished, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
+	places := bounds.TargetParallelism(p.Job.Unfinished, runtimeS, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
+// demandPace bounds how often unmet demand is published and written.
 var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -150,6 +150,7 @@
 	passedOverSince Time // since when machines without its image have been left to other jobs; 0: not
 }
 
+// newHolderState returns the state of a holder of no shards.
 func newHolderState() holderState {
 	return holderState{
 		taskHealth: newHealth(),
@@ -197,7 +198,7 @@
 		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.rec.Started, done: c.known(e).Clone()}
 		if e.rec.Started > 0 {
 			e.run.inheritedBelow = e.rec.Started
-			if s, _ := c.started.Of(e.rec.ID); s.Bad && len(e.run.done) == 0 {
+			if starts, _ := c.started.Of(e.rec.ID); starts.Bad && len(e.run.done) == 0 {
 				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
 				c.taskHealth.Condemn(c.now, e.rec.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.rec.ID)
@@ -316,7 +317,8 @@
 		c.words.HolderChanged(c.now, &old.rec, &c.shards[shard].rec)
 	}
 	namesUs := c.member.Boot() != 0 && c.shards[shard].rec.Holder == c.p.Node && c.shards[shard].rec.Boot == c.member.Boot()
-	if current := c.shards[shard]; old == nil || old.rec.Holder != current.rec.Holder || old.rec.Boot != current.rec.Boot || !slices.Equal(old.rec.Teams, current.rec.Teams) {
+	if current := c.shards[shard]; old == nil || old.rec.Holder != current.rec.Holder ||
+		old.rec.Boot != current.rec.Boot || !slices.Equal(old.rec.Teams, current.rec.Teams) {
 		c.vouch.HolderAssigned(shardKey(shard), current.ver, namesUs)
 	}
 	if namesUs && c.heldShards[shard] && old != nil && assignment.Reacquired(old.rec, c.shards[shard].rec) {
@@ -389,8 +391,8 @@
 		}
 	}
 	newHolder := c.shards[shard].rec.Holder
-	if y, ok := c.yielded[shard]; ok { // a peer has announced the change, and the record here is older
-		newHolder = y
+	if yieldedTo, ok := c.yielded[shard]; ok { // a peer has announced the change, and the record here is older
+		newHolder = yieldedTo
 	}
 	c.noteShard(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].ver})
 	c.log(1, "shard lost", "shard", shard, "to", newHolder)
@@ -437,20 +439,20 @@
 // holdMachines adds the machines of a block to those held here, or moves them to the block's
 // shard. inherited: an earlier holder may have started tasks on them.
 func (c *Core) holdMachines(b *blockEntry, inherited bool) {
-	for _, bm := range b.rec.Machines {
-		m := c.machines[bm.Name]
+	for _, blockMachine := range b.rec.Machines {
+		m := c.machines[blockMachine.Name]
 		if m == nil {
 			m = &machine{
-				name: bm.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
+				name: blockMachine.Name, block: b.id, machineType: b.rec.Type, zone: b.rec.Zone, spot: b.rec.Spot,
 				shard: b.rec.Shard, heldSince: c.now, takeoverToken: c.token(b),
-				inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
+				inherited: inherited && !blockMachine.Empty && (!blockMachine.Fresh || c.useRecorded(blockMachine.Name)),
 				attempts:  map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now,
 			}
-			for _, image := range c.caches.Of(bm.Name) {
+			for _, image := range c.caches.Of(blockMachine.Name) {
 				m.images[image] = true
 			}
-			c.machines[bm.Name] = m
+			c.machines[blockMachine.Name] = m
 			c.machinesByName = nil
 			if m.inherited {
 				c.unaccountedMachines[m.shard]++
@@ -460,11 +462,11 @@
 			c.unaccountedMachines[m.shard]--
 			c.unaccountedMachines[b.rec.Shard]++
 		}
-		m.fresh = bm.Fresh && !c.useRecorded(bm.Name)
+		m.fresh = blockMachine.Fresh && !c.useRecorded(blockMachine.Name)
 		// A block may move between two shards of one holder. A machine left in its
 		// old shard would be given tasks of that shard, and they would be lost from
 		// view with the next change of the holder.
-		m.shard, m.base, m.returning = b.rec.Shard, b.rec.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
+		m.shard, m.base, m.returning = b.rec.Shard, b.rec.Base, m.returning || blockMachine.Drop || c.cordons[blockMachine.Name].Drain
 		c.markDirty(m)
 	}
 }
@@ -478,7 +480,7 @@
 
 // attemptLost removes an attempt from its machine. Its task is started again
 // unless it is done.
-func (c *Core) attemptLost(a *attempt, why string) {
+func (c *Core) attemptLost(a *attempt, reason string) {
 	c.hasten(a)
 	c.removeAttempt(a)
 	c.placementDue = true
@@ -487,8 +489,8 @@
 		return
 	}
 	c.deactivateAttempt(e, a)
-	c.noteTask(trail.TaskLost, a, why)
-	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", why)
+	c.noteTask(trail.TaskLost, a, reason)
+	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", reason)
 }
 
 // deactivateAttempt records that the attempt no longer runs its task. Unless another
@@ -512,7 +514,8 @@
 func (c *Core) otherAttempt(a *attempt) *attempt {
 	var found *attempt
 	for _, other := range c.attemptsByTask[a.key.task] {
-		if other != a && other.status != wire.TaskEnded && (found == nil || other.machine.name < found.machine.name || other.machine == found.machine && other.key.number < found.key.number) {
+		if other != a && other.status != wire.TaskEnded && (found == nil || other.machine.name < found.machine.name ||
+			other.machine == found.machine && other.key.number < found.key.number) {
 			found = other
 		}
 	}
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -38,6 +38,7 @@
 	jobsAwaitingMachine map[string][]*jobEntry // machine -> jobs whose tasks may be on it after a takeover
 }
 
+// newIndexes returns empty indexes. teams gives the guarantees that order the job queue.
 func newIndexes(teams map[string]Team) indexes {
 	guarantees := map[string]placement.Size{}
 	for n, t := range teams {
@@ -102,17 +103,17 @@
 		c.markDirty(m)
 	}
 	for len(c.dirtyMachines) > 0 { // loops: a machine that became unusable loses its unsent attempts, which marks it dirty again
-		list := c.dirtyMachines
+		dirty := c.dirtyMachines
 		c.dirtyMachines = nil
-		sort.Slice(list, func(i, j int) bool { return list[i].name < list[j].name })
-		for _, m := range list {
+		sort.Slice(dirty, func(i, j int) bool { return dirty[i].name < dirty[j].name })
+		for _, m := range dirty {
 			m.dirty = false
 			c.refreshMachine(m)
 		}
 	}
-	list := c.dirtyJobs
+	dirty := c.dirtyJobs
 	c.dirtyJobs = nil
-	for _, e := range list {
+	for _, e := range dirty {
 		e.touched = false
 		c.refreshJob(e)
 	}
@@ -207,6 +208,7 @@
 	}
 }
 
+// objectiveLimits bound the machines that are rented for work that is not urgent.
 var objectiveLimits = objectives.Limits{
 	ReferenceCPUs: tuning.TurnCPUs,
 	HorizonS:      tuning.IdleHorizon.Seconds(),
@@ -234,8 +236,8 @@
 		return 0, true, true
 	}
 	started = max(e.rec.Started, run.nextIndex)
-	if ahead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.rec.Started-run.nextIndex < ahead/2 && run.nextIndex > 0 {
-		started = max(started, min(e.rec.Tasks, run.nextIndex+ahead))
+	if startsAhead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.rec.Started-run.nextIndex < startsAhead/2 && run.nextIndex > 0 {
+		started = max(started, min(e.rec.Tasks, run.nextIndex+startsAhead))
 	}
 	return started, false, started > e.rec.Started || c.movedOn(e) || c.failureUnrecorded(e)
 }
@@ -245,10 +247,10 @@
 	if !c.every("judge", tuning.JudgeEvery) {
 		return
 	}
-	have := c.shardCPUs()
+	shardCPUs := c.shardCPUs()
 	c.jobQueue.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
 		t := c.p.Teams[team]
-		return min(t.CPUsMax, max(have[c.shardOf(team)], t.CPUs))
+		return min(t.CPUsMax, max(shardCPUs[c.shardOf(team)], t.CPUs))
 	})
 }
 
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -28,16 +28,16 @@
 	if c.roll.Len() == 0 || !c.confirmed() {
 		return
 	}
-	known := func(m *machine) bool { _, ok := c.addrs.Lookup(m.name); return ok }
-	for _, m := range c.roll.Take(c.now, known) {
+	addressKnown := func(m *machine) bool { _, ok := c.addrs.Lookup(m.name); return ok }
+	for _, m := range c.roll.Take(c.now, addressKnown) {
 		block := c.blocks[m.block]
 		if c.machines[m.name] != m || m.accounted || block == nil || !c.mine(m.shard) {
 			c.roll.Remove(m)
 			continue
 		}
-		at, _ := c.addrs.Lookup(m.name)
-		c.callWorker(Order{Machine: m.name, Addr: at.Addr, Roll: true,
-			Orders: wire.Orders{Token: c.token(block), Session: max(at.Session, m.session), Commands: []wire.Command{}}})
+		address, _ := c.addrs.Lookup(m.name)
+		c.callWorker(Order{Machine: m.name, Addr: address.Addr, Roll: true,
+			Orders: wire.Orders{Token: c.token(block), Session: max(address.Session, m.session), Commands: []wire.Command{}}})
 	}
 }
 
@@ -70,7 +70,8 @@
 		return // it has reported by itself meanwhile, or is no longer held here
 	}
 	b := c.blocks[m.block]
-	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() || r.Token < m.takeoverToken || c.isStaleReport(m, r) || r.Token > c.answerToken(m, b) {
+	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() ||
+		r.Token < m.takeoverToken || c.isStaleReport(m, r) || r.Token > c.answerToken(m, b) {
 		c.roll.CallFailed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
 		return
 	}
@@ -125,16 +126,16 @@
 // readAddressPage reads the pages of the cloud's list after a machine, adds them to machines and
 // stores the addresses once the list is complete.
 func (c *Core) readAddressPage(after string, machines map[string]wire.MachineInfo) {
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
-		for _, m := range r.List.Machines {
+	c.cloud(CloudCall{Op: OpMachines, After: after}, func(reply CloudReply) {
+		for _, m := range reply.List.Machines {
 			machines[m.Name] = m
 			after = m.Name
 		}
-		if r.Status == 200 && r.List.More && len(r.List.Machines) > 0 {
+		if reply.Status == 200 && reply.List.More && len(reply.List.Machines) > 0 {
 			c.readAddressPage(after, machines)
 			return
 		}
-		if c.listing = false; r.Status == 200 {
+		if c.listing = false; reply.Status == 200 {
 			c.learnAddresses(machines)
 		}
 	})
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -67,7 +67,8 @@
 	if _, cordoned := c.cordons[m.name]; cordoned {
 		return false
 	}
-	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving && b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving &&
+		b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
@@ -196,23 +197,34 @@
 
 // placeOn reserves a machine for a job's next task, with an attempt number of its own or, for a
 // gang, with the number that all its tasks share.
-func (c *Core) placeOn(e *jobEntry, m *machine, own bool) {
+func (c *Core) placeOn(e *jobEntry, m *machine, ownNumber bool) {
 	j, run := &e.rec, e.run
 	run.passedOverSince = 0
-	idx := run.nextIndex
+	taskIndex := run.nextIndex
 	if len(run.retryIndexes) > 0 {
-		idx, run.retryIndexes = run.retryIndexes[0], run.retryIndexes[1:]
+		taskIndex, run.retryIndexes = run.retryIndexes[0], run.retryIndexes[1:]
 	} else {
 		run.nextIndex++
 	}
-	if own {
+	if ownNumber {
 		c.lastAttemptNumber++
 	}
-	a := &attempt{key: attemptKey{wire.TaskName(j.ID, idx), c.member.Boot()<<24 | c.lastAttemptNumber}, job: j.ID, taskIndex: idx, team: j.Team,
-		size: jobSize(j), sizeKnown: true, belowUrgent: e.prio < urgentRank, idlePriority: e.prio <= idleRank, machine: m, createdAt: c.now, runningSince: c.now}
+	a := &attempt{
+		key:          attemptKey{wire.TaskName(j.ID, taskIndex), c.member.Boot()<<24 | c.lastAttemptNumber},
+		job:          j.ID,
+		taskIndex:    taskIndex,
+		team:         j.Team,
+		size:         jobSize(j),
+		sizeKnown:    true,
+		belowUrgent:  e.prio < urgentRank,
+		idlePriority: e.prio <= idleRank,
+		machine:      m,
+		createdAt:    c.now,
+		runningSince: c.now,
+	}
 	c.addAttempt(a)
 	c.markJobDirty(e)
-	run.active[idx] = a
+	run.active[taskIndex] = a
 	m.idleSince = c.now
 	c.refreshMachine(m)
 	c.requestReport(m, e.prio >= urgentRank)
@@ -223,20 +235,20 @@
 func (c *Core) chooseMachine(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
 	j, run := &e.rec, e.run
-	kinds := c.allowedKinds(e, zones)
+	allowed := c.allowedKinds(e, zones)
 	if len(run.retryIndexes) > 0 && tracksMachines(j) {
 		// The machine that ran the task before has its image, and the start there is
 		// recorded already. After an outage hundreds of tasks start again at once.
 		if m := c.machines[recordedMachine(j, run.retryIndexes[0])]; m != nil {
 			facts, ok := c.capacity.Get(m)
-			if ok && facts.Usable && facts.Shard == shard && kinds(facts.Kind) && placement.Fits(facts.Free, size) && !c.avoids(e, m) {
+			if ok && facts.Usable && facts.Shard == shard && allowed(facts.Kind) && placement.Fits(facts.Free, size) && !c.avoids(e, m) {
 				return m, placement.Beta(facts.Free, size)
 			}
 		}
 	}
 	leftToOthers := []*machine{}
 	for range tuning.LocalTries {
-		m, beta := c.pickMachine(e, shard, size, anchor, zones, kinds, leftToOthers)
+		m, beta := c.pickMachine(e, shard, size, anchor, zones, allowed, leftToOthers)
 		// gangFits has counted capacity for the whole gang, so it may not pass over any of it.
 		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
 			return m, beta
@@ -267,7 +279,8 @@
 		if examined++; examined > tuning.LocalLook || e.rank < p.Handle.rank {
 			return false
 		}
-		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue && !c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
+		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue &&
+			!c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
 			e.run.pendingTasks(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
@@ -279,9 +292,10 @@
 
 // pickMachine returns the heuristic's choice among the machines that the ledger proposes, except
 // the excluded ones, and its beta; nil if there is none.
-func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, kinds func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
+func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, allowed func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
 	j := &e.rec
-	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, kinds, func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
+	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, allowed,
+		func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
 	c.candidates = c.candidates[:0]
 	for _, found := range c.foundMachines {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -12,18 +12,18 @@
 
 // machineGone frees everything that was on a machine that is certainly gone, or
 // whose lease is certainly over.
-func (c *Core) machineGone(m *machine, why string) {
+func (c *Core) machineGone(m *machine, reason string) {
 	c.placementDue = true
 	for _, k := range sortedAttemptKeys(m) {
-		c.attemptLost(m.attempts[k], why)
+		c.attemptLost(m.attempts[k], reason)
 	}
-	c.markAccounted(m, why)
+	c.markAccounted(m, reason)
 }
 
 // markAccounted records that the tasks on a machine are known from now on.
-func (c *Core) markAccounted(m *machine, why string) {
+func (c *Core) markAccounted(m *machine, reason string) {
 	if m.inherited && !m.accounted {
-		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: why})
+		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: reason})
 		c.unaccountedMachines[m.shard]--
 	}
 	m.accounted = true
@@ -89,9 +89,9 @@
 
 // recordedMachine returns the machine that a task was last started on according to its job's
 // record, or "" if it is not recorded.
-func recordedMachine(j *wire.Job, idx int) string {
-	if idx < len(j.On) {
-		return j.On[idx]
+func recordedMachine(j *wire.Job, taskIndex int) string {
+	if taskIndex < len(j.On) {
+		return j.On[taskIndex]
 	}
 	return ""
 }
@@ -99,15 +99,15 @@
 // mayRunOnInherited reports whether a started task may be on a machine of an earlier holder
 // that is not accounted for. A machine that has left the shard was deleted, or was
 // guaranteed to be empty.
-func (c *Core) mayRunOnInherited(e *jobEntry, idx, shard int) bool {
+func (c *Core) mayRunOnInherited(e *jobEntry, taskIndex, shard int) bool {
 	if !c.unreconciledShards[shard] {
 		return false
 	}
-	on := recordedMachine(&e.rec, idx)
-	if on == "" {
+	recorded := recordedMachine(&e.rec, taskIndex)
+	if recorded == "" {
 		return true
 	}
-	m := c.machines[on]
+	m := c.machines[recorded]
 	return m != nil && m.shard == shard && m.inherited && !m.accounted
 }
 
@@ -134,7 +134,11 @@
 		}
 		e.run.retryIndexes = append(e.run.retryIndexes, k)
 		if lost {
-			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{Task: wire.TaskName(e.rec.ID, k), Machine: recordedMachine(&e.rec, k), Why: "on no machine after a change of hands"})
+			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{
+				Task:    wire.TaskName(e.rec.ID, k),
+				Machine: recordedMachine(&e.rec, k),
+				Why:     "on no machine after a change of hands",
+			})
 		}
 		c.placementDue = true
 	}
@@ -239,7 +243,8 @@
 			// A machine counts as missing after two calls without a usable answer. One whose
 			// address is not known gets until its next report is overdue.
 			waited := c.roll.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
-			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited && c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
+			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited &&
+				c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
 				m.returning = true
 				c.markDirty(m)
 				c.urgentBlocks[m.block] = true // written with the urgent writes
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -94,7 +94,8 @@
 // over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
+	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 &&
+		(c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
 	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -147,7 +148,10 @@
 func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
-		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
+		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{
+			Count: len(r.Attempts),
+			Why:   fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds()),
+		})
 	}
 	if m.leaseOver {
 		c.markDirty(m)
@@ -227,9 +231,9 @@
 // redirectToRelay redirects a worker to a controller that can relay its reports to a holder
 // that neither the worker nor this controller can reach, if there is one.
 func (c *Core) redirectToRelay(req uint64, holder string) {
-	for _, n := range sortedKeys(c.nodes) {
-		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
-			c.answer(req, 421, wire.Redirect{Holder: n})
+	for _, node := range sortedKeys(c.nodes) {
+		if node != c.p.Node && node != holder && !c.wordOf(node).Lacks && !slices.Contains(c.wordOf(node).Apart, holder) {
+			c.answer(req, 421, wire.Redirect{Holder: node})
 			return
 		}
 	}
@@ -244,24 +248,24 @@
 		present[k] = true
 		a := m.attempts[k]
 		if a == nil {
-			job, idx, err := wire.ParseTask(t.Task)
+			job, taskIndex, err := wire.ParseTask(t.Task)
 			if err != nil {
 				c.log(0, "report contains an invalid task name", "machine", m.name, "task", t.Task)
 				continue
 			}
-			a = &attempt{key: k, job: job, taskIndex: idx, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
+			a = &attempt{key: k, job: job, taskIndex: taskIndex, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
 			if e := c.jobs[job]; e != nil {
 				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
 				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
-					if other := e.run.active[idx]; other != nil {
+					if other := e.run.active[taskIndex]; other != nil {
 						// One of the two is outdated and comes from a delayed report; the
 						// next reports show which.
 						c.log(0, "task reported by two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
 						a.stopping = other.machine.accounted && m.accounted && other.machine != m
 					} else {
-						e.run.active[idx] = a
-						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == idx })
+						e.run.active[taskIndex] = a
+						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == taskIndex })
 					}
 				}
 			}
@@ -359,7 +363,8 @@
 // the command may be sent.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex && (!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
+	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex &&
+		(!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
 }
 
 // commandsFor returns the commands for a machine. A preview changes nothing and leaves out starts.
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -13,6 +13,7 @@
 // machine. Other entries are named by their job.
 const machineEntryPrefix = "m:"
 
+// writeLimitParams configure how the limits of writes are learned from refused writes.
 var writeLimitParams = limits.FormParams{
 	Least:  limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
 	Factor: tuning.FormFactor,
@@ -24,15 +25,17 @@
 }
 
 // writeRefused lowers the limits of writes after the state service has refused one as malformed.
-func (c *Core) writeRefused(when []wire.Condition, then []wire.Change, why string) {
-	if strings.Contains(why, "lease") {
+func (c *Core) writeRefused(conditions []wire.Condition, changes []wire.Change, reason string) {
+	if strings.Contains(reason, "lease") {
 		return // the state lease has ended: its holder requests another one
 	}
-	write := limits.Describe(when, then)
+	write := limits.Describe(conditions, changes)
 	c.out = append(c.out, WriteRefused{Kind: write.Kind})
-	if c.form.Refused(c.now, write, why) {
+	if c.form.Refused(c.now, write, reason) {
 		bounds := c.form.Bounds()
-		c.log(3, "state service refused a write as malformed", "kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", why, "now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
+		c.log(3, "state service refused a write as malformed",
+			"kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", reason,
+			"now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
 	}
 	c.applyWriteLimits(c.form.Bounds())
 }
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -9,6 +9,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// newHealth returns a record of task failures without any evidence.
 func newHealth() *health.Book {
 	return health.New(health.Params{
 		SoundJob:        tuning.BlameSoundJob,
@@ -42,14 +43,14 @@
 
 // returnFaulty gives back machines that were found faulty.
 func (c *Core) returnFaulty(names []string) {
-	for _, n := range names {
-		m := c.machines[n]
+	for _, name := range names {
+		m := c.machines[name]
 		if m == nil || m.returning {
 			continue
 		}
-		_, failures := c.taskHealth.Machine(n)
+		_, failures := c.taskHealth.Machine(name)
 		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
-		c.log(1, "machine seems faulty; returning it", "machine", n, "failures", failures)
+		c.log(1, "machine seems faulty; returning it", "machine", name, "failures", failures)
 		m.returning = true
 		c.markDirty(m)
 	}
