--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -18,6 +18,7 @@
 	c.effects = append(c.effects, v)
 }
 
+// newCallQueue returns an empty queue of workers to be called.
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
 	return callqueue.New[*machine](callqueue.Limits{
 		PerSecond: tuning.OrdersPerSecond,
@@ -58,7 +59,8 @@
 // callVerdict decides whether a queued machine is called now, later or not at all.
 func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
-	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent || m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.holdsShard(m.shard):
+	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent ||
+		m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.holdsShard(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
 		return callqueue.Wait // the call must not overtake the last answer
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -150,6 +150,7 @@
 	passedOverSince Time // since when machines without its image have been left to other jobs; 0: not
 }
 
+// newHolderState returns the state of a holder of no shards.
 func newHolderState() holderState {
 	return holderState{
 		taskHealth: newHealth(),
@@ -197,7 +198,7 @@
 		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.knownDone(e).Clone()}
 		if e.record.Started > 0 {
 			e.run.inheritedBelow = e.record.Started
-			if s, _ := c.startLog.Of(e.record.ID); s.Bad && len(e.run.done) == 0 {
+			if starts, _ := c.startLog.Of(e.record.ID); starts.Bad && len(e.run.done) == 0 {
 				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
 				c.taskHealth.Condemn(c.now, e.record.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.record.ID)
@@ -316,7 +317,8 @@
 		c.assignments.HolderChanged(c.now, &old.record, &c.shards[shard].record)
 	}
 	namesUs := c.presence.Boot() != 0 && c.shards[shard].record.Holder == c.params.Node && c.shards[shard].record.Boot == c.presence.Boot()
-	if current := c.shards[shard]; old == nil || old.record.Holder != current.record.Holder || old.record.Boot != current.record.Boot || !slices.Equal(old.record.Teams, current.record.Teams) {
+	if current := c.shards[shard]; old == nil || old.record.Holder != current.record.Holder ||
+		old.record.Boot != current.record.Boot || !slices.Equal(old.record.Teams, current.record.Teams) {
 		c.confirmation.HolderAssigned(shardKey(shard), current.version, namesUs)
 	}
 	if namesUs && c.heldShards[shard] && old != nil && assignment.Reacquired(old.record, c.shards[shard].record) {
@@ -389,8 +391,8 @@
 		}
 	}
 	newHolder := c.shards[shard].record.Holder
-	if y, ok := c.yieldedTo[shard]; ok { // a peer has announced the change, and the record here is older
-		newHolder = y
+	if yieldedTo, ok := c.yieldedTo[shard]; ok { // a peer has announced the change, and the record here is older
+		newHolder = yieldedTo
 	}
 	c.recordShardEvent(trail.ShardLost, shard, wire.TrailEvent{Node: newHolder, Token: c.shards[shard].version})
 	c.log(1, "shard lost", "shard", shard, "to", newHolder)
@@ -437,20 +439,20 @@
 // holdMachines adds the machines of a block to those held here, or moves them to the block's
 // shard. inherited: an earlier holder may have started tasks on them.
 func (c *Core) holdMachines(b *blockEntry, inherited bool) {
-	for _, bm := range b.record.Machines {
-		m := c.machines[bm.Name]
+	for _, blockMachine := range b.record.Machines {
+		m := c.machines[blockMachine.Name]
 		if m == nil {
 			m = &machine{
-				name: bm.Name, block: b.id, machineType: b.record.Type, zone: b.record.Zone, spot: b.record.Spot,
+				name: blockMachine.Name, block: b.id, machineType: b.record.Type, zone: b.record.Zone, spot: b.record.Spot,
 				shard: b.record.Shard, heldSince: c.now, takeoverToken: c.fencingToken(b),
-				inherited: inherited && !bm.Empty && (!bm.Fresh || c.useRecorded(bm.Name)),
+				inherited: inherited && !blockMachine.Empty && (!blockMachine.Fresh || c.useRecorded(blockMachine.Name)),
 				attempts:  map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now,
 			}
-			for _, image := range c.imageCaches.Of(bm.Name) {
+			for _, image := range c.imageCaches.Of(blockMachine.Name) {
 				m.images[image] = true
 			}
-			c.machines[bm.Name] = m
+			c.machines[blockMachine.Name] = m
 			c.machinesByName = nil
 			if m.inherited {
 				c.unaccountedMachines[m.shard]++
@@ -460,11 +462,11 @@
 			c.unaccountedMachines[m.shard]--
 			c.unaccountedMachines[b.record.Shard]++
 		}
-		m.fresh = bm.Fresh && !c.useRecorded(bm.Name)
+		m.fresh = blockMachine.Fresh && !c.useRecorded(blockMachine.Name)
 		// A block may move between two shards of one holder. A machine left in its
 		// old shard would be given tasks of that shard, and they would be lost from
 		// view with the next change of the holder.
-		m.shard, m.base, m.returning = b.record.Shard, b.record.Base, m.returning || bm.Drop || c.cordons[bm.Name].Drain
+		m.shard, m.base, m.returning = b.record.Shard, b.record.Base, m.returning || blockMachine.Drop || c.cordons[blockMachine.Name].Drain
 		c.markDirty(m)
 	}
 }
@@ -478,7 +480,7 @@
 
 // attemptLost removes an attempt from its machine. Its task is started again
 // unless it is done.
-func (c *Core) attemptLost(a *attempt, why string) {
+func (c *Core) attemptLost(a *attempt, reason string) {
 	c.expediteEnd(a)
 	c.removeAttempt(a)
 	c.placementDue = true
@@ -487,8 +489,8 @@
 		return
 	}
 	c.deactivateAttempt(e, a)
-	c.recordTaskEvent(trail.TaskLost, a, why)
-	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", why)
+	c.recordTaskEvent(trail.TaskLost, a, reason)
+	c.log(2, "task to be started again", "task", a.key.task, "try", a.key.number, "machine", a.machine.name, "why", reason)
 }
 
 // deactivateAttempt records that the attempt no longer runs its task. Unless another
@@ -512,7 +514,8 @@
 func (c *Core) otherAttempt(a *attempt) *attempt {
 	var found *attempt
 	for _, other := range c.attemptsByTask[a.key.task] {
-		if other != a && other.status != wire.TaskEnded && (found == nil || other.machine.name < found.machine.name || other.machine == found.machine && other.key.number < found.key.number) {
+		if other != a && other.status != wire.TaskEnded && (found == nil || other.machine.name < found.machine.name ||
+			other.machine == found.machine && other.key.number < found.key.number) {
 			found = other
 		}
 	}
