--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -10,12 +10,12 @@
 // Relaying through a peer is no different from a slow network: the worker checks the token and the
 // session of the call.
 func (c *Core) callWorker(v Order) {
-	if n := c.words.WorkerProxy(c.now); n != "" {
-		v.For = c.p.Node
-		c.tell(n, PeerMessage{Order: &v})
+	if n := c.assignments.WorkerProxy(c.now); n != "" {
+		v.For = c.params.Node
+		c.sendToPeer(n, PeerMessage{Order: &v})
 		return
 	}
-	c.out = append(c.out, v)
+	c.effects = append(c.effects, v)
 }
 
 // newCallQueue returns an empty queue of workers to be called.
@@ -24,31 +24,33 @@
 		PerSecond: tuning.OrdersPerSecond,
 		Burst:     tuning.OrdersPerSecond / 2,
 		ScanLimit: tuning.OrderLook,
-		MaxAge:    2 * p.Report,
+		MaxAge:    2 * p.ReportInterval,
 	})
 }
 
 // answerToken returns the token of answers to a machine: that of its block, or a later revision
 // at which the mirror still showed that this controller holds the block. The next holder is
 // granted the block by a later write, so its token is higher.
-func (c *Core) answerToken(m *machine, b *blockEntry) uint64 { return max(c.token(b), m.raisedToken) }
+func (c *Core) answerToken(m *machine, b *blockEntry) uint64 {
+	return max(c.fencingToken(b), m.raisedToken)
+}
 
 // requestReport queues a call that makes a worker report early.
-func (c *Core) requestReport(m *machine, urgent bool) { c.desk.Request(c.now, m, urgent) }
+func (c *Core) requestReport(m *machine, urgent bool) { c.callQueue.Request(c.now, m, urgent) }
 
 // callQueuedWorkers calls the queued workers for which a start or a stop is ready.
 func (c *Core) callQueuedWorkers() {
-	if c.desk.Len() == 0 || !c.confirmed() {
+	if c.callQueue.Len() == 0 || !c.authorized() {
 		return
 	}
-	for _, m := range c.desk.Take(c.now, c.callVerdict) {
+	for _, m := range c.callQueue.Take(c.now, c.callVerdict) {
 		b := c.blocks[m.block]
 		if b == nil {
 			continue
 		}
 		stops := c.stopCommands(m)
 		if len(stops) == 0 {
-			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.rev), c.now
+			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.mirrorRevision), c.now
 		}
 		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.answerToken(m, b), Session: m.session, Commands: stops}})
 	}
@@ -58,7 +60,7 @@
 func (c *Core) callVerdict(m *machine) callqueue.Decision {
 	switch {
 	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent ||
-		m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.mine(m.shard):
+		m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.holdsShard(m.shard):
 		return callqueue.Forget
 	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
 		return callqueue.Wait // the call must not overtake the last answer
@@ -72,7 +74,7 @@
 		}
 		unsent = true
 		// A worker counts a higher token as a change once per half of its lease.
-		if c.startable(a) && c.rev > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.p.Lease/2) {
+		if c.startable(a) && c.mirrorRevision > max(m.reportedToken, m.raisedToken) && (m.earlyCallAt == 0 || c.now-m.earlyCallAt > c.params.WorkerLease/2) {
 			return callqueue.Call
 		}
 	}
@@ -98,7 +100,7 @@
 // to call it at. The call carries the token that the next holder was granted, so that calls and
 // answers with this controller's tokens are no longer valid.
 func (c *Core) sendToNextHolder(m *machine, b *blockEntry) {
-	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.confirmed() {
-		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.token(b), Session: m.session, Commands: []wire.Command{}}})
+	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.authorized() {
+		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.fencingToken(b), Session: m.session, Commands: []wire.Command{}}})
 	}
 }
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -35,7 +35,7 @@
 		if m.shard == shard {
 			// A machine that is not accounted for may be empty: machines are requested
 			// only for tasks that would not fit even then.
-			full, _ := c.sizeOf(m.machineType)
+			full, _ := c.machineSize(m.machineType)
 			add(m, c.unheld(m, full), doubted[m.name])
 		}
 	}
@@ -43,7 +43,7 @@
 	largest := c.capacity.MaxFree(shard)
 	var smallest *placement.Size
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return largest
@@ -114,7 +114,7 @@
 		}
 		if m.reported {
 			missing -= c.roomFor(m, urgentTask)
-		} else if full, ok := c.sizeOf(m.machineType); ok {
+		} else if full, ok := c.machineSize(m.machineType); ok {
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
 	}
@@ -143,16 +143,16 @@
 		pool = c.supplyPool(shard, soon)
 	}
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
-		e, j := p.Handle, &p.Handle.rec
-		if e.run == nil || c.taskHealth.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
+		e, j := p.Handle, &p.Handle.record
+		if e.run == nil || c.taskHealth.Trial(j.ID) || c.writeLimits.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
 		}
-		size, team := jobSize(j), c.p.Teams[j.Team]
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		zone := j.Zone
 		if j.OneZone {
 			for _, a := range e.run.active {
@@ -170,10 +170,10 @@
 			Zone:   zone,
 			Spot:   j.Spot,
 			Size:   size,
-			Urgent: e.prio >= urgentRank,
-			Idle:   e.prio <= idleRank,
+			Urgent: e.priority >= urgentRank,
+			Idle:   e.priority <= idleRank,
 		}, want)
-		overdue := p.WithinGuarantee && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if missing == 0 && !overdue {
 			return true
 		}
@@ -192,14 +192,14 @@
 		return true
 	})
 	for _, j := range soon { // after all jobs that could run now
-		size, team := jobSize(j), c.p.Teams[j.Team]
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		if missing := want - pool.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
-			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.ladder.Rank(j)), tuning.NeedsMax)
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -215,11 +215,11 @@
 // many as are needed to finish in time.
 func (c *Core) requestedTasks(p *queue.Entry[*jobEntry]) int {
 	e, bounds, runtimeS := p.Handle, objectiveLimits, p.Job.EstimateS
-	if e.prio > idleRank {
-		if e.prio >= urgentRank || p.WithinGuarantee || p.Job.Service || e.rec.DueS <= 0 {
+	if e.priority > idleRank {
+		if e.priority >= urgentRank || p.WithinGuarantee || p.Job.Service || e.record.DueS <= 0 {
 			return p.Job.Pending
 		}
-		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
+		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
 	}
 	places := bounds.TargetParallelism(p.Job.Unfinished, runtimeS, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
@@ -230,40 +230,40 @@
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
-	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
+	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
 		return
 	}
 	var announcements []wants.Told
 	for _, shard := range c.shardIDs() {
-		if !c.mine(shard) {
+		if !c.holdsShard(shard) {
 			continue
 		}
-		unmet := wire.Want{Seen: c.newestBlock(shard)}
-		if !c.form.Stuck(c.now) { // while starts are stuck, nothing is rented for tasks that cannot start, and no machine is given back as idle
+		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
+		if !c.writeLimits.Stuck(c.now) { // while starts are stuck, nothing is rented for tasks that cannot start, and no machine is given back as idle
 			unmet.Needs = c.unmetNeeds(shard)
 			c.retire(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
 				c.moveOff(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.p.ValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
 		if c.demandPublishers[shard] == nil {
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
-		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.wants[shard], c.words.ReachableOrSelf(c.now, c.chief.Node))
+		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
-			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: unmet})
+			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
 		}
 		if write {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: unmet}}, func(StateReply) { c.changed() })
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if announcements != nil {
-		for _, number := range sortedKeys(c.p.Nodes) {
-			if number != c.p.Node {
-				c.tell(number, PeerMessage{Wants: announcements})
+		for _, number := range sortedKeys(c.params.NodeZones) {
+			if number != c.params.Node {
+				c.sendToPeer(number, PeerMessage{Wants: announcements})
 			}
 		}
 	}
@@ -275,8 +275,8 @@
 	switch {
 	case entry == nil:
 		return wire.Want{}
-	case c.mine(shard):
+	case c.holdsShard(shard):
 		return c.publishedDemand[shard]
 	}
-	return c.peerDemand.Of(c.now, shard, entry.ver, c.wants[shard])
+	return c.peerDemand.Of(c.now, shard, entry.version, c.demands[shard])
 }
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -71,7 +71,7 @@
 // markBlockDirty marks all machines of a block.
 func (c *Core) markBlockDirty(id string) {
 	if b := c.blocks[id]; b != nil {
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			if m := c.machines[bm.Name]; m != nil {
 				c.markDirty(m)
 			}
@@ -91,8 +91,8 @@
 // markJobDirty marks a job whose position in the queue and pending writes must be recomputed.
 func (c *Core) markJobDirty(e *jobEntry) {
 	c.placementDue = true
-	if !e.touched {
-		e.touched = true
+	if !e.dirty {
+		e.dirty = true
 		c.dirtyJobs = append(c.dirtyJobs, e)
 	}
 }
@@ -114,7 +114,7 @@
 	dirty := c.dirtyJobs
 	c.dirtyJobs = nil
 	for _, e := range dirty {
-		e.touched = false
+		e.dirty = false
 		c.refreshJob(e)
 	}
 }
@@ -139,7 +139,7 @@
 		}
 	}
 	usage := c.usageOf(m)
-	full, known := c.sizeOf(m.machineType)
+	full, known := c.machineSize(m.machineType)
 	unknown := usage.unknownAttempts
 	if m.inherited && !m.accounted {
 		unknown++ // anything may run there, for any team
@@ -173,11 +173,11 @@
 func (c *Core) refreshJob(e *jobEntry) {
 	delete(c.pendingWrites, e)
 	delete(c.pendingProgress, e)
-	if e.run == nil || c.jobs[e.rec.ID] != e {
-		c.jobQueue.Remove(e.rec.ID)
+	if e.run == nil || c.jobs[e.record.ID] != e {
+		c.jobQueue.Remove(e.record.ID)
 		return
 	}
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	queued := queue.Job{
 		ID:            j.ID,
 		Team:          j.Team,
@@ -232,25 +232,25 @@
 // whether the job has ended and whether its starts or its end are due to be written.
 func (c *Core) unwrittenStarts(e *jobEntry) (started int, ended, due bool) {
 	run := e.run
-	if run.done.Count() >= e.rec.Tasks {
+	if run.done.Count() >= e.record.Tasks {
 		return 0, true, true
 	}
-	started = max(e.rec.Started, run.nextIndex)
-	if startsAhead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.rec.Started-run.nextIndex < startsAhead/2 && run.nextIndex > 0 {
-		started = max(started, min(e.rec.Tasks, run.nextIndex+startsAhead))
+	started = max(e.record.Started, run.nextIndex)
+	if startsAhead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.record.Started-run.nextIndex < startsAhead/2 && run.nextIndex > 0 {
+		started = max(started, min(e.record.Tasks, run.nextIndex+startsAhead))
 	}
-	return started, false, started > e.rec.Started || c.movedOn(e) || c.failureUnrecorded(e)
+	return started, false, started > e.record.Started || c.movedOn(e) || c.failureUnrecorded(e)
 }
 
 // refreshLateness periodically decides again which jobs are late.
 func (c *Core) refreshLateness() {
-	if !c.every("judge", tuning.JudgeEvery) {
+	if !c.dueEvery("judge", tuning.JudgeEvery) {
 		return
 	}
 	shardCPUs := c.shardCPUs()
 	c.jobQueue.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
-		t := c.p.Teams[team]
-		return min(t.CPUsMax, max(shardCPUs[c.shardOf(team)], t.CPUs))
+		t := c.params.Teams[team]
+		return min(t.CPUsMax, max(shardCPUs[c.shardOfTeam(team)], t.CPUs))
 	})
 }
 
@@ -265,4 +265,4 @@
 }
 
 // isOlderJob reports whether a is served before b within the same tier.
-func isOlderJob(a, b *jobEntry) bool { return tiers.Older(&a.rec, &b.rec) }
+func isOlderJob(a, b *jobEntry) bool { return tiers.Older(&a.record, &b.record) }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -17,191 +17,213 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// mirror is this controller's copy of the live keys, in revision order.
+// mirror is this controller's copy of the live keys of the state service, updated in revision order.
 type mirror struct {
-	caches   *weights.Caches // which images machines have, as holders last wrote
-	ver      *records.Versions
-	jobs     map[string]*jobEntry
-	blocks   map[string]*blockEntry
-	shards   map[int]*shardEntry
-	nodes    map[string]wire.Node
-	wants    map[int]wire.Want
-	types    map[string]wire.MachineType
-	chief    wire.Leader
-	settings wire.Settings
-	cordons  map[string]wire.Cordon
-	ladder   *tiers.Order
-	rungs    wire.Ladder // the record that it was read from
-	started  *starts.Book
-	progress *progress.Book
-	boots    *boot.Book
-	biases   map[string]wire.Bias // by key
-
-	// Kept up with the records, so that a report or a poll costs the same
-	// however many machines there are; the tests count them afresh.
-	blockIn   map[string]string      // machine -> its block
-	dropping  map[string]bool        // machines marked to be deleted
-	teamHome  map[string]int         // team -> its shard
-	shardList []int                  // in order; nil: to be made again
-	blockList []string               // in order; nil: to be made again
-	jobList   []*jobEntry            // by acceptance; nil: to be made again
-	sizes     int                    // counts changes of machine types
-	shardHas  map[int]map[string]int // shard -> machines of each type in its blocks
-	newest    map[int]uint64         // shard -> latest revision of its blocks; absent: to be looked for
+	imageCaches  *weights.Caches   // images that machines have stored, as last written by the holders
+	versions     *records.Versions // version of each key
+	jobs         map[string]*jobEntry
+	blocks       map[string]*blockEntry
+	shards       map[int]*shardEntry
+	nodes        map[string]wire.Node        // controllers that are present
+	demands      map[int]wire.Want           // by shard: demand for machines that its holder announced
+	machineTypes map[string]wire.MachineType // by name
+	leaderRecord wire.Leader
+	settings     wire.Settings
+	cordons      map[string]wire.Cordon // by machine
+	tierOrder    *tiers.Order
+	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
+	startLog     *starts.Book         // recorded starts of tasks
+	progress     *progress.Book       // recorded done tasks
+	provisioning *boot.Book           // machines that are booting
+	biases       map[string]wire.Bias // by key: how far run-time estimates are off
+
+	// Indexes that are updated with each record, so that the cost of a report or a poll does not depend
+	// on the number of machines. The tests compare them with a full recount.
+	blockOfMachine    map[string]string      // machine -> ID of its block
+	markedForDeletion map[string]bool        // machines whose block record marks them for deletion
+	teamShards        map[string]int         // team -> the shard that serves it
+	sortedShards      []int                  // in ascending order; nil if it has to be rebuilt
+	sortedBlocks      []string               // in ascending order; nil if it has to be rebuilt
+	sortedJobs        []*jobEntry            // oldest first; nil if it has to be rebuilt
+	sizeGeneration    int                    // incremented with each change of a machine type's capacity
+	machineCounts     map[int]map[string]int // shard -> number of machines of each type in its blocks
+	blockRevisions    map[int]uint64         // shard -> latest revision of its blocks; absent if it has to be searched
 }
 
+// shardEntry is a shard's record and the revision at which it was written.
 type shardEntry struct {
-	rec wire.Shard
-	ver uint64
+	record  wire.Shard
+	version uint64
 }
 
+// blockEntry is a block's record and the revision at which it was written.
 type blockEntry struct {
-	id  string
-	rec wire.Block
-	ver uint64
+	id      string
+	record  wire.Block
+	version uint64
 }
 
+// jobEntry is a job's record and what this controller derives from it.
 type jobEntry struct {
-	rec  wire.Job
-	ver  uint64
-	prio int
-	rank int     // of its rung
-	due  float64 // seconds of the day's time by when those that need it need it done; +Inf: none
-	run  *jobRun // nil unless this controller holds the job's shard
-
-	touched bool // see books
+	record   wire.Job
+	version  uint64
+	priority int     // effective priority, which may be inherited from a dependent job
+	rank     int     // rank of its tier
+	due      float64 // earliest due time of the job and its dependents, in seconds since the Unix epoch; +Inf if there is none
+	run      *jobRun // nil unless this controller holds the job's shard
+
+	dirty bool // its entries in the indexes have to be refreshed
 }
 
 func newMirror() mirror {
-	return mirror{ver: records.New(), jobs: map[string]*jobEntry{},
-		blocks: map[string]*blockEntry{}, shards: map[int]*shardEntry{}, nodes: map[string]wire.Node{},
-		wants: map[int]wire.Want{}, types: map[string]wire.MachineType{},
-		settings: defaultSettings(), ladder: tiers.NewOrder(wire.Ladder{}), cordons: map[string]wire.Cordon{}, biases: map[string]wire.Bias{},
-		blockIn: map[string]string{}, dropping: map[string]bool{}, shardHas: map[int]map[string]int{}, newest: map[int]uint64{}, teamHome: map[string]int{}, caches: weights.NewCaches(tuning.CachesEvery)}
+	return mirror{
+		versions:          records.New(),
+		jobs:              map[string]*jobEntry{},
+		blocks:            map[string]*blockEntry{},
+		shards:            map[int]*shardEntry{},
+		nodes:             map[string]wire.Node{},
+		demands:           map[int]wire.Want{},
+		machineTypes:      map[string]wire.MachineType{},
+		settings:          defaultSettings(),
+		tierOrder:         tiers.NewOrder(wire.Ladder{}),
+		cordons:           map[string]wire.Cordon{},
+		biases:            map[string]wire.Bias{},
+		blockOfMachine:    map[string]string{},
+		markedForDeletion: map[string]bool{},
+		machineCounts:     map[int]map[string]int{},
+		blockRevisions:    map[int]uint64{},
+		teamShards:        map[string]int{},
+		imageCaches:       weights.NewCaches(tuning.CachesEvery),
+	}
 }
 
-func shardKey(i int) string { return wire.PrefixShard + strconv.Itoa(i) }
-func wantKey(i int) string  { return wire.PrefixWant + strconv.Itoa(i) }
+func shardKey(shard int) string  { return wire.PrefixShard + strconv.Itoa(shard) }
+func demandKey(shard int) string { return wire.PrefixWant + strconv.Itoa(shard) }
 
+// shardIDs lists the shards in ascending order.
 func (m *mirror) shardIDs() []int {
-	if m.shardList == nil {
-		m.shardList = sortedIntKeys(m.shards)
+	if m.sortedShards == nil {
+		m.sortedShards = sortedIntKeys(m.shards)
 	}
-	return m.shardList
+	return m.sortedShards
 }
 
+// blockIDs lists the blocks in ascending order.
 func (m *mirror) blockIDs() []string {
-	if m.blockList == nil {
-		m.blockList = sortedKeys(m.blocks)
+	if m.sortedBlocks == nil {
+		m.sortedBlocks = sortedKeys(m.blocks)
 	}
-	return m.blockList
+	return m.sortedBlocks
 }
 
-// jobsByAge lists the live jobs in the order they were accepted.
+// jobsByAge lists the live jobs, oldest first.
 func (m *mirror) jobsByAge() []*jobEntry {
-	if m.jobList == nil {
-		m.jobList = make([]*jobEntry, 0, len(m.jobs))
-		for _, e := range m.jobs {
-			m.jobList = append(m.jobList, e)
+	if m.sortedJobs == nil {
+		m.sortedJobs = make([]*jobEntry, 0, len(m.jobs))
+		for _, entry := range m.jobs {
+			m.sortedJobs = append(m.sortedJobs, entry)
 		}
-		sort.Slice(m.jobList, func(i, j int) bool { return isOlderJob(m.jobList[i], m.jobList[j]) })
+		sort.Slice(m.sortedJobs, func(i, j int) bool { return isOlderJob(m.sortedJobs[i], m.sortedJobs[j]) })
 	}
-	return m.jobList
+	return m.sortedJobs
 }
 
-// listJob keeps the list of jobs in step with one that came or went.
-func (m *mirror) listJob(e *jobEntry, in bool) {
-	if m.jobList == nil {
+// updateSortedJobs inserts a job into sortedJobs or removes it from there.
+func (m *mirror) updateSortedJobs(entry *jobEntry, added bool) {
+	if m.sortedJobs == nil {
 		return
 	}
-	i := sort.Search(len(m.jobList), func(i int) bool { return !isOlderJob(m.jobList[i], e) })
+	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !isOlderJob(m.sortedJobs[i], entry) })
 	switch {
-	case in:
-		m.jobList = slices.Insert(m.jobList, i, e)
-	case i < len(m.jobList) && m.jobList[i] == e:
-		m.jobList = slices.Delete(m.jobList, i, i+1)
+	case added:
+		m.sortedJobs = slices.Insert(m.sortedJobs, i, entry)
+	case i < len(m.sortedJobs) && m.sortedJobs[i] == entry:
+		m.sortedJobs = slices.Delete(m.sortedJobs, i, i+1)
 	default:
-		m.jobList = nil // its age was changed under it; made again when asked for
+		m.sortedJobs = nil // its age has changed, so it is not where the search expects it; the list is rebuilt on demand
 	}
 }
 
-// indexBlock keeps the machine indexes in step with a block's record.
-func (m *mirror) indexBlock(id string, old, now *blockEntry) {
-	if (old == nil) != (now == nil) {
-		m.blockList = nil
+// indexBlock updates the indexes for a changed block record. old is nil for a new block, current for a
+// removed one.
+func (m *mirror) indexBlock(id string, old, current *blockEntry) {
+	if (old == nil) != (current == nil) {
+		m.sortedBlocks = nil
 	}
 	m.countBlock(old, -1)
-	m.countBlock(now, 1)
+	m.countBlock(current, 1)
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if m.blockIn[bm.Name] == id {
-				delete(m.blockIn, bm.Name)
-				delete(m.dropping, bm.Name)
+		for _, blockMachine := range old.record.Machines {
+			if m.blockOfMachine[blockMachine.Name] == id {
+				delete(m.blockOfMachine, blockMachine.Name)
+				delete(m.markedForDeletion, blockMachine.Name)
 			}
 		}
 	}
-	if now != nil {
-		for _, bm := range now.rec.Machines {
-			m.blockIn[bm.Name] = id
-			if bm.Drop {
-				m.dropping[bm.Name] = true
+	if current != nil {
+		for _, blockMachine := range current.record.Machines {
+			m.blockOfMachine[blockMachine.Name] = id
+			if blockMachine.Drop {
+				m.markedForDeletion[blockMachine.Name] = true
 			}
 		}
 	}
 	if old != nil {
-		for _, bm := range old.rec.Machines {
-			if m.blockIn[bm.Name] == "" {
-				m.caches.Gone(bm.Name)
+		for _, blockMachine := range old.record.Machines {
+			if m.blockOfMachine[blockMachine.Name] == "" {
+				m.imageCaches.Gone(blockMachine.Name)
 			}
 		}
 	}
 }
 
-// countBlock keeps what each shard has, and the latest revision of its blocks.
-func (m *mirror) countBlock(b *blockEntry, n int) {
-	if b == nil {
+// countBlock adds a block to the counts of its shard (sign 1) or subtracts it (sign -1), and updates the
+// latest revision of the shard's blocks.
+func (m *mirror) countBlock(block *blockEntry, sign int) {
+	if block == nil {
 		return
 	}
-	has := m.shardHas[b.rec.Shard]
-	if has == nil {
-		has = map[string]int{}
-		m.shardHas[b.rec.Shard] = has
+	counts := m.machineCounts[block.record.Shard]
+	if counts == nil {
+		counts = map[string]int{}
+		m.machineCounts[block.record.Shard] = counts
 	}
-	has[b.rec.Type] += n * len(b.rec.Machines)
-	newest, known := m.newest[b.rec.Shard]
+	counts[block.record.Type] += sign * len(block.record.Machines)
+	newest, known := m.blockRevisions[block.record.Shard]
 	switch {
-	case n < 0 && b.ver == newest:
-		delete(m.newest, b.rec.Shard)
-	case n > 0 && known:
-		m.newest[b.rec.Shard] = max(newest, b.ver)
+	case sign < 0 && block.version == newest:
+		delete(m.blockRevisions, block.record.Shard)
+	case sign > 0 && known:
+		m.blockRevisions[block.record.Shard] = max(newest, block.version)
 	}
 }
 
-// indexTeams finds each team's shard; the first one that names it counts.
+// indexTeams rebuilds the index of teams. If several shards name a team, the lowest one counts.
 func (m *mirror) indexTeams() {
-	m.shardList = nil
-	clear(m.teamHome)
-	for _, i := range m.shardIDs() {
-		for _, t := range m.shards[i].rec.Teams {
-			if _, known := m.teamHome[t]; !known {
-				m.teamHome[t] = i
+	m.sortedShards = nil
+	clear(m.teamShards)
+	for _, shard := range m.shardIDs() {
+		for _, team := range m.shards[shard].record.Teams {
+			if _, known := m.teamShards[team]; !known {
+				m.teamShards[team] = shard
 			}
 		}
 	}
 }
 
-// oldestCall is the first call of the state service that is under way.
-func (c *Core) oldestCall() uint64 { return c.ways.OldestID(c.seq + 1) }
+// oldestCall returns the ID of the oldest call to the state service that is in flight, or the next ID if
+// there is none.
+func (c *Core) oldestCall() uint64 { return c.stateRoutes.OldestID(c.lastID + 1) }
 
-// put applies a write. Older news of the same key changes nothing, whichever
-// way it came: watch, list, read or own commit.
-func (c *Core) put(key string, raw wire.Raw, ver uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.ver.News(key, ver) {
+// applyPut applies a write to the mirror. An older version of the key changes nothing, whether it comes
+// from the watch, a list, a read or a commit of this controller.
+func (c *Core) applyPut(key string, value wire.Raw, version uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.News(key, version) {
 		return
 	}
-	fail := func(err error) { c.log(0, "stored record not readable", "key", key, "err", err.Error()) }
+	fail := func(err error) { c.log(0, "cannot decode a stored record", "key", key, "err", err.Error()) }
 	read := func(v any) bool {
-		err := wire.Unmarshal(raw, v)
+		err := wire.Unmarshal(value, v)
 		if err != nil {
 			fail(err)
 		}
@@ -209,140 +231,140 @@
 	}
 	switch {
 	case key == wire.KeyLeader:
-		var r wire.Leader
-		if read(&r) {
-			if r != c.chief {
-				c.log(1, "leader", "node", r.Node, "boot", r.Boot)
+		var record wire.Leader
+		if read(&record) {
+			if record != c.leaderRecord {
+				c.log(1, "leader changed", "node", record.Node, "boot", record.Boot)
 			}
-			c.chief = r
+			c.leaderRecord = record
 		}
 	case key == wire.KeySettings:
-		r := defaultSettings()
-		if read(&r) {
-			c.settings = r
+		record := defaultSettings()
+		if read(&record) {
+			c.settings = record
 		}
 	case key == wire.KeyLadder:
-		var r wire.Ladder
-		if read(&r) {
-			c.putLadder(r)
+		var record wire.Ladder
+		if read(&record) {
+			c.putLadder(record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCordon):
-		var r wire.Cordon
-		if read(&r) {
-			c.putCordon(key[len(wire.PrefixCordon):], r)
+		var record wire.Cordon
+		if read(&record) {
+			c.applyCordon(key[len(wire.PrefixCordon):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCrew):
-		var r wire.Crew
-		if read(&r) {
-			c.calendar.Put(key[len(wire.PrefixCrew):], r, ver)
+		var record wire.Crew
+		if read(&record) {
+			c.calendar.Put(key[len(wire.PrefixCrew):], record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixBias):
-		var r wire.Bias
-		if read(&r) {
-			c.biases[key] = r
+		var record wire.Bias
+		if read(&record) {
+			c.biases[key] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixReach):
-		var r wire.Reach
-		if read(&r) {
-			c.words.SetStored(key[len(wire.PrefixReach):], r)
+		var record wire.Reach
+		if read(&record) {
+			c.assignments.SetStored(key[len(wire.PrefixReach):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
-		var r wire.Node
-		if read(&r) {
-			c.nodes[key[len(wire.PrefixNode):]] = r
+		var record wire.Node
+		if read(&record) {
+			c.nodes[key[len(wire.PrefixNode):]] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixVersion):
-		var r wire.Version
-		if read(&r) {
-			c.rollout.Remember(key[len(wire.PrefixVersion):], r)
+		var record wire.Version
+		if read(&record) {
+			c.rollout.Remember(key[len(wire.PrefixVersion):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixType):
-		var r wire.MachineType
-		if read(&r) {
-			c.putType(r)
+		var record wire.MachineType
+		if read(&record) {
+			c.applyMachineType(record)
 		}
 	default:
-		c.putWork(key, ver, read, fail)
+		c.applyWorkPut(key, version, read, fail)
 	}
-	c.ver.Put(key, ver)
+	c.versions.Put(key, version)
 }
 
-// putWork applies a write of a job, a shard, or what hangs on one.
-func (c *Core) putWork(key string, ver uint64, read func(any) bool, fail func(error)) {
+// applyWorkPut applies a write of a job, a shard or a block, or of a record that belongs to one of them.
+func (c *Core) applyWorkPut(key string, version uint64, read func(any) bool, fail func(error)) {
 	switch {
 	case strings.HasPrefix(key, wire.PrefixJob):
-		var r wire.Job
-		if read(&r) {
-			c.ver.Put(key, ver)
-			c.putJob(r, ver)
+		var record wire.Job
+		if read(&record) {
+			c.versions.Put(key, version)
+			c.applyJob(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
-		var r wire.Job
-		if read(&r) {
-			c.ver.Put(key, ver)
-			c.putWaiting(r, ver)
+		var record wire.Job
+		if read(&record) {
+			c.versions.Put(key, version)
+			c.putWaiting(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
-		var r wire.Shard
-		i, err := strconv.Atoi(key[len(wire.PrefixShard):])
+		var record wire.Shard
+		shard, err := strconv.Atoi(key[len(wire.PrefixShard):])
 		if err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.ver.Put(key, ver)
-			old := c.shards[i]
-			c.shards[i] = &shardEntry{r, ver}
-			c.noteTaken(i)
+		} else if read(&record) {
+			c.versions.Put(key, version)
+			old := c.shards[shard]
+			c.shards[shard] = &shardEntry{record, version}
+			c.recordShardTaken(shard)
 			c.indexTeams()
-			c.shardChanged(i, old)
+			c.shardChanged(shard, old)
 		}
 	case strings.HasPrefix(key, wire.PrefixStart):
-		var r wire.Starts
-		if read(&r) {
-			c.ver.Put(key, ver)
-			if err := c.applyStarts(key, ver, r); err != nil {
+		var record wire.Starts
+		if read(&record) {
+			c.versions.Put(key, version)
+			if err := c.applyStarts(key, version, record); err != nil {
 				fail(err)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixDone):
-		var r wire.Done
-		if read(&r) {
-			if id, err := c.progress.Put(key, ver, r); err != nil {
+		var record wire.Done
+		if read(&record) {
+			if id, err := c.progress.Put(key, version, record); err != nil {
 				fail(err)
-			} else if e := c.jobs[id]; e != nil {
-				c.jobChanged(e)
+			} else if entry := c.jobs[id]; entry != nil {
+				c.jobChanged(entry)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWant):
-		var r wire.Want
-		i, err := strconv.Atoi(key[len(wire.PrefixWant):])
+		var record wire.Want
+		shard, err := strconv.Atoi(key[len(wire.PrefixWant):])
 		if err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.wants[i] = r
+		} else if read(&record) {
+			c.demands[shard] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixCache):
-		var r wire.Cache
-		if read(&r) {
-			for _, name := range r.Names() {
-				if images, _ := r.Of(name); c.blockIn[name] != "" {
-					c.caches.Read(name, images)
+		var record wire.Cache
+		if read(&record) {
+			for _, name := range record.Names() {
+				if images, _ := record.Of(name); c.blockOfMachine[name] != "" {
+					c.imageCaches.Read(name, images)
 				}
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWeights):
-		var r wire.Weights
-		if i, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
+		var record wire.Weights
+		if shard, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
-		} else if read(&r) {
-			c.weights.Read(c.now, i, r, c.heldShards[i])
+		} else if read(&record) {
+			c.weights.Read(c.now, shard, record, c.heldShards[shard])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
-		var r wire.Block
-		if read(&r) {
+		var record wire.Block
+		if read(&record) {
 			id := key[len(wire.PrefixBlock):]
-			c.ver.Put(key, ver)
+			c.versions.Put(key, version)
 			old := c.blocks[id]
-			c.blocks[id] = &blockEntry{id, r, ver}
+			c.blocks[id] = &blockEntry{id, record, version}
 			c.indexBlock(id, old, c.blocks[id])
 			c.followBoots(old, c.blocks[id])
 			c.blockChanged(id, old)
@@ -350,66 +372,68 @@
 	}
 }
 
-func (c *Core) putJob(r wire.Job, ver uint64) {
-	e := c.jobs[r.ID]
-	if e == nil {
-		e = &jobEntry{rec: r}
-		c.jobs[r.ID] = e
-		c.listJob(e, true)
-	} else if e.rec.ReadySince() != r.ReadySince() || e.rec.Number != r.Number {
-		c.jobList = nil
+// applyJob applies a write of a live job.
+func (c *Core) applyJob(record wire.Job, version uint64) {
+	entry := c.jobs[record.ID]
+	if entry == nil {
+		entry = &jobEntry{record: record}
+		c.jobs[record.ID] = entry
+		c.updateSortedJobs(entry, true)
+	} else if entry.record.ReadySince() != record.ReadySince() || entry.record.Number != record.Number {
+		c.sortedJobs = nil
 	}
-	c.overlayStarts(&r)
-	e.rec, e.ver = r, ver
-	c.rankJob(e)
-	c.jobChanged(e)
+	c.overlayStarts(&record)
+	entry.record, entry.version = record, version
+	c.rankJob(entry)
+	c.jobChanged(entry)
 }
 
-func (c *Core) putType(r wire.MachineType) {
-	old, known := c.types[r.Name]
-	c.types[r.Name] = r
-	if !known || old.CPUs != r.CPUs || old.GPUs != r.GPUs || old.MemoryGB != r.MemoryGB {
-		c.sizes++ // prices are read every minute, and weigh nothing here
+// applyMachineType applies a write of a machine type. A changed capacity marks all machines dirty.
+func (c *Core) applyMachineType(record wire.MachineType) {
+	old, known := c.machineTypes[record.Name]
+	c.machineTypes[record.Name] = record
+	if !known || old.CPUs != record.CPUs || old.GPUs != record.GPUs || old.MemoryGB != record.MemoryGB {
+		c.sizeGeneration++ // prices are written every minute and do not affect the capacity
 		c.markShardDirty(-1)
 	}
 }
 
-// remove applies a deletion known at revision rev.
-func (c *Core) remove(key string, rev uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.ver.Remove(key, rev, c.seq) {
+// applyDelete applies the deletion of a key that is known at the given revision.
+func (c *Core) applyDelete(key string, revision uint64) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.Remove(key, revision, c.lastID) {
 		return
 	}
 	switch {
 	case key == wire.KeyLeader:
-		c.chief = wire.Leader{}
-		c.log(1, "no leader")
+		c.leaderRecord = wire.Leader{}
+		c.log(1, "leader record deleted")
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
 		c.putLadder(wire.Ladder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
-		c.putCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
+		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		c.calendar.Remove(key[len(wire.PrefixCrew):])
 	case strings.HasPrefix(key, wire.PrefixReach):
-		c.words.RemoveStored(key[len(wire.PrefixReach):])
+		c.assignments.RemoveStored(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
-		c.note(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
-		c.log(1, "controller gone", "node", key[len(wire.PrefixNode):])
+		c.recordEvent(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
+		c.log(1, "controller is no longer present", "node", key[len(wire.PrefixNode):])
 	case strings.HasPrefix(key, wire.PrefixVersion):
 		c.rollout.Remember(key[len(wire.PrefixVersion):], wire.Version{})
 	case strings.HasPrefix(key, wire.PrefixType):
-		delete(c.types, key[len(wire.PrefixType):])
-		c.sizes++
+		delete(c.machineTypes, key[len(wire.PrefixType):])
+		c.sizeGeneration++
 		c.markShardDirty(-1)
 	case strings.HasPrefix(key, wire.PrefixJob):
 		id := key[len(wire.PrefixJob):]
-		if e := c.jobs[id]; e != nil {
+		if entry := c.jobs[id]; entry != nil {
 			delete(c.jobs, id)
-			delete(c.counts, id)
-			c.listJob(e, false)
-			c.jobRemoved(e)
+			delete(c.peerJobCounts, id)
+			c.updateSortedJobs(entry, false)
+			c.jobRemoved(entry)
 			c.lookOver(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
@@ -417,8 +441,8 @@
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
-		if i, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
-			delete(c.wants, i)
+		if shard, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
+			delete(c.demands, shard)
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		id := key[len(wire.PrefixBlock):]
@@ -428,73 +452,75 @@
 		c.followBoots(old, nil)
 		c.blockChanged(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
-		c.log(0, "a shard record was removed", "key", key)
+		c.log(0, "a shard record was deleted", "key", key)
 	}
 }
 
-// refresh reads one live key into the mirror.
-func (c *Core) refresh(key string) {
+// rereadKey reads a live key from the state service into the mirror.
+func (c *Core) rereadKey(key string) {
 	if !strings.HasPrefix(key, wire.LivePrefix) {
 		return
 	}
-	c.state(StateCall{Op: OpGet, Key: key}, func(r StateReply) { c.learn(key, r); c.changed() })
+	c.callState(StateCall{Op: OpGet, Key: key}, func(reply StateReply) { c.applyRead(key, reply); c.mirrorChanged() })
 }
 
-func (c *Core) learn(key string, r StateReply) {
-	switch r.Status {
+// applyRead applies the reply to a read of a key to the mirror.
+func (c *Core) applyRead(key string, reply StateReply) {
+	switch reply.Status {
 	case 200:
-		c.put(key, r.Item.Value, r.Item.Version)
+		c.applyPut(key, reply.Item.Value, reply.Item.Version)
 	case 404:
-		c.remove(key, r.List.Revision)
+		c.applyDelete(key, reply.List.Revision)
 	}
 }
 
-// changed lets the leader and the holder act on a changed mirror.
-func (c *Core) changed() {
+// mirrorChanged runs the leader's and the holder's work after a change of the mirror.
+func (c *Core) mirrorChanged() {
 	if c.loaded {
 		c.lead()
 		c.runHolder()
 	}
 }
 
-// shardOf returns the shard that a team is homed in, or -1.
-func (c *Core) shardOf(team string) int {
-	if i, ok := c.teamHome[team]; ok {
-		return i
+// shardOfTeam returns the shard that serves a team, or -1 if there is none.
+func (c *Core) shardOfTeam(team string) int {
+	if shard, ok := c.teamShards[team]; ok {
+		return shard
 	}
 	return -1
 }
 
-// mine tells whether this life of this controller holds a shard and has taken it up.
-func (c *Core) mine(i int) bool {
-	return c.heldShards[i]
+// holdsShard reports whether this incarnation of the controller holds a shard and has started to serve it.
+func (c *Core) holdsShard(shard int) bool {
+	return c.heldShards[shard]
 }
 
-// token of a block: the write that last granted it, be it the shard's takeover
-// or the block's own record. Revisions are unique and rise.
-func (c *Core) token(b *blockEntry) uint64 {
-	t := b.ver
-	if s := c.shards[b.rec.Shard]; s != nil && s.ver > t {
-		t = s.ver
+// fencingToken returns the fencing token of a block: the revision of the write that last assigned it,
+// either the takeover of its shard or the write of its own record. Revisions are unique and increase.
+func (c *Core) fencingToken(block *blockEntry) uint64 {
+	token := block.version
+	if shard := c.shards[block.record.Shard]; shard != nil && shard.version > token {
+		token = shard.version
 	}
-	return t
+	return token
 }
 
-// shardCond holds as long as a shard has not changed hands, or otherwise.
-func (c *Core) shardCond(i int) wire.Condition {
-	return wire.Condition{Key: shardKey(i), Version: c.shards[i].ver}
+// shardUnchanged returns a condition that holds as long as the shard's record is not written again, by a
+// takeover or any other change.
+func (c *Core) shardUnchanged(shard int) wire.Condition {
+	return wire.Condition{Key: shardKey(shard), Version: c.shards[shard].version}
 }
 
-// newestBlock is the latest revision of a shard's blocks.
-func (c *Core) newestBlock(shard int) uint64 {
-	newest, known := c.newest[shard]
+// latestBlockRevision returns the latest revision of a shard's blocks.
+func (c *Core) latestBlockRevision(shard int) uint64 {
+	newest, known := c.blockRevisions[shard]
 	if !known {
-		for _, b := range c.blocks {
-			if b.rec.Shard == shard {
-				newest = max(newest, b.ver)
+		for _, block := range c.blocks {
+			if block.record.Shard == shard {
+				newest = max(newest, block.version)
 			}
 		}
-		c.newest[shard] = newest
+		c.blockRevisions[shard] = newest
 	}
 	return newest
 }
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -25,19 +25,19 @@
 // partition a former holder may answer these for as long as it may go without confirmation, and
 // they may reach no controller that can reach this one.
 func (c *Core) queryPendingMachines() {
-	if c.roll.Len() == 0 || !c.confirmed() {
+	if c.pendingMachines.Len() == 0 || !c.authorized() {
 		return
 	}
-	addressKnown := func(m *machine) bool { _, ok := c.addrs.Lookup(m.name); return ok }
-	for _, m := range c.roll.Take(c.now, addressKnown) {
+	addressKnown := func(m *machine) bool { _, ok := c.workerAddresses.Lookup(m.name); return ok }
+	for _, m := range c.pendingMachines.Take(c.now, addressKnown) {
 		block := c.blocks[m.block]
-		if c.machines[m.name] != m || m.accounted || block == nil || !c.mine(m.shard) {
-			c.roll.Remove(m)
+		if c.machines[m.name] != m || m.accounted || block == nil || !c.holdsShard(m.shard) {
+			c.pendingMachines.Remove(m)
 			continue
 		}
-		address, _ := c.addrs.Lookup(m.name)
+		address, _ := c.workerAddresses.Lookup(m.name)
 		c.callWorker(Order{Machine: m.name, Addr: address.Addr, Roll: true,
-			Orders: wire.Orders{Token: c.token(block), Session: max(address.Session, m.session), Commands: []wire.Command{}}})
+			Orders: wire.Orders{Token: c.fencingToken(block), Session: max(address.Session, m.session), Commands: []wire.Command{}}})
 	}
 }
 
@@ -48,15 +48,15 @@
 func (c *Core) onOrderDone(v OrderDone) {
 	r := &v.Report
 	if v.Status != 0 && r.Machine == v.Machine {
-		c.addrs.Learn(r.Machine, r.Addr, r.Session)
+		c.workerAddresses.Learn(r.Machine, r.Addr, r.Session)
 		if !v.Through {
-			c.workers.CallAnswered(c.now, c.heldShardOf(v.Machine), v.Machine)
+			c.workerReach.CallAnswered(c.now, c.heldShardOf(v.Machine), v.Machine)
 		}
 	}
-	if v.For != "" && v.For != c.p.Node {
+	if v.For != "" && v.For != c.params.Node {
 		to := v.For
 		v.For, v.Through = "", true
-		c.tell(to, PeerMessage{Ordered: &v})
+		c.sendToPeer(to, PeerMessage{Ordered: &v})
 		return
 	}
 	m := c.machines[v.Machine]
@@ -66,13 +66,13 @@
 	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.delivery.CallUnanswered() {
 		c.deliveryChanged(m)
 	}
-	if v.Look || m == nil || m.accounted || !c.mine(m.shard) {
+	if v.Look || m == nil || m.accounted || !c.holdsShard(m.shard) {
 		return // it has reported by itself meanwhile, or is no longer held here
 	}
 	b := c.blocks[m.block]
-	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.confirmed() ||
+	if v.Status != 200 || r.Machine != v.Machine || b == nil || !c.authorized() ||
 		r.Token < m.takeoverToken || c.isStaleReport(m, r) || r.Token > c.answerToken(m, b) {
-		c.roll.CallFailed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
+		c.pendingMachines.CallFailed(c.now, m, v.Status == 409 && r.Session != v.Session && r.Token <= v.Token)
 		return
 	}
 	m.currentReportsProven = true
@@ -96,29 +96,29 @@
 // learnAddresses stores the addresses of workers from the cloud's list of machines.
 func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
 	for n, i := range list {
-		if c.blockIn[n] != "" || c.leader.known.Stranger(n) {
-			c.addrs.Learn(n, i.Addr, 0)
+		if c.blockOfMachine[n] != "" || c.leader.known.Stranger(n) {
+			c.workerAddresses.Learn(n, i.Addr, 0)
 		}
 	}
-	c.addrs.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockIn[n] != "" })
+	c.workerAddresses.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockOfMachine[n] != "" })
 }
 
 // refreshAddresses reads the addresses of workers before they are needed. The leader reads the
 // cloud's list anyway for its own decisions; the other controllers read it only if addresses are
 // missing.
 func (c *Core) refreshAddresses() {
-	if c.leading() || c.listing || c.now < c.retryAt["addrs"] {
+	if c.leading() || c.listingMachines || c.now < c.notBefore["addrs"] {
 		return
 	}
 	missing := 0
-	for n := range c.blockIn {
-		if _, ok := c.addrs.Lookup(n); !ok {
+	for n := range c.blockOfMachine {
+		if _, ok := c.workerAddresses.Lookup(n); !ok {
 			missing++
 		}
 	}
-	c.retryAt["addrs"] = c.now + tuning.AddrsEvery
+	c.notBefore["addrs"] = c.now + tuning.AddrsEvery
 	if missing > 0 {
-		c.listing = true
+		c.listingMachines = true
 		c.readAddressPage("", map[string]wire.MachineInfo{})
 	}
 }
@@ -126,7 +126,7 @@
 // readAddressPage reads the pages of the cloud's list after a machine, adds them to machines and
 // stores the addresses once the list is complete.
 func (c *Core) readAddressPage(after string, machines map[string]wire.MachineInfo) {
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(reply CloudReply) {
+	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(reply CloudReply) {
 		for _, m := range reply.List.Machines {
 			machines[m.Name] = m
 			after = m.Name
@@ -135,7 +135,7 @@
 			c.readAddressPage(after, machines)
 			return
 		}
-		if c.listing = false; reply.Status == 200 {
+		if c.listingMachines = false; reply.Status == 200 {
 			c.learnAddresses(machines)
 		}
 	})
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -21,11 +21,11 @@
 // usageOf returns the usage of a machine, and recomputes it first if it is out of date.
 func (c *Core) usageOf(m *machine) *machineUsage {
 	usage := &m.usage
-	if usage.valid && usage.sizesVersion == c.sizes {
+	if usage.valid && usage.sizesVersion == c.sizeGeneration {
 		return usage
 	}
-	full, _ := c.sizeOf(m.machineType)
-	*usage = machineUsage{valid: true, sizesVersion: c.sizes, free: full}
+	full, _ := c.machineSize(m.machineType)
+	*usage = machineUsage{valid: true, sizesVersion: c.sizeGeneration, free: full}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
@@ -68,13 +68,13 @@
 		return false
 	}
 	return m.reported && m.accounted && !m.delivery.MissesAnswers() && !m.returning && !m.terminationNotice && !m.leaseOver && !m.moving &&
-		b != nil && !b.rec.Idle && !c.offering(b) && !c.vacating[m.block] &&
+		b != nil && !b.record.Idle && !c.offering(b) && !c.vacating[m.block] &&
 		c.now-m.lastReport < c.reportMaxAge()
 }
 
 // reportMaxAge returns how long after its last report a machine is still given tasks. It allows
 // for two late reports, or a lost one.
-func (c *Core) reportMaxAge() time.Duration { return 2*c.p.Report + tuning.FreshMargin }
+func (c *Core) reportMaxAge() time.Duration { return 2*c.params.ReportInterval + tuning.FreshMargin }
 
 // urgentRank is the lowest priority that is served regardless of free capacity and cost.
 var urgentRank = wire.PriorityRank("urgent")
@@ -90,7 +90,7 @@
 
 // placeTasks makes one Pogonip pass over the waiting jobs.
 func (c *Core) placeTasks() {
-	if !c.confirmed() || len(c.machines) == 0 {
+	if !c.authorized() || len(c.machines) == 0 {
 		return
 	}
 	c.refreshIndexes()
@@ -100,17 +100,17 @@
 	c.refreshLateness()
 	largestFree := map[int]placement.Size{}
 	c.jobQueue.Walk(func(team string) placement.Size {
-		shard := c.shardOf(team)
+		shard := c.shardOfTeam(team)
 		m, ok := largestFree[shard]
 		if !ok {
 			m = c.capacity.MaxFree(shard)
 			largestFree[shard] = m
 		}
-		t, u := c.p.Teams[team], c.capacity.Used(team, shard)
+		t, u := c.params.Teams[team], c.capacity.Used(team, shard)
 		return placement.Size{CPUs: min(m.CPUs, t.CPUsMax-u.CPUs), GPUs: min(m.GPUs, t.GPUsMax-u.GPUs), MemGB: m.MemGB}
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		if c.placeJob(p) > 0 {
-			delete(largestFree, c.shardOf(p.Job.Team))
+			delete(largestFree, c.shardOfTeam(p.Job.Team))
 		}
 		return true
 	})
@@ -120,7 +120,7 @@
 // tasksByZone counts a job's active tasks by zone if its placement depends on that; otherwise
 // it returns nil.
 func tasksByZone(e *jobEntry) map[string]int {
-	if j := &e.rec; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
+	if j := &e.record; !j.OneZone && !j.Spread && j.Shape != wire.ShapeService {
 		return nil
 	}
 	zones := map[string]int{}
@@ -132,7 +132,7 @@
 
 // allowedKinds returns a predicate for the kinds of machines that a job's next task may be placed on.
 func (c *Core) allowedKinds(e *jobEntry, zones map[string]int) func(ledger.Kind) bool {
-	return supply.KindFilter(&e.rec, e.run.zone, zones)
+	return supply.KindFilter(&e.record, e.run.zone, zones)
 }
 
 // possiblyInherited returns the number of tasks that may run on machines of an earlier holder.
@@ -150,7 +150,7 @@
 // placementBlocked reports whether no task of a job may be placed now: it backs off after
 // failures, or its placement depends on the zones of its other tasks and they are not known yet.
 func (c *Core) placementBlocked(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	return run == nil || c.now < run.notBefore ||
 		c.unreconciledShards[shard] && run.inheritedBelow > 0 && j.Tasks > 1 && (j.OneZone || j.Spread || j.Shape == wire.ShapeService)
 }
@@ -158,8 +158,8 @@
 // placeJob places as many of a job's waiting tasks as fit, and returns their number.
 func (c *Core) placeJob(p *queue.Entry[*jobEntry]) (placed int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
-	shard := c.shardOf(j.Team)
+	j, run := &e.record, e.run
+	shard := c.shardOfTeam(j.Team)
 	if c.placementBlocked(e, shard) {
 		return 0
 	}
@@ -198,7 +198,7 @@
 // placeOn reserves a machine for a job's next task, with an attempt number of its own or, for a
 // gang, with the number that all its tasks share.
 func (c *Core) placeOn(e *jobEntry, m *machine, ownNumber bool) {
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	run.passedOverSince = 0
 	taskIndex := run.nextIndex
 	if len(run.retryIndexes) > 0 {
@@ -210,14 +210,14 @@
 		c.lastAttemptNumber++
 	}
 	a := &attempt{
-		key:          attemptKey{wire.TaskName(j.ID, taskIndex), c.member.Boot()<<24 | c.lastAttemptNumber},
+		key:          attemptKey{wire.TaskName(j.ID, taskIndex), c.presence.Boot()<<24 | c.lastAttemptNumber},
 		job:          j.ID,
 		taskIndex:    taskIndex,
 		team:         j.Team,
 		size:         jobSize(j),
 		sizeKnown:    true,
-		belowUrgent:  e.prio < urgentRank,
-		idlePriority: e.prio <= idleRank,
+		belowUrgent:  e.priority < urgentRank,
+		idlePriority: e.priority <= idleRank,
 		machine:      m,
 		createdAt:    c.now,
 		runningSince: c.now,
@@ -227,14 +227,14 @@
 	run.active[taskIndex] = a
 	m.idleSince = c.now
 	c.refreshMachine(m)
-	c.requestReport(m, e.prio >= urgentRank)
+	c.requestReport(m, e.priority >= urgentRank)
 }
 
 // chooseMachine returns the machine for a job's next task and its beta, or nil if none has
 // enough free capacity.
 func (c *Core) chooseMachine(p *queue.Entry[*jobEntry], shard int, size placement.Size, anchor bool, zones map[string]int) (*machine, int) {
 	e := p.Handle
-	j, run := &e.rec, e.run
+	j, run := &e.record, e.run
 	allowed := c.allowedKinds(e, zones)
 	if len(run.retryIndexes) > 0 && tracksMachines(j) {
 		// The machine that ran the task before has its image, and the start there is
@@ -250,7 +250,7 @@
 	for range tuning.LocalTries {
 		m, beta := c.pickMachine(e, shard, size, anchor, zones, allowed, leftToOthers)
 		// gangFits has counted capacity for the whole gang, so it may not pass over any of it.
-		if m == nil || m.images[j.Image] || anchor || e.prio >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
+		if m == nil || m.images[j.Image] || anchor || e.priority >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
 			return m, beta
 		}
 		leftToOthers = append(leftToOthers, m)
@@ -269,10 +269,10 @@
 	}
 	free := c.freeCapacity(m)
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != m.shard {
+		if c.shardOfTeam(team) != m.shard {
 			return placement.Size{CPUs: -1}
 		}
-		t, u := c.p.Teams[team], c.capacity.Used(team, m.shard)
+		t, u := c.params.Teams[team], c.capacity.Used(team, m.shard)
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
 	}, func(other *queue.Entry[*jobEntry]) bool {
 		e := other.Handle
@@ -280,8 +280,8 @@
 			return false
 		}
 		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue &&
-			!c.placementBlocked(e, m.shard) && e.rec.Shape != wire.ShapeGang &&
-			e.run.pendingTasks(&e.rec) > 0 && m.images[e.rec.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
+			!c.placementBlocked(e, m.shard) && e.record.Shape != wire.ShapeGang &&
+			e.run.pendingTasks(&e.record) > 0 && m.images[e.record.Image] && c.takes(e, m, m.shard) && tasksByZone(e) == nil
 		return !found
 	})
 	if found && run.passedOverSince == 0 {
@@ -293,7 +293,7 @@
 // pickMachine returns the heuristic's choice among the machines that the ledger proposes, except
 // the excluded ones, and its beta; nil if there is none.
 func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, allowed func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
-	j := &e.rec
+	j := &e.record
 	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, allowed,
 		func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
@@ -305,7 +305,7 @@
 		}
 		if found.Handle.images[j.Image] {
 			candidate.Preference = 1
-		} else if e.prio >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
+		} else if e.priority >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
 			candidate.Preference = -1 // fetches there would share its bandwidth
 		}
 		c.candidates = append(c.candidates, candidate)
@@ -322,8 +322,8 @@
 // placement of the anchor determines the zone of the rest, so each zone is tried on its own and
 // the zone found is stored in the job's run.
 func (c *Core) gangFits(e *jobEntry, shard int) bool {
-	j, run := &e.rec, e.run
-	size, team := jobSize(j), c.p.Teams[j.Team]
+	j, run := &e.record, e.run
+	size, team := jobSize(j), c.params.Teams[j.Team]
 	waiting := len(run.retryIndexes) + j.Tasks - run.nextIndex
 	n := float64(waiting)
 	if team.exceededBy(c.capacity.Used(j.Team, shard).Add(placement.Size{CPUs: n * size.CPUs, GPUs: n * size.GPUs})) {
@@ -345,8 +345,8 @@
 
 // blockServes reports whether an empty machine of a block could run a task of the need.
 func (c *Core) blockServes(b *blockEntry, n wire.Need) bool {
-	full, ok := c.sizeOf(b.rec.Type)
-	return ok && supply.AllowsType(n.Types, b.rec.Type) && (n.Zone == "" || n.Zone == b.rec.Zone) && (!b.rec.Spot || n.Spot) &&
+	full, ok := c.machineSize(b.record.Type)
+	return ok && supply.AllowsType(n.Types, b.record.Type) && (n.Zone == "" || n.Zone == b.record.Zone) && (!b.record.Spot || n.Spot) &&
 		placement.Fits(full, needSize(n))
 }
 
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -28,7 +28,6 @@
 		t.Errorf("on its machine after %v", took)
 	}
 	// The same for a stop: an aborted service gives its place back at once.
-	began = w.now
 	w.run(6 * sec)
 	began = w.now
 	w.abort("job-000001")
@@ -53,13 +52,13 @@
 		c.addAttempt(&attempt{key: attemptKey{wire.TaskName("job-000001", i), uint64(i)}, job: "job-000001", taskIndex: i, belowUrgent: lesser, sizeKnown: true, machine: m, createdAt: c.now, runningSince: c.now})
 	}
 	for k := range 12 {
-		c.desk.Remove(m)
-		c.desk.Remove(other)
-		c.desk.Request(c.now, other, false)
+		c.callQueue.Remove(m)
+		c.callQueue.Remove(other)
+		c.callQueue.Request(c.now, other, false)
 		r, _ := w.machines[a].Inspect(w.now)
 		r.Seq += uint64(50 + k)
 		c.Step(c.now+sec, c.wall, WorkerReport{Req: uint64(1000 + k), Report: r})
-		if calls := c.desk.Take(c.now, func(*machine) callqueue.Decision { return callqueue.Call }); len(calls) != 2 || calls[0] != m {
+		if calls := c.callQueue.Take(c.now, func(*machine) callqueue.Decision { return callqueue.Call }); len(calls) != 2 || calls[0] != m {
 			t.Fatalf("%d are called, the machine with an urgent start not first", len(calls))
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -23,11 +23,11 @@
 // markAccounted records that the tasks on a machine are known from now on.
 func (c *Core) markAccounted(m *machine, reason string) {
 	if m.inherited && !m.accounted {
-		c.noteMachine(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: reason})
+		c.recordMachineEvent(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: reason})
 		c.unaccountedMachines[m.shard]--
 	}
 	m.accounted = true
-	c.roll.Remove(m)
+	c.pendingMachines.Remove(m)
 	c.markDirty(m)
 	c.reconcileJobsOn(m)
 	c.reconcileShards()
@@ -45,10 +45,10 @@
 		if len(c.unreconciledShards) == 0 {
 			clear(c.jobsAwaitingMachine)
 		}
-		c.noteShard(trail.Settled, shard, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[shard]).Seconds())})
+		c.recordShardEvent(trail.Settled, shard, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[shard]).Seconds())})
 		c.log(1, "all inherited machines accounted for", "shard", shard, "after", (c.now - c.shardHeldSince[shard]).String())
 		for _, e := range c.jobsByAge() {
-			if e.run != nil && c.shardOf(e.rec.Team) == shard {
+			if e.run != nil && c.shardOfTeam(e.record.Team) == shard {
 				c.reconcileJob(e, shard, true)
 			}
 		}
@@ -62,8 +62,8 @@
 		return
 	}
 	for _, e := range c.jobsAwaitingMachine[m.name] { // the machine may have moved between shards, so the job may belong to another one
-		if c.jobs[e.rec.ID] == e && e.run != nil && e.run.inheritedBelow > 0 && slices.Contains(e.rec.On, m.name) {
-			c.reconcileJob(e, c.shardOf(e.rec.Team), true)
+		if c.jobs[e.record.ID] == e && e.run != nil && e.run.inheritedBelow > 0 && slices.Contains(e.record.On, m.name) {
+			c.reconcileJob(e, c.shardOfTeam(e.record.Team), true)
 		}
 	}
 	delete(c.jobsAwaitingMachine, m.name)
@@ -73,11 +73,11 @@
 // of urgent jobs are queried first.
 func (c *Core) awaitMachines(e *jobEntry) {
 	if e.run.inheritedBelow > 0 {
-		for _, name := range e.rec.On {
+		for _, name := range e.record.On {
 			if name != "" && !slices.Contains(c.jobsAwaitingMachine[name], e) {
 				c.jobsAwaitingMachine[name] = append(c.jobsAwaitingMachine[name], e)
-				if m := c.machines[name]; m != nil && m.inherited && !m.accounted && e.prio >= urgentRank {
-					c.roll.Add(m, true)
+				if m := c.machines[name]; m != nil && m.inherited && !m.accounted && e.priority >= urgentRank {
+					c.pendingMachines.Add(m, true)
 				}
 			}
 		}
@@ -103,7 +103,7 @@
 	if !c.unreconciledShards[shard] {
 		return false
 	}
-	recorded := recordedMachine(&e.rec, taskIndex)
+	recorded := recordedMachine(&e.record, taskIndex)
 	if recorded == "" {
 		return true
 	}
@@ -115,7 +115,7 @@
 // machine. They were lost if an earlier holder had started them; those whose starts this
 // controller recorded in advance were not.
 func (c *Core) reconcileJob(e *jobEntry, shard int, lost bool) {
-	if e.run.inheritedBelow == 0 || c.unreconciledShards[shard] && !tracksMachines(&e.rec) {
+	if e.run.inheritedBelow == 0 || c.unreconciledShards[shard] && !tracksMachines(&e.record) {
 		return
 	}
 	c.markJobDirty(e)
@@ -134,9 +134,9 @@
 		}
 		e.run.retryIndexes = append(e.run.retryIndexes, k)
 		if lost {
-			c.noteShard(trail.TaskLost, shard, wire.TrailEvent{
-				Task:    wire.TaskName(e.rec.ID, k),
-				Machine: recordedMachine(&e.rec, k),
+			c.recordShardEvent(trail.TaskLost, shard, wire.TrailEvent{
+				Task:    wire.TaskName(e.record.ID, k),
+				Machine: recordedMachine(&e.record, k),
 				Why:     "on no machine after a change of hands",
 			})
 		}
@@ -152,19 +152,19 @@
 func (c *Core) checkLeases() {
 	for _, shard := range sortedIntKeys(c.unreconciledShards) {
 		if _, known := c.previousHolderDeadSince[shard]; !known && c.shards[shard] != nil {
-			if r := c.shards[shard].rec; r.Known && c.allIncarnationsDead(r.Past) {
+			if r := c.shards[shard].record; r.Known && c.allIncarnationsDead(r.Past) {
 				c.previousHolderDeadSince[shard] = c.now
 			}
 		}
 	}
-	if c.verifyingShard || !c.every("watchMachines", 200*time.Millisecond) {
+	if c.verifyingShard || !c.dueEvery("watchMachines", 200*time.Millisecond) {
 		return
 	}
-	c.suspect()
+	c.detectSilentMachines()
 	c.returnMissing()
 	byShard := map[int][]*machine{}
 	for _, m := range c.heldMachines() {
-		if m.leaseOver || !c.mine(m.shard) {
+		if m.leaseOver || !c.holdsShard(m.shard) {
 			continue
 		}
 		var since Time
@@ -181,13 +181,13 @@
 			// Inherited: the earlier holder may have answered it for as long as it
 			// could go without confirmation, even after the takeover, but not after
 			// its process ended, which a later incarnation of its node proves.
-			since = m.heldSince + c.unconfirmedMax()
+			since = m.heldSince + c.maxUnconfirmed()
 			if at, dead := c.previousHolderDeadSince[m.shard]; dead {
 				since = min(since, max(m.heldSince, at))
 			}
 			since = max(m.lastAnswered, since)
 		}
-		if c.now > since+c.leaseOver() {
+		if c.now > since+c.leaseBound() {
 			byShard[m.shard] = append(byShard[m.shard], m)
 		}
 	}
@@ -197,16 +197,16 @@
 		// that the shard is still held here.
 		c.verifyingShard = true
 		expired := byShard[shard]
-		c.state(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardCond(shard)}}}, func(r StateReply) {
+		c.callState(StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{c.shardUnchanged(shard)}}}, func(r StateReply) {
 			c.verifyingShard = false
 			if r.Status == 409 {
-				c.refresh(shardKey(shard))
+				c.rereadKey(shardKey(shard))
 			}
 			if r.Status != 200 {
 				return
 			}
 			for _, m := range expired {
-				if c.machines[m.name] == m && c.now > m.lastAnswered+c.leaseOver() {
+				if c.machines[m.name] == m && c.now > m.lastAnswered+c.leaseBound() {
 					m.leaseOver = true
 					c.markDirty(m)
 					if m.session > 0 {
@@ -215,7 +215,7 @@
 						// would bring tasks that run elsewhere by now back to the machine.
 						m.session, m.seq = m.session+1, 0
 					}
-					c.noteMachine(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
+					c.recordMachineEvent(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
 					c.log(1, "machine silent and its lease is over", "machine", m.name, "tasks", len(m.attempts))
 					c.machineGone(m, "lease over")
 				}
@@ -242,13 +242,13 @@
 		for _, m := range c.heldMachines() {
 			// A machine counts as missing after two calls without a usable answer. One whose
 			// address is not known gets until its next report is overdue.
-			waited := c.roll.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.p.Report*3/2)
+			waited := c.pendingMachines.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.params.ReportInterval*3/2)
 			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited &&
 				c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
 				m.returning = true
 				c.markDirty(m)
 				c.urgentBlocks[m.block] = true // written with the urgent writes
-				c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
+				c.recordMachineEvent(trail.MachineReturned, m, wire.TrailEvent{Why: "missing after a change of hands"})
 				c.log(1, "giving a machine back", "machine", m.name, "why", "missing after a change of hands")
 			}
 		}
@@ -270,7 +270,7 @@
 // current incarnation.
 func (c *Core) allIncarnationsDead(incarnations []wire.Life) bool {
 	for _, incarnation := range incarnations {
-		if n, up := c.nodes[incarnation.Node]; incarnation.Node != c.p.Node && (!up || n.Boot == incarnation.Boot) {
+		if n, up := c.nodes[incarnation.Node]; incarnation.Node != c.params.Node && (!up || n.Boot == incarnation.Boot) {
 			return false
 		}
 	}
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -30,27 +30,27 @@
 		return // the state lease has ended: its holder requests another one
 	}
 	write := limits.Describe(conditions, changes)
-	c.out = append(c.out, WriteRefused{Kind: write.Kind})
-	if c.form.Refused(c.now, write, reason) {
-		bounds := c.form.Bounds()
+	c.effects = append(c.effects, WriteRefused{Kind: write.Kind})
+	if c.writeLimits.Refused(c.now, write, reason) {
+		bounds := c.writeLimits.Bounds()
 		c.log(3, "state service refused a write as malformed",
 			"kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", reason,
 			"now_bytes", bounds.ValueBytes, "now_changes", bounds.Changes)
 	}
-	c.applyWriteLimits(c.form.Bounds())
+	c.applyWriteLimits(c.writeLimits.Bounds())
 }
 
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
-	c.p.ValueBytes, c.p.TxnOps = bounds.ValueBytes, bounds.Changes
-	c.started.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
+	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
 	c.calendar.KeepTo(bounds.ValueBytes)
 }
 
 // overlayStarts updates a job's record with the starts that were recorded separately, in the start log.
 func (c *Core) overlayStarts(r *wire.Job) {
-	if s, ok := c.started.Of(r.ID); ok {
+	if s, ok := c.startLog.Of(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
 		if s.On != nil {
 			r.On = s.On
@@ -60,17 +60,17 @@
 
 // applyStarts applies a new version of a start log record.
 func (c *Core) applyStarts(key string, ver uint64, r wire.Starts) error {
-	changed, err := c.started.Put(key, ver, r)
+	changed, err := c.startLog.Put(key, ver, r)
 	for _, name := range changed {
 		if e := c.jobs[name]; e != nil {
-			c.overlayStarts(&e.rec)
+			c.overlayStarts(&e.record)
 			c.jobChanged(e)
 		} else if m := c.machines[strings.TrimPrefix(name, machineEntryPrefix)]; m != nil {
 			m.fresh = false
 			c.markDirty(m)
 		}
 		if machine, isMachine := strings.CutPrefix(name, machineEntryPrefix); isMachine {
-			c.boots.Up(c.now, machine)
+			c.provisioning.Up(c.now, machine)
 		}
 	}
 	return err
@@ -78,7 +78,7 @@
 
 // useRecorded reports whether the start log records the first use of a machine.
 func (c *Core) useRecorded(machine string) bool {
-	_, ok := c.started.Of(machineEntryPrefix + machine)
+	_, ok := c.startLog.Of(machineEntryPrefix + machine)
 	return ok
 }
 
@@ -90,7 +90,7 @@
 		return c.jobs[name] != nil
 	}
 	if b := c.blockOf(machine); b != nil {
-		for _, bm := range b.rec.Machines {
+		for _, bm := range b.record.Machines {
 			if bm.Name == machine {
 				return bm.Fresh
 			}
@@ -110,8 +110,8 @@
 	jobs := sortedJobs(c.pendingWrites)
 	for _, shard := range c.shardIDs() {
 		// Urgent jobs come first in the list; their starts do not wait to share a write with others.
-		paced := c.now < c.startsPacedUntil[shard] && !(len(jobs) > 0 && jobs[0].prio >= urgentRank)
-		if !c.mine(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
+		paced := c.now < c.startsPacedUntil[shard] && !(len(jobs) > 0 && jobs[0].priority >= urgentRank)
+		if !c.holdsShard(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
 			continue
 		}
 		var entries []starts.Entry
@@ -124,17 +124,17 @@
 		}
 		jobsByID := map[string]*jobEntry{}
 		for _, e := range jobs {
-			if len(jobsByID) >= 4*c.p.TxnOps-2 {
+			if len(jobsByID) >= 4*c.params.MaxTxnOps-2 {
 				break // the number of conditions in one call is limited
 			}
 			started, ended, due := c.unwrittenStarts(e)
-			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOf(e.rec.Team) != shard || c.form.Aside(c.now, limits.Start, jobKey(e.rec.ID)) {
+			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOfTeam(e.record.Team) != shard || c.writeLimits.Aside(c.now, limits.Start, jobKey(e.record.ID)) {
 				continue
 			}
-			jobsByID[e.rec.ID] = e
-			entries = append(entries, starts.Entry{Name: e.rec.ID, Start: c.startRecord(e, started)})
+			jobsByID[e.record.ID] = e
+			entries = append(entries, starts.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
 		}
-		if c.form.Alone(c.now) && len(jobsByID) > 0 {
+		if c.writeLimits.Alone(c.now) && len(jobsByID) > 0 {
 			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
 		}
 		if len(entries) > 0 {
@@ -145,10 +145,10 @@
 
 // startRecord returns the entry to be written for a job's starts.
 func (c *Core) startRecord(e *jobEntry, started int) wire.Start {
-	s := wire.Start{Started: max(started, e.rec.Started), Bad: c.taskHealth.Mistaken(e.rec.ID)}
-	if tracksMachines(&e.rec) {
-		s.On = make([]string, e.rec.Tasks)
-		copy(s.On, e.rec.On)
+	s := wire.Start{Started: max(started, e.record.Started), Bad: c.taskHealth.Mistaken(e.record.ID)}
+	if tracksMachines(&e.record) {
+		s.On = make([]string, e.record.Tasks)
+		copy(s.On, e.record.On)
 		for k, a := range e.run.active {
 			s.On[k] = a.machine.name
 		}
@@ -159,21 +159,21 @@
 // failureUnrecorded reports whether a job fails on all machines and the start log does not record
 // that yet.
 func (c *Core) failureUnrecorded(e *jobEntry) bool {
-	if !c.taskHealth.Mistaken(e.rec.ID) {
+	if !c.taskHealth.Mistaken(e.record.ID) {
 		return false
 	}
-	s, _ := c.started.Of(e.rec.ID)
+	s, _ := c.startLog.Of(e.record.ID)
 	return !s.Bad
 }
 
 // writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
 func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
-	plan := c.started.Plan(shard, entries, c.startEntryNeeded)
-	conditions := []wire.Condition{c.shardCond(shard), {Key: plan.Key, Version: plan.Ver}}
+	plan := c.startLog.Plan(shard, entries, c.startEntryNeeded)
+	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Ver}}
 	var busy []*jobEntry
 	for _, x := range entries[:plan.Taken] {
 		if e := jobsByID[x.Name]; e != nil {
-			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.ver})
+			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.version})
 			e.run.writeInFlight = true
 			busy = append(busy, e)
 		}
