--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -9,13 +9,13 @@
 // callWorker calls a worker, through a peer if this controller reaches no worker and the peer does.
 // Relaying through a peer is no different from a slow network: the worker checks the token and the
 // session of the call.
-func (c *Core) callWorker(v Order) {
-	if n := c.assignments.WorkerProxy(c.now); n != "" {
-		v.For = c.params.Node
-		c.sendToPeer(n, PeerMessage{Order: &v})
+func (c *Core) callWorker(order Order) {
+	if peer := c.assignments.WorkerProxy(c.now); peer != "" {
+		order.For = c.params.Node
+		c.sendToPeer(peer, PeerMessage{Order: &order})
 		return
 	}
-	c.effects = append(c.effects, v)
+	c.effects = append(c.effects, order)
 }
 
 // newCallQueue returns an empty queue of workers to be called.
@@ -86,13 +86,13 @@
 
 // stopCommands returns the commands that stop attempts on a machine.
 func (c *Core) stopCommands(m *machine) []wire.Command {
-	cmds := []wire.Command{}
-	for _, cmd := range c.commandsFor(m, true) {
-		if cmd.Verb == wire.VerbStop {
-			cmds = append(cmds, cmd)
+	commands := []wire.Command{}
+	for _, command := range c.commandsFor(m, true) {
+		if command.Verb == wire.VerbStop {
+			commands = append(commands, command)
 		}
 	}
-	return cmds
+	return commands
 }
 
 // sendToNextHolder makes the worker of a machine whose block has left this controller's shards
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -474,7 +474,7 @@
 		return
 	}
 	from := entry.record.Holder
-	c.takeovers[shard] = pendingTransfer{record, from}
+	c.pendingTransfers[shard] = pendingTransfer{record, from}
 	c.commit(LaneFirst, append(conditions, wire.Condition{Key: key, Version: entry.version}), []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
 		if reply.Status == 200 {
 			c.recordShardTaken(shard)
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -239,7 +239,9 @@
 			continue
 		}
 		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
-		if !c.writeLimits.Stuck(c.now) { // while starts are stuck, nothing is rented for tasks that cannot start, and no machine is given back as idle
+		// While starts are stuck, nothing is rented for tasks that cannot start, and no machine is
+		// given back for lack of tasks.
+		if !c.writeLimits.Stuck(c.now) {
 			unmet.Needs = c.unmetNeeds(shard)
 			c.retire(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
@@ -251,19 +253,19 @@
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
-		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
+		number, announce, writeRecord := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
 			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
 		}
-		if write {
+		if writeRecord {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
 			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if announcements != nil {
-		for _, number := range sortedKeys(c.params.NodeZones) {
-			if number != c.params.Node {
-				c.sendToPeer(number, PeerMessage{Wants: announcements})
+		for _, node := range sortedKeys(c.params.NodeZones) {
+			if node != c.params.Node {
+				c.sendToPeer(node, PeerMessage{Wants: announcements})
 			}
 		}
 	}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -41,9 +41,9 @@
 	startsPacedUntil map[int]Time // earliest next write of a shard's starts if none is urgent
 
 	taskHealth        *health.Book
-	firstUseUnwritten map[string]bool // machines that are up, but recorded as never used
-	urgentBlocks      map[string]bool // blocks whose records are written with the urgent writes
-	takeovers         map[int]pendingTransfer
+	firstUseUnwritten map[string]bool         // machines that are up, but recorded as never used
+	urgentBlocks      map[string]bool         // blocks whose records are written with the urgent writes
+	pendingTransfers  map[int]pendingTransfer // by shard: transfers sent to be written, not yet in the mirror
 
 	shardHeldSince          map[int]Time      // when a held shard was taken up
 	previousHolderDeadSince map[int]Time      // since when the previous holder's incarnation is known to be dead
@@ -160,9 +160,9 @@
 		startsPacedUntil:  map[int]Time{},
 		firstUseUnwritten: map[string]bool{},
 
-		takeovers:      map[int]pendingTransfer{},
-		machines:       map[string]*machine{},
-		attemptsByTask: map[string][]*attempt{},
+		pendingTransfers: map[int]pendingTransfer{},
+		machines:         map[string]*machine{},
+		attemptsByTask:   map[string][]*attempt{},
 
 		heldShards:         map[int]bool{},
 		grantedShards:      map[int]bool{},
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -54,9 +54,9 @@
 		}
 	}
 	if v.For != "" && v.For != c.params.Node {
-		to := v.For
+		caller := v.For
 		v.For, v.Through = "", true
-		c.sendToPeer(to, PeerMessage{Ordered: &v})
+		c.sendToPeer(caller, PeerMessage{Ordered: &v})
 		return
 	}
 	m := c.machines[v.Machine]
@@ -85,7 +85,7 @@
 	c.runHolder()
 }
 
-// heldShardOf returns the shard of a machine that is held here, or reach.Anywhere.
+// heldShardOf returns the shard of a machine that is held here, or reach.AnyShard.
 func (c *Core) heldShardOf(name string) int {
 	if m := c.machines[name]; m != nil {
 		return m.shard
@@ -95,12 +95,12 @@
 
 // learnAddresses stores the addresses of workers from the cloud's list of machines.
 func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
-	for n, i := range list {
-		if c.blockOfMachine[n] != "" || c.leader.known.Stranger(n) {
-			c.workerAddresses.Learn(n, i.Addr, 0)
+	for name, info := range list {
+		if c.blockOfMachine[name] != "" || c.leader.known.Stranger(name) {
+			c.workerAddresses.Learn(name, info.Addr, 0)
 		}
 	}
-	c.workerAddresses.Prune(func(n string) bool { _, listed := list[n]; return listed || c.blockOfMachine[n] != "" })
+	c.workerAddresses.Prune(func(name string) bool { _, listed := list[name]; return listed || c.blockOfMachine[name] != "" })
 }
 
 // refreshAddresses reads the addresses of workers before they are needed. The leader reads the
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -164,6 +164,7 @@
 		return 0
 	}
 	size, team, zones := jobSize(j), c.limitOf(e), tasksByZone(e)
+	// The next task and those that may run on inherited machines count against the limit.
 	tasksCounted := float64(run.possiblyInherited() + 1)
 	anchor := len(run.active) == 0 && run.done.Count() == 0
 	gang := j.Shape == wire.ShapeGang
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -172,7 +172,7 @@
 		}
 		m.idleSince = c.now
 		c.markDirty(m)
-		c.log(2, "machine reports", "machine", m.name, "block", m.block)
+		c.log(2, "machine has reported for the first time", "machine", m.name, "block", m.block)
 	}
 	if r.NoticeS != nil && !m.terminationNotice {
 		m.terminationNotice, m.terminatesAt = true, c.now+seconds(*r.NoticeS)
@@ -275,7 +275,7 @@
 			c.countLongRunning(a)
 			continue
 		}
-		was := a.status
+		previousStatus := a.status
 		a.status, a.cause = t.Status, t.Cause
 		if t.Status == wire.TaskRunning || t.Status == wire.TaskSaving || t.Status == wire.TaskEnded && t.Cause == wire.CauseDone {
 			// After a takeover, a task that has ended meanwhile shows it as well: without
@@ -290,7 +290,7 @@
 		case wire.TaskEnded:
 			m.usage.valid = false
 			c.markDirty(m)
-			c.attemptEnded(a, was)
+			c.attemptEnded(a, previousStatus)
 		}
 	}
 	for _, k := range sortedAttemptKeys(m) {
@@ -316,15 +316,16 @@
 	}
 }
 
-// attemptEnded handles the end of an attempt that its worker has reported. was is the status before.
-func (c *Core) attemptEnded(a *attempt, was string) {
+// attemptEnded handles the end of an attempt that its worker has reported. previousStatus is
+// the status last reported before.
+func (c *Core) attemptEnded(a *attempt, previousStatus string) {
 	e := c.jobs[a.job]
 	if e == nil || e.run == nil {
 		return
 	}
 	c.markJobDirty(e)
 	if a.cause == wire.CauseDone {
-		if was == wire.TaskRunning {
+		if previousStatus == wire.TaskRunning {
 			c.runTimes.Record(e.record.Class, e.record.EstimateS, c.now-a.runningSince)
 		}
 		e.run.done = e.run.done.Add(a.taskIndex)
@@ -347,7 +348,7 @@
 		return
 	}
 	c.recordTaskEvent(trail.TaskFailed, a, a.cause)
-	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", was)
+	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", previousStatus)
 	if a.cause == wire.CauseError {
 		c.taskFailed(e, a)
 		return
@@ -369,12 +370,12 @@
 
 // commandsFor returns the commands for a machine. A preview changes nothing and leaves out starts.
 func (c *Core) commandsFor(m *machine, preview bool) []wire.Command {
-	cmds := []wire.Command{}
+	commands := []wire.Command{}
 	if !m.accounted {
-		return cmds
+		return commands
 	}
 	for _, k := range sortedAttemptKeys(m) {
-		if len(cmds) >= 200 {
+		if len(commands) >= 200 {
 			break // the size of a reply is limited; the rest follows with the next report
 		}
 		a := m.attempts[k]
@@ -384,7 +385,7 @@
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is recorded or no longer matters.
 			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.taskIndex) {
-				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
+				commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
 		case !live || a.stopping:
 			if a.startSent {
@@ -392,15 +393,15 @@
 				if !live {
 					graceS = 0
 				}
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
+				commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
 			}
 		case a.status == "" && c.startable(a) && !preview:
 			if run, now := c.run(a); now {
 				a.startSent = true
 				c.recordTaskRecovery(trail.TaskAgain, a)
-				cmds = append(cmds, run)
+				commands = append(commands, run)
 			}
 		}
 	}
-	return cmds
+	return commands
 }
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -59,8 +59,8 @@
 }
 
 // applyStarts applies a new version of a start log record.
-func (c *Core) applyStarts(key string, ver uint64, r wire.Starts) error {
-	changed, err := c.startLog.Put(key, ver, r)
+func (c *Core) applyStarts(key string, version uint64, r wire.Starts) error {
+	changed, err := c.startLog.Put(key, version, r)
 	for _, name := range changed {
 		if e := c.jobs[name]; e != nil {
 			c.overlayStarts(&e.record)
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -29,12 +29,12 @@
 
 // taskFailed records that a task failed and acts on what that says about its machine and its job.
 func (c *Core) taskFailed(e *jobEntry, a *attempt) {
-	was := c.taskHealth.Mistaken(a.job)
+	wasMistaken := c.taskHealth.Mistaken(a.job)
 	c.returnFaulty(c.taskHealth.Failed(c.now, a.job, a.machine.name))
 	e.run.notBefore = max(e.run.notBefore, c.taskHealth.NotBefore(a.job))
 	c.markDirty(a.machine)
 	c.markJobDirty(e)
-	if c.taskHealth.Mistaken(a.job) && !was {
+	if c.taskHealth.Mistaken(a.job) && !wasMistaken {
 		machines, times := c.taskHealth.Failures(a.job)
 		c.recordTaskEvent(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
 		c.log(1, "job fails on every machine; retrying it rarely", "job", a.job, "machines", machines, "failures", times)
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -28,9 +28,9 @@
 // known to be stored, whether from the reply to the write or from the watch, so that the events that follow from
 // it come after it.
 func (c *Core) recordShardTaken(shard int) {
-	transfer, ours := c.takeovers[shard]
+	transfer, ours := c.pendingTransfers[shard]
 	if entry := c.shards[shard]; ours && entry.record.Holder == transfer.record.Holder && entry.record.Boot == transfer.record.Boot {
-		delete(c.takeovers, shard)
+		delete(c.pendingTransfers, shard)
 		c.recordShardEvent(trail.ShardTaken, shard, wire.TrailEvent{Node: transfer.from, Token: entry.version, Why: "for " + transfer.record.Holder})
 	}
 }
