--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -201,11 +201,11 @@
 // shard knows them.
 func (c *Core) onAdminWhy(query AdminWhy) {
 	entry := c.jobs[query.ID]
-	if dependent := c.waitingAt[query.ID]; dependent != nil {
+	if dependent := c.waitingJobs[query.ID]; dependent != nil {
 		c.answer(query.Req, 200, wire.Why{
 			Job:    query.ID,
 			Holder: c.holderName(c.shardOfTeam(dependent.record.Team)),
-			Why:    c.whyWaits(query.ID),
+			Why:    c.waitReason(query.ID),
 		})
 		return
 	}
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -10,110 +10,127 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// chaining is what is known of jobs that wait for others (package dependency).
-type chaining struct {
-	chain     *dependency.Graph
-	waitingAt map[string]*jobEntry // jobs that wait, as they stand under wire.PrefixWaiting
-	relook    bool                 // something has changed that a decision may hang on
-	moving    bool                 // a write that moves such jobs is under way
-	reading   bool                 // so is a read of ends
-	told      ChainsSeen           // as last shown
-	single    bool                 // the last such write met a conflict: one job at a time
+// dependencyState is what this controller knows of jobs that wait for others (package dependency).
+type dependencyState struct {
+	dependencies    *dependency.Graph
+	waitingJobs     map[string]*jobEntry // waiting jobs, as stored under wire.PrefixWaiting
+	recheckWaiting  bool                 // something changed that the outcome of a waiting job may depend on
+	movingWaiting   bool                 // a write that moves waiting jobs is in progress
+	readingOutcomes bool                 // a read of the outcomes of predecessors is in progress
+	announcedChains ChainsSeen           // the counts that were last reported as an effect
+	oneJobPerWrite  bool                 // the last write that moved jobs met a conflict: move one job at a time
 }
 
-func newChaining() chaining {
-	return chaining{chain: dependency.New(), waitingAt: map[string]*jobEntry{}}
+func newDependencyState() dependencyState {
+	return dependencyState{
+		dependencies: dependency.New(),
+		waitingJobs:  map[string]*jobEntry{},
+	}
 }
 
-// waitsForOthers tells whether a job waits, as far as the mirror tells.
-func (c *Core) waitsForOthers(id string) bool { return c.waitingAt[id] != nil }
+// isWaiting reports whether a job waits for others, according to the mirror.
+func (c *Core) isWaiting(id string) bool { return c.waitingJobs[id] != nil }
 
-// accepted tells whether a job is known to be live.
-func (c *Core) accepted(id string) bool { return c.jobs[id] != nil }
+// isLive reports whether a job is known to be live: accepted, not waiting and not over.
+func (c *Core) isLive(id string) bool { return c.jobs[id] != nil }
 
-// putWaiting takes a new version of a job that waits.
-func (c *Core) putWaiting(r wire.Job, ver uint64) {
-	c.waitingAt[r.ID] = &jobEntry{record: r, version: ver}
-	c.chain.Put(r.ID, r.Predecessors, c.demandOf(&r))
+// putWaitingJob applies a new version of a waiting job.
+func (c *Core) putWaitingJob(r wire.Job, ver uint64) {
+	c.waitingJobs[r.ID] = &jobEntry{record: r, version: ver}
+	c.dependencies.Put(r.ID, r.Predecessors, c.demandOf(&r))
 	for _, p := range r.Predecessors {
 		if f, ok := c.finalStates[p]; ok {
-			c.chain.End(p, f.Status == wire.JobDone, f.By)
+			c.dependencies.End(p, f.Status == wire.JobDone, f.By)
 		}
 	}
-	c.rankBefore(c.chain.Before(r.ID))
-	c.relook, c.placementDue = true, true
+	c.rankPredecessors(c.dependencies.Before(r.ID))
+	c.recheckWaiting, c.placementDue = true, true
 }
 
-// waitingGone is called when a job waits no longer.
-func (c *Core) waitingGone(id string) {
-	before := c.chain.Before(id)
-	delete(c.waitingAt, id)
-	c.chain.Remove(id)
-	c.rankBefore(before)
-	c.relook, c.placementDue = true, true
+// removeWaitingJob is called when a job no longer waits.
+func (c *Core) removeWaitingJob(id string) {
+	before := c.dependencies.Before(id)
+	delete(c.waitingJobs, id)
+	c.dependencies.Remove(id)
+	c.rankPredecessors(before)
+	c.recheckWaiting, c.placementDue = true, true
 }
 
-// stageOf is what a job's expected length hangs on, and how long the machines that it may use boot.
+// stageOf returns what a job's expected length depends on, and how many seconds the machines that it may
+// use take to boot.
 func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
 	rate, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
-	s = dependency.Stage{Tasks: j.Tasks, Run: c.runTimes.Typical(j.Class, j.EstimateS).Seconds(), Spread: tuning.ChainSpread, Begin: tuning.ChainBegin.Seconds()}
+	s = dependency.Stage{
+		Tasks:  j.Tasks,
+		Run:    c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
+		Spread: tuning.ChainSpread,
+		Begin:  tuning.ChainBegin.Seconds(),
+	}
 	if rate > 0 {
 		s.Fetch = j.ImageGB / rate
 	}
 	return s, boot
 }
 
-// endsIn is in how many seconds a live job is expected to end; +Inf: not all of its tasks run here.
-func (c *Core) endsIn(id string) float64 {
+// remainingSeconds returns in how many seconds a live job is expected to end, or +Inf unless all of its
+// tasks run on machines of this holder.
+func (c *Core) remainingSeconds(id string) float64 {
 	e := c.jobs[id]
 	if e == nil || e.run == nil || e.run.pendingTasks(&e.record) > 0 || e.run.inheritedBelow > 0 {
 		return inf
 	}
-	var last Time
+	var lastStart Time
 	for _, a := range e.run.active {
 		if a.status == "" || a.status == wire.TaskPulling {
 			return inf
 		}
-		last = max(last, a.runningSince)
+		lastStart = max(lastStart, a.runningSince)
 	}
-	s, _ := c.stageOf(&e.record)
-	return s.Left((c.now - last).Seconds())
+	stage, _ := c.stageOf(&e.record)
+	return stage.Left((c.now - lastStart).Seconds())
 }
 
-// soon lists the waiting jobs of a shard that machines are asked for already: those that begin within
-// a boot and would be late if it began then. They are asked for on a rung of normal work.
-func (c *Core) soon(shard int) (list []*wire.Job) {
-	for _, id := range c.chain.Waiting() {
-		j := &c.waitingAt[id].record
-		if c.shardOfTeam(j.Team) != shard {
+// startingSoon lists the waiting jobs of a shard that machines are requested for already: those that are
+// expected to become ready within the boot time of a machine and would be late if the boot began only
+// then. They are requested at a tier of normal work.
+func (c *Core) startingSoon(shard int) (list []*wire.Job) {
+	for _, id := range c.dependencies.Waiting() {
+		job := &c.waitingJobs[id].record
+		if c.shardOfTeam(job.Team) != shard {
 			continue
 		}
-		if s, boot := c.stageOf(j); c.objectives.RequestAhead(j.Class, boot, s.Fetch+s.Begin, tuning.BootSlow) && c.chain.Begins(id, c.endsIn) <= boot {
-			list = append(list, j)
+		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
+			list = append(list, job)
 		}
 	}
 	return list
 }
 
-// demandOf is what a job asks of those before it.
+// demandOf returns what a job requires of its predecessors.
 func (c *Core) demandOf(j *wire.Job) dependency.Demand {
-	s, _ := c.stageOf(j)
-	return dependency.Demand{Priority: wire.PriorityRank(j.Priority), Rank: c.tierOrder.Rank(j), Due: c.objectives.Due(objectiveWork(j)), Length: dependency.Length(s)}
+	stage, _ := c.stageOf(j)
+	return dependency.Demand{
+		Priority: wire.PriorityRank(j.Priority),
+		Rank:     c.tierOrder.Rank(j),
+		Due:      c.objectives.Due(objectiveWork(j)),
+		Length:   dependency.Length(stage),
+	}
 }
 
-// rankJob puts a job on its rung, or on that of a job that needs it: on that one's own once there
-// is little slack, until then among normal work, which goes by due times and stops none of it.
+// rankJob sets a job's priority and tier: its own, or those inherited from a job that depends on it. The
+// full priority and tier are inherited only once there is little slack. Until then the job ranks at most
+// as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
-	d := c.chain.Inherited(e.record.ID)
-	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), d.Due
-	if d.Priority > e.priority {
-		if own := c.demandOf(&e.record); d.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
-			as := e.record
-			as.Priority = wire.PriorityName(normalRank)
-			d.Priority, d.Rank = min(d.Priority, normalRank), min(d.Rank, c.tierOrder.Rank(&as))
+	inherited := c.dependencies.Inherited(e.record.ID)
+	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
+	if inherited.Priority > e.priority {
+		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+			normal := e.record
+			normal.Priority = wire.PriorityName(normalRank)
+			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.tierOrder.Rank(&normal))
 		}
 	}
-	e.priority, e.rank = max(e.priority, d.Priority), max(e.rank, d.Rank)
+	e.priority, e.rank = max(e.priority, inherited.Priority), max(e.rank, inherited.Rank)
 	if e.run == nil {
 		return
 	}
@@ -126,8 +143,8 @@
 	}
 }
 
-// rankBefore does so for jobs whose dependents have changed.
-func (c *Core) rankBefore(ids []string) {
+// rankPredecessors ranks jobs whose dependents have changed.
+func (c *Core) rankPredecessors(ids []string) {
 	for _, id := range ids {
 		if e := c.jobs[id]; e != nil {
 			c.rankJob(e)
@@ -136,105 +153,111 @@
 	}
 }
 
-// rankWaiting weighs all that wait anew: the ladder, or what is known of run times, has changed.
-func (c *Core) rankWaiting() {
-	for _, id := range c.chain.Waiting() {
-		r := &c.waitingAt[id].record
-		c.chain.Put(id, r.Predecessors, c.demandOf(r))
+// rankWaitingJobs evaluates all waiting jobs and their predecessors again after a change of the tier
+// order or of the expected run times.
+func (c *Core) rankWaitingJobs() {
+	for _, id := range c.dependencies.Waiting() {
+		r := &c.waitingJobs[id].record
+		c.dependencies.Put(id, r.Predecessors, c.demandOf(r))
 	}
-	for _, id := range c.chain.Waiting() {
-		c.rankBefore(c.chain.Before(id))
+	for _, id := range c.dependencies.Waiting() {
+		c.rankPredecessors(c.dependencies.Before(id))
 	}
 }
 
-// lookOver has dependents of a job looked at that has left the live keys.
-func (c *Core) lookOver(id string) {
-	if len(c.chain.Dependents(id)) > 0 {
-		c.relook, c.placementDue = true, true
+// recheckDependents has the dependents of a job evaluated again after it left the live keys.
+func (c *Core) recheckDependents(id string) {
+	if len(c.dependencies.Dependents(id)) > 0 {
+		c.recheckWaiting, c.placementDue = true, true
 	}
 }
 
-// keepChains moves the waiting jobs of held shards on: those that are ready to the live ones, those
-// that are cancelled to their end, which follows from another's and is written at leisure.
-func (c *Core) keepChains() {
+// processWaitingJobs moves the waiting jobs of held shards: jobs that are ready become live, and jobs that
+// are cancelled end. A cancellation already follows from the stored end of another job, so it is written
+// at low priority.
+func (c *Core) processWaitingJobs() {
 	if c.dueEvery("rankWaiting", tuning.ChainRank) {
-		c.rankWaiting()
+		c.rankWaitingJobs()
 	}
-	if c.told.Waiting != len(c.waitingAt) {
-		c.told.Waiting = len(c.waitingAt)
-		c.effects = append(c.effects, c.told)
+	if c.announcedChains.Waiting != len(c.waitingJobs) {
+		c.announcedChains.Waiting = len(c.waitingJobs)
+		c.effects = append(c.effects, c.announcedChains)
 	}
-	if !c.relook || c.moving || c.reading || c.now < c.notBefore["chains"] {
+	if !c.recheckWaiting || c.movingWaiting || c.readingOutcomes || c.now < c.notBefore["chains"] {
 		return
 	}
-	c.relook = false
+	c.recheckWaiting = false
 	var ready, cancelled []string
 	var lookUp []string
-	by := map[string]string{}
-	for _, id := range c.chain.Waiting() {
-		if !c.holdsShard(c.shardOfTeam(c.waitingAt[id].record.Team)) {
+	cancelledBy := map[string]string{}
+	for _, id := range c.dependencies.Waiting() {
+		if !c.holdsShard(c.shardOfTeam(c.waitingJobs[id].record.Team)) {
 			continue
 		}
-		switch v := c.chain.Judge(id, c.accepted); v.Outcome {
+		switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
 		case dependency.Ready:
 			ready = append(ready, id)
 		case dependency.Cancelled:
-			cancelled, by[id] = append(cancelled, id), v.By
+			cancelled, cancelledBy[id] = append(cancelled, id), verdict.By
 		case dependency.Unknown:
-			lookUp = append(lookUp, v.LookUp...)
+			lookUp = append(lookUp, verdict.LookUp...)
 		}
 	}
 	if len(ready) > 0 {
-		c.moveOn(ready, nil)
+		c.moveWaitingJobs(ready, nil)
 	} else if len(cancelled) > 0 {
-		c.moveOn(cancelled, by)
+		c.moveWaitingJobs(cancelled, cancelledBy)
 	}
 	if len(lookUp) > 0 {
-		c.reading = true
+		c.readingOutcomes = true
 		slices.Sort(lookUp)
-		c.readEnds(slices.Compact(lookUp), func(bool) {
-			c.reading, c.relook = false, true
+		c.readOutcomes(slices.Compact(lookUp), func(bool) {
+			c.readingOutcomes, c.recheckWaiting = false, true
 			c.mirrorChanged()
 		})
 	}
 }
 
-// moveOn writes several waiting jobs to the live keys or, cancelled by others, to their end. Who
-// does so is of no matter: what it rests on never changes, and the record that waits is compared.
-func (c *Core) moveOn(ids []string, by map[string]string) {
+// moveWaitingJobs moves several waiting jobs to the live keys or, if cancelledBy names the jobs whose
+// cancellation they follow, to their final keys. It does not matter which controller does so, because the ends that
+// the decision rests on never change and the record of the waiting job is compared.
+func (c *Core) moveWaitingJobs(ids []string, cancelledBy map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
-	if by != nil {
+	if cancelledBy != nil {
 		lane = LaneLater
 	}
 	var keys []string
 	for _, id := range ids {
-		if b.full() || c.single && len(keys) > 0 {
+		if b.full() || c.oneJobPerWrite && len(keys) > 0 {
 			break
 		}
-		e := c.waitingAt[id]
+		e := c.waitingJobs[id]
 		keys = append(keys, waitingKey(id))
-		b.when = append(b.when, wire.Condition{Key: waitingKey(id), Version: e.version}, wire.Condition{Key: jobKey(id)}, wire.Condition{Key: finalKey(id)})
+		b.conditions = append(b.conditions,
+			wire.Condition{Key: waitingKey(id), Version: e.version},
+			wire.Condition{Key: jobKey(id)},
+			wire.Condition{Key: finalKey(id)})
 		change := wire.Change{Put: finalKey(id)}
-		if by != nil {
-			finals[id] = wire.Final{Status: wire.JobAborted, By: by[id]}
+		if cancelledBy != nil {
+			finals[id] = wire.Final{Status: wire.JobAborted, By: cancelledBy[id]}
 			change.Value = finals[id]
 		} else {
 			rec := e.record
 			rec.ReadyMS, rec.Number = c.wall.UnixMilli(), c.newestRevision
 			change = wire.Change{Put: jobKey(id), Value: rec}
 		}
-		b.then = append(b.then, wire.Change{Delete: waitingKey(id)}, change)
+		b.changes = append(b.changes, wire.Change{Delete: waitingKey(id)}, change)
 	}
-	c.moving = true
-	c.commit(lane, b.when, b.then, func(r StateReply) {
-		c.moving, c.relook, c.single = false, true, r.Status == 409
+	c.movingWaiting = true
+	c.commit(lane, b.conditions, b.changes, func(r StateReply) {
+		c.movingWaiting, c.recheckWaiting, c.oneJobPerWrite = false, true, r.Status == 409
 		for _, id := range sortedKeys(finals) {
 			if r.Status == 200 {
 				c.cacheFinal(id, finals[id], r.Txn.Revision)
 			}
 		}
 		if r.Status == 200 {
-			c.recordDependentsMoved(ids[:len(keys)], by)
+			c.recordDependentsMoved(ids[:len(keys)], cancelledBy)
 		}
 		if r.Status != 200 {
 			c.notBefore["chains"] = c.now + tuning.RetryAfter/2
@@ -242,39 +265,41 @@
 				c.rereadKey(k)
 			}
 		}
-		c.log(2, "waiting jobs moved on", "jobs", len(keys), "cancelled", by != nil, "status", r.Status)
+		c.log(2, "waiting jobs moved", "jobs", len(keys), "cancelled", cancelledBy != nil, "status", r.Status)
 		c.mirrorChanged()
 	})
 }
 
-// readEnds reads how jobs are over, one after the other; false: not all could be told.
-func (c *Core) readEnds(ids []string, f func(ok bool)) {
+// readOutcomes reads the final records of jobs one after the other. It calls done with false if one of them
+// could not be read.
+func (c *Core) readOutcomes(ids []string, done func(ok bool)) {
 	if len(ids) == 0 {
-		f(true)
+		done(true)
 		return
 	}
 	id := ids[0]
-	if fin, known := c.finalStates[id]; known || c.accepted(id) {
+	if final, known := c.finalStates[id]; known || c.isLive(id) {
 		if known {
-			c.chain.End(id, fin.Status == wire.JobDone, fin.By)
+			c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 		}
-		c.readEnds(ids[1:], f)
+		c.readOutcomes(ids[1:], done)
 		return
 	}
 	c.lookUpKeys(id, []string{finalKey(id)}, func(at jobLookup) {
 		if at.final == nil {
 			c.notBefore["chains"] = c.now + tuning.RetryAfter
-			f(false)
+			done(false)
 			return
 		}
-		c.readEnds(ids, f)
+		c.readOutcomes(ids, done)
 	})
 }
 
-// refreshed brings the mirror up to all that was written before this call.
-func (c *Core) refreshed(f func(ok bool)) {
+// refreshMirror updates the mirror with everything that was written before this call, and calls done
+// with whether that succeeded.
+func (c *Core) refreshMirror(done func(ok bool)) {
 	if !c.loaded || c.loading {
-		f(false)
+		done(false)
 		return
 	}
 	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(r StateReply) {
@@ -282,32 +307,34 @@
 			c.applyEvents(&r.Events)
 			c.mirrorChanged()
 		}
-		f(r.Status == 200 && !c.loading)
+		done(r.Status == 200 && !c.loading)
 	})
 }
 
-// judgeWaiting completes a look that has found a job waiting, by a mirror that is as fresh as the
-// look itself: who was told that a job before it is cancelled hears the same of this one.
-func (c *Core) judgeWaiting(id string, at jobLookup, fresh bool, f func(jobLookup)) {
+// evaluateWaiting completes a lookup that found a job waiting. The mirror must be as recent as the lookup
+// itself, so that a user who was told that a predecessor is cancelled gets the same answer for this job.
+// If it is not (fresh is false), the lookup fails.
+func (c *Core) evaluateWaiting(id string, at jobLookup, fresh bool, done func(jobLookup)) {
 	if !fresh {
-		f(jobLookup{})
+		done(jobLookup{})
 		return
 	}
-	if !c.waitsForOthers(id) {
-		c.lookUpJob(id, f) // it has moved on meanwhile
+	if !c.isWaiting(id) {
+		c.lookUpJob(id, done) // it was moved meanwhile
 		return
 	}
-	switch v := c.chain.Judge(id, c.accepted); v.Outcome {
+	switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
 	case dependency.Cancelled:
-		f(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: v.By}, ok: true})
+		done(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: verdict.By}, ok: true})
 	case dependency.Unknown:
-		c.readEnds(v.LookUp, func(ok bool) { c.judgeWaiting(id, at, ok, f) })
+		c.readOutcomes(verdict.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, done) })
 	default:
-		f(at)
+		done(at)
 	}
 }
 
-// acceptDependent takes a job that names others: each has to have been accepted once, by whoever.
+// acceptDependent accepts a job with predecessors, each of which must have been accepted before, by any
+// controller.
 func (c *Core) acceptDependent(req uint64, job wire.Job, known func(otherwise func())) {
 	refuse := func(status int, why string) {
 		known(func() { c.answer(req, status, wire.Problem{Error: why}) })
@@ -320,14 +347,14 @@
 		refuse(422, "awaits: "+job.ID+" is the job itself")
 		return
 	}
-	done, by := true, ""
-	var next func(left []string)
-	next = func(left []string) {
-		if len(left) == 0 {
-			c.writeDependent(req, job, done, by, known)
+	allDone, cancelledBy := true, ""
+	var next func(remaining []string)
+	next = func(remaining []string) {
+		if len(remaining) == 0 {
+			c.writeDependent(req, job, allDone, cancelledBy, known)
 			return
 		}
-		id := left[0]
+		id := remaining[0]
 		judge := func(at jobLookup) {
 			switch {
 			case !at.ok:
@@ -340,18 +367,18 @@
 				refuse(422, "awaits: "+id+" is a service, which is never done")
 				return
 			case at.final == nil:
-				done = false
-			case at.final.Status != wire.JobDone && by == "":
-				if by = at.final.By; by == "" {
-					by = id
+				allDone = false
+			case at.final.Status != wire.JobDone && cancelledBy == "":
+				if cancelledBy = at.final.By; cancelledBy == "" {
+					cancelledBy = id
 				}
 			}
-			next(left[1:])
+			next(remaining[1:])
 		}
-		// That the mirror knows a job is enough: it was accepted, whatever has become of it.
+		// A job in the mirror was accepted, whatever happened to it since.
 		if e := c.jobs[id]; e != nil {
 			judge(jobLookup{job: &e.record, ok: true})
-		} else if e := c.waitingAt[id]; e != nil {
+		} else if e := c.waitingJobs[id]; e != nil {
 			judge(jobLookup{job: &e.record, ok: true})
 		} else {
 			c.lookUpJob(id, judge)
@@ -360,16 +387,16 @@
 	next(job.Predecessors)
 }
 
-// writeDependent accepts a job whose predecessors are known: to be live at once if they all are
-// done, to be over at once if one is cancelled, and to wait otherwise.
-func (c *Core) writeDependent(req uint64, job wire.Job, done bool, by string, known func(otherwise func())) {
+// writeDependent writes a job whose predecessors are known: as live if they are all done, as aborted if
+// one was cancelled (cancelledBy names that job), and as waiting otherwise.
+func (c *Core) writeDependent(req uint64, job wire.Job, allDone bool, cancelledBy string, known func(otherwise func())) {
 	id := job.ID
 	status := wire.JobStatus{ID: id, Status: wire.JobQueued}
 	switch {
-	case by != "":
-		f := wire.Final{Status: wire.JobAborted, By: by}
+	case cancelledBy != "":
+		f := wire.Final{Status: wire.JobAborted, By: cancelledBy}
 		c.acceptJob(req, &job, wire.Change{Put: finalKey(id), Value: f}, finalStatus(id, f), known)
-	case done:
+	case allDone:
 		job.ReadyMS, job.Number = c.wall.UnixMilli(), c.newestRevision
 		c.acceptJob(req, &job, wire.Change{Put: jobKey(id), Value: job}, status, known)
 	default:
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -96,7 +96,7 @@
 	runTimes          *forecast.Estimator
 	calendar          *calendar.Book // crews and the plans for their departures
 	weights           *weights.Book  // distribution of images that many machines need
-	chaining
+	dependencyState
 	workerAddresses *takeover.AddressBook // addresses that workers listen on
 	listingMachines bool                  // a cloud list is being read to restore worker addresses
 	userState
@@ -121,11 +121,11 @@
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.NodeZones), c.nodes)
 	c.holderState = newHolderState()
-	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
+	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
 	c.indexes = newIndexes(p.Teams)
 	c.objectives = p.Objectives
 	c.callQueue = newCallQueue(p)
-	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.imageCaches)
+	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(p.Weights, c.imageCaches)
 	c.limitReservations = map[string]reservation.Reservation{}
 	c.reservations = map[int]*reservation.Table[*machine]{}
 	c.runTimes = forecast.New(forecast.Params{
@@ -181,13 +181,13 @@
 	case AdminCordon:
 		c.onAdminCordon(v)
 	case AdminLadder:
-		c.onAdminLadder(v)
+		c.onAdminTiers(v)
 	case AdminCrews:
 		c.onAdminCrews(v)
 	case AdminCrew:
 		c.onAdminCrew(v)
 	case AdminOrder:
-		c.onAdminOrder(v)
+		c.onAdminJobOrder(v)
 	case AdminWhy:
 		c.onAdminWhy(v)
 	case AdminTrail:
@@ -279,7 +279,7 @@
 			"renewed_ago", (c.now - c.presence.LastRenewed()).String(),
 			"watched_ago", (c.now - c.presence.LastWatched()).String())
 	}
-	c.lead()
+	c.runLeader()
 	c.refreshAddresses()
 	c.updateReachability()
 	c.runHolder()
@@ -437,7 +437,7 @@
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
-				c.followBoots(nil, c.blocks[id])
+				c.trackProvisioning(nil, c.blocks[id])
 			}
 			c.recordEvent(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
 			c.log(1, "state loaded", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.mirrorRevision)
@@ -461,7 +461,7 @@
 			c.assignShard(shard, c.params.Node, c.presence.Boot())
 		}
 	}
-	c.lead()
+	c.runLeader()
 }
 
 // assignShard writes a new holder into a shard's record, under further conditions if any are given. The
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -30,13 +30,13 @@
 		machines = append(machines, m)
 		roomOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard == shard {
 			// A machine that is not accounted for may be empty: machines are requested
 			// only for tasks that would not fit even then.
 			full, _ := c.machineSize(m.machineType)
-			add(m, c.unheld(m, full), doubted[m.name])
+			add(m, c.withoutReservation(m, full), doubted[m.name])
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
@@ -107,13 +107,13 @@
 	}
 	missing -= c.capacity.UrgentSlots(shard)
 	urgentTask, tier := c.urgentReserve.TaskSize(shard)
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
-			missing -= c.roomFor(m, urgentTask)
+			missing -= c.urgentCapacity(m, urgentTask)
 		} else if full, ok := c.machineSize(m.machineType); ok {
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
@@ -138,7 +138,7 @@
 	starved := false
 	used := map[string]placement.Size{}
 	var pool supply.Pool
-	soon := c.soon(shard)
+	soon := c.startingSoon(shard)
 	if c.jobQueue.Len() > 0 || soon != nil {
 		pool = c.supplyPool(shard, soon)
 	}
@@ -164,7 +164,7 @@
 		}
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
-		want = max(0, want-c.heldSoon(shard, j))
+		want = max(0, want-c.reservedSoon(shard, j))
 		missing := want - pool.Take(supply.Request{
 			Types:  j.Types,
 			Zone:   zone,
@@ -243,9 +243,9 @@
 		// given back for lack of tasks.
 		if !c.writeLimits.Stuck(c.now) {
 			unmet.Needs = c.unmetNeeds(shard)
-			c.retire(shard, len(unmet.Needs) > 0)
+			c.retireMachines(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
-				c.moveOff(shard)
+				c.consolidate(shard)
 			}
 		}
 		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -195,7 +195,7 @@
 	}
 	firstSeen := e.run == nil
 	if firstSeen {
-		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.known(e).Clone()}
+		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.knownDone(e).Clone()}
 		if e.record.Started > 0 {
 			e.run.inheritedBelow = e.record.Started
 			if starts, _ := c.startLog.Of(e.record.ID); starts.Bad && len(e.run.done) == 0 {
@@ -221,7 +221,7 @@
 		c.awaitMachines(e)
 		c.recordHeldTasks(e, shard)
 	}
-	e.run.done = e.run.done.Union(c.known(e))
+	e.run.done = e.run.done.Union(c.knownDone(e))
 }
 
 // jobRemoved is called when a job has left the live keys because it is done or aborted.
@@ -359,7 +359,7 @@
 				c.holdMachines(b, !b.record.Idle)
 			}
 		}
-		c.relook = true
+		c.recheckWaiting = true
 		c.runTimes.Import(c.biases[biasKey(shard)].Classes)
 		c.recordShardEvent(trail.ShardHeld, shard, wire.TrailEvent{Token: c.shards[shard].version})
 		c.log(1, "holding shard", "shard", shard, "token", c.shards[shard].version, "teams", len(c.shards[shard].record.Teams))
@@ -481,7 +481,7 @@
 // attemptLost removes an attempt from its machine. Its task is started again
 // unless it is done.
 func (c *Core) attemptLost(a *attempt, reason string) {
-	c.hasten(a)
+	c.expediteEnd(a)
 	c.removeAttempt(a)
 	c.placementDue = true
 	e := c.jobs[a.job]
@@ -525,10 +525,10 @@
 // runHolder performs the periodic work of the holder.
 func (c *Core) runHolder() {
 	c.checkLeases()
-	c.vacate()
-	c.keepChains()
+	c.reclaimBlocks()
+	c.processWaitingJobs()
 	c.planCrews()
-	c.planHolds()
+	c.planReservations()
 	if c.placementDue {
 		c.placementDue = false
 		c.placeTasks()
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -235,7 +235,7 @@
 		if c == nil {
 			continue
 		}
-		put(c.leading(), sortedIntKeys(c.heldShards), sortedIntKeys(c.grantedShards), sortedIntKeys(c.unreconciledShards))
+		put(c.isLeader(), sortedIntKeys(c.heldShards), sortedIntKeys(c.grantedShards), sortedIntKeys(c.unreconciledShards))
 		for _, m := range c.heldMachines() {
 			put(m.name, m.shard, m.inherited, m.accounted, m.reported, m.currentReportsProven, m.fresh, m.returning, m.leaseOver, m.terminationNotice)
 			for _, k := range sortedAttemptKeys(m) {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -132,8 +132,8 @@
 		for _, announcement := range message.Wants {
 			c.peerDemand.Hear(c.now, announcement)
 		}
-		if c.loaded && c.leading() {
-			c.lead()
+		if c.loaded && c.isLeader() {
+			c.runLeader()
 		}
 		return
 	case message.Relay != nil:
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -61,7 +61,7 @@
 	}
 	m := c.machines[v.Machine]
 	if v.Look && v.Status == 200 && r.Machine == v.Machine {
-		c.lives(r) // an answer to this controller's own call is no late copy
+		c.noteAnswered(r) // an answer to this controller's own call is no late copy
 	}
 	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.delivery.CallUnanswered() {
 		c.deliveryChanged(m)
@@ -96,7 +96,7 @@
 // learnAddresses stores the addresses of workers from the cloud's list of machines.
 func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
 	for name, info := range list {
-		if c.blockOfMachine[name] != "" || c.leader.known.Stranger(name) {
+		if c.blockOfMachine[name] != "" || c.leader.cloudMachines.Stranger(name) {
 			c.workerAddresses.Learn(name, info.Addr, 0)
 		}
 	}
@@ -107,7 +107,7 @@
 // cloud's list anyway for its own decisions; the other controllers read it only if addresses are
 // missing.
 func (c *Core) refreshAddresses() {
-	if c.leading() || c.listingMachines || c.now < c.notBefore["addrs"] {
+	if c.isLeader() || c.listingMachines || c.now < c.notBefore["addrs"] {
 		return
 	}
 	missing := 0
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -65,7 +65,7 @@
 
 // self returns this controller's incarnation and the leader, as the tracker of assignments needs them.
 func (c *Core) self() assignment.Self {
-	return assignment.Self{Boot: c.presence.Boot(), Leading: c.leading(), Leader: c.leaderRecord.Node}
+	return assignment.Self{Boot: c.presence.Boot(), Leading: c.isLeader(), Leader: c.leaderRecord.Node}
 }
 
 // reachOf returns the latest reachability report of a controller.
@@ -175,7 +175,7 @@
 // cannot reach it.
 func (c *Core) resignLeadership() {
 	r := &c.reachability
-	if !c.leading() {
+	if !c.isLeader() {
 		if c.reachOf(c.leaderRecord.Node).NoCloud && !r.probingCloud && c.dueEvery("askCloud", tuning.AskCloud) {
 			r.probingCloud = true
 			c.callCloud(CloudCall{Op: OpTypes}, func(CloudReply) { r.probingCloud = false })
@@ -188,7 +188,7 @@
 	}
 	c.recordEvent(wire.TrailEvent{Kind: trail.LeadGiven, Node: successor, Why: "the cloud is not reached here, and is there"})
 	c.log(1, "resigning leadership", "to", successor, "why", "the cloud is not reached here")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
 		c.term.WriteFinished()
 		c.mirrorChanged()
 	})
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -212,7 +212,7 @@
 			c.answer(req, 503, unavailable("holder not known"))
 			return
 		}
-		c.surprise(r)
+		c.onUnassignedReport(r)
 		if c.leaderRecord.Node != "" && c.leaderRecord.Node != c.params.Node {
 			c.answer(req, 421, wire.Redirect{Holder: c.leaderRecord.Node})
 			return
@@ -305,7 +305,7 @@
 	if len(m.attempts) > 0 {
 		m.idleSince = c.now
 	}
-	c.weigh(m)
+	c.updateImageUse(m)
 }
 
 // noteImage records that a machine has the image of a job, because a task of it ran there.
@@ -384,7 +384,7 @@
 		switch {
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is recorded or no longer matters.
-			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.taskIndex) {
+			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.taskIndex) {
 				commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
 		case !live || a.stopping:
@@ -396,7 +396,7 @@
 				commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
 			}
 		case a.status == "" && c.startable(a) && !preview:
-			if run, now := c.run(a); now {
+			if run, now := c.runCommand(a); now {
 				a.startSent = true
 				c.recordTaskRecovery(trail.TaskAgain, a)
 				commands = append(commands, run)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -34,7 +34,7 @@
 	}
 	c.confirmation.JobOver(jobKey(id), revision)
 	c.finalStates[id] = final
-	c.chain.End(id, final.Status == wire.JobDone, final.By)
+	c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 	c.finalOrder = append(c.finalOrder, id)
 	if len(c.finalOrder) > tuning.FinalCache {
 		delete(c.finalStates, c.finalOrder[0])
@@ -64,7 +64,7 @@
 		return
 	}
 	keys := []string{jobKey(id), finalKey(id)}
-	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingAt) > 0) {
+	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingJobs) > 0) {
 		keys = append([]string{waitingKey(id)}, keys...)
 	}
 	c.lookUpKeys(id, keys, done)
@@ -100,7 +100,7 @@
 				done(result)
 				return
 			}
-			c.refreshed(func(ok bool) { c.judgeWaiting(id, result, ok, done) })
+			c.refreshMirror(func(ok bool) { c.evaluateWaiting(id, result, ok, done) })
 		}
 	})
 }
@@ -182,8 +182,8 @@
 			switch {
 			case known:
 				c.answer(poll.Req, 200, finalStatus(poll.ID, final))
-			case reply.Status == 200 && entry == nil && !c.loading && c.waitsForOthers(poll.ID):
-				c.judgeWaiting(poll.ID, jobLookup{job: &wire.Job{ID: poll.ID, Tasks: 1}, ok: true}, true, func(result jobLookup) {
+			case reply.Status == 200 && entry == nil && !c.loading && c.isWaiting(poll.ID):
+				c.evaluateWaiting(poll.ID, jobLookup{job: &wire.Job{ID: poll.ID, Tasks: 1}, ok: true}, true, func(result jobLookup) {
 					c.answerLookup(poll.Req, poll.ID, result)
 				})
 			case reply.Status == 410 || reply.Status == 200 && (entry == nil || c.loading):
--- a/internal/queue/tree.go
+++ b/internal/queue/tree.go
@@ -8,15 +8,16 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// tree is a treap of waiting jobs in the order they are served. Each node knows the
-// least that any job below it asks of each resource, so that a search passes over
-// whole branches that fit nowhere. Heights come from a hash of the id: the same jobs
+// tree is a treap of waiting jobs in the order in which they are served. Each node knows, per
+// resource, the smallest amount that any job below it asks for, so that a search skips whole
+// branches that fit nowhere. Node priorities come from a hash of the job ID: the same jobs always
 // make the same tree.
 type tree[H any] struct {
 	root *node[H]
 	len  int
 }
 
+// node is a waiting job in the tree. minSize is the smallest amount of each resource in its subtree.
 type node[H any] struct {
 	entry       *Entry[H]
 	priority    uint64
@@ -28,7 +29,11 @@
 	n.minSize = n.entry.Job.TaskSize
 	for _, child := range [2]*node[H]{n.left, n.right} {
 		if child != nil {
-			n.minSize = placement.Size{CPUs: math.Min(n.minSize.CPUs, child.minSize.CPUs), GPUs: math.Min(n.minSize.GPUs, child.minSize.GPUs), MemGB: math.Min(n.minSize.MemGB, child.minSize.MemGB)}
+			n.minSize = placement.Size{
+				CPUs:  math.Min(n.minSize.CPUs, child.minSize.CPUs),
+				GPUs:  math.Min(n.minSize.GPUs, child.minSize.GPUs),
+				MemGB: math.Min(n.minSize.MemGB, child.minSize.MemGB),
+			}
 		}
 	}
 }
@@ -41,6 +46,7 @@
 	return n
 }
 
+// insertNode inserts n and returns the new root. Parents have higher priorities than their children.
 func insertNode[H any](root, n *node[H]) *node[H] {
 	switch {
 	case root == nil:
@@ -58,7 +64,7 @@
 	return root
 }
 
-// split parts a tree into what is served before a job and the rest.
+// split divides a tree into the jobs that are served before entry, and the rest.
 func split[H any](root *node[H], entry *Entry[H]) (left, right *node[H]) {
 	if root == nil {
 		return nil, nil
@@ -78,6 +84,7 @@
 	t.root = removeNode(t.root, entry)
 }
 
+// removeNode removes the node of entry and returns the new root.
 func removeNode[H any](root *node[H], entry *Entry[H]) *node[H] {
 	switch {
 	case root.entry == entry:
@@ -91,6 +98,7 @@
 	return root
 }
 
+// join returns one tree of two, where all jobs in left are served before those in right.
 func join[H any](left, right *node[H]) *node[H] {
 	switch {
 	case left == nil:
@@ -107,14 +115,15 @@
 	return right
 }
 
-// first is the first job that asks for no more than there is.
+// first returns the first job whose tasks fit into the free capacity, or nil.
 func (t *tree[H]) first(free placement.Size) *Entry[H] { return find(t.root, nil, free) }
 
-// after is the first such job after p in the order.
+// after returns the next job after entry whose tasks fit into the free capacity, or nil.
 func (t *tree[H]) after(entry *Entry[H], free placement.Size) *Entry[H] {
 	return find(t.root, entry, free)
 }
 
+// find returns the first job after a job, or of all if after is nil, whose tasks fit; nil if there is none.
 func find[H any](root *node[H], after *Entry[H], free placement.Size) *Entry[H] {
 	if root == nil || !placement.Fits(free, root.minSize) {
 		return nil
