--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -168,7 +168,7 @@
 		MemGB: expected.MemoryGB,
 		Tasks: expected.Tasks,
 	}
-	offers := supply.Offers(c.machineTypes, need, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot)
+	offers := supply.Offers(c.machineTypes, need, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
@@ -205,7 +205,7 @@
 		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
 			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
 				Put:   biasKey(i),
-				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.ValueBytes, forecast.DropLeastKnownClass),
+				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
 		}
 	}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -229,7 +229,7 @@
 				c.consolidate(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.params.ValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
 		if c.demandPublishers[shard] == nil {
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
@@ -244,7 +244,7 @@
 		}
 	}
 	if announcements != nil {
-		for _, number := range sortedKeys(c.params.Nodes) {
+		for _, number := range sortedKeys(c.params.NodeZones) {
 			if number != c.params.Node {
 				c.sendToPeer(number, PeerMessage{Wants: announcements})
 			}
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -162,14 +162,14 @@
 		why := c.bootFailure(m)
 		switch {
 		case why != "":
-		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.confirmationChangedAt) > seconds(c.settings.SilentDropS):
+		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.authorizationChangedAt) > seconds(c.settings.SilentDropS):
 			// A rented machine whose lease is over is returned at once, since a replacement costs the
 			// same. Reports are not accepted while this controller's authority is unconfirmed, so
 			// silence counts only from when it was confirmed.
 			why = "silent"
 		case m.delivery.MissesAnswers() && !m.base && !partitioned:
 			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
-		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.params.Report:
+		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.params.ReportInterval:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -65,7 +65,7 @@
 		if ended {
 			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
 			c.log(1, "lost leadership")
-			leader.reset(c.params.ListLag)
+			leader.reset(c.params.CloudListLag)
 		}
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
 		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
@@ -84,7 +84,7 @@
 		return
 	}
 	if began {
-		leader.reset(c.params.ListLag)
+		leader.reset(c.params.CloudListLag)
 		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
 		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
 	}
@@ -136,7 +136,7 @@
 // whole to one successor.
 func (c *Core) assignShards() {
 	leader := &c.leader
-	names := sortedKeys(c.params.Nodes)
+	names := sortedKeys(c.params.NodeZones)
 	if len(c.shards) < len(names) {
 		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
 			return
@@ -150,7 +150,7 @@
 		var changes []wire.Change
 		conditions = append(conditions, c.leaderCondition())
 		for i, name := range names {
-			if c.shards[i] != nil || len(changes) >= c.params.TxnOps {
+			if c.shards[i] != nil || len(changes) >= c.params.MaxTxnOps {
 				continue
 			}
 			holder := name
@@ -184,7 +184,7 @@
 		switch {
 		case !up || (node.Boot != shard.record.Boot && c.now-leader.nodeSince[shard.record.Holder] > tuning.GrantTTL):
 			// The holder is dead, or has restarted without retaking the shard.
-			newHolder = assignment.Successor(shard.record.Home, c.params.Nodes, c.assignments.Members(c.now, c.self(), i, held))
+			newHolder = assignment.Successor(shard.record.Home, c.params.NodeZones, c.assignments.Members(c.now, c.self(), i, held))
 		case shard.record.Home != shard.record.Holder:
 			if since, here := leader.nodeSince[shard.record.Home]; here && c.assignments.MayReturnHome(c.now, c.self(), i, &shard.record, since, held[shard.record.Home]) {
 				newHolder = shard.record.Home
@@ -254,7 +254,7 @@
 			return
 		}
 		for len(r.Types) > 0 {
-			n := min(len(r.Types), c.params.TxnOps)
+			n := min(len(r.Types), c.params.MaxTxnOps)
 			var changes []wire.Change
 			for _, t := range r.Types[:n] {
 				changes = append(changes, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
@@ -354,7 +354,7 @@
 	done := map[string]bool{}
 	for _, name := range leader.cloudMachines.AllGone() {
 		id, inBlock := c.blockOfMachine[name]
-		if !inBlock || done[id] || len(changes) >= c.params.TxnOps {
+		if !inBlock || done[id] || len(changes) >= c.params.MaxTxnOps {
 			continue
 		}
 		done[id] = true
@@ -417,12 +417,12 @@
 	// Without the machine types every block counts as having no CPUs, and all base machines once
 	// went to the same shard.
 	if leader.writePending || !leader.cloudMachines.Strangers() ||
-		len(c.machineTypes) == 0 || len(c.shards) < len(c.params.Nodes) ||
+		len(c.machineTypes) == 0 || len(c.shards) < len(c.params.NodeZones) ||
 		!c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
 	// The machine list may lag by up to twice the usual time.
-	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.params.ListLag && (len(c.blocks) == 0 || leader.adoptingBase)
+	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.params.CloudListLag && (len(c.blocks) == 0 || leader.adoptingBase)
 	infos := leader.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
 	if leader.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -32,7 +32,7 @@
 	plan := c.progress.Plan(rec.ID, rec.Done, e.run.done, func(done ranges.Set) bool {
 		rec.Done = done
 		raw, err := wire.Marshal(rec)
-		return err == nil && wire.FitsIn(raw, c.params.ValueBytes)
+		return err == nil && wire.FitsIn(raw, c.params.MaxValueBytes)
 	}, maxParts)
 	var changes []wire.Change
 	if rec.Done = plan.Record.Clone(); plan.Put {
@@ -97,7 +97,7 @@
 	if c.leader.deletingProgress || !c.dueEvery("tidyDone", tuning.TidyEvery) {
 		return
 	}
-	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.TxnOps/2)
+	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.MaxTxnOps/2)
 	if id == "" {
 		return
 	}
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -62,7 +62,7 @@
 			Index:          i,
 			HaveCPUs:       cpus[i],
 			GuaranteedCPUs: c.guaranteedCPUs(i),
-			SameZone:       c.params.Nodes[c.shards[i].record.Holder] == zone,
+			SameZone:       c.params.NodeZones[c.shards[i].record.Holder] == zone,
 		})
 	}
 	return list
@@ -141,7 +141,7 @@
 	}
 	var offers []supply.Offer
 	var requests []boot.Ask
-	for _, offer := range supply.Offers(c.machineTypes, need, c.params.Nodes[c.shards[shard].record.Holder], c.settings.Spot) {
+	for _, offer := range supply.Offers(c.machineTypes, need, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= leader.offerRetryAt[offer.Key()] {
 			offers = append(offers, offer)
 			requests = append(requests, boot.Ask{
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -38,8 +38,8 @@
 		return
 	}
 	version := c.versions.Of(wire.KeyLadder)
-	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.ValueBytes, tiers.DropOldestChange)
-	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.ValueBytes) {
+	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.MaxValueBytes, tiers.DropOldestChange)
+	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
 	}
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -76,7 +76,7 @@
 	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.ValueBytes-256); due {
+	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
 		c.writingImages = true
 		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.writingImages = false
