--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -13,10 +13,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var reservationLimits = reservation.Limits{
-	MaxShare: tuning.HoldShare,
-	Horizon:  tuning.HoldHorizon,
-	MinGain:  tuning.HoldBetter,
+var reservationLimits = reservation.Limits{MaxShare: tuning.HoldShare,
+	Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter,
 }
 
 // withoutReservation returns what is left of a machine's free capacity for jobs other than the one that
@@ -114,12 +112,11 @@
 		used[team] = used[team].Add(placement.Size{CPUs: size.CPUs * float64(startable), GPUs: size.GPUs * float64(startable)})
 		if startable == 0 || !placement.Fits(largestFree, size) {
 			requests = append(requests, reservation.Request[*machine]{
-				Job:      e.record.ID,
-				Team:     team,
-				Size:     size,
-				Tasks:    max(1, startable),
-				TeamFull: startable == 0,
-				Allows:   func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) },
+				Job:   e.record.ID,
+				Team:  team,
+				Size:  size,
+				Tasks: max(1, startable), TeamFull: startable == 0,
+				Allows: func(m *machine) bool { return allowsMachine(&e.record, m) && !c.avoids(e, m) },
 			})
 		}
 		return true
