--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -16,9 +16,13 @@
 		Type:  "std",
 		Zone:  rapid.SampledFrom([]string{"n", "s"}).Draw(t, "zone"),
 		Spot:  rapid.Bool().Draw(t, "spot"), EmptyRental: rapid.Bool().Draw(t, "empty")},
-		Usable:      rapid.IntRange(0, 3).Draw(t, "usable") > 0,
-		Free:        placement.Size{CPUs: float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10, MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem"))},
-		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "slots")}
+		Usable: rapid.IntRange(0, 3).Draw(t, "usable") > 0,
+		Free: placement.Size{
+			CPUs:  float64(rapid.IntRange(0, 40).Draw(t, "cpus")) / 10,
+			MemGB: float64(rapid.IntRange(0, 16).Draw(t, "mem")),
+		},
+		UrgentSlots: rapid.IntRange(0, 4).Draw(t, "slots"),
+	}
 	if rapid.Bool().Draw(t, "used") {
 		state.Usage = []TeamUsage{{rapid.SampledFrom([]string{"red", "blue"}).Draw(t, "team"), placement.Size{CPUs: 0.1}}}
 	}
@@ -131,8 +135,10 @@
 	for _, n := range []int{100, 1000, 10000} {
 		ledger := New[int]()
 		for i := range n {
-			ledger.Put(i, fmt.Sprintf("n-%06d", i), MachineState{Kind: Kind{Type: "std", Zone: []string{"n", "s"}[i%2]}, Usable: true,
-				Free: placement.Size{CPUs: float64(i%40) / 10, MemGB: float64(i % 17)}})
+			ledger.Put(i, fmt.Sprintf("n-%06d", i), MachineState{
+				Kind:   Kind{Type: "std", Zone: []string{"n", "s"}[i%2]},
+				Usable: true,
+				Free:   placement.Size{CPUs: float64(i%40) / 10, MemGB: float64(i % 17)}})
 		}
 		for _, anchor := range []bool{false, true} {
 			b.Run(fmt.Sprintf("anchor-%v-%d", anchor, n), func(b *testing.B) {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -51,7 +51,8 @@
 		requests []Request[string]
 		want     []string
 	}{
-		{[]Request[string]{x}, []string{"x on b at 20s", "x on new at 25s", "x on a at 30s"}}, // a quarter of the eight machines that are up, and the one that boots
+		// A quarter of the eight machines that are up, and the one that boots.
+		{[]Request[string]{x}, []string{"x on b at 20s", "x on new at 25s", "x on a at 30s"}},
 		{[]Request[string]{y, x}, []string{"x on b at 20s", "x on new at 25s", "x on a at 30s"}},
 		{[]Request[string]{y}, []string{"y on b at 20s"}},
 		{[]Request[string]{y, x}, []string{"y on b at 20s", "x on new at 25s", "x on a at 30s"}},
@@ -63,7 +64,8 @@
 		}
 	}
 	table.Plan(0, []Request[string]{y}, machines()[:1])
-	if changed := table.Plan(0, []Request[string]{y}, machines()); !slices.Equal(reserved(table), []string{"y on b at 20s"}) || len(changed) != 2 {
+	if changed := table.Plan(0, []Request[string]{y}, machines()); !slices.Equal(reserved(table), []string{"y on b at 20s"}) ||
+		len(changed) != 2 {
 		t.Errorf("a machine that is free ten seconds sooner: reserved %q, changed %q", reserved(table), changed)
 	}
 }
--- a/internal/tiers/tiers_test.go
+++ b/internal/tiers/tiers_test.go
@@ -30,7 +30,8 @@
 		tier, plain string
 	}{
 		{job("a", "alarm", "red", "urgent", wire.ShapeService, 1), "alarms", "urgent services"},
-		{job("b", "alarm", "blue", "urgent", wire.ShapeService, 1), "urgent services", "urgent services"}, // naming a class does not move a job of another team up
+		// Naming a class does not move a job of another team up.
+		{job("b", "alarm", "blue", "urgent", wire.ShapeService, 1), "urgent services", "urgent services"},
 		{job("c", "alarm", "red", "normal", wire.ShapeBatch, 1), "normal", "normal"},
 		{job("d", "unlock", "blue", "normal", wire.ShapeService, 1), "unlocks", "normal"},
 		{job("e", "scan", "red", "urgent", wire.ShapeBatch, 1), "urgent", "urgent"},
