--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -15,14 +15,14 @@
 
 var jobSize, needSize, smallerSize = supply.JobSize, supply.NeedSize, placement.Min
 
-// anyRoom walks over all waiting jobs, whatever they ask for.
+// unlimitedCapacity makes a walk of the job queue visit all waiting jobs, whatever they ask for.
 func unlimitedCapacity(string) placement.Size {
 	return placement.Size{CPUs: inf, GPUs: inf, MemGB: inf}
 }
 
-// supplies is the room of a shard that waiting tasks may find: on machines that come up or
-// are not accounted for yet, and, if any of the waiting fits at all, on those that have
-// some now.
+// supplyPool returns the capacity of a shard that waiting tasks may use: on machines that are
+// coming up or are not accounted for yet and, if any of the waiting tasks fits at all, on those
+// that have free capacity now.
 func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
 	var machines []*machine
 	roomOf := map[*machine]supply.Capacity{}
@@ -30,40 +30,42 @@
 		machines = append(machines, m)
 		roomOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
-	doubted := c.doubted(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard == shard {
-			// What is on a machine not accounted for is not known: it may be empty,
-			// so only what finds no room even then is asked for.
-			full, _ := c.sizeOf(m.machineType)
-			add(m, c.unheld(m, full), doubted[m.name])
+			// A machine that is not accounted for may be empty: machines are requested
+			// only for tasks that would not fit even then.
+			full, _ := c.machineSize(m.machineType)
+			add(m, c.withoutReservation(m, full), doubted[m.name])
 		}
 	}
 	sort.Slice(machines, func(i, j int) bool { return machines[i].name < machines[j].name })
-	most := c.capacity.MaxFree(shard)
-	var least *placement.Size
+	largest := c.capacity.MaxFree(shard)
+	var smallest *placement.Size
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
-		return most
+		return largest
 	}, func(p *queue.Entry[*jobEntry]) bool {
-		if s := p.Job.TaskSize; least == nil {
-			least = &s
+		if s := p.Job.TaskSize; smallest == nil {
+			smallest = &s
 		} else {
-			*least = smallerSize(*least, s)
+			*smallest = smallerSize(*smallest, s)
 		}
 		return true
 	})
 	for _, j := range soon {
 		s := jobSize(j)
-		if least != nil {
-			s = smallerSize(*least, s)
+		if smallest != nil {
+			s = smallerSize(*smallest, s)
 		}
-		least = &s
+		smallest = &s
 	}
-	if least != nil {
-		c.capacity.EachFitting(shard, *least, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) { add(m, free, false) })
+	if smallest != nil {
+		c.capacity.EachFitting(shard, *smallest, func(ledger.Kind) bool { return true }, func(m *machine, _ ledger.Kind, free placement.Size) {
+			add(m, free, false)
+		})
 	}
 	sorted := len(machines)
 	for m := range c.idleAttempts {
@@ -85,7 +87,8 @@
 	return pool
 }
 
-// idleOn is what work on a machine that gives way to all other takes.
+// idleUsage returns the capacity that work of idle priority, preemptible by all other work, uses on
+// a machine.
 func (c *Core) idleUsage(m *machine) (s placement.Size) {
 	for _, a := range m.attempts {
 		if a.idlePriority && a.status != wire.TaskEnded {
@@ -95,31 +98,37 @@
 	return s
 }
 
-// spareNeed is the room for the next urgent tasks that a shard lacks, so that they do
-// not wait for a boot.
+// spareNeed returns the capacity that a shard is short of for the next urgent tasks, so that they
+// do not wait for a machine to boot, and reports whether there is any such shortage.
 func (c *Core) spareNeed(shard int) (wire.Need, bool) {
 	missing := c.spareTarget(shard)
 	if missing <= 0 {
 		return wire.Need{}, false
 	}
 	missing -= c.capacity.UrgentSlots(shard)
-	urgentTask, rank := c.urgentReserve.TaskSize(shard)
-	doubted := c.doubted(shard)
+	urgentTask, tier := c.urgentReserve.TaskSize(shard)
+	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
 		if m.shard != shard || m.spot || doubted[m.name] {
 			continue
 		}
 		if m.reported {
-			missing -= c.roomFor(m, urgentTask)
-		} else if full, ok := c.sizeOf(m.machineType); ok {
+			missing -= c.urgentCapacity(m, urgentTask)
+		} else if full, ok := c.machineSize(m.machineType); ok {
 			missing -= placement.Beta(full, urgentTask) + 1
 		}
 	}
-	return wire.Need{CPUs: urgentTask.CPUs, GPUs: urgentTask.GPUs, MemGB: urgentTask.MemGB, Tasks: missing, Rung: rank}, missing > 0 // joins what such a task asks for itself
+	return wire.Need{ // MergeNeed joins it with the need of such a task itself
+		CPUs:  urgentTask.CPUs,
+		GPUs:  urgentTask.GPUs,
+		MemGB: urgentTask.MemGB,
+		Tasks: missing,
+		Rung:  tier,
+	}, missing > 0
 }
 
-// needs lists the tasks of a shard that no held machine has room for, those
-// still booting included: Pogonip's overflow.
+// unmetNeeds returns the needs of a shard's tasks that do not fit on any held machine, machines
+// that are still booting included: Pogonip's overflow.
 func (c *Core) unmetNeeds(shard int) []wire.Need {
 	c.refreshIndexes()
 	var out []wire.Need
@@ -129,21 +138,21 @@
 	starved := false
 	used := map[string]placement.Size{}
 	var pool supply.Pool
-	soon := c.soon(shard)
+	soon := c.startingSoon(shard)
 	if c.jobQueue.Len() > 0 || soon != nil {
 		pool = c.supplyPool(shard, soon)
 	}
 	c.jobQueue.Walk(func(team string) placement.Size {
-		if c.shardOf(team) != shard {
+		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
 		}
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
-		e, j := p.Handle, &p.Handle.rec
-		if e.run == nil || c.taskHealth.Trial(j.ID) || c.form.Aside(c.now, limits.Start, jobKey(j.ID)) {
+		e, j := p.Handle, &p.Handle.record
+		if e.run == nil || c.taskHealth.Trial(j.ID) || c.writeLimits.Aside(c.now, limits.Start, jobKey(j.ID)) {
 			return true
 		}
-		size, team := jobSize(j), c.p.Teams[j.Team]
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		zone := j.Zone
 		if j.OneZone {
 			for _, a := range e.run.active {
@@ -155,15 +164,22 @@
 		}
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, c.requestedTasks(p))
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
-		want = max(0, want-c.heldSoon(shard, j))
-		missing := want - pool.Take(supply.Request{Types: j.Types, Zone: zone, Spot: j.Spot, Size: size, Urgent: e.prio >= urgentRank, Idle: e.prio <= idleRank}, want)
-		overdue := p.WithinGuarantee && e.prio >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		want = max(0, want-c.reservedSoon(shard, j))
+		missing := want - pool.Take(supply.Request{
+			Types:  j.Types,
+			Zone:   zone,
+			Spot:   j.Spot,
+			Size:   size,
+			Urgent: e.priority >= urgentRank,
+			Idle:   e.priority <= idleRank,
+		}, want)
+		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
 		if missing == 0 && !overdue {
 			return true
 		}
 		need := supply.NeedOf(j, zone, missing, e.rank)
 		if overdue {
-			// A boot is on its way at best; a borrowed machine is there now.
+			// At best a machine is booting for it; a borrowed machine is available now.
 			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
 		if p.WithinGuarantee && missing > 0 {
@@ -175,15 +191,15 @@
 		out = supply.MergeNeed(out, need, tuning.NeedsMax)
 		return true
 	})
-	for _, j := range soon { // after all that could run now
-		size, team := jobSize(j), c.p.Teams[j.Team]
+	for _, j := range soon { // after all jobs that could run now
+		size, team := jobSize(j), c.params.Teams[j.Team]
 		if _, ok := used[j.Team]; !ok {
 			used[j.Team] = c.capacity.Used(j.Team, shard)
 		}
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		if missing := want - pool.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
-			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.ladder.Rank(j)), tuning.NeedsMax)
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.NeedsMax)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -194,72 +210,75 @@
 	return out
 }
 
-// deserves is for how many of a job's waiting tasks machines are asked for. Of work that
-// is run when there is nothing else to do, and of arrays with a deadline beyond a guarantee, it
-// is as many as are needed in time.
+// requestedTasks returns for how many of a job's waiting tasks machines are requested. For work of
+// idle priority, and for arrays with a deadline beyond their team's guarantee, these are only as
+// many as are needed to finish in time.
 func (c *Core) requestedTasks(p *queue.Entry[*jobEntry]) int {
-	e, pace, run := p.Handle, objectiveLimits, p.Job.EstimateS
-	if e.prio > idleRank {
-		if e.prio >= urgentRank || p.WithinGuarantee || p.Job.Service || e.rec.DueS <= 0 {
+	e, bounds, runtimeS := p.Handle, objectiveLimits, p.Job.EstimateS
+	if e.priority > idleRank {
+		if e.priority >= urgentRank || p.WithinGuarantee || p.Job.Service || e.record.DueS <= 0 {
 			return p.Job.Pending
 		}
-		pace.Headroom, run = tuning.DueHeadroom, c.runs.Typical(e.rec.Class, e.rec.EstimateS).Seconds()
+		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
 	}
-	places := pace.TargetParallelism(p.Job.Unfinished, run, p.Job.Due, float64(c.wall.UnixMilli())/1000)
+	places := bounds.TargetParallelism(p.Job.Unfinished, runtimeS, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
+// demandPace bounds how often unmet demand is published and written.
 var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
 
-// tellWants tells what each held shard lacks, for the leader and the other holders.
+// publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
-	if !c.confirmed() || !c.every("want", tuning.WantEvery) {
+	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
 		return
 	}
 	var announcements []wants.Told
 	for _, shard := range c.shardIDs() {
-		if !c.mine(shard) {
+		if !c.holdsShard(shard) {
 			continue
 		}
-		unmet := wire.Want{Seen: c.newestBlock(shard)}
-		if !c.form.Stuck(c.now) { // nothing is rented for what can't start, nor given back for want of it
+		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
+		// While starts are stuck, nothing is rented for tasks that cannot start, and no machine is
+		// given back for lack of tasks.
+		if !c.writeLimits.Stuck(c.now) {
 			unmet.Needs = c.unmetNeeds(shard)
-			c.retire(shard, len(unmet.Needs) > 0)
+			c.retireMachines(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
-				c.moveOff(shard)
+				c.consolidate(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.p.ValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
 		if c.demandPublishers[shard] == nil {
 			c.demandPublishers[shard] = wants.NewTeller(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
-		number, announce, write := c.demandPublishers[shard].Next(c.now, unmet, c.wants[shard], c.words.ReachableOrSelf(c.now, c.chief.Node))
+		number, announce, writeRecord := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
-			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].ver, N: number, Want: unmet})
+			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
 		}
-		if write {
-			c.log(2, "asking the leader for machines", "shard", shard, "needs", len(unmet.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardCond(shard)}, []wire.Change{{Put: wantKey(shard), Value: unmet}}, func(StateReply) { c.changed() })
+		if writeRecord {
+			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if announcements != nil {
-		for _, number := range sortedKeys(c.p.Nodes) {
-			if number != c.p.Node {
-				c.tell(number, PeerMessage{Wants: announcements})
+		for _, node := range sortedKeys(c.params.NodeZones) {
+			if node != c.params.Node {
+				c.sendToPeer(node, PeerMessage{Wants: announcements})
 			}
 		}
 	}
 }
 
-// wantOf is what a shard lacks, as far as we know.
+// shardDemand returns the unmet demand of a shard, as far as it is known here.
 func (c *Core) shardDemand(shard int) wire.Want {
 	entry := c.shards[shard]
 	switch {
 	case entry == nil:
 		return wire.Want{}
-	case c.mine(shard):
+	case c.holdsShard(shard):
 		return c.publishedDemand[shard]
 	}
-	return c.peerDemand.Of(c.now, shard, entry.ver, c.wants[shard])
+	return c.peerDemand.Of(c.now, shard, entry.version, c.demands[shard])
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -12,88 +12,88 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// offer tells whether a block should stand as idle: nothing runs on it, this
-// shard has no use for it, and another asks. While it stands so, nothing is
-// started on it, and the leader may move it.
-func (c *Core) offer(b *blockEntry) bool {
-	if c.vacating[b.id] {
-		return c.empty(b, 0)
+// shouldMarkIdle reports whether a block should be marked idle: nothing runs on it, its shard has no use
+// for it, and another shard requests machines like it. While a block is marked idle, nothing is started
+// on it and the leader may move it.
+func (c *Core) shouldMarkIdle(block *blockEntry) bool {
+	if c.vacating[block.id] {
+		return c.emptyFor(block, 0)
 	}
-	if c.hasUnmetDemand(b.rec.Shard) {
+	if c.hasUnmetDemand(block.record.Shard) {
 		return false
 	}
-	asked := false
+	requested := false
 	for _, i := range c.shardIDs() {
-		if i != b.rec.Shard {
-			for _, n := range c.shardDemand(i).Needs {
-				asked = asked || c.blockServes(b, n)
+		if i != block.record.Shard {
+			for _, need := range c.shardDemand(i).Needs {
+				requested = requested || c.blockServes(block, need)
 			}
 		}
 	}
-	return asked && c.empty(b, tuning.IdleOffer) && c.spareBeyond(b.rec.Shard, c.machinesOf(b)...)
+	return requested && c.emptyFor(block, tuning.IdleOffer) && c.hasSpareWithout(block.record.Shard, c.machinesOf(block)...)
 }
 
-// empty tells whether nothing has been on a block for a while.
-func (c *Core) empty(b *blockEntry, since time.Duration) bool {
-	for _, bm := range b.rec.Machines {
+// emptyFor reports whether nothing has been on any machine of a block for a duration.
+func (c *Core) emptyFor(block *blockEntry, duration time.Duration) bool {
+	for _, bm := range block.record.Machines {
 		m := c.machines[bm.Name]
-		if m == nil || m.returning || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < since {
+		if m == nil || m.returning || !m.accounted || len(m.attempts) > 0 || !m.reported || c.now-m.idleSince < duration {
 			return false
 		}
 	}
-	return len(b.rec.Machines) > 0
+	return len(block.record.Machines) > 0
 }
 
-// machinesOf lists the held machines of a block.
-func (c *Core) machinesOf(b *blockEntry) (ms []*machine) {
-	for _, bm := range b.rec.Machines {
+// machinesOf lists the machines of a block that this controller holds.
+func (c *Core) machinesOf(b *blockEntry) (machines []*machine) {
+	for _, bm := range b.record.Machines {
 		if m := c.machines[bm.Name]; m != nil {
-			ms = append(ms, m)
+			machines = append(machines, m)
 		}
 	}
-	return ms
+	return machines
 }
 
-// spareTarget is for how many urgent tasks a shard keeps room.
+// spareTarget returns for how many urgent tasks a shard keeps capacity free.
 func (c *Core) spareTarget(shard int) int {
-	_, boot := supply.FetchAndBootBounds(c.types, nil)
+	_, boot := supply.FetchAndBootBounds(c.machineTypes, nil)
 	return c.urgentReserve.Target(c.now, shard, boot)
 }
 
-// roomFor counts the urgent tasks that a machine could take at once, lesser
-// work on it giving way.
-func (c *Core) roomFor(m *machine, u placement.Size) int {
-	f := c.freeCapacity(m)
+// urgentCapacity returns how many urgent tasks of the given size a machine could take at once if the less
+// urgent work on it were preempted.
+func (c *Core) urgentCapacity(m *machine, size placement.Size) int {
+	free := c.freeCapacity(m)
 	for _, a := range m.attempts {
 		if a.belowUrgent && a.status != wire.TaskEnded {
-			f = f.Add(a.size)
+			free = free.Add(a.size)
 		}
 	}
-	return placement.Beta(f, u) + 1
+	return placement.Beta(free, size) + 1
 }
 
-// spareBeyond tells whether a shard keeps room for urgent tasks without the
-// given machines: such work should not wait for a boot.
-func (c *Core) spareBeyond(shard int, without ...*machine) bool {
+// hasSpareWithout reports whether a shard keeps its spare capacity for urgent tasks without the given
+// machines, because urgent work should not wait for a machine to boot.
+func (c *Core) hasSpareWithout(shard int, without ...*machine) bool {
 	c.refreshIndexes()
-	n := c.capacity.UrgentSlots(shard)
+	spare := c.capacity.UrgentSlots(shard)
 	for _, m := range without {
-		if f, ok := c.capacity.Get(m); ok && f.Usable && !f.Spot {
-			n -= f.UrgentSlots
+		if facts, ok := c.capacity.Get(m); ok && facts.Usable && !facts.Spot {
+			spare -= facts.UrgentSlots
 		}
 	}
-	return n >= c.spareTarget(shard)
+	return spare >= c.spareTarget(shard)
 }
 
-// moveOff frees rented machines that run nothing but a few replicas, if all of them find
-// room, and their image, on machines in use. Anchors spread by design; once the batches
-// around them have ended, each holds a machine alone. So many at a time as are a small
-// share of the shard: one at a time, a fleet's tail was paid for ten minutes.
-func (c *Core) moveOff(shard int) {
-	if c.unreconciledShards[shard] || !c.every(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+// consolidate frees rented machines that run only a few replicas, if all of these fit on other machines in
+// use that have their image. Anchors spread by design, so each is left alone on a machine once the batch
+// work around it has ended. A small share of the shard's machines is freed at a time: when it was one at
+// a time, the remaining machines of a fleet were paid for ten minutes longer.
+func (c *Core) consolidate(shard int) {
+	if c.unreconciledShards[shard] || !c.dueEvery(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
 		return
 	}
-	var in []*machine
+	var inUse []*machine
 	moving := 0
 	for _, m := range c.heldMachines() {
 		switch {
@@ -101,24 +101,29 @@
 		case m.moving:
 			moving++
 		case c.usable(m) && len(m.attempts) > 0:
-			in = append(in, m)
+			inUse = append(inUse, m)
 		}
 	}
-	var list []disruption.Machine[*machine]
-	for _, m := range in {
-		x := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Pinned: m.base}
+	var candidates []disruption.Machine[*machine]
+	for _, m := range inUse {
+		candidate := disruption.Machine[*machine]{Handle: m, Free: c.freeCapacity(m), Pinned: m.base}
 		for _, k := range sortedAttemptKeys(m) {
 			a := m.attempts[k]
 			if !c.movable(a) {
-				x.Pinned = true
+				candidate.Pinned = true
 				break
 			}
-			j := &c.jobs[a.job].rec
-			x.Moves = append(x.Moves, disruption.Move[*machine]{Size: a.size, Allows: func(o *machine) bool { return !o.moving && o.images[j.Image] && allowsMachine(j, o) }})
+			job := &c.jobs[a.job].record
+			candidate.Moves = append(candidate.Moves, disruption.Move[*machine]{
+				Size: a.size,
+				Allows: func(other *machine) bool {
+					return !other.moving && other.images[job.Image] && allowsMachine(job, other)
+				},
+			})
 		}
-		list = append(list, x)
+		candidates = append(candidates, candidate)
 	}
-	for _, m := range disruption.Consolidate(list, max(1, len(in)/tuning.MoveShare)-moving, tuning.MoveLook) {
+	for _, m := range disruption.Consolidate(candidates, max(1, len(inUse)/tuning.MoveShare)-moving, tuning.MoveLook) {
 		m.moving = true
 		c.markDirty(m)
 		for _, k := range sortedAttemptKeys(m) {
@@ -128,50 +133,56 @@
 	}
 }
 
-// movable tells whether a task is a replica that has run for a while and is bound to no zone.
+// movable reports whether a task is a replica that has run for a while and is not bound to a zone.
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && e.rec.Shape == wire.ShapeService && !e.rec.OneZone && !e.rec.Spread && !a.stopping &&
+	return e != nil && e.run != nil && e.record.Shape == wire.ShapeService && !e.record.OneZone && !e.record.Spread && !a.stopping &&
 		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.MoveAfter
 }
 
-// retire marks machines to be given back: idle, silent, never up, or taken.
-func (c *Core) retire(shard int, busy bool) {
-	// Many that are silent at a time are a cut, and come back: a controller that lost its
-	// workers for half a minute, while another was down, gave 163 healthy machines away.
+// retireMachines marks the machines of a shard that are to be returned: those that are idle, are silent, do
+// not receive answers, never came up, were taken by the cloud, or had their replicas moved off. busy
+// means that the shard has unmet demand, so no idle machine is returned.
+func (c *Core) retireMachines(shard int, busy bool) {
+	// Many machines that are silent at the same time indicate a network partition, after which they come
+	// back. A controller that lost its workers for half a minute, while another controller was down,
+	// returned 163 healthy machines.
 	silent := 0
 	for _, m := range c.heldMachines() {
 		if m.shard == shard && m.reported && !m.returning && (c.now-m.lastReport > c.reportMaxAge() || m.delivery.MissesAnswers()) {
 			silent++
 		}
 	}
-	cut := dutyLimits.TooManyMissing(silent, c.machineCount(shard))
+	partitioned := assignmentLimits.TooManyMissing(silent, c.machineCount(shard))
 	for _, m := range c.heldMachines() {
 		if m.shard != shard || m.returning {
 			continue
 		}
-		m.silentWithMany = m.leaseOver && (m.silentWithMany || cut)
-		why := c.neverComes(m)
+		m.silentWithMany = m.leaseOver && (m.silentWithMany || partitioned)
+		why := c.bootFailure(m)
 		switch {
 		case why != "":
-		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.sureSince) > seconds(c.settings.SilentDropS):
-			// A rented one costs as much as another; while not sure to be entitled we take no report.
+		case m.leaseOver && !m.base && !m.silentWithMany, m.reported && c.now-max(m.lastReport, c.authorizationChangedAt) > seconds(c.settings.SilentDropS):
+			// A rented machine whose lease is over is returned at once, since a replacement costs the
+			// same. Reports are not accepted while this controller's authority is unconfirmed, so
+			// silence counts only from when it was confirmed.
 			why = "silent"
-		case m.delivery.MissesAnswers() && !m.base && !cut:
-			why = "deaf" // its tasks run elsewhere once it is deleted, sooner than when its lease is over
-		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.p.Report:
+		case m.delivery.MissesAnswers() && !m.base && !partitioned:
+			why = "deaf" // once it is deleted its tasks run elsewhere, sooner than when its lease expires
+		case m.terminationNotice && c.now > m.terminatesAt+2*time.Second && c.now-m.lastReport > 4*c.params.ReportInterval:
 			why = "taken"
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
-		case !m.base && !busy && !c.awaitsCrew(shard) && m.reported && m.accounted && len(m.attempts) == 0 && c.now-m.idleSince > c.weights.Keep(m.images, seconds(c.settings.IdleReturnS)) &&
-			(m.spot || c.spareBeyond(shard, m)):
+		case !m.base && !busy && !c.awaitsCrew(shard) && m.reported && m.accounted && len(m.attempts) == 0 &&
+			c.now-m.idleSince > c.weights.Keep(m.images, seconds(c.settings.IdleReturnS)) &&
+			(m.spot || c.hasSpareWithout(shard, m)):
 			why = "idle"
 		}
 		if why != "" {
 			m.returning = true
 			c.markDirty(m)
-			c.noteMachine(trail.MachineReturned, m, wire.TrailEvent{Why: why})
-			c.log(1, "giving a machine back", "machine", m.name, "why", why)
+			c.recordMachineEvent(trail.MachineReturned, m, wire.TrailEvent{Why: why})
+			c.log(1, "returning a machine", "machine", m.name, "why", why)
 		}
 	}
 }
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -29,12 +29,12 @@
 	}
 	before.Seq += 50 // it is newer than all that has been heard here
 	done := OrderDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
-	if w.step(w.nodes[c.p.Node], done); x.accounted {
+	if w.step(w.nodes[c.params.Node], done); x.accounted {
 		t.Error("an answer given under an earlier grant accounts for the machine")
 	}
 	before.Token, done.Token = x.takeoverToken, x.takeoverToken
 	done.Report = before
-	if w.step(w.nodes[c.p.Node], done); !x.accounted {
+	if w.step(w.nodes[c.params.Node], done); !x.accounted {
 		t.Error("an answer that names our grant does not account for the machine")
 	}
 }
@@ -157,7 +157,7 @@
 // One user asks all controllers in turn, and cancels, again and again, while the state service
 // is slow, or refuses the leader and then all. No answer is older than one given before,
 // which the checker judges, and a repeated cancellation is answered alike or with 503. It fails
-// without keepFinal in abort (ran_cancelled).
+// without cacheFinal in finishJob (ran_cancelled).
 func TestOneUserAsksEverybody(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{0, 200 * time.Millisecond, sec, 3 * sec} {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -13,22 +13,22 @@
 // onReport answers a worker's report. Only the holder of the machine's block answers 200.
 func (c *Core) onReport(v WorkerReport) {
 	r := &v.Report
-	c.addrs.Learn(r.Machine, r.Addr, r.Session)
+	c.workerAddresses.Learn(r.Machine, r.Addr, r.Session)
 	m := c.machines[r.Machine]
 	origin, relayed := c.relays.OriginOf(v.Req)
 	switch { // an older report is a late copy: it does not prove that the worker reaches this controller
 	case m != nil && c.isStaleReport(m, r):
 	case !relayed:
-		c.workers.DirectReport(c.now, c.heldShardOf(r.Machine), r.Machine)
+		c.workerReach.DirectReport(c.now, c.heldShardOf(r.Machine), r.Machine)
 	case m != nil:
-		c.workers.RelayedReport(c.now, m.shard)
+		c.workerReach.RelayedReport(c.now, m.shard)
 	}
 	if m == nil {
 		c.redirectReport(v.Req, r)
 		return
 	}
 	b := c.blocks[m.block]
-	if b == nil || !c.mine(m.shard) || !c.confirmed() {
+	if b == nil || !c.holdsShard(m.shard) || !c.authorized() {
 		// The authority to act is not confirmed: the worker may find a controller with it.
 		c.answer(v.Req, 503, unavailable("entitlement not confirmed"))
 		return
@@ -50,7 +50,7 @@
 	c.applyMachineReport(m, r)
 	c.applyAttemptReports(m, r)
 	if c.cordons[m.name].Drain {
-		c.cordonSeen(m.name)
+		c.cordonChanged(m.name)
 	}
 	if !m.accounted && r.Token >= m.takeoverToken {
 		c.markAccounted(m, "report")
@@ -63,7 +63,7 @@
 	m.lastAnswered = c.now
 	m.delivery.Answered(r, token, origin.From, reply.Commands)
 	c.answer(v.Req, 200, reply)
-	c.desk.Remove(m)
+	c.callQueue.Remove(m)
 	unsent, urgent := false, false
 	for _, a := range m.attempts {
 		if !a.startSent && a.status == "" {
@@ -94,7 +94,8 @@
 // over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 && (c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.roll.FailedCalls(m) > 1)
+	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 &&
+		(c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.pendingMachines.FailedCalls(m) > 1)
 	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -108,18 +109,18 @@
 // a worker that timed out waiting for an answer.
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	suspicious := m.reported && c.now-m.lastAnswered < c.p.Lease && (relayed || gap > max(tuning.DeafGap, c.p.Report*5/4+time.Second))
-	if m.delivery.StartTest(c.now, suspicious, c.p.Lease/2) {
-		m.raisedToken = max(m.raisedToken, c.rev)
+	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.DeafGap, c.params.ReportInterval*5/4+time.Second))
+	if m.delivery.StartTest(c.now, suspicious, c.params.WorkerLease/2) {
+		m.raisedToken = max(m.raisedToken, c.mirrorRevision)
 	}
 }
 
 // trackDelivery infers from a new report whether its worker receives the answers sent to it.
 func (c *Core) trackDelivery(m *machine, r *wire.Report, via string) {
-	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.p.Lease && m.reported && !m.leaseOver
+	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.params.WorkerLease && m.reported && !m.leaseOver
 	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
-	if m.delivery.Suspected() && r.Addr != "" && !c.workers.LacksWorkers(c.now) {
-		c.out = append(c.out, Order{Machine: m.name, Addr: r.Addr, Look: true})
+	if m.delivery.Suspected() && r.Addr != "" && !c.workerReach.LacksWorkers(c.now) {
+		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
 	}
 	if verdictChanged {
 		c.deliveryChanged(m)
@@ -134,7 +135,7 @@
 	if m.delivery.MissesAnswers() {
 		kind = trail.MachineDeaf
 	}
-	c.noteMachine(kind, m, wire.TrailEvent{Count: len(m.attempts)})
+	c.recordMachineEvent(kind, m, wire.TrailEvent{Count: len(m.attempts)})
 	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.MissesAnswers())
 }
 
@@ -147,7 +148,10 @@
 func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
-		c.noteMachine(trail.MachineBack, m, wire.TrailEvent{Count: len(r.Attempts), Why: fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds())})
+		c.recordMachineEvent(trail.MachineBack, m, wire.TrailEvent{
+			Count: len(r.Attempts),
+			Why:   fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds()),
+		})
 	}
 	if m.leaseOver {
 		c.markDirty(m)
@@ -159,21 +163,21 @@
 	}
 	if !m.reported {
 		m.reported = true
-		if len(c.p.Nodes) > 1 { // sent to the peers with the next pings, and forgotten then
-			c.addrs.MachineUp(c.now, m.name)
+		if len(c.params.NodeZones) > 1 { // sent to the peers with the next pings, and forgotten then
+			c.workerAddresses.MachineUp(c.now, m.name)
 		}
-		c.boots.Up(c.now, m.name)
+		c.provisioning.Up(c.now, m.name)
 		if m.fresh {
 			c.firstUseUnwritten[m.name] = true
 		}
 		m.idleSince = c.now
 		c.markDirty(m)
-		c.log(2, "machine reports", "machine", m.name, "block", m.block)
+		c.log(2, "machine has reported for the first time", "machine", m.name, "block", m.block)
 	}
 	if r.NoticeS != nil && !m.terminationNotice {
 		m.terminationNotice, m.terminatesAt = true, c.now+seconds(*r.NoticeS)
 		c.markDirty(m)
-		c.noteMachine(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
+		c.recordMachineEvent(trail.MachineNotice, m, wire.TrailEvent{Count: len(m.attempts), Why: fmt.Sprintf("in %.1f s", *r.NoticeS)})
 		c.log(1, "machine will be terminated by the cloud", "machine", m.name, "in_s", *r.NoticeS)
 	}
 }
@@ -181,24 +185,24 @@
 // redirectReport answers a worker of a block that this controller does not hold.
 func (c *Core) redirectReport(req uint64, r *wire.Report) {
 	if c.loaded {
-		if b := c.blockOf(r.Machine); b != nil && c.shards[b.rec.Shard] != nil {
-			s := c.shards[b.rec.Shard]
-			holder := s.rec.Holder
-			if n, up := c.nodes[holder]; !up || n.Boot != s.rec.Boot {
+		if b := c.blockOf(r.Machine); b != nil && c.shards[b.record.Shard] != nil {
+			s := c.shards[b.record.Shard]
+			holder := s.record.Holder
+			if n, up := c.nodes[holder]; !up || n.Boot != s.record.Boot {
 				holder = ""
 			}
-			if successor, ok := c.yielded[b.rec.Shard]; ok {
+			if successor, ok := c.yieldedTo[b.record.Shard]; ok {
 				holder = successor
 			}
 			// The mirror may be out of date: two controllers that a network partition had cut
 			// off from updates redirected workers to each other until their leases were over.
-			if r.Token > c.rev || c.cutOff() {
+			if r.Token > c.mirrorRevision || c.stateUnreachable() {
 				holder = ""
 			}
-			if _, relayed := c.relays.OriginOf(req); holder != "" && holder != c.p.Node && !relayed {
+			if _, relayed := c.relays.OriginOf(req); holder != "" && holder != c.params.Node && !relayed {
 				switch {
-				case c.relay(req, r, holder, s.ver):
-				case c.holderUnreachable(holder, b.rec.Shard): // it would get no answer there
+				case c.relayReport(req, r, holder, s.version):
+				case c.holderUnreachable(holder, b.record.Shard): // it would get no answer there
 					c.redirectToRelay(req, holder)
 				default:
 					c.answer(req, 421, wire.Redirect{Holder: holder})
@@ -208,9 +212,9 @@
 			c.answer(req, 503, unavailable("holder not known"))
 			return
 		}
-		c.surprise(r)
-		if c.chief.Node != "" && c.chief.Node != c.p.Node {
-			c.answer(req, 421, wire.Redirect{Holder: c.chief.Node})
+		c.onUnassignedReport(r)
+		if c.leaderRecord.Node != "" && c.leaderRecord.Node != c.params.Node {
+			c.answer(req, 421, wire.Redirect{Holder: c.leaderRecord.Node})
 			return
 		}
 	}
@@ -220,16 +224,16 @@
 // holderUnreachable reports whether a holder has announced that workers do not reach it, either
 // none at all or not those of this shard.
 func (c *Core) holderUnreachable(holder string, shard int) bool {
-	w := c.wordOf(holder)
+	w := c.reachOf(holder)
 	return w.Lacks || slices.Contains(w.Seeks, shard)
 }
 
 // redirectToRelay redirects a worker to a controller that can relay its reports to a holder
 // that neither the worker nor this controller can reach, if there is one.
 func (c *Core) redirectToRelay(req uint64, holder string) {
-	for _, n := range sortedKeys(c.nodes) {
-		if n != c.p.Node && n != holder && !c.wordOf(n).Lacks && !slices.Contains(c.wordOf(n).Apart, holder) {
-			c.answer(req, 421, wire.Redirect{Holder: n})
+	for _, node := range sortedKeys(c.nodes) {
+		if node != c.params.Node && node != holder && !c.reachOf(node).Lacks && !slices.Contains(c.reachOf(node).Apart, holder) {
+			c.answer(req, 421, wire.Redirect{Holder: node})
 			return
 		}
 	}
@@ -244,24 +248,24 @@
 		present[k] = true
 		a := m.attempts[k]
 		if a == nil {
-			job, idx, err := wire.ParseTask(t.Task)
+			job, taskIndex, err := wire.ParseTask(t.Task)
 			if err != nil {
 				c.log(0, "report contains an invalid task name", "machine", m.name, "task", t.Task)
 				continue
 			}
-			a = &attempt{key: k, job: job, taskIndex: idx, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
+			a = &attempt{key: k, job: job, taskIndex: taskIndex, machine: m, startSent: true, createdAt: c.now, runningSince: c.now}
 			if e := c.jobs[job]; e != nil {
-				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.rec), e.rec.Team, true, e.prio < urgentRank, e.prio <= idleRank
+				a.size, a.team, a.sizeKnown, a.belowUrgent, a.idlePriority = jobSize(&e.record), e.record.Team, true, e.priority < urgentRank, e.priority <= idleRank
 				c.markJobDirty(e)
 				if e.run != nil && t.Status != wire.TaskEnded {
-					if other := e.run.active[idx]; other != nil {
+					if other := e.run.active[taskIndex]; other != nil {
 						// One of the two is outdated and comes from a delayed report; the
 						// next reports show which.
 						c.log(0, "task reported by two machines", "task", t.Task, "on", other.machine.name, "and", m.name)
 						a.stopping = other.machine.accounted && m.accounted && other.machine != m
 					} else {
-						e.run.active[idx] = a
-						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == idx })
+						e.run.active[taskIndex] = a
+						e.run.retryIndexes = slices.DeleteFunc(e.run.retryIndexes, func(k int) bool { return k == taskIndex })
 					}
 				}
 			}
@@ -271,7 +275,7 @@
 			c.countLongRunning(a)
 			continue
 		}
-		was := a.status
+		previousStatus := a.status
 		a.status, a.cause = t.Status, t.Cause
 		if t.Status == wire.TaskRunning || t.Status == wire.TaskSaving || t.Status == wire.TaskEnded && t.Cause == wire.CauseDone {
 			// After a takeover, a task that has ended meanwhile shows it as well: without
@@ -281,12 +285,12 @@
 		switch t.Status {
 		case wire.TaskRunning:
 			a.runningSince = c.now
-			c.noteBack(trail.TaskRuns, a)
+			c.recordTaskRecovery(trail.TaskRuns, a)
 			c.log(2, "task running", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
 		case wire.TaskEnded:
 			m.usage.valid = false
 			c.markDirty(m)
-			c.attemptEnded(a, was)
+			c.attemptEnded(a, previousStatus)
 		}
 	}
 	for _, k := range sortedAttemptKeys(m) {
@@ -301,27 +305,28 @@
 	if len(m.attempts) > 0 {
 		m.idleSince = c.now
 	}
-	c.weigh(m)
+	c.updateImageUse(m)
 }
 
 // noteImage records that a machine has the image of a job, because a task of it ran there.
 func (c *Core) noteImage(m *machine, job string) {
-	if e := c.jobs[job]; e != nil && !m.images[e.rec.Image] {
-		m.images[e.rec.Image] = true
-		c.caches.Learned(m.shard)
+	if e := c.jobs[job]; e != nil && !m.images[e.record.Image] {
+		m.images[e.record.Image] = true
+		c.imageCaches.Learned(m.shard)
 	}
 }
 
-// attemptEnded handles the end of an attempt that its worker has reported. was is the status before.
-func (c *Core) attemptEnded(a *attempt, was string) {
+// attemptEnded handles the end of an attempt that its worker has reported. previousStatus is
+// the status last reported before.
+func (c *Core) attemptEnded(a *attempt, previousStatus string) {
 	e := c.jobs[a.job]
 	if e == nil || e.run == nil {
 		return
 	}
 	c.markJobDirty(e)
 	if a.cause == wire.CauseDone {
-		if was == wire.TaskRunning {
-			c.runs.Record(e.rec.Class, e.rec.EstimateS, c.now-a.runningSince)
+		if previousStatus == wire.TaskRunning {
+			c.runTimes.Record(e.record.Class, e.record.EstimateS, c.now-a.runningSince)
 		}
 		e.run.done = e.run.done.Add(a.taskIndex)
 		e.run.failures = 0
@@ -336,14 +341,14 @@
 	if e.run.active[a.taskIndex] == a {
 		c.deactivateAttempt(e, a)
 		if a.cause == wire.CauseHalted {
-			c.noteTask(trail.TaskLost, a, "stopped")
+			c.recordTaskEvent(trail.TaskLost, a, "stopped")
 		}
 	}
 	if a.cause == wire.CauseHalted {
 		return
 	}
-	c.noteTask(trail.TaskFailed, a, a.cause)
-	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", was)
+	c.recordTaskEvent(trail.TaskFailed, a, a.cause)
+	c.log(1, "task ended", "task", a.key.task, "machine", a.machine.name, "cause", a.cause, "was", previousStatus)
 	if a.cause == wire.CauseError {
 		c.taskFailed(e, a)
 		return
@@ -359,17 +364,18 @@
 // the command may be sent.
 func (c *Core) startable(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.rec.Started > a.taskIndex && (!tracksMachines(&e.rec) || recordedMachine(&e.rec, a.taskIndex) == a.machine.name)
+	return e != nil && e.run != nil && !a.stopping && !a.machine.fresh && e.record.Started > a.taskIndex &&
+		(!tracksMachines(&e.record) || recordedMachine(&e.record, a.taskIndex) == a.machine.name)
 }
 
 // commandsFor returns the commands for a machine. A preview changes nothing and leaves out starts.
 func (c *Core) commandsFor(m *machine, preview bool) []wire.Command {
-	cmds := []wire.Command{}
+	commands := []wire.Command{}
 	if !m.accounted {
-		return cmds
+		return commands
 	}
 	for _, k := range sortedAttemptKeys(m) {
-		if len(cmds) >= 200 {
+		if len(commands) >= 200 {
 			break // the size of a reply is limited; the rest follows with the next report
 		}
 		a := m.attempts[k]
@@ -378,8 +384,8 @@
 		switch {
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is recorded or no longer matters.
-			if !live || a.cause != wire.CauseDone || c.durable(e).Has(a.taskIndex) {
-				cmds = append(cmds, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
+			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.taskIndex) {
+				commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
 		case !live || a.stopping:
 			if a.startSent {
@@ -387,15 +393,15 @@
 				if !live {
 					graceS = 0
 				}
-				cmds = append(cmds, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
+				commands = append(commands, wire.Command{Verb: wire.VerbStop, Task: k.task, Attempt: k.number, GraceS: &graceS})
 			}
 		case a.status == "" && c.startable(a) && !preview:
-			if run, now := c.run(a); now {
+			if run, now := c.runCommand(a); now {
 				a.startSent = true
-				c.noteBack(trail.TaskAgain, a)
-				cmds = append(cmds, run)
+				c.recordTaskRecovery(trail.TaskAgain, a)
+				commands = append(commands, run)
 			}
 		}
 	}
-	return cmds
+	return commands
 }
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -9,49 +9,60 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// newHealth returns a record of task failures without any evidence.
 func newHealth() *health.Book {
-	return health.New(health.Params{SoundJob: tuning.BlameSoundJob, NewJob: tuning.BlameNewJob, FailsElsewhere: tuning.BlameElsewhere,
-		Suspect: tuning.BlameSuspect, Sick: tuning.BlameSick,
-		SoundMachine: tuning.BlameSoundMachine, NewMachine: tuning.BlameNewMachine, TroubledMachine: tuning.BlameTroubled, Mistaken: tuning.BlameMistaken,
-		Pause: tuning.ErrorBackoff, PauseMax: tuning.ErrorBackoffMax, MistakenMax: tuning.MistakenMax})
+	return health.New(health.Params{
+		SoundJob:        tuning.BlameSoundJob,
+		NewJob:          tuning.BlameNewJob,
+		FailsElsewhere:  tuning.BlameElsewhere,
+		Suspect:         tuning.BlameSuspect,
+		Sick:            tuning.BlameSick,
+		SoundMachine:    tuning.BlameSoundMachine,
+		NewMachine:      tuning.BlameNewMachine,
+		TroubledMachine: tuning.BlameTroubled,
+		Mistaken:        tuning.BlameMistaken,
+		Pause:           tuning.ErrorBackoff,
+		PauseMax:        tuning.ErrorBackoffMax,
+		MistakenMax:     tuning.MistakenMax,
+	})
 }
 
-// taskFailed weighs who is to blame for a task that failed.
+// taskFailed records that a task failed and acts on what that says about its machine and its job.
 func (c *Core) taskFailed(e *jobEntry, a *attempt) {
-	was := c.taskHealth.Mistaken(a.job)
+	wasMistaken := c.taskHealth.Mistaken(a.job)
 	c.returnFaulty(c.taskHealth.Failed(c.now, a.job, a.machine.name))
 	e.run.notBefore = max(e.run.notBefore, c.taskHealth.NotBefore(a.job))
 	c.markDirty(a.machine)
 	c.markJobDirty(e)
-	if c.taskHealth.Mistaken(a.job) && !was {
+	if c.taskHealth.Mistaken(a.job) && !wasMistaken {
 		machines, times := c.taskHealth.Failures(a.job)
-		c.noteTask(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
-		c.log(1, "job fails everywhere, tried rarely", "job", a.job, "machines", machines, "failures", times)
+		c.recordTaskEvent(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
+		c.log(1, "job fails on every machine; retrying it rarely", "job", a.job, "machines", machines, "failures", times)
 	}
 }
 
-// sicken gives back machines that are to blame.
+// returnFaulty gives back machines that were found faulty.
 func (c *Core) returnFaulty(names []string) {
-	for _, n := range names {
-		m := c.machines[n]
+	for _, name := range names {
+		m := c.machines[name]
 		if m == nil || m.returning {
 			continue
 		}
-		_, failures := c.taskHealth.Machine(n)
-		c.noteMachine(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
-		c.log(1, "machine looks faulty, returning it", "machine", n, "failures", failures)
+		_, failures := c.taskHealth.Machine(name)
+		c.recordMachineEvent(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
+		c.log(1, "machine seems faulty; returning it", "machine", name, "failures", failures)
 		m.returning = true
 		c.markDirty(m)
 	}
 }
 
-// hasProved counts a replica that has run for long as one that completed: a service
-// never does, and a faulty machine or a mistake shows sooner.
+// countLongRunning counts a replica of a service that has run for long as a completed task:
+// services never complete, and a faulty machine or a mistake in the job shows sooner.
 func (c *Core) countLongRunning(a *attempt) {
 	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
 		return
 	}
-	if e := c.jobs[a.job]; e != nil && e.rec.Shape == wire.ShapeService {
+	if e := c.jobs[a.job]; e != nil && e.record.Shape == wire.ShapeService {
 		a.countedSound = true
 		trial := c.taskHealth.Trial(a.job)
 		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
@@ -61,27 +72,27 @@
 	}
 }
 
-// avoids tells whether a job's tasks keep off a machine: they have failed there, or the
-// machine is suspected and they cannot wait.
+// avoids reports whether a job's tasks are not placed on a machine: they have failed there, or
+// the machine is suspected to be faulty and they are urgent.
 func (c *Core) avoids(e *jobEntry, m *machine) bool {
-	if c.taskHealth.Avoids(e.rec.ID, m.name) {
+	if c.taskHealth.Avoids(e.record.ID, m.name) {
 		return true
 	}
-	if c.taskHealth.Mistaken(e.rec.ID) && !m.images[e.rec.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
-		return true // for a job that fails everywhere nothing is fetched, unless its image is gone
+	if c.taskHealth.Mistaken(e.record.ID) && !m.images[e.record.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
+		return true // a job that fails everywhere causes no fetch, unless no machine has its image any more
 	}
-	if e.prio >= urgentRank {
+	if e.priority >= urgentRank {
 		verdict, _ := c.taskHealth.Machine(m.name)
 		return verdict != health.Well
 	}
 	return false
 }
 
-// trials is how many of a job's tasks may be started: of one that has failed on several
-// machines and completed nowhere, one at a time.
+// startableTasks returns how many of a job's tasks may be started now. A job that has failed on
+// several machines and completed on none runs one task at a time.
 func (c *Core) startableTasks(e *jobEntry) int {
-	n := e.run.pendingTasks(&e.rec)
-	if e.rec.Shape != wire.ShapeGang && c.taskHealth.Trial(e.rec.ID) {
+	n := e.run.pendingTasks(&e.record)
+	if e.record.Shape != wire.ShapeGang && c.taskHealth.Trial(e.record.ID) {
 		n = min(n, max(0, 1-len(e.run.active)))
 	}
 	return n
