--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -25,10 +25,10 @@
 // that have free capacity now.
 func (c *Core) supplyPool(shard int, soon []*wire.Job) supply.Pool {
 	var machines []*machine
-	roomOf := map[*machine]supply.Capacity{}
+	capacityOf := map[*machine]supply.Capacity{}
 	add := func(m *machine, free placement.Size, doubted bool) {
 		machines = append(machines, m)
-		roomOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
+		capacityOf[m] = supply.Capacity{Type: m.machineType, Zone: m.zone, Spot: m.spot, Free: free, BootLate: doubted}
 	}
 	doubted := c.doubtedMachines(shard)
 	for m := range c.comingMachines {
@@ -70,19 +70,19 @@
 	sorted := len(machines)
 	for m := range c.idleAttempts {
 		if f, ok := c.capacity.Get(m); ok && f.Usable && m.shard == shard {
-			if _, in := roomOf[m]; !in {
+			if _, in := capacityOf[m]; !in {
 				add(m, f.Free, false)
 			}
-			r := roomOf[m]
+			r := capacityOf[m]
 			r.IdleUse = c.idleUsage(m)
 			r.Free = r.Free.Add(r.IdleUse)
-			roomOf[m] = r
+			capacityOf[m] = r
 		}
 	}
 	sort.Slice(machines[sorted:], func(i, j int) bool { return machines[sorted+i].name < machines[sorted+j].name })
 	pool := make(supply.Pool, 0, len(machines))
 	for _, m := range machines {
-		pool = append(pool, roomOf[m])
+		pool = append(pool, capacityOf[m])
 	}
 	return pool
 }
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -99,7 +99,7 @@
 // computed again after the machine's attempts or the machine types have changed.
 type machineUsage struct {
 	valid           bool
-	sizesVersion    int // version of the machine types it was computed with
+	sizeGeneration  int // version of the machine types it was computed with
 	free            placement.Size
 	teams           []ledger.TeamUsage
 	unknownAttempts int // attempts of unknown size
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -102,7 +102,8 @@
 	for _, m := range c.capacity.TakeSilent(c.now - c.reportMaxAge()) {
 		c.markDirty(m)
 	}
-	for len(c.dirtyMachines) > 0 { // loops: a machine that became unusable loses its unsent attempts, which marks it dirty again
+	// A machine that became unusable loses its unsent attempts, which marks it dirty again.
+	for len(c.dirtyMachines) > 0 {
 		dirty := c.dirtyMachines
 		c.dirtyMachines = nil
 		sort.Slice(dirty, func(i, j int) bool { return dirty[i].name < dirty[j].name })
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -21,11 +21,11 @@
 // usageOf returns the usage of a machine, and recomputes it first if it is out of date.
 func (c *Core) usageOf(m *machine) *machineUsage {
 	usage := &m.usage
-	if usage.valid && usage.sizesVersion == c.sizeGeneration {
+	if usage.valid && usage.sizeGeneration == c.sizeGeneration {
 		return usage
 	}
 	full, _ := c.machineSize(m.machineType)
-	*usage = machineUsage{valid: true, sizesVersion: c.sizeGeneration, free: full}
+	*usage = machineUsage{valid: true, sizeGeneration: c.sizeGeneration, free: full}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		switch {
@@ -51,7 +51,8 @@
 	return usage
 }
 
-// allowsMachine reports whether a job's tasks may run on machines of this type, zone and pricing (spot or not).
+// allowsMachine reports whether a job's tasks may run on machines of this type and zone, and on
+// spot machines if it is one.
 func allowsMachine(j *wire.Job, m *machine) bool {
 	return supply.Allows(j, ledger.Kind{Type: m.machineType, Zone: m.zone, Spot: m.spot})
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -61,7 +61,8 @@
 	if !c.unreconciledShards[m.shard] {
 		return
 	}
-	for _, e := range c.jobsAwaitingMachine[m.name] { // the machine may have moved between shards, so the job may belong to another one
+	// The machine may have moved between shards held here, so a job may belong to another shard.
+	for _, e := range c.jobsAwaitingMachine[m.name] {
 		if c.jobs[e.record.ID] == e && e.run != nil && e.run.inheritedBelow > 0 && slices.Contains(e.record.On, m.name) {
 			c.reconcileJob(e, c.shardOfTeam(e.record.Team), true)
 		}
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// countLongRunning counts a replica of a service that has run for long as a completed task:
-// services never complete, and a faulty machine or a mistake in the job shows sooner.
+// countLongRunning counts a replica of a service that has run for tuning.ProvedAfter as a
+// completed task: services never complete, and a faulty machine or a mistake in the job shows sooner.
 func (c *Core) countLongRunning(a *attempt) {
 	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
 		return
