--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,8 +1,8 @@
-// Package relay decides which reports a controller passes on to the holder of their machine, for
-// workers that may be cut off from it, and knows those that are under way.
+// Package relay decides which workers' reports a controller relays to the holder of their machine,
+// because the worker may be cut off from the holder, and tracks the relayed reports in flight.
 //
 // A plain structure: no clock, no I/O, not for concurrent use. Times are those of the owner's
-// steady clock.
+// monotonic clock.
 package relay
 
 import (
@@ -11,51 +11,58 @@
 	"time"
 )
 
-// Limits are the times and counts by which reports are passed on.
+// Limits are the times and counts by which reports are relayed.
 type Limits struct {
-	Lease            time.Duration // a machine that did not come for so long comes anew
-	RedirectInterval time.Duration // one that was sent to its holder is not sent there again for so long
-	MaxReports       int           // passed on for a machine before it is sent there
-	AnswerTimeout    time.Duration // a holder's answer is waited for so long
+	Lease            time.Duration // a machine without a report for longer than this is treated as new
+	RedirectInterval time.Duration // minimum time between redirects of a machine to its holder
+	MaxReports       int           // reports relayed for a machine before it is redirected
+	AnswerTimeout    time.Duration // how long to wait for a holder's answer
 }
 
-// Book has the reports passed on, and those that others have passed on to us.
+// Tracker tracks the reports that we relay, and those that others have relayed to us.
 type Tracker struct {
 	limits   Limits
 	machines map[string]*machine
-	relayed  map[uint64]relayedReport // by the number of the message
-	origins  map[uint64]Origin        // by request
+	relayed  map[uint64]relayedReport // reports in flight, by message ID
+	origins  map[uint64]Origin        // origins of reports relayed to us, by request
 }
 
-// machine is one whose reports are passed on.
+// machine is a machine whose reports we relay.
 type machine struct {
-	relayed      int // since it was last sent to its holder
+	relayed      int // reports since it was last redirected to its holder
 	lastReport   time.Duration
-	redirectedAt time.Duration // when it was last sent there
+	redirectedAt time.Duration
 }
 
+// relayedReport is a report in flight: the worker's request, and when the report was sent.
 type relayedReport struct {
 	request uint64
 	sentAt  time.Duration
 }
 
-// Taken is a report that came through another controller: who it is, and the number of its message.
+// Origin is the controller that relayed a report to us, and the ID of its message.
 type Origin struct {
 	From string
 	ID   uint64
 }
 
-// New returns an empty book.
+// NewTracker returns an empty tracker.
 func NewTracker(l Limits) *Tracker {
-	return &Tracker{limits: l, machines: map[string]*machine{}, relayed: map[uint64]relayedReport{}, origins: map[uint64]Origin{}}
+	return &Tracker{
+		limits:   l,
+		machines: map[string]*machine{},
+		relayed:  map[uint64]relayedReport{},
+		origins:  map[uint64]Origin{},
+	}
 }
 
-// Passes tells whether a machine's report is passed on, instead of sending the worker to its
-// holder: being sent there would cost one that is cut off from it a time-out, and two of them a
-// lease. After a few it is sent there once; if it comes back, the holder cannot be reached from
-// there and the next try waits longer. A worker that has not seen the holder's token yet (behind)
-// is sent there first: after a takeover hundreds come at once, and to pass all their reports on
-// took two controllers' time instead of one's. None is sent to a holder that lacks its workers.
+// ShouldRelay reports whether to relay a machine's report; otherwise its worker is redirected to the
+// holder. A redirect costs a worker that is cut off from the holder a time-out, and two of them its
+// lease. After some relayed reports the worker is redirected once. If it comes back, it cannot reach
+// the holder, and the next redirect waits longer. A worker that has not seen the holder's token yet
+// (outdatedToken) is redirected first: after a takeover hundreds of them report at once, and relaying
+// all their reports took the time of two controllers instead of one. No worker is redirected to a
+// holder that lacks workers.
 func (t *Tracker) ShouldRelay(now time.Duration, machineName string, outdatedToken, holderLacksWorkers bool) bool {
 	m := t.machines[machineName]
 	if m == nil || now-m.lastReport > t.limits.Lease {
@@ -74,50 +81,51 @@
 	return true
 }
 
-// Pass notes that a request's report has been passed on in a message of a number.
+// Relayed records that the report of a request has been relayed in the message with that ID.
 func (t *Tracker) Relayed(now time.Duration, id, request uint64) {
 	t.relayed[id] = relayedReport{request, now}
 }
 
-// Answered ends the waiting for the answer to a message; false: it is not waited for.
+// AnswerReceived returns the request whose report was relayed in that message, and forgets it; false if
+// no answer to the message is awaited.
 func (t *Tracker) AnswerReceived(id uint64) (request uint64, waited bool) {
-	x, waited := t.relayed[id]
+	report, waited := t.relayed[id]
 	delete(t.relayed, id)
-	return x.request, waited
+	return report.request, waited
 }
 
-// GiveUp ends the waiting for holders that keep silent, and lists the requests: a holder may have
-// just died, and each second the worker waits is one of its lease.
+// Expire returns the requests whose holders have not answered in time, and forgets them. A holder may
+// just have died, and every second that the worker waits is a second of its lease.
 func (t *Tracker) Expire(now time.Duration) (requests []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(t.relayed)) {
-		if x := t.relayed[id]; now-x.sentAt > t.limits.AnswerTimeout {
+		if report := t.relayed[id]; now-report.sentAt > t.limits.AnswerTimeout {
 			delete(t.relayed, id)
-			requests = append(requests, x.request)
+			requests = append(requests, report.request)
 		}
 	}
 	return requests
 }
 
-// Take notes a report that came through another controller.
+// ReceivedFrom records the origin of a report that another controller has relayed to us.
 func (t *Tracker) ReceivedFrom(request uint64, origin Origin) { t.origins[request] = origin }
 
-// Through is the controller that a request's report came through; false: it came by itself.
+// OriginOf returns the origin of a request's report; false if it was not relayed.
 func (t *Tracker) OriginOf(request uint64) (Origin, bool) {
 	origin, relayed := t.origins[request]
 	return origin, relayed
 }
 
-// Return is the same, and forgets it: it is answered.
+// TakeOrigin returns the origin like OriginOf, and forgets it because the request is answered.
 func (t *Tracker) TakeOrigin(request uint64) (Origin, bool) {
 	origin, relayed := t.origins[request]
 	delete(t.origins, request)
 	return origin, relayed
 }
 
-// Forget forgets machines that have not come for long.
+// Prune forgets machines that have not reported for twice the RedirectInterval.
 func (t *Tracker) Prune(now time.Duration) {
 	maps.DeleteFunc(t.machines, func(_ string, x *machine) bool { return now-x.lastReport > 2*t.limits.RedirectInterval })
 }
 
-// Len is how many machines are remembered.
+// Len returns the number of remembered machines.
 func (t *Tracker) Len() int { return len(t.machines) }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -6,78 +6,78 @@
 	"time"
 )
 
-const s = time.Second
+const sec = time.Second
 
-func newBook() *Tracker {
-	return NewTracker(Limits{Lease: 10 * s, RedirectInterval: 30 * s, MaxReports: 3, AnswerTimeout: s})
+func newTestTracker() *Tracker {
+	return NewTracker(Limits{Lease: 10 * sec, RedirectInterval: 30 * sec, MaxReports: 3, AnswerTimeout: sec})
 }
 
-// A few reports are passed on, then the worker is sent to the holder; one that comes back waits
-// longer for the next try.
-func TestReportsArePassedOnForAWhile(t *testing.T) {
-	b := newBook()
-	passes := func(from, n int, lacks bool) (sent []int) {
+// After some relayed reports a worker is redirected to the holder. If it comes back, the next redirect
+// waits longer.
+func TestRedirectAfterSomeReports(t *testing.T) {
+	tracker := newTestTracker()
+	redirects := func(from, n int, lacks bool) (redirected []int) {
 		for k := from; k < from+n; k++ {
-			if !b.ShouldRelay(time.Duration(k)*2*s, "m", false, lacks) {
-				sent = append(sent, k)
+			if !tracker.ShouldRelay(time.Duration(k)*2*sec, "m", false, lacks) {
+				redirected = append(redirected, k)
 			}
 		}
-		return sent
+		return redirected
 	}
-	if sent := passes(1, 40, false); !slices.Equal(sent, []int{4, 20, 36}) {
-		t.Errorf("sent to its holder at the reports %v", sent)
+	if redirected := redirects(1, 40, false); !slices.Equal(redirected, []int{4, 20, 36}) {
+		t.Errorf("redirected to its holder at reports %v", redirected)
 	}
-	if sent := passes(41, 40, true); sent != nil {
-		t.Errorf("sent to a holder that lacks its workers at %v", sent)
+	if redirected := redirects(41, 40, true); redirected != nil {
+		t.Errorf("redirected to a holder that lacks workers at %v", redirected)
 	}
-	if b.Prune(160 * s); b.Len() != 1 {
+	if tracker.Prune(160 * sec); tracker.Len() != 1 {
 		t.Error("forgotten too early")
 	}
-	if b.Prune(221 * s); b.Len() != 0 {
-		t.Error("remembered for ever")
+	if tracker.Prune(221 * sec); tracker.Len() != 0 {
+		t.Error("never forgotten")
 	}
 }
 
-// One that has not seen the holder's token is sent there first, each time it comes anew.
-func TestSentToItsHolderFirst(t *testing.T) {
-	b := newBook()
-	if b.ShouldRelay(s, "m", true, false) || !b.ShouldRelay(2*s, "m", true, false) || b.ShouldRelay(13*s, "m", true, false) {
-		t.Error("once, and again after a lease")
+// A worker that has not seen the holder's token is redirected first, whenever it counts as new.
+func TestOutdatedTokenIsRedirectedFirst(t *testing.T) {
+	tracker := newTestTracker()
+	if tracker.ShouldRelay(sec, "m", true, false) || !tracker.ShouldRelay(2*sec, "m", true, false) || tracker.ShouldRelay(13*sec, "m", true, false) {
+		t.Error("must be redirected once, and again after a lease")
 	}
-	if !b.ShouldRelay(s, "other", true, true) {
-		t.Error("to a holder that lacks its workers")
+	if !tracker.ShouldRelay(sec, "other", true, true) {
+		t.Error("redirected to a holder that lacks workers")
 	}
 }
 
-// Each report that was passed on is answered once: by the holder's answer, or once that is late.
+// Every relayed report is answered once: with the holder's answer, or after the time-out.
 func TestAnsweredOnce(t *testing.T) {
-	b := newBook()
+	tracker := newTestTracker()
 	for id := uint64(1); id <= 3; id++ {
-		b.Relayed(time.Duration(id)*s, id, 10+id)
+		tracker.Relayed(time.Duration(id)*sec, id, 10+id)
 	}
-	if req, ok := b.AnswerReceived(2); !ok || req != 12 {
+	if req, ok := tracker.AnswerReceived(2); !ok || req != 12 {
 		t.Errorf("%d %v", req, ok)
 	}
-	if _, ok := b.AnswerReceived(2); ok {
+	if _, ok := tracker.AnswerReceived(2); ok {
 		t.Error("answered twice")
 	}
-	if reqs := b.Expire(3 * s); !slices.Equal(reqs, []uint64{11}) {
-		t.Errorf("given up: %v", reqs)
+	if reqs := tracker.Expire(3 * sec); !slices.Equal(reqs, []uint64{11}) {
+		t.Errorf("expired: %v", reqs)
 	}
-	if _, ok := b.AnswerReceived(1); ok {
-		t.Error("answered after it was given up")
+	if _, ok := tracker.AnswerReceived(1); ok {
+		t.Error("answered after it had expired")
 	}
-	if reqs := b.Expire(5 * s); !slices.Equal(reqs, []uint64{13}) {
-		t.Errorf("given up: %v", reqs)
+	if reqs := tracker.Expire(5 * sec); !slices.Equal(reqs, []uint64{13}) {
+		t.Errorf("expired: %v", reqs)
 	}
-	b.ReceivedFrom(7, Origin{From: "c1", ID: 5})
-	if x, ok := b.OriginOf(7); !ok || x.From != "c1" {
+	tracker.ReceivedFrom(7, Origin{From: "c1", ID: 5})
+	if x, ok := tracker.OriginOf(7); !ok || x.From != "c1" {
 		t.Errorf("%+v", x)
 	}
-	if x, ok := b.TakeOrigin(7); !ok || x.ID != 5 {
+	if x, ok := tracker.TakeOrigin(7); !ok || x.ID != 5 {
 		t.Errorf("%+v", x)
 	}
-	if _, ok := b.TakeOrigin(7); ok {
+	if _, ok := tracker.TakeOrigin(7); ok {
 		t.Error("returned twice")
 	}
 }
