--- a/internal/reach/group.go
+++ b/internal/reach/group.go
@@ -2,27 +2,29 @@
 
 import "time"
 
-// CrowdLimits are the times of a judgement over many machines.
+// GroupLimits are the durations of silence after which a group of machines is probed or counts as
+// down. A gap is the expected time between two reports of the group: the report interval divided by
+// the number of machines.
 type GroupLimits struct {
-	ReportInterval time.Duration // each machine reports so often
-	MinSilence     time.Duration // silence shorter than this says nothing, however many they are
-	DownGaps       float64       // a silence of so many expected gaps is no accident
-	DownIntervals  float64       // report intervals after which one machine alone is missed
-	ProbeGaps      float64       // a silence of so many gaps is reason to call some of them
-	ProbeIntervals float64       // report intervals after which one machine alone is called
+	ReportInterval time.Duration // time between two reports of one machine
+	MinSilence     time.Duration // shorter silence is ignored, however many machines there are
+	DownGaps       float64       // silence of more gaps than this is not chance
+	DownIntervals  float64       // report intervals after which even a single machine counts as down
+	ProbeGaps      float64       // silence of more gaps than this is a reason to probe some machines
+	ProbeIntervals float64       // report intervals after which even a single machine is probed
 }
 
-// Crowd is what a controller has heard of the machines that ought to report to it.
+// MachineGroup is the state of the machines that are expected to report to a controller.
 type MachineGroup struct {
-	Expected, Reporting int           // machines, and those heard lately
-	LastReport          time.Duration // when any of them was last heard
+	Expected, Reporting int           // all machines, and those that have reported recently
+	LastReport          time.Duration // of any of them
 }
 
-// Asking is a crowd so silent that some of it are to be called.
+// Probing is the level of a group that has been silent for so long that some of it should be probed.
 const Probing Level = -1
 
-// Judge tells whether the machines are reached. All of them silent at once is a cut, or
-// their end; who of the two it is, only others can tell.
+// Evaluate returns the level of a group. If all machines are silent at once, either they are cut off
+// from this controller or they have died; only the other controllers can tell which.
 func (l GroupLimits) Evaluate(now time.Duration, group MachineGroup) Level {
 	if group.Expected == 0 {
 		return Unknown
@@ -42,14 +44,14 @@
 	return Up
 }
 
-// Sample counts how many of a few machines that were called have answered.
+// Sample counts how many of a few called machines have answered.
 type Sample struct {
 	startedAt   time.Duration
-	hasAnswered map[string]bool // -> answered
+	hasAnswered map[string]bool // by called machine
 	answers     int
 }
 
-// NewSample begins a sample of the named machines.
+// NewSample starts a sample of the named machines.
 func NewSample(now time.Duration, machines []string) *Sample {
 	s := &Sample{startedAt: now, hasAnswered: map[string]bool{}}
 	for _, m := range machines {
@@ -58,7 +60,7 @@
 	return s
 }
 
-// Answered notes an answer.
+// RecordAnswer records the answer of a machine; machines that are not in the sample are ignored.
 func (s *Sample) RecordAnswer(machine string) {
 	if answered, called := s.hasAnswered[machine]; called && !answered {
 		s.hasAnswered[machine] = true
@@ -66,13 +68,14 @@
 	}
 }
 
-// Result is what the sample has shown, once all have answered or its time is over.
+// Result returns the number of machines called and of those that have answered. The sample has finished
+// once all have answered or the timeout is over.
 func (s *Sample) Result(now, timeout time.Duration) (called, answered int, finished bool) {
 	called, answered = len(s.hasAnswered), s.answers
 	return called, answered, answered == called || now-s.startedAt >= timeout
 }
 
-// Spread picks n of a sorted list, evenly.
+// PickEvenly returns n elements at even distances from a sorted list, or the whole list if it is shorter.
 func PickEvenly(sorted []string, n int) []string {
 	if len(sorted) <= n {
 		return sorted
--- a/internal/reach/link.go
+++ b/internal/reach/link.go
@@ -1,33 +1,33 @@
-// Package reach judges what a controller reaches: services, its peers and through these
-// what they reach, and the workers. It goes by the traffic that is there anyway; who is
-// asked too little is probed by the owner. Doubt comes before certainty: doubt is reason
-// enough for a way around, which costs little, and never for giving a duty away.
+// Package reach determines what a controller reaches: services, directly or through its peers, and the
+// workers. It evaluates the traffic that exists anyway; the owner probes links with too little traffic.
+// A link is in doubt before it counts as down. Doubt is a sufficient reason for another route, which
+// costs little, but never for transferring a shard or leadership.
 //
 // Plain structures: no clock, no I/O, not for concurrent use.
 package reach
 
 import "time"
 
-// Level is what is believed of a link.
+// Level is the state of a link.
 type Level int
 
 const (
-	Unknown Level = iota // nothing has been asked yet
+	Unknown Level = iota // no call has been made yet
 	Up
-	Doubt // an answer that ought to have come has not, or a call was refused
-	Down  // in doubt for long, with nothing to speak for it
+	Doubt // an expected answer has not arrived, or a call was refused
+	Down  // in doubt for long, with several failures and no answer
 )
 
-// String names a level for operators.
+// String returns the name of a level, as shown to operators.
 func (l Level) String() string { return [...]string{"asking", "unknown", "up", "doubt", "down"}[l+1] }
 
-// LinkLimits are the times of a judgement.
+// LinkLimits are the durations by which a link is evaluated.
 type LinkLimits struct {
-	LateAfter       time.Duration // a call without an answer for so long is a reason for doubt
-	LateAfterMax    time.Duration // the same while answers come late: twice what the last one took, up to this
-	DownAfter       time.Duration // doubt of this age, and two reasons for it, is a judgement
-	RecoverAfter    time.Duration // answers over so long bring a link back that was down
-	RecoverAfterMax time.Duration // each fall within Window doubles Back, up to this: a flapping link stays down
+	LateAfter       time.Duration // a call without an answer for this long is a failure
+	LateAfterMax    time.Duration // while answers are slow, LateAfter is twice the last latency, up to this
+	DownAfter       time.Duration // a link in doubt for this long, with at least two failures, is down
+	RecoverAfter    time.Duration // a link that is down is up again after answers over this time
+	RecoverAfterMax time.Duration // going down again within FlapWindow doubles RecoverAfter up to this, so that a flapping link stays down
 	FlapWindow      time.Duration
 }
 
@@ -36,38 +36,43 @@
 
 const (
 	Answered Outcome = iota
-	Refused          // the other side, or somebody on the way, says no: it may be alive
-	NoAnswer         // no answer came, or the connection broke
+	Refused          // the other side, or something on the route to it, refused; it may be alive
+	NoAnswer         // no answer arrived, or the connection broke
 )
 
-// Link is the judgement of one link.
+// Link evaluates one link by the calls over it.
 type Link struct {
 	limits          LinkLimits
 	level           Level
-	since           time.Duration
-	reason          string
-	inFlight        map[uint64]time.Duration // calls under way by id, and when they were sent
-	countedLate     map[uint64]bool          // those of them that have counted as late
-	lastLatency     time.Duration            // what the last of them took that was answered
-	failures        int                      // for doubt, since the last answer
+	since           time.Duration            // when the level last changed
+	reason          string                   // of the last change
+	inFlight        map[uint64]time.Duration // watched calls in flight, by ID, and when they were sent
+	countedLate     map[uint64]bool          // calls in flight that have counted as late
+	lastLatency     time.Duration            // of the last watched call that was answered
+	failures        int                      // since the last answer
 	lastAnswered    time.Duration            // when the last answered call was sent
-	lastFailed      time.Duration            // when the last call was sent that gave a reason for doubt
-	recoveringSince time.Duration            // first answer after the link was down; 0: none yet
-	recoverAfter    time.Duration
-	wentDownAt      time.Duration // when it was last judged down
-	wentDown        bool
+	lastFailed      time.Duration            // when the last failed or late call was sent
+	recoveringSince time.Duration            // first answer since the link went down; 0: none yet
+	recoverAfter    time.Duration            // present RecoverAfter, see RecoverAfterMax
+	wentDownAt      time.Duration
+	wentDown        bool // it has been down at least once
 }
 
-// NewLink returns a link of which nothing is known.
+// NewLink returns a link in the state Unknown.
 func NewLink(l LinkLimits) *Link {
-	return &Link{limits: l, inFlight: map[uint64]time.Duration{}, countedLate: map[uint64]bool{}, recoverAfter: l.RecoverAfter}
+	return &Link{
+		limits:       l,
+		inFlight:     map[uint64]time.Duration{},
+		countedLate:  map[uint64]bool{},
+		recoverAfter: l.RecoverAfter,
+	}
 }
 
-// Sent notes a call whose answer ought to come within moments.
+// CallSent records a call whose answer is expected soon, so that it counts as a failure while it is late.
 func (l *Link) CallSent(now time.Duration, id uint64) { l.inFlight[id] = now }
 
-// Done notes how a call ended that was sent at the given time; those that Sent was not
-// told of count too.
+// CallDone records the outcome of a call and when it was sent. Calls that were not announced by CallSent
+// count as well.
 func (l *Link) CallDone(now time.Duration, id uint64, sent time.Duration, outcome Outcome) {
 	if at, watched := l.inFlight[id]; watched && outcome == Answered {
 		l.lastLatency = now - at
@@ -76,14 +81,14 @@
 	delete(l.countedLate, id)
 	if outcome != Answered {
 		if sent < l.lastAnswered {
-			return // older than an answer: it was lost on its own
+			return // sent before an answered call: only this one was lost
 		}
 		l.recordFailure(now, sent, [...]string{"", "refused", "no answer"}[outcome])
 		return
 	}
 	l.lastAnswered = max(l.lastAnswered, sent)
 	if sent < l.lastFailed {
-		return // as old as that: a watch held open from before says nothing of now
+		return // sent before a failed call: a long-held watch says nothing about the present state
 	}
 	l.failures = 0
 	switch l.level {
@@ -99,6 +104,7 @@
 	}
 }
 
+// recordFailure counts a failed or late call, which brings a link that is not down into doubt.
 func (l *Link) recordFailure(now, sent time.Duration, reason string) {
 	l.failures++
 	l.lastFailed = max(l.lastFailed, sent)
@@ -108,6 +114,7 @@
 	}
 }
 
+// setLevel changes the level. A link that goes down again within FlapWindow takes longer to recover.
 func (l *Link) setLevel(now time.Duration, level Level, reason string) {
 	l.level, l.since, l.reason = level, now, reason
 	if level != Down {
@@ -121,16 +128,16 @@
 	l.wentDown, l.wentDownAt, l.recoveringSince = true, now, 0
 }
 
-// Judgement is what is believed of a link, since when and why.
+// LinkStatus is the level of a link, when it last changed and why.
 type LinkStatus struct {
 	Level  Level
 	Since  time.Duration
 	Reason string
 }
 
-// Judge looks at what is under way, and says what is believed now.
+// Evaluate counts calls in flight that are late, and returns the present status.
 func (l *Link) Evaluate(now time.Duration) LinkStatus {
-	// A service that is slow is so by every way: what comes late, and comes, is no cut.
+	// A slow service is slow over every route: answers that arrive late do not mean that the link is down.
 	lateAfter := max(l.limits.LateAfter, min(2*l.lastLatency, l.limits.LateAfterMax))
 	for id, at := range l.inFlight {
 		if now-at >= lateAfter && at >= l.lastAnswered && !l.countedLate[id] {
@@ -144,5 +151,5 @@
 	return LinkStatus{l.level, l.since, l.reason}
 }
 
-// LastOK is when the last call was sent that has been answered.
+// LastAnswered returns when the last answered call was sent.
 func (l *Link) LastAnswered() time.Duration { return l.lastAnswered }
--- a/internal/reach/view.go
+++ b/internal/reach/view.go
@@ -7,13 +7,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// View is what is believed of a link, as operators are shown it.
+// View returns the status of a link for operators.
 func (s LinkStatus) View(now time.Duration, to string) wire.LinkView {
 	return wire.LinkView{To: to, Level: s.Level.String(), ForS: (now - s.Since).Seconds(), Why: s.Reason}
 }
 
-// Answers is the link to a controller that last answered at a time, if it ever did; near tells
-// whether that was just now.
+// PeerLinkView returns the status of the link to a controller, which last answered a ping at the given
+// time if it ever has; reachable: it has answered recently.
 func PeerLinkView(controller string, now, answeredAt time.Duration, ever, reachable bool) wire.LinkView {
 	view := wire.LinkView{To: "controller " + controller, Level: Unknown.String(), Why: "never answered"}
 	switch {
@@ -26,8 +26,8 @@
 	return view
 }
 
-// Machines is the link to the machines of a shard; silent is since how long none has been
-// heard, 0 if some are.
+// ShardLinkView returns the status of the link to the machines of a shard; silent is how long they have
+// been silent, 0 if they report.
 func ShardLinkView(shard int, silent time.Duration) wire.LinkView {
 	view := wire.LinkView{To: fmt.Sprintf("shard %d", shard), Level: Up.String(), Why: "its machines report"}
 	if silent > 0 {
