--- a/internal/reach/router.go
+++ b/internal/reach/router.go
@@ -7,46 +7,52 @@
 	"time"
 )
 
-// WayLimits are the times by which ways are judged.
+// RouterLimits are the durations and counts by which calls are routed.
 type RouterLimits struct {
 	Link          LinkLimits
-	OfferTTL      time.Duration // a peer's word of its way counts for so long
+	OfferTTL      time.Duration // how long a peer's offer of a route is valid
 	MaxHops       int           // peers that a call may pass
-	OfferFreshFor time.Duration // a link is offered to peers while its last answer is no older
-	CutOffAfter   time.Duration // for so long before it counts as a cut
-	RerouteGrace  time.Duration // a call by a way that is one no more is waited for so long
-	CallTimeout   time.Duration // a call through a peer is given up after this, and its hold
+	OfferFreshFor time.Duration // the link is offered to peers while its last answered call was sent no longer ago
+	CutOffAfter   time.Duration // how long the link must be in doubt or down before this controller counts as cut off
+	RerouteGrace  time.Duration // how long to wait for a call whose route is no longer used
+	CallTimeout   time.Duration // a call through a peer is given up after this time plus its hold
 }
 
-// Ways are those to a service: the link, and around it through peers. They know the calls that
-// are under way, each with what is to be done with its reply.
+// Router routes calls to a service over the link or, around it, through peers. It tracks the calls in
+// flight, each with the function that handles its reply of type R.
 type Router[R any] struct {
 	limits       RouterLimits
 	link         *Link
 	routes       *Routes
-	withoutRoute map[string]time.Duration // peers heard without a way of their own, and when
-	currentPeer  string                   // the peer that calls go through
+	withoutRoute map[string]time.Duration // peers that last reported to have no route, and when
+	currentPeer  string                   // the peer through which calls go, as last set; "": the link
 	calls        map[uint64]*call[R]
 }
 
-// call is one whose reply has not come.
+// call is a call whose reply has not arrived.
 type call[R any] struct {
-	onReply  func(R) // nil: given up, its reply changes nothing any more
+	onReply  func(R) // nil: abandoned, its reply is ignored
 	sentAt   time.Duration
-	via      string        // the peer it went through
-	deadline time.Duration // of those: given up then
+	via      string        // the peer that it goes through; "": the link
+	deadline time.Duration // when it is given up, if it goes through a peer
 }
 
-// NewWays returns ways of which nothing is known.
+// NewRouter returns a router without calls and offers.
 func NewRouter[R any](l RouterLimits) *Router[R] {
-	return &Router[R]{limits: l, link: NewLink(l.Link), routes: NewRoutes(l.OfferTTL, l.MaxHops), withoutRoute: map[string]time.Duration{}, calls: map[uint64]*call[R]{}}
+	return &Router[R]{
+		limits:       l,
+		link:         NewLink(l.Link),
+		routes:       NewRoutes(l.OfferTTL, l.MaxHops),
+		withoutRoute: map[string]time.Duration{},
+		calls:        map[uint64]*call[R]{},
+	}
 }
 
-// Judge says what is believed of the link.
+// EvaluateLink returns the present status of the link.
 func (r *Router[R]) EvaluateLink(now time.Duration) LinkStatus { return r.link.Evaluate(now) }
 
-// Offered takes a peer's word of its way: one more than the peers between it and the service; 0:
-// it has none that does not lead through us.
+// OfferReceived records a peer's offer: one more than the number of controllers between the peer and
+// the service, or 0 if the peer has no route that does not pass through us.
 func (r *Router[R]) OfferReceived(now time.Duration, peer string, distance int) {
 	r.routes.Offer(now, peer, distance-1)
 	if delete(r.withoutRoute, peer); distance == 0 {
@@ -54,10 +60,11 @@
 	}
 }
 
-// Withdrawn takes a peer's word back, until its next one.
+// WithdrawOffer discards a peer's offer, until its next one.
 func (r *Router[R]) WithdrawOffer(now time.Duration, peer string) { r.routes.Offer(now, peer, -1) }
 
-// Around is the peer through whom calls go at present, or "".
+// BestPeer returns the peer through which calls should go at present. It returns "" if they should go
+// over the link, because that is not in doubt or there is no other route.
 func (r *Router[R]) BestPeer(now time.Duration) string {
 	if level := r.link.Evaluate(now).Level; level == Up || level == Unknown {
 		return ""
@@ -66,8 +73,8 @@
 	return peer
 }
 
-// Offer is what we offer to a peer: one more than the controllers between us and the service, 0
-// if there is no way that does not lead through the peer itself.
+// OfferFor returns our offer to a peer: one more than the number of controllers between us and the
+// service, or 0 if we have no route that does not pass through the peer itself.
 func (r *Router[R]) OfferFor(now time.Duration, to string) int {
 	if status := r.link.Evaluate(now); status.Level == Up && now-r.link.LastAnswered() < r.limits.OfferFreshFor {
 		return 1
@@ -78,8 +85,9 @@
 	return 0
 }
 
-// CutOff tells whether the service is out of our reach while others may have it: a peer says so,
-// or no peer can be heard either. In an outage that all share it is false.
+// CutOff reports whether we have no route to the service while other controllers may have one. It is
+// false if a peer has recently reported that it has no route either, as in an outage that affects all
+// controllers, and true if we receive nothing from any peer.
 func (r *Router[R]) CutOff(now time.Duration) bool {
 	status := r.link.Evaluate(now)
 	if status.Level == Up || status.Level == Unknown || r.BestPeer(now) != "" || now-status.Since < r.limits.CutOffAfter {
@@ -93,10 +101,10 @@
 	return true
 }
 
-// Send notes a call that is sent now, and is the peer that it goes through, "": over the link.
-// One that has passed so many peers, the last being from, is not sent back to that. hold is for
-// how long the service may hold its answer; watched calls over the link give reason for doubt
-// while their answers are late.
+// Send records a call that is sent now, and returns the peer that it goes through, or "" for the link.
+// hops is the number of peers that the call has passed, from the last of them; it is not sent back to
+// that one. hold is how long the service may delay the answer. If watched is set and the call goes over
+// the link, a late answer counts as a failure of the link.
 func (r *Router[R]) Send(now time.Duration, id uint64, from string, hops int, hold time.Duration, watched bool, onReply func(R)) (via string) {
 	c := &call[R]{onReply: onReply, sentAt: now}
 	r.calls[id] = c
@@ -110,14 +118,14 @@
 	return ""
 }
 
-// Try notes a call that is sent over the link whatever is believed of it.
+// SendDirect records a call that is sent over the link whatever its status.
 func (r *Router[R]) SendDirect(now time.Duration, id uint64, onReply func(R)) {
 	r.calls[id] = &call[R]{onReply: onReply, sentAt: now}
 }
 
-// Done takes the end of a call with a status of HTTP, 0 if no answer came, and returns what is to
-// be done with the reply: nil: nothing. own: it never left this controller, so says nothing of
-// the link.
+// CallDone records the end of a call and returns the function that handles its reply, nil if nothing
+// is to be done. status is the HTTP status, 0 without an answer. local: the call never left this
+// controller, so its end says nothing about the link.
 func (r *Router[R]) CallDone(now time.Duration, id uint64, status int, local bool) (onReply func(R)) {
 	c := r.calls[id]
 	if c == nil {
@@ -137,7 +145,8 @@
 	return c.onReply
 }
 
-// Via is the peer that a call under way went through; false: there is no such call.
+// Via returns the peer that a call in flight goes through, "" for the link; false if there is no such
+// call.
 func (r *Router[R]) Via(id uint64) (string, bool) {
 	if c := r.calls[id]; c != nil {
 		return c.via, true
@@ -145,7 +154,7 @@
 	return "", false
 }
 
-// Oldest is the lowest id of a call under way, or next if there is none.
+// OldestID returns the lowest ID of a call in flight, or next if there is none.
 func (r *Router[R]) OldestID(next uint64) uint64 {
 	for id := range r.calls {
 		next = min(next, id)
@@ -153,8 +162,8 @@
 	return next
 }
 
-// Late lists the calls through peers that are to be given up: too old, or by a way that is one no
-// more, by its peer's silence or word.
+// Overdue returns the calls through peers that should be given up: those past their deadline, and those
+// through a peer that is no longer the best one, because its offer has expired or was replaced.
 func (r *Router[R]) Overdue(now time.Duration) (ids []uint64) {
 	via := r.BestPeer(now)
 	for _, id := range slices.Sorted(maps.Keys(r.calls)) {
@@ -165,7 +174,8 @@
 	return ids
 }
 
-// GiveUp ends a late call, withdraws its way, and says why it is given up.
+// GiveUp ends an overdue call and withdraws the offer of its peer. It returns the function that handles
+// the reply, and the reason for giving up.
 func (r *Router[R]) GiveUp(now time.Duration, id uint64) (onReply func(R), reason string) {
 	c := r.calls[id]
 	delete(r.calls, id)
@@ -173,7 +183,8 @@
 	return c.onReply, "no answer through " + c.via
 }
 
-// Hanging lists the calls that hang in a cut of the link and wait for their replies.
+// Stalled returns the calls that were sent over the link some time ago and still await their replies,
+// for when calls start to go through a peer.
 func (r *Router[R]) Stalled(now time.Duration) (ids []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(r.calls)) {
 		if c := r.calls[id]; c.via == "" && c.onReply != nil && c.sentAt < now-r.limits.Link.LateAfter/2 {
@@ -183,8 +194,9 @@
 	return ids
 }
 
-// Abandon ends the waiting for a call, which may still be executed, like any without an answer;
-// its answer, should it come, changes nothing. It returns what waited, nil if nothing does.
+// Abandon stops waiting for the reply to a call. The call may still be executed, like any call without
+// an answer; its answer is ignored if it arrives. Abandon returns the function that would have handled
+// the reply, nil if there is none.
 func (r *Router[R]) Abandon(id uint64) (onReply func(R)) {
 	if c := r.calls[id]; c != nil {
 		onReply, c.onReply = c.onReply, nil
@@ -192,13 +204,13 @@
 	return onReply
 }
 
-// Through is the peer that calls were last turned to, "": the link.
+// CurrentPeer returns the peer through which calls go, as last set by SetCurrentPeer; "" for the link.
 func (r *Router[R]) CurrentPeer() string { return r.currentPeer }
 
-// Turn notes that calls go through a peer from now on.
+// SetCurrentPeer records that calls go through a peer from now on; "" for the link.
 func (r *Router[R]) SetCurrentPeer(peer string) { r.currentPeer = peer }
 
-// Doubted tells whether the link is to be tried while calls go around it.
+// ShouldProbe reports whether the link should be probed because calls go around it.
 func (r *Router[R]) ShouldProbe(status LinkStatus) bool {
 	return (status.Level == Doubt || status.Level == Down) && r.currentPeer != ""
 }
