--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -9,152 +9,165 @@
 
 const ms = time.Millisecond
 
-var linkLimits = LinkLimits{LateAfter: 600 * ms, DownAfter: 1500 * ms, RecoverAfter: time.Second, RecoverAfterMax: 8 * time.Second, FlapWindow: time.Minute}
+var linkLimits = LinkLimits{
+	LateAfter:       600 * ms,
+	DownAfter:       1500 * ms,
+	RecoverAfter:    time.Second,
+	RecoverAfterMax: 8 * time.Second,
+	FlapWindow:      time.Minute,
+}
 
-func TestDoubtBeforeCertainty(t *testing.T) {
-	l := NewLink(linkLimits)
+func TestDoubtBeforeDown(t *testing.T) {
+	link := NewLink(linkLimits)
 	want := func(now time.Duration, level Level, why string) {
 		t.Helper()
-		if j := l.Evaluate(now); j.Level != level || j.Reason != why {
-			t.Fatalf("at %v: %+v, want %v, %q", now, j, level, why)
+		if status := link.Evaluate(now); status.Level != level || status.Reason != why {
+			t.Fatalf("at %v: %+v, want %v, %q", now, status, level, why)
 		}
 	}
 	want(0, Unknown, "")
-	l.CallSent(0, 1)
-	l.CallDone(10*ms, 1, 0, Answered)
+	link.CallSent(0, 1)
+	link.CallDone(10*ms, 1, 0, Answered)
 	want(10*ms, Up, "answers")
-	l.CallSent(1000*ms, 2)
+	link.CallSent(1000*ms, 2)
 	want(1500*ms, Up, "answers")
 	want(1600*ms, Doubt, "an answer is late")
-	// One late answer is no proof, however long ago it was.
+	// One late answer alone never makes the link count as down.
 	want(9*time.Second, Doubt, "an answer is late")
-	l.CallDone(9*time.Second, 2, 1000*ms, Answered)
+	link.CallDone(9*time.Second, 2, 1000*ms, Answered)
 	want(9*time.Second, Up, "answers")
-	// A failure that is older than an answer says nothing.
-	l.CallDone(9500*ms, 3, 500*ms, NoAnswer)
+	// A failed call that was sent before an answered one is ignored.
+	link.CallDone(9500*ms, 3, 500*ms, NoAnswer)
 	want(9500*ms, Up, "answers")
-	l.CallDone(10*time.Second, 4, 9900*ms, Refused)
-	// An answer to a call from before the refusal does not speak against it.
-	l.CallDone(10100*ms, 8, 9800*ms, Answered)
+	link.CallDone(10*time.Second, 4, 9900*ms, Refused)
+	// An answer to a call that was sent before the refused one does not end the doubt.
+	link.CallDone(10100*ms, 8, 9800*ms, Answered)
 	want(10*time.Second, Doubt, "refused")
-	l.CallDone(11*time.Second, 5, 10*time.Second, NoAnswer)
+	link.CallDone(11*time.Second, 5, 10*time.Second, NoAnswer)
 	want(11400*ms, Doubt, "refused")
 	want(11500*ms, Down, "refused")
-	// Back only after answers for a second.
-	l.CallDone(12*time.Second, 6, 12*time.Second, Answered)
+	// The link is up again only after answers for one second.
+	link.CallDone(12*time.Second, 6, 12*time.Second, Answered)
 	want(12*time.Second, Down, "refused")
-	l.CallDone(13*time.Second, 7, 13*time.Second, Answered)
+	link.CallDone(13*time.Second, 7, 13*time.Second, Answered)
 	want(13*time.Second, Up, "answers again")
 }
 
-// Answers that come, and late, raise what counts as late, up to a limit; one that comes soon
-// ends that. A link that is slow is not taken for cut, and one that is cut while slow is.
-func TestSlowIsNoCut(t *testing.T) {
+// Slow answers raise the time after which an answer counts as late, up to a limit; a fast answer resets
+// it. A slow link does not count as down, and one that goes down while slow does.
+func TestSlowLinkIsNotDown(t *testing.T) {
 	limits := linkLimits
 	limits.LateAfterMax = 1500 * ms
-	l := NewLink(limits)
+	link := NewLink(limits)
 	at := time.Duration(0)
-	ask := func(took time.Duration) (doubted time.Duration) {
-		l.CallSent(at, uint64(at))
+	call := func(took time.Duration) (doubted time.Duration) {
+		link.CallSent(at, uint64(at))
 		for d := time.Duration(0); d < took; d += 50 * ms {
-			if j := l.Evaluate(at + d); j.Level > Up && doubted == 0 {
+			if status := link.Evaluate(at + d); status.Level > Up && doubted == 0 {
 				doubted = d
 			}
 		}
 		if took < 1500*ms {
-			l.CallDone(at+took, uint64(at), at, Answered)
+			link.CallDone(at+took, uint64(at), at, Answered)
 		}
 		at += took + 500*ms
 		return doubted
 	}
-	for i, x := range []struct{ took, doubted time.Duration }{
-		{10 * ms, 0}, {1200 * ms, 600 * ms}, // the first that is late is doubted
+	for i, step := range []struct{ took, doubted time.Duration }{
+		{10 * ms, 0}, {1200 * ms, 600 * ms}, // the first slow answer brings doubt
 		{1200 * ms, 0}, {1400 * ms, 0}, {700 * ms, 0}, {1300 * ms, 0},
-		{10 * ms, 0}, {800 * ms, 600 * ms}, // it is quick again: late is late
-		{3 * time.Second, 1500 * ms}, // slow, and then cut
+		{10 * ms, 0}, {800 * ms, 600 * ms}, // after a fast answer, a slow one is late again
+		{3 * time.Second, 1500 * ms}, // no answer at all
 	} {
-		if got := ask(x.took); got != x.doubted {
-			t.Errorf("call %d, answered after %v: doubted after %v, want %v", i, x.took, got, x.doubted)
+		if got := call(step.took); got != step.doubted {
+			t.Errorf("call %d, answered after %v: in doubt after %v, want %v", i, step.took, got, step.doubted)
 		}
 	}
 }
 
-// A link that is up for three seconds and down for three falls a few times, each time for
-// longer, and then stays down.
+// A link that alternates between three seconds up and three seconds down goes down a few times, each
+// time for longer, and then stays down.
 func TestFlappingLinkStaysDown(t *testing.T) {
-	l := NewLink(linkLimits)
-	falls, id := 0, uint64(0)
-	was := Up
+	link := NewLink(linkLimits)
+	wentDown, id := 0, uint64(0)
+	before := Up
 	for now := time.Duration(0); now < 60*time.Second; now += 250 * ms {
-		o := Answered
+		outcome := Answered
 		if now/(3*time.Second)%2 == 1 {
-			o = NoAnswer
+			outcome = NoAnswer
 		}
 		id++
-		l.CallDone(now, id, now, o)
-		j := l.Evaluate(now).Level
-		if j == Down && was != Down {
-			falls++
+		link.CallDone(now, id, now, outcome)
+		level := link.Evaluate(now).Level
+		if level == Down && before != Down {
+			wentDown++
 		}
-		was = j
+		before = level
 	}
-	if falls > 3 {
-		t.Errorf("judged down %d times in ten flaps", falls)
+	if wentDown > 3 {
+		t.Errorf("went down %d times in ten flaps", wentDown)
 	}
 }
 
-// Whatever happens, a link that answered just now and was not down is up, and none is
-// judged down without two reasons since its last answer.
+// With any sequence of outcomes, a link that was not down is up after an answer, and no link goes down
+// without two failures since its last answer.
 func TestLinkProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := NewLink(linkLimits)
-		now, reasons := time.Duration(0), 0
+		link := NewLink(linkLimits)
+		now, failures := time.Duration(0), 0
 		for id := uint64(1); id < 60; id++ {
 			now += time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms
-			before := l.Evaluate(now).Level
-			o := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
-			l.CallDone(now, id, now, o)
-			if o == Answered {
-				reasons = 0
+			before := link.Evaluate(now).Level
+			outcome := Outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
+			link.CallDone(now, id, now, outcome)
+			if outcome == Answered {
+				failures = 0
 			} else {
-				reasons++
+				failures++
 			}
-			j := l.Evaluate(now)
-			if o == Answered && before != Down && j.Level != Up {
-				t.Fatalf("answers and is %v", j.Level)
+			status := link.Evaluate(now)
+			if outcome == Answered && before != Down && status.Level != Up {
+				t.Fatalf("%v after an answer", status.Level)
 			}
-			if j.Level == Down && before != Down && reasons < 2 {
-				t.Fatalf("down for %d reasons", reasons)
+			if status.Level == Down && before != Down && failures < 2 {
+				t.Fatalf("down after %d failures", failures)
 			}
 		}
 	})
 }
 
 func TestRoutes(t *testing.T) {
-	r := NewRoutes(time.Second, 2)
+	routes := NewRoutes(time.Second, 2)
 	want := func(now time.Duration, peer string, hops int) {
 		t.Helper()
-		if p, h := r.Best(now); p != peer || h != hops {
-			t.Fatalf("at %v: %q %d, want %q %d", now, p, h, peer, hops)
+		if gotPeer, gotHops := routes.Best(now); gotPeer != peer || gotHops != hops {
+			t.Fatalf("at %v: %q %d, want %q %d", now, gotPeer, gotHops, peer, hops)
 		}
 	}
 	want(0, "", 0)
-	r.Offer(0, "b", 1)
+	routes.Offer(0, "b", 1)
 	want(0, "b", 2)
-	r.Offer(0, "c", 0)
+	routes.Offer(0, "c", 0)
 	want(0, "c", 1)
-	r.Offer(100*ms, "a", 0)
-	want(100*ms, "c", 1) // an equal one is no reason to change
-	r.Offer(200*ms, "c", -1)
+	routes.Offer(100*ms, "a", 0)
+	want(100*ms, "c", 1) // an equally short route is no reason to change
+	routes.Offer(200*ms, "c", -1)
 	want(200*ms, "a", 1)
-	want(1050*ms, "a", 1) // b's word has grown old
+	want(1050*ms, "a", 1) // the offer of b has expired
 	want(1200*ms, "", 0)
-	r.Offer(1200*ms, "b", 2)
-	want(1200*ms, "", 0) // too far
+	routes.Offer(1200*ms, "b", 2)
+	want(1200*ms, "", 0) // too many hops
 }
 
-func TestCrowd(t *testing.T) {
-	l := GroupLimits{ReportInterval: 5 * time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3}
+func TestGroupLimitsEvaluate(t *testing.T) {
+	limits := GroupLimits{
+		ReportInterval: 5 * time.Second,
+		MinSilence:     time.Second,
+		DownGaps:       15,
+		DownIntervals:  2.5,
+		ProbeGaps:      5,
+		ProbeIntervals: 1.3,
+	}
 	for _, c := range []struct {
 		what string
 		now  time.Duration
@@ -165,35 +178,47 @@
 		{"450 machines, silent for half a second", 500 * ms, MachineGroup{450, 400, 0}, Up},
 		{"450 machines, silent for over a second", 1100 * ms, MachineGroup{450, 400, 0}, Down},
 		{"one machine between two reports", 6 * time.Second, MachineGroup{1, 1, 0}, Up},
-		{"one machine, a report late", 7 * time.Second, MachineGroup{1, 1, 0}, Probing},
+		{"one machine, its report late", 7 * time.Second, MachineGroup{1, 1, 0}, Probing},
 		{"ten machines, silent for three seconds", 3 * time.Second, MachineGroup{10, 9, 0}, Probing},
-		{"one machine, silent for two and a half reports", 13 * time.Second, MachineGroup{1, 0, 0}, Down},
-		{"most of them away", 100 * ms, MachineGroup{100, 30, 0}, Doubt},
+		{"one machine, silent for two and a half intervals", 13 * time.Second, MachineGroup{1, 0, 0}, Down},
+		{"most machines do not report", 100 * ms, MachineGroup{100, 30, 0}, Doubt},
 	} {
-		if got := l.Evaluate(c.now, c.c); got != c.want {
+		if got := limits.Evaluate(c.now, c.c); got != c.want {
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
 }
 
 func TestSample(t *testing.T) {
-	s := NewSample(0, PickEvenly([]string{"a", "b", "c", "d", "e", "f", "g", "h"}, 4))
-	for _, m := range []string{"a", "a", "b", "c"} { // b was not asked
-		s.RecordAnswer(m)
+	sample := NewSample(0, PickEvenly([]string{"a", "b", "c", "d", "e", "f", "g", "h"}, 4))
+	for _, m := range []string{"a", "a", "b", "c"} { // b is not in the sample
+		sample.RecordAnswer(m)
 	}
-	if of, heard, ready := s.Result(500*ms, time.Second); of != 4 || heard != 2 || ready {
-		t.Errorf("%d of %d, ready %v", heard, of, ready)
+	if called, answered, finished := sample.Result(500*ms, time.Second); called != 4 || answered != 2 || finished {
+		t.Errorf("%d of %d, finished %v", answered, called, finished)
 	}
-	if _, _, ready := s.Result(time.Second, time.Second); !ready {
-		t.Error("its time is over")
+	if _, _, finished := sample.Result(time.Second, time.Second); !finished {
+		t.Error("not finished after the timeout")
 	}
 }
 
-// A holder asks its machines when they are silent for longer than chance has it, and knows
-// that it is cut off once none that was called answers; one that answers says otherwise.
+// A holder calls some machines of a shard that has been silent for longer than chance explains. It is
+// cut off once none of those called answers; an answer shows that it is not.
 func TestHolderFindsItselfCutOff(t *testing.T) {
-	limits := WorkerLimits{Group: GroupLimits{ReportInterval: 2 * time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3},
-		ProbeInterval: 1200 * ms, ProbeTimeout: 500 * ms, SampleSize: 2, ResampleAfter: 3 * time.Second}
+	limits := WorkerLimits{
+		Group: GroupLimits{
+			ReportInterval: 2 * time.Second,
+			MinSilence:     time.Second,
+			DownGaps:       15,
+			DownIntervals:  2.5,
+			ProbeGaps:      5,
+			ProbeIntervals: 1.3,
+		},
+		ProbeInterval: 1200 * ms,
+		ProbeTimeout:  500 * ms,
+		SampleSize:    2,
+		ResampleAfter: 3 * time.Second,
+	}
 	pick := func(shard, n int) []string {
 		if shard == AnyShard {
 			return []string{"x", "y"}
@@ -201,187 +226,248 @@
 		return []string{"a", "b"}
 	}
 	for _, answers := range []bool{false, true} {
-		w := NewWorkers(limits)
+		workers := NewWorkers(limits)
 		var silentAt, lacksAt time.Duration
 		for now := time.Duration(0); now < 8*time.Second; now += 100 * ms {
 			if now <= time.Second {
-				w.DirectReport(now, 7, "a")
+				workers.DirectReport(now, 7, "a")
 			}
-			w.Update(now, map[int]MachineGroup{7: {Expected: 6, Reporting: 6}})
-			for _, m := range w.StartProbes(now, nil, pick) {
+			workers.Update(now, map[int]MachineGroup{7: {Expected: 6, Reporting: 6}})
+			for _, m := range workers.StartProbes(now, nil, pick) {
 				if answers && now < 5*time.Second {
-					w.CallAnswered(now, 7, m)
+					workers.CallAnswered(now, 7, m)
 				}
 			}
-			if silentAt == 0 && w.SilentFor(now, 7) > 0 {
+			if silentAt == 0 && workers.SilentFor(now, 7) > 0 {
 				silentAt = now
 			}
-			if lacksAt == 0 && w.LacksWorkers(now) {
+			if lacksAt == 0 && workers.LacksWorkers(now) {
 				lacksAt = now
 			}
 		}
-		// Reports that stay away for two and a half intervals are lost, whoever answers calls.
+		// After two and a half intervals the shard counts as silent even if machines answer calls.
 		if answers && (silentAt < 6*time.Second || silentAt > 6200*ms || lacksAt > 0 && lacksAt < silentAt) {
-			t.Errorf("its machines answer calls, and it gives up at %v, %v", silentAt, lacksAt)
+			t.Errorf("machines answer calls: silent at %v, lacks workers at %v", silentAt, lacksAt)
 		}
 		if !answers && (silentAt == 0 || silentAt > 4*time.Second || lacksAt == 0) {
-			t.Errorf("all is silent since 1 s: known at %v, lacks workers at %v", silentAt, lacksAt)
+			t.Errorf("all machines silent since 1 s: silent at %v, lacks workers at %v", silentAt, lacksAt)
 		}
 	}
 }
 
-// A shard that another seeks is sampled at once, and the word of it goes when it is no
-// longer sought; nothing is called without need while workers report.
+// A shard that another controller seeks is sampled at once, and its result is reported until it is no
+// longer sought. No other samples are taken while workers report.
 func TestSoughtShardIsSampled(t *testing.T) {
-	w := NewWorkers(WorkerLimits{Group: GroupLimits{ReportInterval: 2 * time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3},
-		ProbeInterval: 1200 * ms, ProbeTimeout: 500 * ms, SampleSize: 4, ResampleAfter: 3 * time.Second})
+	workers := NewWorkers(WorkerLimits{
+		Group: GroupLimits{
+			ReportInterval: 2 * time.Second,
+			MinSilence:     time.Second,
+			DownGaps:       15,
+			DownIntervals:  2.5,
+			ProbeGaps:      5,
+			ProbeIntervals: 1.3,
+		},
+		ProbeInterval: 1200 * ms,
+		ProbeTimeout:  500 * ms,
+		SampleSize:    4,
+		ResampleAfter: 3 * time.Second,
+	})
 	pick := func(shard, n int) []string { return []string{"a", "b", "c"}[:min(n, 3)] }
-	w.DirectReport(0, AnyShard, "z")
-	if got := w.StartProbes(0, nil, pick); got != nil {
+	workers.DirectReport(0, AnyShard, "z")
+	if got := workers.StartProbes(0, nil, pick); got != nil {
 		t.Fatalf("called without need: %v", got)
 	}
-	if got := w.StartProbes(100*ms, map[int]bool{3: true}, pick); len(got) != 3 {
+	if got := workers.StartProbes(100*ms, map[int]bool{3: true}, pick); len(got) != 3 {
 		t.Fatalf("called %v", got)
 	}
-	w.CallAnswered(200*ms, AnyShard, "a")
-	w.CallAnswered(200*ms, AnyShard, "c")
-	w.StartProbes(600*ms, map[int]bool{3: true}, pick)
-	if r := w.Report(700 * ms); len(r.Hears) != 1 || r.Hears[0].Shard != 3 || r.Hears[0].Of != 3 || r.Hears[0].Heard != 2 {
-		t.Fatalf("the word is %+v", r)
+	workers.CallAnswered(200*ms, AnyShard, "a")
+	workers.CallAnswered(200*ms, AnyShard, "c")
+	workers.StartProbes(600*ms, map[int]bool{3: true}, pick)
+	if report := workers.Report(700 * ms); len(report.Hears) != 1 || report.Hears[0].Shard != 3 || report.Hears[0].Of != 3 || report.Hears[0].Heard != 2 {
+		t.Fatalf("reported %+v", report)
 	}
-	w.StartProbes(700*ms, nil, pick)
-	if r := w.Report(700 * ms); r.Hears != nil {
-		t.Fatalf("no longer sought, and the word is %+v", r)
+	workers.StartProbes(700*ms, nil, pick)
+	if report := workers.Report(700 * ms); report.Hears != nil {
+		t.Fatalf("no longer sought, and still reported: %+v", report)
 	}
 }
 
-// Who gave a shard away counts as cut off for a while, longer each time, even if workers
-// answer its calls; a report that comes ends it.
-func TestDeafAfterGivingAway(t *testing.T) {
-	w := NewWorkers(WorkerLimits{Group: GroupLimits{ReportInterval: time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3},
-		ProbeInterval: 1200 * ms, ProbeTimeout: 500 * ms, SampleSize: 4, ResampleAfter: 3 * time.Second, CutOffFor: 30 * time.Second, CutOffForMax: time.Minute})
+// A controller that transferred a silent shard counts as cut off for a while, longer each time, even if
+// workers answer its calls; a direct report ends that.
+func TestCutOffAfterTransfer(t *testing.T) {
+	workers := NewWorkers(WorkerLimits{
+		Group: GroupLimits{
+			ReportInterval: time.Second,
+			MinSilence:     time.Second,
+			DownGaps:       15,
+			DownIntervals:  2.5,
+			ProbeGaps:      5,
+			ProbeIntervals: 1.3,
+		},
+		ProbeInterval: 1200 * ms,
+		ProbeTimeout:  500 * ms,
+		SampleSize:    4,
+		ResampleAfter: 3 * time.Second,
+		CutOffFor:     30 * time.Second,
+		CutOffForMax:  time.Minute,
+	})
 	now := time.Duration(0)
-	var until []time.Duration
+	var cutOffFor []time.Duration
 	for range 3 {
-		w.Update(now, map[int]MachineGroup{7: {Expected: 6}})
+		workers.Update(now, map[int]MachineGroup{7: {Expected: 6}})
 		for range 40 { // silent for four reports
 			now += 100 * ms
-			w.Update(now, map[int]MachineGroup{7: {Expected: 6}})
+			workers.Update(now, map[int]MachineGroup{7: {Expected: 6}})
 		}
-		w.CallAnswered(now, 7, "a")
-		w.Update(now, map[int]MachineGroup{7: {Expected: 6}})
-		w.Update(now, nil) // given away
-		began := now
-		for w.LacksWorkers(now) {
+		workers.CallAnswered(now, 7, "a")
+		workers.Update(now, map[int]MachineGroup{7: {Expected: 6}})
+		workers.Update(now, nil) // transferred
+		startedAt := now
+		for workers.LacksWorkers(now) {
 			now += time.Second
 		}
-		until = append(until, now-began)
+		cutOffFor = append(cutOffFor, now-startedAt)
 	}
-	if until[0] != 30*time.Second || until[1] != time.Minute || until[2] != time.Minute {
-		t.Errorf("cut off for %v", until)
+	if cutOffFor[0] != 30*time.Second || cutOffFor[1] != time.Minute || cutOffFor[2] != time.Minute {
+		t.Errorf("cut off for %v", cutOffFor)
 	}
-	w.Update(now, map[int]MachineGroup{7: {Expected: 6}})
+	workers.Update(now, map[int]MachineGroup{7: {Expected: 6}})
 	for range 40 {
 		now += 100 * ms
-		w.Update(now, map[int]MachineGroup{7: {Expected: 6}})
+		workers.Update(now, map[int]MachineGroup{7: {Expected: 6}})
 	}
-	w.Update(now, nil)
-	if !w.LacksWorkers(now) {
-		t.Error("given away, and not cut off")
+	workers.Update(now, nil)
+	if !workers.LacksWorkers(now) {
+		t.Error("transferred a silent shard, and does not count as cut off")
 	}
-	if w.DirectReport(now, AnyShard, "b"); w.LacksWorkers(now) {
-		t.Error("a worker reports, and it counts as cut off")
+	if workers.DirectReport(now, AnyShard, "b"); workers.LacksWorkers(now) {
+		t.Error("a worker reports, and the controller still counts as cut off")
 	}
 }
 
-// A process that stood still for seconds takes nothing for silent that it slept through.
-func TestSleepIsNoSilence(t *testing.T) {
-	w := NewWorkers(WorkerLimits{Group: GroupLimits{ReportInterval: 5 * time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3}})
+// A process that was paused for seconds does not take the pause for silence of the machines.
+func TestPauseIsNoSilence(t *testing.T) {
+	workers := NewWorkers(WorkerLimits{
+		Group: GroupLimits{
+			ReportInterval: 5 * time.Second,
+			MinSilence:     time.Second,
+			DownGaps:       15,
+			DownIntervals:  2.5,
+			ProbeGaps:      5,
+			ProbeIntervals: 1.3,
+		},
+	})
 	held := map[int]MachineGroup{7: {Expected: 450, Reporting: 450}}
-	w.Update(0, held)
-	w.DirectReport(100*ms, 7, "a")
-	w.Update(200*ms, held)
-	if w.Update(9*time.Second, held); w.SilentFor(9*time.Second, 7) != 0 {
-		t.Error("silent while it stood still")
+	workers.Update(0, held)
+	workers.DirectReport(100*ms, 7, "a")
+	workers.Update(200*ms, held)
+	if workers.Update(9*time.Second, held); workers.SilentFor(9*time.Second, 7) != 0 {
+		t.Error("the pause counts as silence")
 	}
 	for now := 9 * time.Second; now < 11*time.Second; now += 200 * ms {
-		w.Update(now, held)
+		workers.Update(now, held)
 	}
-	if w.SilentFor(11*time.Second, 7) == 0 {
-		t.Error("450 machines are silent for two seconds, and it does not see it")
+	if workers.SilentFor(11*time.Second, 7) == 0 {
+		t.Error("450 machines are silent for two seconds, and the shard does not count as silent")
 	}
 }
 
-// A holder that hears few of its machines calls some, and seeks others who reach them: at once if few
-// answer, else once reports stay away all the same. Reports of the few go on, and do not say that it is
-// cut off no more.
-func TestHolderOfFewMachines(t *testing.T) {
+// A holder to which few of its machines report calls some of them, and seeks controllers that reach them:
+// at once if few answer, otherwise once reports have been missing for longer. The few machines go on
+// reporting, which does not show that the holder is no longer cut off.
+func TestFewMachinesReport(t *testing.T) {
 	pick := func(shard, n int) []string { return []string{"a", "b", "c", "d"}[:n] }
 	for _, answering := range []int{0, 1, 2, 4} {
-		w := NewWorkers(WorkerLimits{Group: GroupLimits{ReportInterval: time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3},
-			ProbeInterval: 1200 * ms, ProbeTimeout: 500 * ms, SampleSize: 4, ResampleAfter: 3 * time.Second, CutOffFor: 30 * time.Second, CutOffForMax: time.Minute})
+		workers := NewWorkers(WorkerLimits{
+			Group: GroupLimits{
+				ReportInterval: time.Second,
+				MinSilence:     time.Second,
+				DownGaps:       15,
+				DownIntervals:  2.5,
+				ProbeGaps:      5,
+				ProbeIntervals: 1.3,
+			},
+			ProbeInterval: 1200 * ms,
+			ProbeTimeout:  500 * ms,
+			SampleSize:    4,
+			ResampleAfter: 3 * time.Second,
+			CutOffFor:     30 * time.Second,
+			CutOffForMax:  time.Minute,
+		})
 		now, silentAt := time.Duration(0), time.Duration(0)
 		for ; now < 20*time.Second; now += 100 * ms {
-			c := MachineGroup{Expected: 8, Reporting: 8}
+			group := MachineGroup{Expected: 8, Reporting: 8}
 			if now >= 5*time.Second {
-				c.Reporting = 1
+				group.Reporting = 1
 			}
-			if now%(1100*ms) == 0 || now < 5*time.Second { // the one that is in reach, not always in time
-				w.DirectReport(now, 7, "h")
+			if now%(1100*ms) == 0 || now < 5*time.Second { // the one machine that is reached, not always in time
+				workers.DirectReport(now, 7, "h")
 			}
-			w.Update(now, map[int]MachineGroup{7: c})
-			for _, m := range w.StartProbes(now, nil, pick) {
+			workers.Update(now, map[int]MachineGroup{7: group})
+			for _, m := range workers.StartProbes(now, nil, pick) {
 				if m < []string{"a", "b", "c", "d", "e"}[answering] {
-					w.CallAnswered(now, 7, m)
+					workers.CallAnswered(now, 7, m)
 				}
 			}
-			if silentAt == 0 && w.SilentFor(now, 7) > 0 {
+			if silentAt == 0 && workers.SilentFor(now, 7) > 0 {
 				silentAt = now
 			}
-			if w.LacksWorkers(now) {
-				t.Fatalf("%d answer, one reports: it lacks workers at %v", answering, now)
+			if workers.LacksWorkers(now) {
+				t.Fatalf("%d answer, one reports: lacks workers at %v", answering, now)
 			}
 		}
 		if soon := 6 * time.Second; silentAt == 0 || answering < 2 != (silentAt < soon) || silentAt > 6500*ms {
 			t.Errorf("one of 8 reports since 5 s, %d of 4 answer calls: silent at %v", answering, silentAt)
 		}
-		of, heard := w.Reached(7, 8) // none of those called is less than one of 8 that report
-		if wantOf, want := 8, 1; answering > 0 && (of != wantOf || heard != want) || answering == 0 && (of != 4 || heard != 0) {
-			t.Errorf("%d of 4 answer: reached %d of %d", answering, heard, of)
+		total, reached := workers.Reached(7, 8) // none of the called machines is a smaller share than one of 8 that reports
+		if wantTotal, want := 8, 1; answering > 0 && (total != wantTotal || reached != want) || answering == 0 && (total != 4 || reached != 0) {
+			t.Errorf("%d of 4 answer: reached %d of %d", answering, reached, total)
 		}
-		if r := w.Report(now); len(r.Seeks) != 1 {
-			t.Errorf("%d of 4 answer: the word is %+v", answering, r)
+		if report := workers.Report(now); len(report.Seeks) != 1 {
+			t.Errorf("%d of 4 answer: reported %+v", answering, report)
 		}
-		w.Update(now, nil) // given away
-		w.DirectReport(now+time.Second, AnyShard, "h")
-		if !w.LacksWorkers(now+29*time.Second) || w.LacksWorkers(now+30*time.Second) {
-			t.Errorf("%d of 4 answer: given away; cut off: %v", answering, w.LacksWorkers(now+29*time.Second))
+		workers.Update(now, nil) // transferred
+		workers.DirectReport(now+time.Second, AnyShard, "h")
+		if !workers.LacksWorkers(now+29*time.Second) || workers.LacksWorkers(now+30*time.Second) {
+			t.Errorf("%d of 4 answer, shard transferred: cut off: %v", answering, workers.LacksWorkers(now+29*time.Second))
 		}
 	}
 }
 
-// Who has just taken a shard up, or has stood still, has not been heard by all its machines yet: that few
-// report says nothing until they all should have.
-func TestFewAtFirst(t *testing.T) {
-	w := NewWorkers(WorkerLimits{Group: GroupLimits{ReportInterval: time.Second, MinSilence: time.Second, DownGaps: 15, DownIntervals: 2.5, ProbeGaps: 5, ProbeIntervals: 1.3},
-		ProbeInterval: 1200 * ms, ProbeTimeout: 500 * ms, SampleSize: 4, ResampleAfter: 3 * time.Second})
+// After a controller has taken over a shard or was paused, not all machines have had the time to report.
+// That few report means nothing until all of them should have.
+func TestFewReportsAfterStartOrPause(t *testing.T) {
+	workers := NewWorkers(WorkerLimits{
+		Group: GroupLimits{
+			ReportInterval: time.Second,
+			MinSilence:     time.Second,
+			DownGaps:       15,
+			DownIntervals:  2.5,
+			ProbeGaps:      5,
+			ProbeIntervals: 1.3,
+		},
+		ProbeInterval: 1200 * ms,
+		ProbeTimeout:  500 * ms,
+		SampleSize:    4,
+		ResampleAfter: 3 * time.Second,
+	})
 	for _, c := range []struct {
 		what string
 		at   time.Duration
-	}{{"taken up", 0}, {"stood still", 20 * time.Second}} {
+	}{{"taken over", 0}, {"after a pause", 20 * time.Second}} {
 		for now := c.at; now < c.at+3700*ms; now += 100 * ms {
-			w.DirectReport(now, 7, "h")
-			w.Update(now, map[int]MachineGroup{7: {Expected: 8, Reporting: 1}})
-			if w.SilentFor(now, 7) > 0 {
+			workers.DirectReport(now, 7, "h")
+			workers.Update(now, map[int]MachineGroup{7: {Expected: 8, Reporting: 1}})
+			if workers.SilentFor(now, 7) > 0 {
 				t.Errorf("%s, one of 8 reports: silent after %v", c.what, now-c.at)
 				break
 			}
 		}
 		for now := c.at + 3700*ms; now < c.at+6*time.Second; now += 100 * ms {
-			w.DirectReport(now, 7, "h")
-			w.Update(now, map[int]MachineGroup{7: {Expected: 8, Reporting: 1}})
+			workers.DirectReport(now, 7, "h")
+			workers.Update(now, map[int]MachineGroup{7: {Expected: 8, Reporting: 1}})
 		}
-		if w.SilentFor(c.at+6*time.Second, 7) == 0 {
+		if workers.SilentFor(c.at+6*time.Second, 7) == 0 {
 			t.Errorf("%s: one of 8 reports for 6 s, and it is not silent", c.what)
 		}
 	}
