--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -266,7 +266,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.put(wire.PrefixNode+"ghost", raw, 1) // seen once, removed unseen
+	c.applyPut(wire.PrefixNode+"ghost", raw, 1) // seen once, removed unseen
 	w.store.Trouble.TooOld = true
 	w.run(6 * sec)
 	if _, ok := c.nodes["ghost"]; ok {
@@ -284,16 +284,16 @@
 
 // born gives a core that no world drives its first grant.
 func (c *Core) born(boot uint64) {
-	c.member.StartLeaseRequest(0)
-	c.member.LeaseAnswered(0, 0, boot)
+	c.presence.StartLeaseRequest(0)
+	c.presence.LeaseAnswered(0, 0, boot)
 }
 
 // sure has the state service confirm a core at a time.
 func (c *Core) sure(at Time) {
-	if g := c.member.StateLease(); g != 0 {
-		c.member.RenewNow(at)
-		c.member.StartRenewal(at)
-		c.member.RenewalAnswered(at, at, g, 200)
+	if g := c.presence.StateLease(); g != 0 {
+		c.presence.RenewNow(at)
+		c.presence.StartRenewal(at)
+		c.presence.RenewalAnswered(at, at, g, 200)
 	}
-	c.member.WatchAnswered(at)
+	c.presence.WatchAnswered(at)
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -10,11 +10,11 @@
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/internal/wants"
@@ -70,7 +70,7 @@
 			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []starts.Entry
 			for k := range each {
-				entries = append(entries, starts.Entry{Name: machineEntry + long(k)})
+				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
 			}
 			for k := range each { // services, and arrays of 250 small and 400 tasks
 				e := starts.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
@@ -98,7 +98,7 @@
 				}
 				images = append(images, has)
 			}
-			for _, b := range supply.Blocks(infos, supply.BlockSizes{Least: tuning.BlockSize, Most: tuning.BlockSizeMax, AtOnce: tuning.BlocksAtOnce}, true, true) {
+			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.BlockSize, Max: tuning.BlockSizeMax, BlocksPerBatch: tuning.BlocksAtOnce}, true, true) {
 				b.Idle, b.Spot = true, true
 				for k := range b.Machines {
 					b.Machines[k].Drop, b.Machines[k].Empty = true, true
@@ -128,7 +128,7 @@
 			if len(fit.Needs) < 8 {
 				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
-			w.put(wantKey(0), fit)
+			w.put(demandKey(0), fit)
 
 			tr := trail.New(trail.Limits{Events: tuning.TrailEvents, Bytes: min(tuning.TrailBytes, bytes/2)})
 			for k := range machines {
@@ -182,7 +182,7 @@
 	for k := range 60 {
 		bias.Classes[fmt.Sprintf("class-of-a-long-name-%02d", k)] = [3]float64{float64(k + 20), 1.0 / 3, 2.0 / 3}
 	}
-	bias = limits.Fit(bias, bytes, forecast.Shorter)
+	bias = limits.Fit(bias, bytes, forecast.DropLeastKnownClass)
 	if len(bias.Classes) < 20 || bias.Classes["class-of-a-long-name-59"][0] == 0 {
 		t.Errorf("%d classes are left, of which most is known is not among them", len(bias.Classes))
 	}
@@ -220,7 +220,7 @@
 		}
 		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyLadder, limits.Fit(lad, bytes, ladder.Shorter))
+	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
 // progress is that of a job with the longest description that is accepted.
@@ -232,12 +232,12 @@
 	for k := 0; k < 400; k += 2 {
 		job.Done = append(job.Done, [2]int{k, k + 1})
 	}
-	c := New(Params{Node: "a", Nodes: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, Lease: 10 * sec, Cancel: 40 * sec, TxnOps: 4, ValueBytes: bytes})
-	e := &jobEntry{rec: job, run: &jobRun{done: job.Done}}
+	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, MaxTxnOps: 4, MaxValueBytes: bytes})
+	e := &jobEntry{record: job, run: &jobRun{done: job.Done}}
 	b := c.newBatch()
-	c.shards[0], c.teamHome["red"] = &shardEntry{}, 0
+	c.shards[0], c.teamShards["red"] = &shardEntry{}, 0
 	b.addProgress(e)
-	for _, ch := range b.then {
+	for _, ch := range b.changes {
 		w.put(ch.Put, ch.Value)
 	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -14,256 +14,291 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// leaderState is what only the leading controller keeps; it starts empty with
-// each term, since all of it can be learned again.
+// leaderState is the state that only the leading controller keeps. It starts empty with each term,
+// because all of it can be learned again from the cloud and the state service.
 type leaderState struct {
-	listing  bool
-	known    *inventory.Book // the cloud's machines
-	deleting bool
-	renting  map[int]bool               // shards being served
-	booked   map[int][]wire.MachineInfo // rented, not yet in a block
-	pause    map[string]Time            // refused type/zone/kind
-	writing  bool
-	backoff  time.Duration
-	cloudAt  Time
-	typing   bool
-	tidying  bool
-	nodeUp   map[string]Time
-	bookings uint64
-	standing bool // the first machines, found when there was no block at all
-	founded  Time // when this term made the shards: the cluster started for the first time; 0: it did not
+	listingMachines  bool                       // a read of the cloud's machine list is in progress
+	cloudMachines    *inventory.Book            // the machines that the cloud lists
+	deletingMachines bool                       // a delete call to the cloud is in progress
+	servingShards    map[int]bool               // shards with a rental or a block move in progress
+	rentedMachines   map[int][]wire.MachineInfo // by shard: rented machines that are in no block yet
+	offerRetryAt     map[string]Time            // by type, zone and kind: when a refused offer may be tried again
+	writePending     bool                       // a write of blocks or shards is in progress
+	cloudBackoff     time.Duration              // current delay after failed cloud calls
+	cloudRetryAt     Time                       // no cloud call before this time
+	readingTypes     bool                       // a read of the machine types is in progress
+	deletingProgress bool                       // a deletion of progress records is in progress
+	nodeSince        map[string]Time            // by controller: since when this leader has seen it present
+	rentRequests     uint64                     // number of rental requests sent; part of their names
+	adoptingBase     bool                       // the first machines were adopted while no block existed
+	shardsCreatedAt  Time                       // when this term created the shards, at the first start of the cluster; 0 if it did not
 }
 
 func (l *leaderState) reset(listLag time.Duration) {
-	b := l.bookings // request names never repeat
-	*l = leaderState{known: inventory.New(inventory.Limits{Lag: listLag, Gone: 3*listLag + tuning.GoneAfter, Grace: tuning.SurpriseGrace, Again: tuning.SurpriseAgain}),
-		renting: map[int]bool{}, booked: map[int][]wire.MachineInfo{}, pause: map[string]Time{}, nodeUp: map[string]Time{}, bookings: b}
+	requests := l.rentRequests // kept, so that request names never repeat
+	*l = leaderState{
+		cloudMachines: inventory.New(inventory.Limits{
+			Lag:   listLag,
+			Gone:  3*listLag + tuning.GoneAfter,
+			Grace: tuning.SurpriseGrace,
+			Again: tuning.SurpriseAgain,
+		}),
+		servingShards:  map[int]bool{},
+		rentedMachines: map[int][]wire.MachineInfo{},
+		offerRetryAt:   map[string]Time{},
+		nodeSince:      map[string]Time{},
+		rentRequests:   requests,
+	}
 }
 
-// leading tells whether this life of this controller is the leader.
-func (c *Core) leading() bool {
-	return c.chief.Node == c.p.Node && c.chief.Boot == c.member.Boot() && c.member.Boot() != 0
+// isLeader reports whether the current incarnation of this controller is the leader.
+func (c *Core) isLeader() bool {
+	return c.leaderRecord.Node == c.params.Node && c.leaderRecord.Boot == c.presence.Boot() && c.presence.Boot() != 0
 }
 
-// lead claims leadership where it is free, and does the leader's duties.
-func (c *Core) lead() {
-	l := &c.leader
-	began, ended := c.term.ObserveLeader(c.now, c.leading(), c.ver.Of(wire.KeyLeader))
-	if !c.leading() {
+// runLeader claims the leadership if it is free and, while this controller leads, performs the
+// leader's periodic work.
+func (c *Core) runLeader() {
+	leader := &c.leader
+	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.versions.Of(wire.KeyLeader))
+	if !c.isLeader() {
 		if ended {
-			c.note(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.chief.Node})
-			c.log(1, "no longer leading")
-			l.reset(c.p.ListLag)
+			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
+			c.log(1, "lost leadership")
+			leader.reset(c.params.CloudListLag)
 		}
-		// Free, or held by this node's earlier life, which is dead.
-		if c.term.StartClaim(c.now, (c.chief.Node == "" || c.chief.Node == c.p.Node) && c.member.Registered()) {
-			c.commit(LaneFirst, []wire.Condition{{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}},
-				[]wire.Change{{Put: wire.KeyLeader, Value: wire.Leader{Node: c.p.Node, Boot: c.member.Boot()}, Lease: c.member.StateLease()}}, func(r StateReply) {
+		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
+		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
+			c.commit(LaneFirst,
+				[]wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
+				[]wire.Change{{
+					Put:   wire.KeyLeader,
+					Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()},
+					Lease: c.presence.StateLease(),
+				}},
+				func(r StateReply) {
 					c.term.WriteFinished()
-					c.changed()
+					c.mirrorChanged()
 				})
 		}
 		return
 	}
 	if began {
-		l.reset(c.p.ListLag)
-		c.note(wire.TrailEvent{Kind: trail.Leading, Token: c.ver.Of(wire.KeyLeader)})
-		c.log(1, "leading", "revision", c.ver.Of(wire.KeyLeader))
+		leader.reset(c.params.CloudListLag)
+		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
+		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
 	}
-	for n := range c.nodes {
-		if _, ok := l.nodeUp[n]; !ok {
-			l.nodeUp[n] = c.now
+	for name := range c.nodes {
+		if _, ok := leader.nodeSince[name]; !ok {
+			leader.nodeSince[name] = c.now
 		}
 	}
-	maps.DeleteFunc(l.nodeUp, func(n string, _ Time) bool { _, up := c.nodes[n]; return !up })
-	c.homeShards()
-	c.writeBooked()
+	maps.DeleteFunc(leader.nodeSince, func(name string, _ Time) bool {
+		_, up := c.nodes[name]
+		return !up
+	})
+	c.assignShards()
+	c.writeRentedBlocks()
 	c.readTypes()
 	c.readMachines()
 	c.deleteMachines()
-	c.adopt()
+	c.adoptMachines()
 	c.rentAhead()
-	c.serveWants()
-	c.tidyDone()
+	c.serveDemand()
+	c.deleteStaleProgress()
 }
 
-func (c *Core) leaderCond() wire.Condition {
-	return wire.Condition{Key: wire.KeyLeader, Version: c.ver.Of(wire.KeyLeader)}
+// leaderCondition returns the condition that the leader record has not changed.
+func (c *Core) leaderCondition() wire.Condition {
+	return wire.Condition{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}
 }
 
-// fenced tells whether blocks may be formed: no write of ours that forms others can be executed
-// any more, and the mirror holds all that were. Such a write compares the leader record and that
-// its blocks do not exist; executed late, after its machines had been put into blocks of other
-// names, it put them into two blocks, each with a holder. So after one without an answer the
-// leader record is written anew, which fails whatever compares the old one.
-func (c *Core) fenced() bool {
-	ok, renew := c.term.Fenced(c.now, c.rev, c.member.Registered())
+// canFormBlocks reports whether blocks may be formed: no earlier write of this controller that forms
+// blocks can still be executed, and the mirror contains all that were executed. Such a write compares
+// the leader record and requires that its blocks do not exist. If it is executed late, after its
+// machines were put into blocks with other names, the machines end up in two blocks, each with its own
+// holder. Therefore, after such a write got no answer, the leader record is rewritten as a fence, which
+// makes every write that compares the old version fail.
+func (c *Core) canFormBlocks() bool {
+	ok, renew := c.term.Fenced(c.now, c.mirrorRevision, c.presence.Registered())
 	if !renew {
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCond()}, []wire.Change{{Put: wire.KeyLeader, Value: c.chief, Lease: c.member.StateLease()}}, func(r StateReply) {
+	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.leaderRecord, Lease: c.presence.StateLease()}}, func(r StateReply) {
 		c.term.FenceWritten(r.Status == 200, r.Txn.Revision)
-		c.changed()
+		c.mirrorChanged()
 	})
 	return false
 }
 
-// homeShards makes the shards, and hands those of dead controllers on whole.
-func (c *Core) homeShards() {
-	l := &c.leader
-	names := sortedKeys(c.p.Nodes)
+// assignShards creates the shards when there are too few, and moves each shard of a dead controller as a
+// whole to one successor.
+func (c *Core) assignShards() {
+	leader := &c.leader
+	names := sortedKeys(c.params.NodeZones)
 	if len(c.shards) < len(names) {
-		if l.writing || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.every("shards", tuning.RetryAfter) {
+		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
 			return
 		}
 		guarantees := map[string]float64{}
-		for n, t := range c.p.Teams {
-			guarantees[n] = t.CPUs
+		for name, team := range c.params.Teams {
+			guarantees[name] = team.CPUs
 		}
 		teams := assignment.AssignTeams(guarantees, len(names))
-		var when []wire.Condition
-		var then []wire.Change
-		when = append(when, c.leaderCond())
-		for i, n := range names {
-			if c.shards[i] != nil || len(then) >= c.p.TxnOps {
+		var conditions []wire.Condition
+		var changes []wire.Change
+		conditions = append(conditions, c.leaderCondition())
+		for i, name := range names {
+			if c.shards[i] != nil || len(changes) >= c.params.MaxTxnOps {
 				continue
 			}
-			holder := n
-			if _, up := c.nodes[n]; !up {
-				holder = c.p.Node
+			holder := name
+			if _, up := c.nodes[name]; !up {
+				holder = c.params.Node
 			}
-			when = append(when, wire.Condition{Key: shardKey(i)})
-			then = append(then, wire.Change{Put: shardKey(i), Value: wire.Shard{Holder: holder, Boot: c.nodes[holder].Boot, Home: n, Teams: teams[i], Known: true}})
+			conditions = append(conditions, wire.Condition{Key: shardKey(i)})
+			changes = append(changes, wire.Change{Put: shardKey(i), Value: wire.Shard{
+				Holder: holder,
+				Boot:   c.nodes[holder].Boot,
+				Home:   name,
+				Teams:  teams[i],
+				Known:  true,
+			}})
 		}
-		l.writing = true
-		c.commit(LaneFirst, when, then, func(r StateReply) {
-			l.writing = false
+		leader.writePending = true
+		c.commit(LaneFirst, conditions, changes, func(r StateReply) {
+			leader.writePending = false
 			if r.Status == 200 {
-				l.founded = c.now
+				leader.shardsCreatedAt = c.now
 			}
-			c.changed()
+			c.mirrorChanged()
 		})
 		return
 	}
-	held := c.shardsHeld()
+	held := c.shardCounts()
 	for _, i := range c.shardIDs() {
-		s := c.shards[i]
-		n, up := c.nodes[s.rec.Holder]
-		to := ""
+		shard := c.shards[i]
+		node, up := c.nodes[shard.record.Holder]
+		newHolder := ""
 		switch {
-		case !up || (n.Boot != s.rec.Boot && c.now-l.nodeUp[s.rec.Holder] > tuning.GrantTTL):
-			// Dead, or back without having retaken it. All of it goes to one successor.
-			to = assignment.Successor(s.rec.Home, c.p.Nodes, c.words.Members(c.now, c.self(), i, held))
-		case s.rec.Home != s.rec.Holder:
-			if at, here := l.nodeUp[s.rec.Home]; here && c.words.MayReturnHome(c.now, c.self(), i, &s.rec, at, held[s.rec.Home]) {
-				to = s.rec.Home
+		case !up || (node.Boot != shard.record.Boot && c.now-leader.nodeSince[shard.record.Holder] > tuning.GrantTTL):
+			// The holder is dead, or has restarted without retaking the shard.
+			newHolder = assignment.Successor(shard.record.Home, c.params.NodeZones, c.assignments.Members(c.now, c.self(), i, held))
+		case shard.record.Home != shard.record.Holder:
+			if since, here := leader.nodeSince[shard.record.Home]; here && c.assignments.MayReturnHome(c.now, c.self(), i, &shard.record, since, held[shard.record.Home]) {
+				newHolder = shard.record.Home
 			}
 		}
-		if to != "" && (to != s.rec.Holder || c.nodes[to].Boot != s.rec.Boot) {
-			// A leader that has stood still believes so until it hears otherwise: without the
-			// comparison it took its shard back from its successor, for 10 ms.
-			c.takeShard(i, to, c.nodes[to].Boot, c.leaderCond())
-			held[to]++
+		if newHolder != "" && (newHolder != shard.record.Holder || c.nodes[newHolder].Boot != shard.record.Boot) {
+			// A leader that was paused still believes it leads until it receives newer state. Without
+			// comparing the leader record, it once took its shard back from its successor for 10 ms.
+			c.assignShard(i, newHolder, c.nodes[newHolder].Boot, c.leaderCondition())
+			held[newHolder]++
 		}
 	}
 	c.addTeams()
 }
 
-// addTeams homes teams that the settings have gained.
+// addTeams assigns each team that was added to the settings to the shard with the fewest teams.
 func (c *Core) addTeams() {
-	for _, t := range sortedKeys(c.p.Teams) {
-		if c.shardOf(t) >= 0 {
+	for _, team := range sortedKeys(c.params.Teams) {
+		if c.shardOfTeam(team) >= 0 {
 			continue
 		}
-		if !c.every("addTeams", tuning.RetryAfter) {
+		if !c.dueEvery("addTeams", tuning.RetryAfter) {
 			return
 		}
 		best := 0
 		for _, i := range c.shardIDs() {
-			if len(c.shards[i].rec.Teams) < len(c.shards[best].rec.Teams) {
+			if len(c.shards[i].record.Teams) < len(c.shards[best].record.Teams) {
 				best = i
 			}
 		}
-		s := c.shards[best]
-		rec := s.rec
-		rec.Teams = append(append([]string(nil), rec.Teams...), t)
-		c.commit(LaneFirst, []wire.Condition{c.leaderCond(), {Key: shardKey(best), Version: s.ver}}, []wire.Change{{Put: shardKey(best), Value: rec}}, func(StateReply) { c.changed() })
+		shard := c.shards[best]
+		rec := shard.record
+		rec.Teams = append(append([]string(nil), rec.Teams...), team)
+		c.commit(LaneFirst,
+			[]wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.version}},
+			[]wire.Change{{Put: shardKey(best), Value: rec}},
+			func(StateReply) { c.mirrorChanged() })
 		return
 	}
 }
 
-// cloudFailed slows the calls down after a failure.
+// cloudFailed records a failed cloud call and delays the next ones by an exponential, jittered backoff.
 func (c *Core) cloudFailed(what string, r CloudReply) {
-	l := &c.leader
-	l.backoff = min(max(2*l.backoff, tuning.RetryAfter), tuning.CloudBackoffMax)
-	l.cloudAt = c.now + time.Duration(float64(l.backoff)*(1-tuning.Jitter*c.jitter.Float64()))
-	c.note(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
-	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", l.backoff.String())
+	leader := &c.leader
+	leader.cloudBackoff = min(max(2*leader.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
+	leader.cloudRetryAt = c.now + time.Duration(float64(leader.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
+	c.recordEvent(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
+	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", leader.cloudBackoff.String())
 }
 
+// readTypes reads the machine types from the cloud and writes them to the state service.
 func (c *Core) readTypes() {
-	l := &c.leader
-	if l.typing || c.now < l.cloudAt || !c.every("types", tuning.TypesEvery) {
+	leader := &c.leader
+	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.dueEvery("types", tuning.TypesEvery) {
 		return
 	}
-	l.typing = true
-	c.cloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
-		l.typing = false
+	leader.readingTypes = true
+	c.callCloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
+		leader.readingTypes = false
 		if r.Status != 200 {
-			c.retryAt["types"] = c.now + tuning.RetryAfter
+			c.notBefore["types"] = c.now + tuning.RetryAfter
 			c.cloudFailed("machine types", r)
 			return
 		}
-		l.backoff = 0
-		if !c.leading() {
+		leader.cloudBackoff = 0
+		if !c.isLeader() {
 			return
 		}
 		for len(r.Types) > 0 {
-			n := min(len(r.Types), c.p.TxnOps)
-			var then []wire.Change
+			n := min(len(r.Types), c.params.MaxTxnOps)
+			var changes []wire.Change
 			for _, t := range r.Types[:n] {
-				then = append(then, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
+				changes = append(changes, wire.Change{Put: wire.PrefixType + t.Name, Value: t})
 			}
 			r.Types = r.Types[n:]
-			c.commit(LaneUser, []wire.Condition{c.leaderCond()}, then, func(r StateReply) {
+			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, changes, func(r StateReply) {
 				if r.Status != 200 {
-					c.retryAt["types"] = c.now + tuning.RetryAfter
+					c.notBefore["types"] = c.now + tuning.RetryAfter
 				}
-				c.changed()
+				c.mirrorChanged()
 			})
 		}
 	})
 }
 
-// blockOf finds a machine's block.
+// blockOf returns the block that contains a machine, or nil.
 func (c *Core) blockOf(name string) *blockEntry {
-	if id, ok := c.blockIn[name]; ok {
+	if id, ok := c.blockOfMachine[name]; ok {
 		return c.blocks[id]
 	}
 	return nil
 }
 
-// readMachines follows the cloud's list: strangers in it are adopted, machines
-// that failed or have left it are cleared away.
+// readMachines reads the cloud's machine list. Machines in no block are adopted later; machines that
+// failed or are no longer listed are deleted.
 func (c *Core) readMachines() {
-	l := &c.leader
-	if l.listing || c.now < l.cloudAt || !c.every("list", tuning.ListEvery) {
+	leader := &c.leader
+	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.dueEvery("list", tuning.ListEvery) {
 		return
 	}
-	l.listing = true
+	leader.listingMachines = true
 	c.listPage("", map[string]wire.MachineInfo{})
 }
 
+// listPage reads one page of the machine list into all and continues until the list is complete.
 func (c *Core) listPage(after string, all map[string]wire.MachineInfo) {
-	l := &c.leader
-	c.cloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
+	leader := &c.leader
+	c.callCloud(CloudCall{Op: OpMachines, After: after}, func(r CloudReply) {
 		if r.Status != 200 {
-			l.listing = false
+			leader.listingMachines = false
 			c.cloudFailed("machine list", r)
 			return
 		}
-		l.backoff = 0
+		leader.cloudBackoff = 0
 		for _, m := range r.List.Machines {
 			all[m.Name] = m
 			after = m.Name
@@ -272,119 +307,132 @@
 			c.listPage(after, all)
 			return
 		}
-		l.listing = false
-		if !c.leading() {
+		leader.listingMachines = false
+		if !c.isLeader() {
 			return
 		}
-		c.learnAddrs(all)
-		in := map[string]bool{}
+		c.learnAddresses(all)
+		inBlocks := map[string]bool{}
 		for _, b := range c.blocks {
-			for _, bm := range b.rec.Machines {
-				in[bm.Name] = true
+			for _, bm := range b.record.Machines {
+				inBlocks[bm.Name] = true
 			}
 		}
-		l.known.Read(c.now, all, in)
-		c.lead()
+		leader.cloudMachines.Read(c.now, all, inBlocks)
+		c.runLeader()
 	})
 }
 
-// surprise is a report of a machine in no block, told by its worker.
-func (c *Core) surprise(r *wire.Report) {
-	if c.leading() && r.Addr != "" && c.leader.known.Came(c.now, r.Machine) {
-		c.out = append(c.out, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
+// onUnassignedReport handles a report of a machine that is in no block. The report may be a copy of an
+// old one, so the worker is probed before the machine is adopted.
+func (c *Core) onUnassignedReport(r *wire.Report) {
+	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
+		c.effects = append(c.effects, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
 
-// lives takes note that a machine in no block has answered a call of ours.
-func (c *Core) lives(r *wire.Report) {
-	if c.leading() && c.blockOf(r.Machine) == nil {
-		c.leader.known.Lives(c.now, wire.MachineInfo{Name: r.Machine, Addr: r.Addr, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Status: wire.MachineRunning})
+// noteAnswered records that a machine in no block has answered a call from this controller.
+func (c *Core) noteAnswered(r *wire.Report) {
+	if c.isLeader() && c.blockOf(r.Machine) == nil {
+		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{
+			Name:   r.Machine,
+			Addr:   r.Addr,
+			Type:   r.Type,
+			Zone:   r.Zone,
+			Spot:   r.Spot,
+			Status: wire.MachineRunning,
+		})
 	}
 }
 
-// takeOutGone takes machines that the cloud has deleted out of their blocks, and tells
-// whether there was something to write.
-func (c *Core) takeOutGone() bool {
-	l := &c.leader
-	when := []wire.Condition{c.leaderCond()}
-	var then []wire.Change
+// removeDeletedMachines removes machines that the cloud has deleted from their blocks. It reports
+// whether there was anything to write.
+func (c *Core) removeDeletedMachines() bool {
+	leader := &c.leader
+	conditions := []wire.Condition{c.leaderCondition()}
+	var changes []wire.Change
 	done := map[string]bool{}
-	for _, n := range l.known.AllGone() {
-		id, in := c.blockIn[n]
-		if !in || done[id] || len(then) >= c.p.TxnOps {
+	for _, name := range leader.cloudMachines.AllGone() {
+		id, inBlock := c.blockOfMachine[name]
+		if !inBlock || done[id] || len(changes) >= c.params.MaxTxnOps {
 			continue
 		}
 		done[id] = true
-		b := c.blocks[id]
-		rec := b.rec
-		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return l.known.Gone(bm.Name) })
-		when = append(when, wire.Condition{Key: blockKey(id), Version: b.ver})
+		block := c.blocks[id]
+		rec := block.record
+		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.Gone(bm.Name) })
+		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: block.version})
 		if len(rec.Machines) == 0 {
-			then = append(then, wire.Change{Delete: blockKey(id)})
+			changes = append(changes, wire.Change{Delete: blockKey(id)})
 		} else {
-			then = append(then, wire.Change{Put: blockKey(id), Value: rec})
+			changes = append(changes, wire.Change{Put: blockKey(id), Value: rec})
 		}
 	}
-	if len(then) > 0 {
-		l.writing = true
-		c.commit(LaneLater, when, then, func(r StateReply) { l.writing = false; c.changed() })
+	if len(changes) > 0 {
+		leader.writePending = true
+		c.commit(LaneLater, conditions, changes, func(r StateReply) {
+			leader.writePending = false
+			c.mirrorChanged()
+		})
 		return true
 	}
-	l.known.Forget(c.now)
+	leader.cloudMachines.Forget(c.now)
 	return false
 }
 
-// deleteMachines gives back what holders dropped; a name leaves its block only
-// after the cloud has said that the machine and all on it are gone.
+// deleteMachines has the cloud delete the machines that holders dropped. A machine is removed from its
+// block only after the cloud has confirmed that the machine and everything on it are gone.
 func (c *Core) deleteMachines() {
-	l := &c.leader
-	if l.writing {
+	leader := &c.leader
+	if leader.writePending {
 		return
 	}
-	if l.known.AnyGone() && c.every("gone", 100*time.Millisecond) && c.takeOutGone() {
+	if leader.cloudMachines.AnyGone() && c.dueEvery("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
 		return
 	}
-	if l.deleting || c.now < l.cloudAt {
+	if leader.deletingMachines || c.now < leader.cloudRetryAt {
 		return
 	}
-	names := l.known.ToDelete(c.dropping, func(n string) bool { return c.blockIn[n] != "" }, tuning.DeleteMax)
+	names := leader.cloudMachines.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
-	l.deleting = true
+	leader.deletingMachines = true
 	c.log(1, "deleting machines", "names", fmt.Sprint(names))
-	c.cloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
-		l.deleting = false
+	c.callCloud(CloudCall{Op: OpDelete, Names: names}, func(r CloudReply) {
+		leader.deletingMachines = false
 		if r.Status != 200 {
 			c.cloudFailed("delete", r)
 			return
 		}
-		l.backoff = 0
-		l.known.Deleted(c.now, names)
-		c.changed()
+		leader.cloudBackoff = 0
+		leader.cloudMachines.Deleted(c.now, names)
+		c.mirrorChanged()
 	})
 }
 
-// adopt puts machines that stand in no block into one.
-func (c *Core) adopt() {
-	l := &c.leader
-	// Without the machine types all blocks weigh nothing, and all standing machines
-	// went to one shard.
-	if l.writing || !l.known.Strangers() || len(c.types) == 0 || len(c.shards) < len(c.p.Nodes) || !c.every("adopt", 200*time.Millisecond) || !c.fenced() {
+// adoptMachines forms blocks of machines that are in no block.
+func (c *Core) adoptMachines() {
+	leader := &c.leader
+	// Without the machine types every block counts as having no CPUs, and all base machines once
+	// went to the same shard.
+	if leader.writePending || !leader.cloudMachines.Strangers() ||
+		len(c.machineTypes) == 0 || len(c.shards) < len(c.params.NodeZones) ||
+		!c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
-	// Lists lag by up to twice the usual time.
-	first := l.founded > 0 && c.now-l.founded < 2*c.p.ListLag && (len(c.blocks) == 0 || l.standing)
-	infos := l.known.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
-	if l.standing = first && len(infos) > 0; len(infos) == 0 {
+	// The machine list may lag by up to twice the usual time.
+	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.params.CloudListLag && (len(c.blocks) == 0 || leader.adoptingBase)
+	infos := leader.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
+	if leader.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
 	}
-	// Machines found when the cluster starts for the first time are the
-	// operator's standing ones. A stray one found later, when all others have been
-	// returned, is not: it would be paid for ever.
+	// Only machines found at the first start of the cluster are the operator's base machines. A stray
+	// machine found later, after all others were returned, is not marked as base, because it would
+	// never be returned and be paid for indefinitely.
 	have := c.shardCPUs()
 	c.writeBlocks(infos, first, false, func(b *wire.Block) {
-		b.Shard = supply.Poorest(c.richness(b.Zone, have))
+		b.Shard = supply.LeastSupplied(c.shardCapacities(b.Zone, have))
 		have[b.Shard] += c.blockCPUs(b)
 	}, nil)
 }
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -101,24 +101,24 @@
 	w, _ := runningServices(t, 740)
 	rec := w.shardRec("red")
 	holder := w.nodes[rec.Holder].core
-	i := holder.shardOf("red")
-	if !holder.held[i] || holder.unsettle[i] {
+	i := holder.shardOfTeam("red")
+	if !holder.heldShards[i] || holder.unreconciledShards[i] {
 		t.Fatal("the shard should be held, and settled")
 	}
-	entered := holder.entered[i]
+	entered := holder.shardHeldSince[i]
 	other := rec
 	other.Holder, other.Boot, other.Settled, other.Past = "c9", 1, false, []wire.Life{{Node: rec.Holder, Boot: rec.Boot}}
 	w.set(shardKey(i), other)
 	back := other
 	back.Holder, back.Boot, back.Past = rec.Holder, rec.Boot, append(other.Past, wire.Life{Node: "c9", Boot: 1})
 	w.set(shardKey(i), back)
-	holder.learn(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
-	if holder.held[i] {
+	holder.applyRead(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
+	if holder.heldShards[i] {
 		t.Error("acts for the shard as if nobody else had held it")
 	}
 	w.run(sec / 2)
-	if !holder.held[i] || holder.entered[i] == entered {
-		t.Errorf("held %v since %v, before since %v", holder.held[i], holder.entered[i], entered)
+	if !holder.heldShards[i] || holder.shardHeldSince[i] == entered {
+		t.Errorf("held %v since %v, before since %v", holder.heldShards[i], holder.shardHeldSince[i], entered)
 	}
 	w.run(20 * sec) // the world judges what runs where
 
@@ -155,7 +155,7 @@
 	w.noAnswer = func(node string, v StateCall) (time.Duration, bool) {
 		for _, ch := range v.Txn.Then {
 			rec, ok := ch.Value.(wire.Shard)
-			if !ok || rec.Holder != node || w.nodes[node].core.member.Boot() != rec.Boot {
+			if !ok || rec.Holder != node || w.nodes[node].core.presence.Boot() != rec.Boot {
 				continue
 			}
 			var there wire.Node
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -10,16 +10,16 @@
 
 func size(cpus float64) placement.Size { return placement.Size{CPUs: cpus} }
 
-// The emptiest machines are emptied, as many as are asked for, onto machines that stay and
-// that allow it; room is given once.
+// The emptiest machines are emptied, as many as requested, onto machines that are not emptied and
+// that allow it. Their capacity is used once.
 func TestConsolidate(t *testing.T) {
 	onto := func(names ...string) Move[string] {
 		return Move[string]{size(1), func(m string) bool { return len(names) == 0 || fmt.Sprint(names) == fmt.Sprint([]string{m}) }}
 	}
 	machines := func() []Machine[string] {
 		return []Machine[string]{
-			{Handle: "full", Stays: true},
-			{Handle: "busy", Free: size(2), Stays: true},
+			{Handle: "full", Pinned: true},
+			{Handle: "busy", Free: size(2), Pinned: true},
 			{Handle: "a", Free: size(3), Moves: []Move[string]{onto()}},
 			{Handle: "b", Free: size(3), Moves: []Move[string]{onto("busy")}},
 			{Handle: "c", Free: size(3), Moves: []Move[string]{onto("full")}},
@@ -27,26 +27,32 @@
 		}
 	}
 	for _, c := range []struct {
-		most, look int
-		want       string
+		maxMachines, maxConsidered int
+		want                       string
 	}{{9, 9, "[a d]"}, {1, 9, "[a]"}, {0, 9, "[]"}, {9, 0, "[]"}} {
-		if got := fmt.Sprint(Consolidate(machines(), c.most, c.look)); got != c.want {
-			t.Errorf("at most %d of %d: %s, want %s", c.most, c.look, got, c.want)
+		if got := fmt.Sprint(Consolidate(machines(), c.maxMachines, c.maxConsidered)); got != c.want {
+			t.Errorf("at most %d of the first %d machines: %s, want %s", c.maxMachines, c.maxConsidered, got, c.want)
 		}
 	}
-	// a goes to b, which then stays; without a, b goes to the busy one, and d no longer fits.
+	// a moves to b, which then has to stay. Without a, b moves to the busy machine, and d no longer
+	// fits.
 	if got := fmt.Sprint(Consolidate(append(machines()[:2], machines()[3:]...), 9, 9)); got != "[b]" {
-		t.Errorf("without a: %s", got)
+		t.Errorf("without a: emptied %s, want [b]", got)
 	}
 }
 
-// The block where least is lost is emptied, unless those emptied already are enough.
-func TestEmpty(t *testing.T) {
-	blocks := []Block{{Name: "x", Lost: 9 * time.Second}, {Name: "y", Lost: 3 * time.Second}, {Name: "z", Lost: 0, Fixed: true}, {Name: "w", Emptied: true, Holds: 4}}
-	if got, _ := Empty(blocks, 5); got != "y" {
-		t.Errorf("emptied %q", got)
+// The block with the least lost running time is chosen, unless the vacated blocks are enough.
+func TestChooseBlock(t *testing.T) {
+	blocks := []Block{
+		{Name: "x", LostRuntime: 9 * time.Second},
+		{Name: "y", LostRuntime: 3 * time.Second},
+		{Name: "z", LostRuntime: 0, Pinned: true},
+		{Name: "w", Vacated: true, TaskSlots: 4},
 	}
-	if got, _ := Empty(blocks, 4); got != "" {
-		t.Errorf("enough is being emptied, and %q too", got)
+	if got, _ := ChooseBlock(blocks, 5); got != "y" {
+		t.Errorf("chose %q, want y", got)
+	}
+	if got, _ := ChooseBlock(blocks, 4); got != "" {
+		t.Errorf("the vacated blocks are enough, but %q was chosen", got)
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,11 +1,10 @@
-// Package ledger keeps what is free where: for every machine what is left of it, what
-// each team has on it and whether tasks may be placed there now. Sums and indexes are
-// kept up machine by machine, so that asking costs the same however large the fleet
-// is. The ledger decides nothing; it proposes machines, and the heuristic of package
-// placement chooses among them.
+// Package ledger keeps the free capacity of machines: what is left of each machine, what each team
+// uses on it and whether tasks may be placed on it now. Sums and indexes are updated machine by
+// machine, so the cost of a query does not depend on the number of machines. The ledger decides
+// nothing: it proposes machines, and the heuristic of package placement chooses among them.
 //
-// Amounts are CPUs, GPUs and gigabytes of memory, as in placement.Size. A ledger is a
-// plain structure: no clock, no I/O, not for concurrent use.
+// Amounts are CPUs, GPUs and gigabytes of memory, as in placement.Size. A ledger has no clock and no
+// I/O, and is not safe for concurrent use.
 package ledger
 
 import (
@@ -18,133 +17,138 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Kind is what a job may demand of a machine, and whether it is empty and paid for.
+// Kind is what a job may require of a machine, and whether the machine is an empty rented one.
 type Kind struct {
 	Shard int
 	Type  string
 	Zone  string
 	Spot  bool
-	// Opens: empty and paid for by the second; see placement.Candidate.
-	Opens bool
+	// EmptyRental is whether the machine is empty and paid for by the second; see
+	// placement.Candidate.
+	EmptyRental bool
 }
 
-// Use is what one team has on a machine.
-type Use struct {
+// TeamUsage is what one team uses on a machine.
+type TeamUsage struct {
 	Team string
 	Size placement.Size
 }
 
-// Facts is what the owner of a machine says of it.
-type Facts struct {
+// MachineState is what the caller knows of a machine.
+type MachineState struct {
 	Kind
 	Usable bool           // tasks may be placed on it now
-	Free   placement.Size // what nothing may be using
-	Uses   []Use
-	// Unknown counts against every team of the shard: what may run there unseen.
-	Unknown placement.Size
-	// Spare is how many urgent tasks it could take at once, lesser work giving way.
-	Spare int
+	Free   placement.Size // capacity that no task can be using
+	Usage  []TeamUsage
+	// UnknownUse is what unknown tasks may use on the machine. It counts against every team of the
+	// shard.
+	UnknownUse placement.Size
+	// UrgentSlots is how many urgent tasks the machine could take at once, preempting work of lower
+	// priority.
+	UrgentSlots int
 }
 
-// Book is the ledger of the machines of one controller. H is the owner's handle of a
-// machine.
-type Book[H comparable] struct {
+// Ledger is the ledger of the machines of one controller. H is the caller's handle of a machine.
+type Ledger[H comparable] struct {
 	byHandle map[H]*entry[H]
 	groups   map[Kind]*group[H]
-	kinds    []Kind // of groups, in the order they came up
-	teams    map[string]*teamSum
-	unknown  map[int]*shardSum
-	heard    *list.List // of *entry[H], the longest silent first
+	kinds    []Kind // of groups, in the order in which they were added
+	teams    map[string]*usageSum
+	shards   map[int]*shardSum
+	reports  *list.List // of *entry[H], the longest silent machine first
 }
 
 type entry[H comparable] struct {
-	handle H
-	name   string
-	facts  Facts
-	known  bool // facts have been put
-	at     time.Duration
-	elem   *list.Element // in heard; nil: silent for too long, or never heard
+	handle     H
+	name       string
+	state      MachineState
+	known      bool // a state has been put
+	reportedAt time.Duration
+	elem       *list.Element // in reports; nil: silent for too long, or never reported
 }
 
-// teamSum adds and subtracts the same amounts many times; n tells when it is truly
-// zero, so that rounding never adds up.
-type teamSum struct {
-	n    int
-	size placement.Size
+// usageSum adds and subtracts the same amounts many times. count shows when the sum is exactly zero,
+// so that rounding errors do not accumulate.
+type usageSum struct {
+	count int
+	size  placement.Size
 }
 
 type shardSum struct {
-	teamSum
-	spare int
+	usageSum
+	urgentSlots int
 }
 
-// group holds the usable machines of a kind, ordered by what each has left of one
-// resource after the other.
+// group holds the usable machines of a kind, in one index for each resource, ordered by what is free
+// of it.
 type group[H comparable] struct {
-	by [resources]*btree.BTreeG[*entry[H]]
+	byResource [resources]*btree.BTreeG[*entry[H]]
 }
 
+// resources is the number of resources in a placement.Size.
 const resources = 3
 
-func amount(s placement.Size, r int) float64 {
-	switch r {
+// amount returns the amount of one resource, by its index in group.byResource.
+func amount(size placement.Size, resource int) float64 {
+	switch resource {
 	case 0:
-		return s.CPUs
+		return size.CPUs
 	case 1:
-		return s.MemGB
+		return size.MemGB
 	}
-	return s.GPUs
+	return size.GPUs
 }
 
-// New returns an empty book.
-func New[H comparable]() *Book[H] {
-	return &Book[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*teamSum{},
-		unknown: map[int]*shardSum{}, heard: list.New()}
+// New returns an empty ledger.
+func New[H comparable]() *Ledger[H] {
+	return &Ledger[H]{byHandle: map[H]*entry[H]{}, groups: map[Kind]*group[H]{}, teams: map[string]*usageSum{},
+		shards: map[int]*shardSum{}, reports: list.New()}
 }
 
-func (b *Book[H]) entryOf(h H, name string) *entry[H] {
-	e := b.byHandle[h]
+// entryOf returns the entry of a machine, and adds one if there is none.
+func (l *Ledger[H]) entryOf(handle H, name string) *entry[H] {
+	e := l.byHandle[handle]
 	if e == nil {
-		e = &entry[H]{handle: h, name: name}
-		b.byHandle[h] = e
+		e = &entry[H]{handle: handle, name: name}
+		l.byHandle[handle] = e
 	}
 	return e
 }
 
-// Put replaces what is known of a machine. Names order machines that are alike.
-func (b *Book[H]) Put(h H, name string, f Facts) {
-	e := b.entryOf(h, name)
-	b.take(e)
-	e.facts, e.known = f, true
-	for _, u := range f.Uses {
-		b.team(u.Team).add(u.Size, 1)
+// Put replaces the state of a machine. Machines with equal amounts are ordered by name.
+func (l *Ledger[H]) Put(handle H, name string, state MachineState) {
+	e := l.entryOf(handle, name)
+	l.subtract(e)
+	e.state, e.known = state, true
+	for _, usage := range state.Usage {
+		l.team(usage.Team).add(usage.Size, 1)
 	}
-	s := b.shard(f.Shard)
-	if f.Unknown != (placement.Size{}) {
-		s.add(f.Unknown, 1)
+	shard := l.shard(state.Shard)
+	if state.UnknownUse != (placement.Size{}) {
+		shard.add(state.UnknownUse, 1)
 	}
-	if !f.Usable {
+	if !state.Usable {
 		return
 	}
-	if !f.Spot {
-		s.spare += f.Spare
+	if !state.Spot {
+		shard.urgentSlots += state.UrgentSlots
 	}
-	g := b.groups[f.Kind]
-	if g == nil {
-		g = newGroup[H]()
-		b.groups[f.Kind] = g
-		b.kinds = append(b.kinds, f.Kind)
+	machines := l.groups[state.Kind]
+	if machines == nil {
+		machines = newGroup[H]()
+		l.groups[state.Kind] = machines
+		l.kinds = append(l.kinds, state.Kind)
 	}
 	for r := range resources {
-		g.by[r].ReplaceOrInsert(e)
+		machines.byResource[r].ReplaceOrInsert(e)
 	}
 }
 
 func newGroup[H comparable]() *group[H] {
 	g := &group[H]{}
 	for r := range resources {
-		g.by[r] = btree.NewG(16, func(x, y *entry[H]) bool {
-			if a, c := amount(x.facts.Free, r), amount(y.facts.Free, r); a != c {
+		g.byResource[r] = btree.NewG(16, func(x, y *entry[H]) bool {
+			if a, c := amount(x.state.Free, r), amount(y.state.Free, r); a != c {
 				return a < c
 			}
 			return x.name < y.name
@@ -153,125 +157,126 @@
 	return g
 }
 
-// take undoes what Put added.
-func (b *Book[H]) take(e *entry[H]) {
+// subtract undoes what Put added.
+func (l *Ledger[H]) subtract(e *entry[H]) {
 	if !e.known {
 		return
 	}
 	e.known = false
-	f := e.facts
-	for _, u := range f.Uses {
-		b.team(u.Team).add(u.Size, -1)
+	state := e.state
+	for _, usage := range state.Usage {
+		l.team(usage.Team).add(usage.Size, -1)
 	}
-	s := b.shard(f.Shard)
-	if f.Unknown != (placement.Size{}) {
-		s.add(f.Unknown, -1)
+	shard := l.shard(state.Shard)
+	if state.UnknownUse != (placement.Size{}) {
+		shard.add(state.UnknownUse, -1)
 	}
-	if !f.Usable {
+	if !state.Usable {
 		return
 	}
-	if !f.Spot {
-		s.spare -= f.Spare
+	if !state.Spot {
+		shard.urgentSlots -= state.UrgentSlots
 	}
-	g := b.groups[f.Kind]
+	machines := l.groups[state.Kind]
 	for r := range resources {
-		g.by[r].Delete(e)
+		machines.byResource[r].Delete(e)
 	}
 }
 
-// Drop forgets a machine.
-func (b *Book[H]) Drop(h H) {
-	if e := b.byHandle[h]; e != nil {
-		b.take(e)
+// Remove removes a machine.
+func (l *Ledger[H]) Remove(h H) {
+	if e := l.byHandle[h]; e != nil {
+		l.subtract(e)
 		if e.elem != nil {
-			b.heard.Remove(e.elem)
+			l.reports.Remove(e.elem)
 		}
-		delete(b.byHandle, h)
+		delete(l.byHandle, h)
 	}
 }
 
-// Heard notes a report of a machine. It tells whether the machine had been silent for
-// too long, or was never heard, so that its facts have to be put anew.
-func (b *Book[H]) Heard(h H, name string, now time.Duration) (back bool) {
-	e := b.entryOf(h, name)
-	e.at = now
+// RecordReport records a report of a machine. It reports whether the machine had been silent for too
+// long, or had never reported, so that its state has to be put anew.
+func (l *Ledger[H]) RecordReport(handle H, name string, now time.Duration) (returned bool) {
+	e := l.entryOf(handle, name)
+	e.reportedAt = now
 	if e.elem != nil {
-		b.heard.MoveToBack(e.elem)
+		l.reports.MoveToBack(e.elem)
 		return false
 	}
-	e.elem = b.heard.PushBack(e)
+	e.elem = l.reports.PushBack(e)
 	return true
 }
 
-// Silent returns the machines last heard at or before a time, each once.
-func (b *Book[H]) Silent(until time.Duration) (hs []H) {
-	for el := b.heard.Front(); el != nil; el = b.heard.Front() {
+// TakeSilent returns the machines whose last report came at or before a time, each once.
+func (l *Ledger[H]) TakeSilent(until time.Duration) (handles []H) {
+	for el := l.reports.Front(); el != nil; el = l.reports.Front() {
 		e := el.Value.(*entry[H])
-		if e.at > until {
+		if e.reportedAt > until {
 			break
 		}
-		b.heard.Remove(el)
+		l.reports.Remove(el)
 		e.elem = nil
-		hs = append(hs, e.handle)
+		handles = append(handles, e.handle)
 	}
-	return hs
+	return handles
 }
 
-func (b *Book[H]) team(name string) *teamSum {
-	t := b.teams[name]
+func (l *Ledger[H]) team(name string) *usageSum {
+	t := l.teams[name]
 	if t == nil {
-		t = &teamSum{}
-		b.teams[name] = t
+		t = &usageSum{}
+		l.teams[name] = t
 	}
 	return t
 }
 
-func (b *Book[H]) shard(i int) *shardSum {
-	s := b.unknown[i]
+func (l *Ledger[H]) shard(i int) *shardSum {
+	s := l.shards[i]
 	if s == nil {
 		s = &shardSum{}
-		b.unknown[i] = s
+		l.shards[i] = s
 	}
 	return s
 }
 
-func (t *teamSum) add(s placement.Size, n int) {
-	if t.n += n; t.n == 0 {
+// add adds a size if sign is 1, and subtracts it if sign is -1.
+func (t *usageSum) add(s placement.Size, sign int) {
+	if t.count += sign; t.count == 0 {
 		t.size = placement.Size{}
-	} else if n > 0 {
+	} else if sign > 0 {
 		t.size = t.size.Add(s)
 	} else {
 		t.size = t.size.Sub(s)
 	}
 }
 
-// Used is what a team's tasks may use at the most, with all that may run unseen in
-// its shard.
-func (b *Book[H]) Used(team string, shard int) placement.Size {
-	u := b.team(team).size
-	if s := b.unknown[shard]; s != nil {
+// Used returns the most that a team's tasks may use, including what unknown tasks may use in its
+// shard.
+func (l *Ledger[H]) Used(team string, shard int) placement.Size {
+	u := l.team(team).size
+	if s := l.shards[shard]; s != nil {
 		u = u.Add(s.size)
 	}
 	return u
 }
 
-// Spare is how many urgent tasks the usable machines of a shard could take at once,
-// spot machines apart.
-func (b *Book[H]) Spare(shard int) int { return b.shard(shard).spare }
+// UrgentSlots returns how many urgent tasks the usable machines of a shard could take at once, not
+// counting spot machines.
+func (l *Ledger[H]) UrgentSlots(shard int) int { return l.shard(shard).urgentSlots }
 
-// Most is, resource by resource, the most that any one usable machine of a shard has
-// left: what exceeds it fits nowhere.
-func (b *Book[H]) Most(shard int) placement.Size {
-	m := [resources]float64{}
-	for _, k := range b.kinds {
+// MaxFree returns, for each resource, the most that any usable machine of a shard has free. A task
+// that exceeds it fits nowhere.
+func (l *Ledger[H]) MaxFree(shard int) placement.Size {
+	largest := [resources]float64{}
+	for _, k := range l.kinds {
 		if k.Shard != shard {
 			continue
 		}
 		for r := range resources {
-			if e, ok := b.groups[k].by[r].Max(); ok {
-				m[r] = math.Max(m[r], amount(e.facts.Free, r))
+			if e, ok := l.groups[k].byResource[r].Max(); ok {
+				largest[r] = math.Max(largest[r], amount(e.state.Free, r))
 			}
 		}
 	}
-	return placement.Size{CPUs: m[0], MemGB: m[1], GPUs: m[2]}
+	return placement.Size{CPUs: largest[0], MemGB: largest[1], GPUs: largest[2]}
 }
