--- a/internal/reach/workers.go
+++ b/internal/reach/workers.go
@@ -26,24 +26,24 @@
 // by calling samples of them from time to time.
 type Workers struct {
 	limits                 WorkerLimits
-	lastReport             map[int]time.Duration  // held shard -> last report of one of its machines
-	lastAnswer             map[int]time.Duration  // held shard -> last report or answer to a call of one of its machines
-	silent                 map[int]bool           // held shards whose machines are silent, all or most of them
-	fewSince               map[int]time.Duration  // held shards of whose machines none or under half report, and since when
-	groups                 map[int]evaluatedGroup // held shards as last evaluated
-	trackedSince           map[int]time.Duration  // held shards, and since when they are evaluated without a pause
-	updatedAt              time.Duration          // last Update
-	lastContact            time.Duration          // last report or answer of any worker
-	lacksWorkers           bool                   // no worker is reached, by samples and reports
-	cutOffFor, cutOffUntil time.Duration          // after a silent shard was transferred: for how long, and until when
-	partialLoss            bool                   // the shard was transferred although some of its machines reported here
-	failedSamples          int                    // in a row without an answer
-	answeredSamples        int                    // in a row with an answer
-	samples                map[int]*Sample        // in progress, by shard or AnyShard
-	sampledAt              map[int]time.Duration  // when the last sample of a shard was started
-	sampledShards          map[int]wire.ShardReach
-	probing                map[int]bool // held shards so silent that some of their machines are called
-	heldSamples            map[int]sampleResult
+	lastReport             map[int]time.Duration   // held shard -> last report of one of its machines
+	lastAnswer             map[int]time.Duration   // held shard -> last report or answer to a call of one of its machines
+	silent                 map[int]bool            // held shards whose machines are silent, all or most of them
+	fewSince               map[int]time.Duration   // held shards of whose machines none or under half report, and since when
+	groups                 map[int]evaluatedGroup  // held shards as last evaluated
+	trackedSince           map[int]time.Duration   // held shards, and since when they are evaluated without a pause
+	updatedAt              time.Duration           // last Update
+	lastContact            time.Duration           // last report or answer of any worker
+	lacksWorkers           bool                    // no worker is reached, by samples and reports
+	cutOffFor, cutOffUntil time.Duration           // after a silent shard was transferred: for how long, and until when
+	partialLoss            bool                    // the shard was transferred although some of its machines reported here
+	failedSamples          int                     // in a row without an answer
+	answeredSamples        int                     // in a row with an answer
+	samples                map[int]*Sample         // in progress, by shard or AnyShard
+	sampledAt              map[int]time.Duration   // when the last sample of a shard was started
+	sampledShards          map[int]wire.ShardReach // results for shards that other controllers seek
+	probing                map[int]bool            // held shards so silent that some of their machines are called
+	heldSamples            map[int]sampleResult    // results for held shards
 }
 
 // evaluatedGroup is a group of machines and its level.
