--- a/internal/core/meeting_asking_test.go
+++ b/internal/core/meeting_asking_test.go
@@ -163,9 +163,9 @@
 // Users ask all controllers again and again within milliseconds, and repeat the submission, also
 // as one that would get 400 or 422, right after a job was accepted, ended or confirmed as
 // cancelled. No answer is older than one given before. It fails without the read behind a refusal
-// (`known` in onSubmit), without the call in front of an answer (onPoll, from the mirror alone), and
-// without the read of what has left the mirror (`readFor` in askAll); with one refused also with
-// polls answered from the mirror where the look at the changes fails (`default` in askAll).
+// (`unlessKnown` in onSubmit), without the call in front of an answer (onPoll, from the mirror alone), and
+// without the read of what has left the mirror (`readJobForPoll` in answerPolls); with one refused also with
+// polls answered from the mirror where the look at the changes fails (`default` in answerPolls).
 func TestAskedEverywhereWithinMilliseconds(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
--- a/internal/core/meeting_ends_test.go
+++ b/internal/core/meeting_ends_test.go
@@ -86,7 +86,7 @@
 // A transaction is carried out at once and only its answer is lost, while other controllers read
 // what it wrote: acceptances, ends, aborts, starts, changes of hands. Nobody is told anything older
 // meanwhile, nothing starts twice, and who asked for it is told by the same request. It fails without
-// the read back of an acceptance or an abort (`case 409, 0` in onSubmit and abort).
+// the read back of an acceptance or an abort (`case 409, 0` in acceptJob and abortJob).
 func TestOnlyTheAnswerIsLost(t *testing.T) {
 	t.Parallel()
 	for _, kinds := range [][]string{{"acceptance"}, {"abort"}, {"end"}, {"starts slot"}, {"progress"}, {"block formed", "block marked", "machines out of blocks, or a block moved"},
--- a/internal/core/meeting_odd_test.go
+++ b/internal/core/meeting_odd_test.go
@@ -10,7 +10,7 @@
 
 // Jobs that can't run, or lack a field, are refused by every controller, at once, again and while
 // controllers come back, and are unknown afterwards: their users are told 404 and nobody
-// cancels them. It fails without `never` or `Validate` in onSubmit.
+// cancels them. It fails without `impossibleReason` or `Validate` in onSubmit.
 func TestOddJobsAreRefused(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"calm", "bounced", "slow"} {
