--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -99,13 +99,13 @@
 	if m == nil {
 		return
 	}
-	c.touch(m)
+	c.markDirty(m)
 	if !cordon.Drain {
 		return
 	}
-	m.drop = true // the machine is returned to the cloud once it is empty
-	for _, k := range sortedAttempts(m) {
-		if a := m.attempts[k]; a.sent && a.status != wire.TaskEnded {
+	m.returning = true // the machine is returned to the cloud once it is empty
+	for _, k := range sortedAttemptKeys(m) {
+		if a := m.attempts[k]; a.startSent && a.status != wire.TaskEnded {
 			c.stopAttempt(a)
 		}
 	}
@@ -134,7 +134,7 @@
 			machineView := wire.MachineView{Name: blockMachine.Name, State: "held by " + c.holderName(block.Shard), Cordoned: cordoned}
 			if m := c.machines[blockMachine.Name]; m != nil {
 				machineView.State = m.state()
-				for _, k := range sortedAttempts(m) {
+				for _, k := range sortedAttemptKeys(m) {
 					machineView.Tasks = append(machineView.Tasks, k.task)
 				}
 			}
@@ -142,9 +142,9 @@
 		}
 		overview.Blocks = append(overview.Blocks, blockView)
 	}
-	c.update()
+	c.refreshIndexes()
 	waiting := map[string]int{}
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Entry[*jobEntry]) bool {
 		waiting[p.Job.Team] += p.Job.Pending
 		return true
 	})
@@ -154,7 +154,7 @@
 			Team:    team,
 			Shard:   shard,
 			Known:   c.holdsShard(shard),
-			UsedCPU: c.room.Used(team, shard).CPUs,
+			UsedCPU: c.capacity.Used(team, shard).CPUs,
 			CPUs:    c.params.Teams[team].CPUs,
 			Waiting: waiting[team],
 		}
@@ -183,15 +183,15 @@
 // state returns the state of a held machine as operators see it.
 func (m *machine) state() string {
 	switch {
-	case m.drop:
+	case m.returning:
 		return "leaving"
-	case m.over:
+	case m.leaseOver:
 		return "silent"
 	case !m.reported:
 		return "starting"
 	case !m.accounted:
 		return "not accounted for"
-	case m.notice:
+	case m.terminationNotice:
 		return "taken soon"
 	}
 	return "up"
@@ -201,11 +201,11 @@
 // shard knows them.
 func (c *Core) onAdminWhy(query AdminWhy) {
 	entry := c.jobs[query.ID]
-	if dependent := c.waitingAt[query.ID]; dependent != nil {
+	if dependent := c.waitingJobs[query.ID]; dependent != nil {
 		c.answer(query.Req, 200, wire.Why{
 			Job:    query.ID,
 			Holder: c.holderName(c.shardOfTeam(dependent.record.Team)),
-			Why:    c.whyWaits(query.ID),
+			Why:    c.waitReason(query.ID),
 		})
 		return
 	}
@@ -227,15 +227,15 @@
 // waitReasons lists what keeps a job's waiting tasks from starting.
 func (c *Core) waitReasons(entry *jobEntry, shard int) []string {
 	job := &entry.record
-	pending := len(entry.run.retry) + job.Tasks - entry.run.next
-	if pending == 0 && entry.run.held == 0 {
+	pending := len(entry.run.retryIndexes) + job.Tasks - entry.run.nextIndex
+	if pending == 0 && entry.run.inheritedBelow == 0 {
 		return []string{"no task waits"}
 	}
 	var reasons []string
 	if !c.authorized() {
 		reasons = append(reasons, "the state service has not confirmed this controller lately")
 	}
-	if c.unsettle[shard] && entry.run.held > 0 {
+	if c.unreconciledShards[shard] && entry.run.inheritedBelow > 0 {
 		unaccounted := 0
 		for _, m := range c.machines {
 			if m.shard == shard && m.inherited && !m.accounted {
@@ -244,19 +244,19 @@
 		}
 		reasons = append(reasons, fmt.Sprintf("%d machines of an earlier holder are not accounted for", unaccounted))
 	}
-	if c.now < entry.run.notYet {
-		reasons = append(reasons, fmt.Sprintf("its tasks failed; next try in %s", entry.run.notYet-c.now))
+	if c.now < entry.run.notBefore {
+		reasons = append(reasons, fmt.Sprintf("its tasks failed; next try in %s", entry.run.notBefore-c.now))
 	}
 	team, size := c.params.Teams[job.Team], jobSize(job)
-	c.update()
-	if used := c.room.Used(job.Team, shard); team.exceeds(used.Add(size)) {
+	c.refreshIndexes()
+	if used := c.capacity.Used(job.Team, shard); team.exceededBy(used.Add(size)) {
 		reasons = append(reasons, fmt.Sprintf("team %s uses %g of at most %g cpus", job.Team, used.CPUs, team.CPUsMax))
 	}
 	usable, fitting := 0, 0
 	for _, m := range c.machines {
-		if m.shard == shard && c.usable(m) && allows(job, m) {
+		if m.shard == shard && c.usable(m) && allowsMachine(job, m) {
 			usable++
-			if placement.Fits(c.free(m), size) {
+			if placement.Fits(c.freeCapacity(m), size) {
 				fitting++
 			}
 		}
@@ -265,7 +265,7 @@
 		reasons = append(reasons, fmt.Sprintf("none of %d machines it may use has room", usable))
 	}
 	ahead := 0
-	c.order.Walk(anyRoom, func(p *queue.Place[*jobEntry]) bool {
+	c.jobQueue.Walk(unlimitedCapacity, func(p *queue.Entry[*jobEntry]) bool {
 		if p.Handle != entry {
 			ahead++
 		}
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -7,13 +7,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// onAdminChain draws the chain of a job.
+// onAdminChain answers with the chain of a job: all jobs that it depends on and that depend on it.
 func (c *Core) onAdminChain(v AdminChain) {
 	if !c.loaded || !wire.ValidJobID(v.ID) {
 		c.answerLookup(v.Req, v.ID, jobLookup{ok: c.loaded})
 		return
 	}
-	if c.jobs[v.ID] != nil || c.waitsForOthers(v.ID) {
+	if c.jobs[v.ID] != nil || c.isWaiting(v.ID) {
 		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, c.chainOf(v.ID)))
 		return
 	}
@@ -28,46 +28,47 @@
 	})
 }
 
-// whyWaits tells what a job waits for.
-func (c *Core) whyWaits(id string) []string {
-	if v := c.chain.Judge(id, c.accepted); v.Outcome == dependency.Cancelled {
+// waitReason returns what a waiting job waits for, in words for its user.
+func (c *Core) waitReason(id string) []string {
+	if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
 		return []string{"cancelled with " + v.By}
 	}
 	var left []string
-	predecessors, _ := c.chain.Awaits(id)
+	predecessors, _ := c.dependencies.Awaits(id)
 	for _, p := range predecessors {
-		if c.accepted(p) || c.waitsForOthers(p) {
+		if c.isLive(p) || c.isWaiting(p) {
 			left = append(left, p)
 		}
 	}
 	return []string{"waits until these are done: " + strings.Join(left, ", ")}
 }
 
-// chainOf is all that a job awaits and all that awaits it, as far as this controller sees it.
+// chainOf returns what this controller knows of a job, of all its predecessors and of all jobs that depend
+// on it, by job ID.
 func (c *Core) chainOf(id string) map[string]dependency.Seen {
-	seen, todo := map[string]dependency.Seen{}, append([]string{id}, c.chain.After(id)...)
-	for ; len(todo) > 0; todo = todo[1:] {
-		id := todo[0]
+	seen, unvisited := map[string]dependency.Seen{}, append([]string{id}, c.dependencies.After(id)...)
+	for ; len(unvisited) > 0; unvisited = unvisited[1:] {
+		id := unvisited[0]
 		if _, is := seen[id]; is {
 			continue
 		}
-		e, x := c.jobs[id], dependency.Seen{}
-		if w := c.waitingAt[id]; w != nil {
-			e, x.Waits, x.Status = w, true, c.jobStatus(&w.record)
-			if v := c.chain.Judge(id, c.accepted); v.Outcome == dependency.Cancelled {
-				x.Status.Status, x.By = wire.JobAborted, v.By
+		e, view := c.jobs[id], dependency.Seen{}
+		if waiting := c.waitingJobs[id]; waiting != nil {
+			e, view.Waits, view.Status = waiting, true, c.jobStatus(&waiting.record)
+			if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
+				view.Status.Status, view.By = wire.JobAborted, v.By
 			}
 		} else if e != nil {
-			x.Status = c.jobStatus(&e.record)
+			view.Status = c.jobStatus(&e.record)
 		} else if f, known := c.finalStates[id]; known {
-			x.Status, x.By = finalStatus(id, f), f.By
+			view.Status, view.By = finalStatus(id, f), f.By
 		}
 		if e != nil {
 			own := c.demandOf(&e.record)
-			x.Job, x.Length, x.Due, x.Inherited = &e.record, own.Length, own.Due, c.chain.Inherited(id)
-			todo = append(todo, e.record.Predecessors...)
+			view.Job, view.Length, view.Due, view.Inherited = &e.record, own.Length, own.Due, c.dependencies.Inherited(id)
+			unvisited = append(unvisited, e.record.Predecessors...)
 		}
-		seen[id] = x
+		seen[id] = view
 	}
 	return seen
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,17 +11,17 @@
 	"strings"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/aims"
+	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
-	"github.com/barrowbridge/barrowbridge/internal/duty"
+	"github.com/barrowbridge/barrowbridge/internal/callqueue"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
-	"github.com/barrowbridge/barrowbridge/internal/hold"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
+	"github.com/barrowbridge/barrowbridge/internal/objectives"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
-	"github.com/barrowbridge/barrowbridge/internal/prompt"
 	"github.com/barrowbridge/barrowbridge/internal/reach"
+	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/takeover"
@@ -44,7 +44,7 @@
 	// job has stopped everywhere, ReportInterval the time between two reports of a worker.
 	WorkerLease, CancelTimeout, ReportInterval time.Duration
 	CloudListLag                               time.Duration // how far the cloud's machine list may be behind
-	Objectives                                 aims.Aims
+	Objectives                                 objectives.Objectives
 	MaxTxnOps                                  int      // operations in a transaction of the state service
 	MaxValueBytes                              int      // size of a value in the state service
 	Version                                    string   // program version, shown to operators
@@ -69,7 +69,7 @@
 	cloudCallbacks map[uint64]func(CloudReply)
 
 	// Presence in the deployment, and loading of the mirror.
-	presence               *membership.Life
+	presence               *membership.Presence
 	term                   *membership.Term
 	wasAuthorized          bool
 	authorizationChangedAt Time            // when wasAuthorized last changed
@@ -87,21 +87,21 @@
 
 	mirror
 	rollout *rollout.Book // features that the controllers support
-	holder
-	books
-	callQueue         *prompt.Desk[*machine]       // workers to be called for an early report
-	pendingMachines   *takeover.Roll[*machine]     // machines that are not accounted for after a takeover
-	reservations      map[int]*hold.Book[*machine] // by shard: machines reserved for tasks that fit on no machine
-	limitReservations map[string]hold.Hold         // by team: part of its limit reserved for a job that does not fit into the rest
-	runTimes          *forecast.Book
+	holderState
+	indexes
+	callQueue         *callqueue.Queue[*machine]           // workers to be called for an early report
+	pendingMachines   *takeover.PendingMachines[*machine]  // machines that are not accounted for after a takeover
+	reservations      map[int]*reservation.Table[*machine] // by shard: machines reserved for tasks that fit on no machine
+	limitReservations map[string]reservation.Reservation   // by team: part of its limit reserved for a job that does not fit into the rest
+	runTimes          *forecast.Estimator
 	calendar          *calendar.Book // crews and the plans for their departures
 	weights           *weights.Book  // distribution of images that many machines need
-	chaining
-	workerAddresses *takeover.Book // addresses that workers listen on
-	listingMachines bool           // a cloud list is being read to restore worker addresses
+	dependencyState
+	workerAddresses *takeover.AddressBook // addresses that workers listen on
+	listingMachines bool                  // a cloud list is being read to restore worker addresses
 	userState
 	peerState
-	stateRoutes  *reach.Ways[StateReply]
+	stateRoutes  *reach.Router[StateReply]
 	probingState bool // a probe of the direct link to the state service is in flight, while calls go through a peer
 	reachability
 	leader      leaderState
@@ -120,33 +120,33 @@
 	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.NodeZones), c.nodes)
-	c.holder = newHolder()
-	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newBoots(), progress.New(tuning.DoneSpan)
-	c.books = newBooks(p.Teams)
-	c.aims = p.Objectives
-	c.callQueue = newDesk(p)
-	c.calendar, c.chaining, c.weights = newCalendar(), newChaining(), newWeights(p.Weights, c.imageCaches)
-	c.limitReservations = map[string]hold.Hold{}
-	c.reservations = map[int]*hold.Book[*machine]{}
+	c.holderState = newHolderState()
+	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
+	c.indexes = newIndexes(p.Teams)
+	c.objectives = p.Objectives
+	c.callQueue = newCallQueue(p)
+	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(p.Weights, c.imageCaches)
+	c.limitReservations = map[string]reservation.Reservation{}
+	c.reservations = map[int]*reservation.Table[*machine]{}
 	c.runTimes = forecast.New(forecast.Params{
-		Prior:  tuning.ForecastPrior,
-		Keep:   tuning.ForecastKeep,
-		Spread: tuning.ForecastSpread,
+		PriorTasks:  tuning.ForecastPrior,
+		MaxTasks:    tuning.ForecastKeep,
+		PriorSpread: tuning.ForecastSpread,
 	})
-	c.pendingMachines, c.workerAddresses = newRoll(), takeover.NewBook()
+	c.pendingMachines, c.workerAddresses = newPendingMachines(), takeover.NewAddressBook()
 	c.userState = newUserState()
 	c.peerState = newPeerState(p)
 	c.stateRoutes = newStateRouter()
 	c.reachability = newReachability(p, c.nodes)
 	// The longest time without confirmation has to span several renewals.
-	c.presence = membership.NewLife(membership.LifeTimes{
+	c.presence = membership.NewPresence(membership.PresenceTimes{
 		Retry:  tuning.RetryAfter,
 		Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4),
 	})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(p.CloudListLag)
-	c.writeLimits = limits.NewForm(formParams, limits.Bounds{ValueBytes: p.MaxValueBytes, Changes: p.MaxTxnOps})
-	c.keepTo(c.writeLimits.Bounds())
+	c.writeLimits = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: p.MaxValueBytes, Changes: p.MaxTxnOps})
+	c.applyWriteLimits(c.writeLimits.Bounds())
 	return c
 }
 
@@ -181,13 +181,13 @@
 	case AdminCordon:
 		c.onAdminCordon(v)
 	case AdminLadder:
-		c.onAdminLadder(v)
+		c.onAdminTiers(v)
 	case AdminCrews:
 		c.onAdminCrews(v)
 	case AdminCrew:
 		c.onAdminCrew(v)
 	case AdminOrder:
-		c.onAdminOrder(v)
+		c.onAdminJobOrder(v)
 	case AdminWhy:
 		c.onAdminWhy(v)
 	case AdminTrail:
@@ -227,7 +227,7 @@
 
 // answer answers a request with an HTTP status and a body.
 func (c *Core) answer(req uint64, status int, body any) {
-	if origin, ok := c.relays.Return(req); ok { // the report was relayed by a peer, and so is its answer
+	if origin, ok := c.relays.TakeOrigin(req); ok { // the report was relayed by a peer, and so is its answer
 		relayed := &RelayAnswer{ID: origin.ID, Status: status}
 		if report, ok := body.(wire.ReportReply); ok {
 			relayed.Token, relayed.Commands = report.Token, report.Commands
@@ -279,22 +279,22 @@
 			"renewed_ago", (c.now - c.presence.LastRenewed()).String(),
 			"watched_ago", (c.now - c.presence.LastWatched()).String())
 	}
-	c.lead()
-	c.followAddrs()
+	c.runLeader()
+	c.refreshAddresses()
 	c.updateReachability()
-	c.hold()
+	c.runHolder()
 	c.persistTrail()
 }
 
 // maintainPresence acquires and renews this node's state lease, and writes this node's key under it.
 func (c *Core) maintainPresence() {
 	sent := c.now
-	if c.presence.WantsGrant(c.now) {
+	if c.presence.StartLeaseRequest(c.now) {
 		c.callState(StateCall{Op: OpGrant}, func(reply StateReply) {
 			if reply.Status != 200 {
 				reply.Lease = 0
 			}
-			changed := c.presence.Granted(c.now, sent, reply.Lease)
+			changed := c.presence.LeaseAnswered(c.now, sent, reply.Lease)
 			switch {
 			case reply.Lease == 0 && changed:
 				c.log(0, "state service did not issue a lease", "status", reply.Status, "err", reply.Err)
@@ -305,12 +305,12 @@
 				c.maintainPresence()
 			}
 		})
-	} else if c.presence.WantsWrite(c.now) {
+	} else if c.presence.StartWrite(c.now) {
 		c.writePresence()
 	}
-	if lease, due := c.presence.WantsExtend(c.now); due {
+	if lease, due := c.presence.StartRenewal(c.now); due {
 		c.callState(StateCall{Op: OpExtend, Lease: lease}, func(reply StateReply) {
-			switch c.presence.Extended(c.now, sent, lease, reply.Status) {
+			switch c.presence.RenewalAnswered(c.now, sent, lease, reply.Status) {
 			case membership.Ended:
 				c.log(0, "state lease expired, requesting another", "grant", lease)
 			case membership.Unanswered:
@@ -325,9 +325,9 @@
 // fails. Without the condition, such a write replaced the key, the key was deleted when the earlier
 // incarnation's state lease expired, and the others took a running controller for gone.
 func (c *Core) writePresence() {
-	lease, key := c.presence.Grant(), wire.PrefixNode+c.params.Node
+	lease, key := c.presence.StateLease(), wire.PrefixNode+c.params.Node
 	c.callState(StateCall{Op: OpGet, Key: key}, func(reply StateReply) {
-		if reply.Status != 200 && reply.Status != 404 || c.presence.Grant() != lease {
+		if reply.Status != 200 && reply.Status != 404 || c.presence.StateLease() != lease {
 			return
 		}
 		c.applyRead(key, reply)
@@ -336,7 +336,7 @@
 			Value: wire.Node{Boot: c.presence.Boot(), Zone: c.params.Zone, Features: c.params.Features},
 			Lease: lease,
 		}}, func(reply StateReply) {
-			if c.presence.Wrote(c.now, lease, reply.Status) {
+			if c.presence.WriteAnswered(c.now, lease, reply.Status) {
 				c.reclaimShards()
 				c.log(1, "presence key written", "node", c.params.Node, "boot", c.presence.Boot(), "grant", lease)
 			}
@@ -365,7 +365,7 @@
 			c.watching = false
 			switch reply.Status {
 			case 200:
-				c.presence.Watched(sent)
+				c.presence.WatchAnswered(sent)
 				c.applyEvents(&reply.Events)
 				c.maintainMirror()
 				c.mirrorChanged()
@@ -395,7 +395,7 @@
 	}
 	c.mirrorRevision = max(c.mirrorRevision, events.Revision)
 	c.versions.Forget(c.mirrorRevision, c.oldestCall)
-	c.enterShards()
+	c.startHoldingShards()
 }
 
 // loadPage reads the list of live keys from the key after the given one, page by page. began is when the
@@ -432,12 +432,12 @@
 		// The watch repeats the changes that were made while the pages were read.
 		c.versions.Read(c.listRevision)
 		c.mirrorRevision, c.loading, c.watching, c.listedKeys = c.listRevision, false, false, nil
-		c.presence.Watched(began)
-		c.enterShards()
+		c.presence.WatchAnswered(began)
+		c.startHoldingShards()
 		if !c.loaded {
 			c.loaded = true
 			for _, id := range c.blockIDs() {
-				c.followBoots(nil, c.blocks[id])
+				c.trackProvisioning(nil, c.blocks[id])
 			}
 			c.recordEvent(wire.TrailEvent{Kind: trail.Began, Count: len(c.jobs)})
 			c.log(1, "state loaded", "jobs", len(c.jobs), "blocks", len(c.blocks), "revision", c.mirrorRevision)
@@ -453,7 +453,7 @@
 // incarnation has to be written first: as long as the key names an earlier incarnation, it proves to
 // the others that this one is dead.
 func (c *Core) reclaimShards() {
-	if !c.loaded || !c.presence.Here() {
+	if !c.loaded || !c.presence.Registered() {
 		return
 	}
 	for _, shard := range c.shardIDs() {
@@ -461,20 +461,20 @@
 			c.assignShard(shard, c.params.Node, c.presence.Boot())
 		}
 	}
-	c.lead()
+	c.runLeader()
 }
 
 // assignShard writes a new holder into a shard's record, under further conditions if any are given. The
 // revision of the write is the shard's fencing token.
 func (c *Core) assignShard(shard int, node string, boot uint64, conditions ...wire.Condition) {
 	entry := c.shards[shard]
-	record := duty.NextHolder(entry.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
+	record := assignment.WithNewHolder(entry.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
 	key := shardKey(shard)
 	if !c.dueEvery("take:"+key, tuning.RetryAfter) {
 		return
 	}
 	from := entry.record.Holder
-	c.taking[shard] = pendingTransfer{record, from}
+	c.pendingTransfers[shard] = pendingTransfer{record, from}
 	c.commit(LaneFirst, append(conditions, wire.Condition{Key: key, Version: entry.version}), []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
 		if reply.Status == 200 {
 			c.recordShardTaken(shard)
@@ -490,7 +490,7 @@
 	c.callState(StateCall{Op: OpCommit, Lane: lane, Txn: wire.Txn{If: conditions, Then: changes}}, func(reply StateReply) {
 		switch reply.Status {
 		case 400:
-			c.refusedForm(conditions, changes, reply.Err)
+			c.writeRefused(conditions, changes, reply.Err)
 		case 200:
 			for _, change := range changes {
 				c.writeLimits.Taken(limits.KindOf(change.Put))
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -284,16 +284,16 @@
 
 // born gives a core that no world drives its first grant.
 func (c *Core) born(boot uint64) {
-	c.presence.WantsGrant(0)
-	c.presence.Granted(0, 0, boot)
+	c.presence.StartLeaseRequest(0)
+	c.presence.LeaseAnswered(0, 0, boot)
 }
 
 // sure has the state service confirm a core at a time.
 func (c *Core) sure(at Time) {
-	if g := c.presence.Grant(); g != 0 {
-		c.presence.Hurry(at)
-		c.presence.WantsExtend(at)
-		c.presence.Extended(at, at, g, 200)
+	if g := c.presence.StateLease(); g != 0 {
+		c.presence.RenewNow(at)
+		c.presence.StartRenewal(at)
+		c.presence.RenewalAnswered(at, at, g, 200)
 	}
-	c.presence.Watched(at)
+	c.presence.WatchAnswered(at)
 }
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -16,16 +16,28 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
+// biasKey returns the key of a shard's record of estimate errors.
 func biasKey(shard int) string { return wire.PrefixBias + strconv.Itoa(shard) }
 
 func newCalendar() *calendar.Book {
-	return calendar.NewBook(calendar.Margins{Clock: tuning.CrewClock, Takeover: tuning.CrewTakeover, Failures: tuning.CrewFailures, Press: tuning.CrewPress, Rounds: tuning.CrewRounds},
-		calendar.Limits{Most: tuning.CrewsMost, Keep: tuning.CrewKeep, Settle: tuning.CrewSettle, Rent: tuning.RentMax})
+	return calendar.NewBook(calendar.Margins{
+		Clock:    tuning.CrewClock,
+		Takeover: tuning.CrewTakeover,
+		Failures: tuning.CrewFailures,
+		Press:    tuning.CrewPress,
+		Rounds:   tuning.CrewRounds,
+	}, calendar.Limits{
+		Most:   tuning.CrewsMost,
+		Keep:   tuning.CrewKeep,
+		Settle: tuning.CrewSettle,
+		Rent:   tuning.RentMax,
+	})
 }
 
-// crewWork is what the calendar asks of a core.
+// crewWork gives the calendar the view of the core's jobs and machines that it needs.
 type crewWork struct{ c *Core }
 
+// Jobs returns the live jobs in the order in which they were accepted.
 func (w crewWork) Jobs() iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
 		for _, e := range w.c.jobsByAge() {
@@ -36,30 +48,33 @@
 	}
 }
 
+// Left returns how many tasks of a live job are not done, and the expected run time of one.
 func (w crewWork) Left(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
-	left := e.record.Tasks - w.c.known(e).Count()
+	left := e.record.Tasks - w.c.knownDone(e).Count()
 	if e.run != nil {
 		left = e.record.Tasks - e.run.done.Count()
 	}
 	return left, w.c.runTimes.Typical(e.record.Class, e.record.EstimateS)
 }
 
-func (w crewWork) CPUs(team, zone string) (have float64) {
+// CPUs returns the CPUs that a team may use in a zone, or in all zones if it is empty.
+func (w crewWork) CPUs(team, zone string) (cpus float64) {
 	i := w.c.shardOfTeam(team)
 	for _, id := range w.c.blockIDs() {
 		if b := w.c.blocks[id]; b.record.Shard == i && (zone == "" || b.record.Zone == zone) {
-			have += w.c.blockCPUs(&b.record)
+			cpus += w.c.blockCPUs(&b.record)
 		}
 	}
-	return min(have, w.c.params.Teams[team].CPUsMax)
+	return min(cpus, w.c.params.Teams[team].CPUsMax)
 }
 
+// Ended returns whether a job is live, and its final status if it is known to be over.
 func (w crewWork) Ended(job string) (bool, string) {
 	return w.c.jobs[job] != nil, w.c.finalStates[job].Status
 }
 
-// crewDue is by when a departure wants a job done.
+// crewDue returns the time (Unix seconds) by which a departure needs a job done, or +Inf.
 func (c *Core) crewDue(job string) float64 {
 	if d, ok := c.calendar.Demand(job); ok {
 		return d.Due
@@ -67,114 +82,136 @@
 	return inf
 }
 
+// crewPressed reports whether a departure leaves a job no slack, so that it goes before other work of its
+// tier.
 func (c *Core) crewPressed(job string) bool { d, _ := c.calendar.Demand(job); return d.Pressed }
 
-// planCrews plans the departures of the crews whose teams are served here, and writes how they went.
+// planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
+// past departures.
 func (c *Core) planCrews() {
 	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
 		return
 	}
 	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
-	for _, e := range events {
-		name, shard, o := e.Crew.Rec.Name, c.shardOfTeam(e.Crew.Rec.Team), e.Outcome
-		if o == nil {
-			c.recordShardEvent(trail.CrewMiss, shard, wire.TrailEvent{Count: e.Plan.Miss, Why: name + ": " + e.Plan.Say})
-			c.log(1, "departure", "crew", name, "plan", e.Plan.Say)
+	for _, event := range events {
+		name, shard, outcome := event.Crew.Rec.Name, c.shardOfTeam(event.Crew.Rec.Team), event.Outcome
+		if outcome == nil {
+			c.recordShardEvent(trail.CrewMiss, shard, wire.TrailEvent{Count: event.Plan.Miss, Why: name + ": " + event.Plan.Say})
+			c.log(1, "departure", "crew", name, "plan", event.Plan.Say)
 			continue
 		}
-		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{Count: o.Met, Why: fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, o.Met, o.Jobs, o.LateS)})
-		c.putCrew(calendar.Entry{Rec: e.Rec, Ver: e.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
+		c.recordShardEvent(trail.CrewLeft, shard, wire.TrailEvent{
+			Count: outcome.Met,
+			Why:   fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS),
+		})
+		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
-			c.touchJob(e)
+			c.markJobDirty(e)
 		}
 	}
-	c.tellBias()
+	c.publishBias()
 }
 
-// putCrew writes a crew's record, compared with the version that it replaces.
-func (c *Core) putCrew(x calendar.Entry, when wire.Condition, f func(StateReply)) {
-	key := wire.PrefixCrew + x.Rec.Name
-	c.calendar.Write(x.Rec.Name)
-	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: x.Ver}}, []wire.Change{{Put: key, Value: x.Rec}}, func(r StateReply) {
-		c.calendar.Written(x.Rec.Name)
+// putCrew writes a crew's record if the version that it replaces is unchanged.
+func (c *Core) putCrew(entry calendar.Entry, when wire.Condition, f func(StateReply)) {
+	key := wire.PrefixCrew + entry.Rec.Name
+	c.calendar.Write(entry.Rec.Name)
+	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Ver}}, []wire.Change{{Put: key, Value: entry.Rec}}, func(r StateReply) {
+		c.calendar.Written(entry.Rec.Name)
 		f(r)
 	})
 }
 
-// rentAhead has the leader book machines for work that crews expect: the names stand in the
-// record before anything is asked, so whoever leads asks for the same and no more.
+// rentAhead has the leader rent machines for work that crews expect. The request names are stored in the
+// crew's record before any request is sent, so every leader sends the same requests and no more.
 func (c *Core) rentAhead() {
 	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewEvery) {
 		return
 	}
-	l := &c.leader
+	leader := &c.leader
 	for _, name := range c.calendar.Names() {
-		x, leaves, booked, ok := c.calendar.Expects(name, c.wall)
-		shard := c.shardOfTeam(x.Rec.Team)
+		entry, leaves, booked, ok := c.calendar.Expects(name, c.wall)
+		shard := c.shardOfTeam(entry.Rec.Team)
 		if !ok || shard < 0 {
 			continue
 		}
-		for _, b := range booked {
-			key := (&supply.Offer{Type: b.Type, Zone: b.Zone, Spot: b.Spot}).Key()
-			if c.calendar.Open(&b) && !l.renting[shard] && c.now >= l.pause[key] && c.now >= l.cloudAt {
-				c.log(1, "renting ahead", "crew", name, "type", b.Type, "zone", b.Zone, "count", b.Count, "booking", b.Request)
-				l.renting[shard] = true
-				c.book(shard, key, wire.RentRequest{Request: b.Request, Type: b.Type, Zone: b.Zone, Spot: b.Spot, Count: b.Count}, 0)
+		for _, booking := range booked {
+			key := (&supply.Offer{Type: booking.Type, Zone: booking.Zone, Spot: booking.Spot}).Key()
+			if c.calendar.Open(&booking) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
+				c.log(1, "renting ahead", "crew", name, "type", booking.Type, "zone", booking.Zone, "count", booking.Count, "booking", booking.Request)
+				leader.servingShards[shard] = true
+				c.sendRental(shard, key, wire.RentRequest{
+					Request: booking.Request,
+					Type:    booking.Type,
+					Zone:    booking.Zone,
+					Spot:    booking.Spot,
+					Count:   booking.Count,
+				}, 0)
 			}
 		}
 		if len(booked) == 0 {
-			c.planAhead(x, leaves, shard)
+			c.planRentAhead(entry, leaves, shard)
 		}
 	}
 }
 
-// planAhead writes what is to be rented for a departure, once its time has come.
-func (c *Core) planAhead(x *calendar.Entry, leaves time.Time, shard int) {
-	e := x.Rec.Expect
-	n := wire.Need{Zone: x.Rec.Zone, Spot: e.Spot, CPUs: e.CPUs, MemGB: e.MemoryGB, Tasks: e.Tasks}
-	offers := supply.Offers(c.machineTypes, n, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot)
+// planRentAhead writes the rentals for a departure into the crew's record once it is time to send them.
+func (c *Core) planRentAhead(entry *calendar.Entry, leaves time.Time, shard int) {
+	expected := entry.Rec.Expect
+	need := wire.Need{
+		Zone:  entry.Rec.Zone,
+		Spot:  expected.Spot,
+		CPUs:  expected.CPUs,
+		MemGB: expected.MemoryGB,
+		Tasks: expected.Tasks,
+	}
+	offers := supply.Offers(c.machineTypes, need, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot)
 	if len(offers) == 0 {
 		return
 	}
 	factor := 1.0
-	for _, class := range x.Rec.Classes {
+	for _, class := range entry.Rec.Classes {
 		factor = max(factor, c.runTimes.Factor(class))
 	}
-	o, t := &offers[0], c.machineTypes[offers[0].Type]
-	rec, due := c.calendar.Ahead(x, c.wall, leaves, calendar.Accepted(x, leaves, crewWork{c}), c.params.Teams[x.Rec.Team].CPUsMax,
-		wire.CrewBooking{Type: o.Type, Zone: o.Zone, Spot: o.Spot}, t.CPUs, factor, seconds(t.BootS*tuning.BootHorizon))
+	offer, machineType := &offers[0], c.machineTypes[offers[0].Type]
+	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.params.Teams[entry.Rec.Team].CPUsMax,
+		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: x.Ver}, c.leaderCond(), func(StateReply) { c.mirrorChanged() })
+		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
 	}
 }
 
-// rentedAhead notes that a booking has been answered.
-func (c *Core) rentedAhead(request string) {
-	for _, x := range c.calendar.Answered(request) {
-		c.putCrew(x, c.leaderCond(), func(StateReply) { c.calendar.Rented(request) })
+// noteRentedAhead records in the crews' records that a rental was answered.
+func (c *Core) noteRentedAhead(request string) {
+	for _, entry := range c.calendar.Answered(request) {
+		c.putCrew(entry, c.leaderCondition(), func(StateReply) { c.calendar.Rented(request) })
 	}
 }
 
-// awaitsCrew tells whether machines of a shard were rented ahead of a departure that is to come.
+// awaitsCrew reports whether machines of a shard were rented ahead of a departure that has not come yet.
 func (c *Core) awaitsCrew(shard int) bool {
 	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOfTeam(team) == shard })
 }
 
-// tellBias writes how far estimates are off, when it has changed.
-func (c *Core) tellBias() {
+// publishBias writes how far run time estimates are off, for the held shards where that has changed.
+func (c *Core) publishBias() {
 	if !c.dueEvery("bias", tuning.BiasEvery) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if was := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Moved(was.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{Put: biasKey(i), Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.Shorter)}}, func(StateReply) {})
+		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
+				Put:   biasKey(i),
+				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
+			}}, func(StateReply) {})
 		}
 	}
 }
 
+// onAdminCrews answers with all crews and their plans.
 func (c *Core) onAdminCrews(v AdminCrews) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
@@ -187,30 +224,31 @@
 	c.answer(v.Req, 200, list)
 }
 
+// onAdminCrew creates, changes or deletes a crew, or only shows the result if it is a dry run.
 func (c *Core) onAdminCrew(v AdminCrew) {
 	if !c.loaded {
 		c.answer(v.Req, 503, unavailable("state not read yet"))
 		return
 	}
-	view := func(x *calendar.Entry) any { return c.calendar.View(x, c.wall, crewWork{c}) }
-	x, key := c.calendar.Of(v.Name), wire.PrefixCrew+v.Name
+	view := func(entry *calendar.Entry) any { return c.calendar.View(entry, c.wall, crewWork{c}) }
+	entry, key := c.calendar.Of(v.Name), wire.PrefixCrew+v.Name
 	if v.Patch == nil {
 		switch {
-		case x == nil:
+		case entry == nil:
 			c.answer(v.Req, 404, wire.Problem{Error: fmt.Sprintf("no crew %q", v.Name)})
 		case v.DryRun:
-			c.answer(v.Req, 200, view(x))
+			c.answer(v.Req, 200, view(entry))
 		default:
 			c.commit(LaneUser, []wire.Condition{{Key: key, Version: v.Ver}}, []wire.Change{{Delete: key}}, func(r StateReply) {
-				c.answerAdminWrite(v.Req, r, func() any { return view(x) })
+				c.answerAdminWrite(v.Req, r, func() any { return view(entry) })
 			})
 		}
 		return
 	}
-	team := func(t string) bool { _, ok := c.params.Teams[t]; return ok }
-	zone := func(z string) bool {
-		for _, t := range c.machineTypes {
-			if slices.Contains(t.Zones, z) {
+	team := func(name string) bool { _, ok := c.params.Teams[name]; return ok }
+	zone := func(name string) bool {
+		for _, machineType := range c.machineTypes {
+			if slices.Contains(machineType.Zones, name) {
 				return true
 			}
 		}
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -9,9 +9,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// flush writes what the holder has to make durable, by compare-and-set: first
-// what tasks and users wait for, then the rest, so that a short write limit
-// never keeps a start behind progress.
+// flush writes what the holder has to make durable, by compare-and-set. It writes what tasks and users
+// wait for first and the rest later, so that a low write rate never delays a start behind progress.
 func (c *Core) flush() {
 	if !c.dueEvery("flush", tuning.Tick) {
 		return
@@ -19,149 +18,158 @@
 	c.flushStarts()
 	c.flushJobs()
 	c.flushLater()
-	c.tellImages()
+	c.publishImages()
 }
 
-// batch is one write of the holder: every part of it compares its shard.
+// batch collects one write of the holder. Each added change also compares the record of its shard.
 type batch struct {
-	c     *Core
-	when  []wire.Condition
-	then  []wire.Change
-	jobs  []*jobEntry
-	idle  []string // blocks to be marked idle
-	bytes int
-	max   int // changes
-	shard map[int]bool
+	c              *Core
+	conditions     []wire.Condition
+	changes        []wire.Change
+	jobs           []*jobEntry
+	idleBlocks     []string // IDs of the blocks that this write marks idle
+	bytes          int
+	maxChanges     int
+	comparedShards map[int]bool // shards whose record is already among the conditions
 }
 
-// newBatch begins a short write: what users wait for gets in between.
+// newBatch returns an empty batch for a short write, so that writes that users wait for get in between.
+// While the state service refuses writes because of their form, a batch takes at most two changes.
 func (c *Core) newBatch() *batch {
-	b := &batch{c: c, max: c.writeLimits.Bounds().Short(tuning.ShortOps), shard: map[int]bool{}}
+	b := &batch{
+		c:              c,
+		maxChanges:     c.writeLimits.Bounds().Short(tuning.ShortOps),
+		comparedShards: map[int]bool{},
+	}
 	if c.writeLimits.Alone(c.now) {
-		b.max = 2
+		b.maxChanges = 2
 	}
 	return b
 }
 
-func (b *batch) full() bool { return len(b.then)+2 > b.max || b.bytes > tuning.TxnBytes }
+// full reports whether the batch has reached its limit of changes or bytes.
+func (b *batch) full() bool { return len(b.changes)+2 > b.maxChanges || b.bytes > tuning.TxnBytes }
 
+// add adds changes of a shard, with an optional further condition.
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
-	if !b.shard[shard] {
-		b.shard[shard] = true
-		b.when = append(b.when, b.c.shardUnchanged(shard))
+	if !b.comparedShards[shard] {
+		b.comparedShards[shard] = true
+		b.conditions = append(b.conditions, b.c.shardUnchanged(shard))
 	}
 	if cond != nil {
-		b.when = append(b.when, *cond)
+		b.conditions = append(b.conditions, *cond)
 	}
-	b.then = append(b.then, changes...)
+	b.changes = append(b.changes, changes...)
 }
 
-// addJob adds changes of one job.
+// addJob adds changes of one job and compares the job's record.
 func (b *batch) addJob(e *jobEntry, changes ...wire.Change) {
 	b.jobs = append(b.jobs, e)
-	e.run.writing = true
+	e.run.writeInFlight = true
 	b.add(b.c.shardOfTeam(e.record.Team), &wire.Condition{Key: jobKey(e.record.ID), Version: e.version}, changes...)
 }
 
-// addBlock adds a block's new record.
-func (b *batch) addBlock(x *blockEntry, rec wire.Block) {
-	b.add(rec.Shard, &wire.Condition{Key: blockKey(x.id), Version: x.version}, wire.Change{Put: blockKey(x.id), Value: rec})
-	if rec.Idle && !x.record.Idle {
-		b.idle = append(b.idle, x.id)
-		b.c.offered[x.id] = x.version
-		b.c.touchBlock(x.id)
+// addBlock adds a block's new record. It notes a mark as idle that is on its way (see idleMarkPending).
+func (b *batch) addBlock(block *blockEntry, rec wire.Block) {
+	b.add(rec.Shard, &wire.Condition{Key: blockKey(block.id), Version: block.version}, wire.Change{Put: blockKey(block.id), Value: rec})
+	if rec.Idle && !block.record.Idle {
+		b.idleBlocks = append(b.idleBlocks, block.id)
+		b.c.idleMarkVersions[block.id] = block.version
+		b.c.markBlockDirty(block.id)
 	}
 }
 
-// offering tells whether a mark that a block is idle may be on its way to the state, or be
-// executed late: only a newer version of its record, or a refusal, ends that.
-func (c *Core) offering(b *blockEntry) bool {
-	ver, sent := c.offered[b.id]
+// idleMarkPending reports whether a write that marks a block idle may still be in flight or be executed
+// late. Only a newer version of the block's record or a refusal of the write rules that out.
+func (c *Core) idleMarkPending(b *blockEntry) bool {
+	ver, sent := c.idleMarkVersions[b.id]
 	return sent && ver == b.version
 }
 
-// withdraw ends the offer of blocks whose mark was refused.
-func (c *Core) withdraw(ids []string, status int) {
+// clearIdleMarks forgets the pending idle marks of blocks whose write was definitely refused.
+func (c *Core) clearIdleMarks(ids []string, status int) {
 	if status == 409 || status == 429 || status == 503 || status == 400 {
 		for _, id := range ids {
-			delete(c.offered, id)
-			c.touchBlock(id)
+			delete(c.idleMarkVersions, id)
+			c.markBlockDirty(id)
 		}
 	}
 }
 
-// send commits the batch, if there is anything in it. busy is set meanwhile; a
-// duty whose write failed pauses; written is called after one that did not, with its revision.
+// send commits the batch unless it is empty. busy is set while the write is in progress. After a
+// failure the named duty pauses before its next write; after a success, written is called with the
+// revision of the write.
 func (b *batch) send(lane int, busy *bool, duty string, written func(rev uint64)) {
-	if len(b.then) == 0 {
+	if len(b.changes) == 0 {
 		return
 	}
 	c := b.c
 	*busy = true
-	c.commit(lane, b.when, b.then, func(r StateReply) {
+	c.commit(lane, b.conditions, b.changes, func(r StateReply) {
 		*busy = false
-		c.withdraw(b.idle, r.Status)
+		c.clearIdleMarks(b.idleBlocks, r.Status)
 		for _, e := range b.jobs {
 			if e.run != nil {
-				e.run.writing = false
+				e.run.writeInFlight = false
 			}
 		}
 		if r.Status == 200 {
 			written(r.Txn.Revision)
 		} else {
 			c.notBefore[duty] = c.now + tuning.RetryAfter/2
-			c.log(2, "not written", "changes", len(b.then), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.log(2, "batch not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
-		c.dirty = true
-		c.hold()
+		c.placementDue = true
+		c.runHolder()
 	})
 }
 
-// flushJobs writes ends of jobs, urgent ones first, and blocks that cannot wait.
+// flushJobs writes urgent progress, the ends of jobs, urgent ones first, blocks whose record must change
+// soon, and that a shard is reconciled after a takeover.
 func (c *Core) flushJobs() {
-	if c.flushing || c.now < c.notBefore["flushJobs"] {
+	if c.writingJobs || c.now < c.notBefore["flushJobs"] {
 		return
 	}
-	b := c.newBatch() // short, so that acceptances get in between
+	b := c.newBatch() // short, so that writes of accepted jobs get in between
 	finals := map[string]wire.Final{}
-	c.update()
-	c.addHasty(b)
-	for _, e := range sortedJobs(c.owed) {
+	c.refreshIndexes()
+	c.addUrgentProgress(b)
+	for _, e := range sortedJobs(c.pendingWrites) {
 		if b.full() {
 			break
 		}
-		if e.run.writing || c.writeLimits.Aside(c.now, limits.Final, jobKey(e.record.ID)) {
+		if e.run.writeInFlight || c.writeLimits.Aside(c.now, limits.Final, jobKey(e.record.ID)) {
 			continue
 		}
-		if _, ended, _ := c.owes(e); !ended {
+		if _, ended, _ := c.unwrittenStarts(e); !ended {
 			continue
 		}
 		id, f := e.record.ID, wire.Final{Status: wire.JobDone, Done: e.record.Tasks}
 		finals[id] = f
 		b.addJob(e, wire.Change{Delete: jobKey(id)}, wire.Change{Put: finalKey(id), Value: f})
 	}
-	for _, id := range sortedKeys(c.used) {
-		x := c.blocks[id]
-		if x == nil || !c.holdsShard(x.record.Shard) {
-			delete(c.used, id)
+	for _, id := range sortedKeys(c.urgentBlocks) {
+		block := c.blocks[id]
+		if block == nil || !c.holdsShard(block.record.Shard) {
+			delete(c.urgentBlocks, id)
 		} else if !b.full() && !c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
-			if rec, change := c.markBlock(x); change {
-				b.addBlock(x, rec)
+			if rec, change := c.desiredBlock(block); change {
+				b.addBlock(block, rec)
 			} else {
-				delete(c.used, id)
+				delete(c.urgentBlocks, id)
 			}
 		}
 	}
 	for _, i := range c.shardIDs() {
-		s := c.shards[i]
-		if !c.holdsShard(i) || c.unsettle[i] || s.record.Settled || b.full() {
+		shard := c.shards[i]
+		if !c.holdsShard(i) || c.unreconciledShards[i] || shard.record.Settled || b.full() {
 			continue
 		}
-		rec := s.record
+		rec := shard.record
 		rec.Settled = true
 		b.add(i, nil, wire.Change{Put: shardKey(i), Value: rec})
 	}
-	b.send(LaneUser, &c.flushing, "flushJobs", func(rev uint64) {
+	b.send(LaneUser, &c.writingJobs, "flushJobs", func(rev uint64) {
 		for _, id := range sortedKeys(finals) {
 			c.cacheFinal(id, finals[id], rev)
 			c.log(1, "job done", "job", id)
@@ -169,33 +177,34 @@
 	})
 }
 
-// markBlock is a block's record as it should stand.
-func (c *Core) markBlock(x *blockEntry) (rec wire.Block, change bool) {
-	rec, change = x.record, c.offering(x) // its mark may come late: a write of ours forestalls it
-	rec.Machines = append([]wire.BlockMachine(nil), x.record.Machines...)
+// desiredBlock returns a block's record as it should be, and whether that requires a write.
+func (c *Core) desiredBlock(block *blockEntry) (rec wire.Block, change bool) {
+	rec, change = block.record, c.idleMarkPending(block) // a new write makes a late idle mark fail its comparison
+	rec.Machines = append([]wire.BlockMachine(nil), block.record.Machines...)
 	for k := range rec.Machines {
-		m, bm := c.machines[rec.Machines[k].Name], &rec.Machines[k]
-		if m == nil {
+		held, blockMachine := c.machines[rec.Machines[k].Name], &rec.Machines[k]
+		if held == nil {
 			continue
 		}
-		bm.Fresh = m.fresh // written among the starts; no change by itself
-		if m.drop && !c.keepsEnds(m) {
-			if empty := m.accounted && len(m.attempts) == 0; !bm.Drop || empty && !bm.Empty {
-				bm.Drop, bm.Empty, change = true, bm.Empty || empty, true
+		blockMachine.Fresh = held.fresh // also written among the starts, so it is no reason for a write by itself
+		if held.returning && !c.keepsUnwrittenEnds(held) {
+			if empty := held.accounted && len(held.attempts) == 0; !blockMachine.Drop || empty && !blockMachine.Empty {
+				blockMachine.Drop, blockMachine.Empty, change = true, blockMachine.Empty || empty, true
 			}
 		}
 	}
-	if idle := c.offer(x); idle != rec.Idle {
+	if idle := c.shouldMarkIdle(block); idle != rec.Idle {
 		rec.Idle, change = idle, true
 	}
 	return rec, change
 }
 
-// movedOn tells whether a tracked job has a task on another machine than written.
-func (c *Core) movedOn(e *jobEntry) bool {
-	if tracked(&e.record) {
+// placementChanged reports whether a tracked job has a task on another machine than the one in its
+// stored record.
+func (c *Core) placementChanged(e *jobEntry) bool {
+	if tracksMachines(&e.record) {
 		for k, a := range e.run.active {
-			if onOf(&e.record, k) != a.m.name {
+			if recordedMachine(&e.record, k) != a.machine.name {
 				return true
 			}
 		}
@@ -203,35 +212,35 @@
 	return false
 }
 
-// flushLater writes marks on blocks and the progress of jobs.
+// flushLater writes changed block records and the progress of jobs, at low priority.
 func (c *Core) flushLater() {
-	if c.flushingLater || !c.dueEvery("flushLater", tuning.LaterEvery) {
+	if c.writingProgress || !c.dueEvery("flushLater", tuning.LaterEvery) {
 		return
 	}
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
-		x := c.blocks[id]
-		if !c.holdsShard(x.record.Shard) || c.used[id] || b.full() || c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
+		block := c.blocks[id]
+		if !c.holdsShard(block.record.Shard) || c.urgentBlocks[id] || b.full() || c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
 			continue
 		}
-		if rec, change := c.markBlock(x); change {
-			b.addBlock(x, rec)
+		if rec, change := c.desiredBlock(block); change {
+			b.addBlock(block, rec)
 		}
 	}
-	c.update()
-	// The fewer jobs have something to write, the sooner each may: ends that are not written are lost if
-	// we end and their workers' leases run out.
-	pause := min(max(time.Duration(len(c.behind))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
-	for _, e := range sortedJobs(c.behind) {
+	c.refreshIndexes()
+	// The fewer jobs have progress to write, the sooner each is written: ends that are not stored are lost
+	// if this controller stops and the leases of the workers expire.
+	pause := min(max(time.Duration(len(c.pendingProgress))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
+	for _, e := range sortedJobs(c.pendingProgress) {
 		if b.full() {
 			break
 		}
-		// Progress of a job that still has starts to write goes with them.
-		if e.run.writing || c.now-e.run.wrote < pause || c.writeLimits.Aside(c.now, limits.Job, jobKey(e.record.ID)) {
+		// A job whose record is being written is skipped; its progress follows later.
+		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.writeLimits.Aside(c.now, limits.Job, jobKey(e.record.ID)) {
 			continue
 		}
-		e.run.wrote = c.now
+		e.run.progressWrittenAt = c.now
 		b.addProgress(e)
 	}
-	b.send(LaneLater, &c.flushingLater, "flushLater", func(uint64) {})
+	b.send(LaneLater, &c.writingProgress, "flushLater", func(uint64) {})
 }
--- a/internal/core/meeting_beliefs_test.go
+++ b/internal/core/meeting_beliefs_test.go
@@ -52,7 +52,7 @@
 // A shard is granted away from a holder that is present in the state, and at that moment a cut
 // leaves it alone with its zone: it may answer its workers until it has gone unconfirmed for
 // too long. Only a later life of it, not that it stood in the state, proves it dead. Fails (ran_twice) without
-// the comparison of lives in allDead.
+// the comparison of lives in allIncarnationsDead.
 func TestAHolderThatIsPresentIsNotTakenForDead(t *testing.T) {
 	t.Parallel()
 	for _, tasks := range []int{3, 9} {
@@ -105,7 +105,7 @@
 
 // The task of a small job goes to another machine, and its holder ends while that one cannot be
 // asked: the successor waits for the machine of the last start, which was written before it. Fails
-// (ran_twice) if a start is neither written with its machine (movedOn) nor held back until it is
+// (ran_twice) if a start is neither written with its machine (placementChanged) nor held back until it is
 // (startable); with one of the two alone it is not sent at all.
 func TestASmallJobWaitsForTheMachineOfItsLastStart(t *testing.T) {
 	t.Parallel()
--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -258,7 +258,7 @@
 		c.onPeer(PeerMessage{From: "b", Nonce: 1})
 		for _, e := range c.effects {
 			if v, ok := e.(PeerSend); ok && v.Msg.Reply {
-				for _, n := range v.Msg.Statement.News {
+				for _, n := range v.Msg.Statement.Entries {
 					at = max(at, n.Revision)
 				}
 			}
@@ -393,13 +393,13 @@
 	}
 	// What was vouched for before we gained a block says nothing of that.
 	c.pingNonce++
-	c.confirmation.Pinged(90*sec, c.pingNonce)
+	c.confirmation.PingSent(90*sec, c.pingNonce)
 	c.sure(80 * sec)
 	c.now = 91 * sec
 	c.onPeer(PeerMessage{From: "b", Nonce: c.pingNonce, Reply: true, UpMS: 91000, Revision: 500, Statement: &membership.Statement{}})
-	before := c.confirmation.Until()
+	before := c.confirmation.ConfirmedUntil()
 	put(blockKey("y"), block(0, "n-2"), 71)
-	if before != 90*sec || c.confirmation.Until() != 0 {
-		t.Errorf("vouched until %v, and %v once another block is ours", before, c.confirmation.Until())
+	if before != 90*sec || c.confirmation.ConfirmedUntil() != 0 {
+		t.Errorf("vouched until %v, and %v once another block is ours", before, c.confirmation.ConfirmedUntil())
 	}
 }
--- a/internal/core/meeting_hands_test.go
+++ b/internal/core/meeting_hands_test.go
@@ -26,7 +26,7 @@
 // third of all writes is executed late; each life back after 50 to 900 ms. Tokens of each
 // machine rise with each change, nothing runs twice, and all is as before in the end. A shard that
 // comes home by its new holder's own write is taken up only once the mirror has reached that: it fails
-// without `c.rev < c.shards[i].ver` in enterShards (ran_twice, in "home by its own write").
+// without `c.rev < c.shards[i].ver` in startHoldingShards (ran_twice, in "home by its own write").
 func TestHandsThereAndBack(t *testing.T) {
 	t.Parallel()
 	t.Run("home by its own write", comesHome)
@@ -145,7 +145,7 @@
 		}
 		m := w.machines[name]
 		old := w.nodes[w.holderOf(name)]
-		stop := Order{Machine: name, Addr: m.Info.Addr, Orders: wire.Orders{Token: old.core.tokenOf(old.core.machines[name], old.core.blocks[old.core.machines[name].block]),
+		stop := Order{Machine: name, Addr: m.Info.Addr, Orders: wire.Orders{Token: old.core.answerToken(old.core.machines[name], old.core.blocks[old.core.machines[name].block]),
 			Session: w.session(m), Commands: []wire.Command{{Verb: wire.VerbStop, Task: task.Task, Attempt: task.Attempt, GraceS: ptr(0.0)}}}}
 		if hang {
 			w.hang(m)
--- a/internal/core/meeting_late_test.go
+++ b/internal/core/meeting_late_test.go
@@ -270,7 +270,7 @@
 		for range 60 {
 			w.run(200 * time.Millisecond)
 			var r wire.Node
-			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.presence.Here() && (err != nil || r.Boot != w.nodes["c1"].core.presence.Boot()) {
+			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.presence.Registered() && (err != nil || r.Boot != w.nodes["c1"].core.presence.Boot()) {
 				t.Errorf("%v late: at %v another life is present, or none: %+v", late, w.now, r)
 				break
 			}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -7,10 +7,10 @@
 	"strings"
 
 	"github.com/barrowbridge/barrowbridge/internal/boot"
-	"github.com/barrowbridge/barrowbridge/internal/ladder"
 	records "github.com/barrowbridge/barrowbridge/internal/mirror"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/internal/weights"
@@ -30,7 +30,7 @@
 	leaderRecord wire.Leader
 	settings     wire.Settings
 	cordons      map[string]wire.Cordon // by machine
-	tierOrder    *ladder.Ladder
+	tierOrder    *tiers.Order
 	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
 	startLog     *starts.Book         // recorded starts of tasks
 	progress     *progress.Book       // recorded done tasks
@@ -85,7 +85,7 @@
 		demands:           map[int]wire.Want{},
 		machineTypes:      map[string]wire.MachineType{},
 		settings:          defaultSettings(),
-		tierOrder:         ladder.Of(wire.Ladder{}),
+		tierOrder:         tiers.NewOrder(wire.Ladder{}),
 		cordons:           map[string]wire.Cordon{},
 		biases:            map[string]wire.Bias{},
 		blockOfMachine:    map[string]string{},
@@ -103,7 +103,7 @@
 // shardIDs lists the shards in ascending order.
 func (m *mirror) shardIDs() []int {
 	if m.sortedShards == nil {
-		m.sortedShards = sortedInts(m.shards)
+		m.sortedShards = sortedIntKeys(m.shards)
 	}
 	return m.sortedShards
 }
@@ -123,7 +123,7 @@
 		for _, entry := range m.jobs {
 			m.sortedJobs = append(m.sortedJobs, entry)
 		}
-		sort.Slice(m.sortedJobs, func(i, j int) bool { return olderJob(m.sortedJobs[i], m.sortedJobs[j]) })
+		sort.Slice(m.sortedJobs, func(i, j int) bool { return isOlderJob(m.sortedJobs[i], m.sortedJobs[j]) })
 	}
 	return m.sortedJobs
 }
@@ -133,7 +133,7 @@
 	if m.sortedJobs == nil {
 		return
 	}
-	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !olderJob(m.sortedJobs[i], entry) })
+	i := sort.Search(len(m.sortedJobs), func(i int) bool { return !isOlderJob(m.sortedJobs[i], entry) })
 	switch {
 	case added:
 		m.sortedJobs = slices.Insert(m.sortedJobs, i, entry)
@@ -213,7 +213,7 @@
 
 // oldestCall returns the ID of the oldest call to the state service that is in flight, or the next ID if
 // there is none.
-func (c *Core) oldestCall() uint64 { return c.stateRoutes.Oldest(c.lastID + 1) }
+func (c *Core) oldestCall() uint64 { return c.stateRoutes.OldestID(c.lastID + 1) }
 
 // applyPut applies a write to the mirror. An older version of the key changes nothing, whether it comes
 // from the watch, a list, a read or a commit of this controller.
@@ -246,7 +246,7 @@
 	case key == wire.KeyLadder:
 		var record wire.Ladder
 		if read(&record) {
-			c.putLadder(record)
+			c.putTierOrder(record)
 		}
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		var record wire.Cordon
@@ -266,7 +266,7 @@
 	case strings.HasPrefix(key, wire.PrefixReach):
 		var record wire.Reach
 		if read(&record) {
-			c.assignments.Wrote(key[len(wire.PrefixReach):], record)
+			c.assignments.SetStored(key[len(wire.PrefixReach):], record)
 		}
 	case strings.HasPrefix(key, wire.PrefixNode):
 		var record wire.Node
@@ -302,7 +302,7 @@
 		var record wire.Job
 		if read(&record) {
 			c.versions.Put(key, version)
-			c.putWaiting(record, version)
+			c.putWaitingJob(record, version)
 		}
 	case strings.HasPrefix(key, wire.PrefixShard):
 		var record wire.Shard
@@ -315,13 +315,13 @@
 			c.shards[shard] = &shardEntry{record, version}
 			c.recordShardTaken(shard)
 			c.indexTeams()
-			c.shardSeen(shard, old)
+			c.shardChanged(shard, old)
 		}
 	case strings.HasPrefix(key, wire.PrefixStart):
 		var record wire.Starts
 		if read(&record) {
 			c.versions.Put(key, version)
-			if err := c.putStarts(key, version, record); err != nil {
+			if err := c.applyStarts(key, version, record); err != nil {
 				fail(err)
 			}
 		}
@@ -331,7 +331,7 @@
 			if id, err := c.progress.Put(key, version, record); err != nil {
 				fail(err)
 			} else if entry := c.jobs[id]; entry != nil {
-				c.jobSeen(entry)
+				c.jobChanged(entry)
 			}
 		}
 	case strings.HasPrefix(key, wire.PrefixWant):
@@ -356,7 +356,7 @@
 		if shard, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
 		} else if read(&record) {
-			c.weights.Read(c.now, shard, record, c.held[shard])
+			c.weights.Read(c.now, shard, record, c.heldShards[shard])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		var record wire.Block
@@ -366,8 +366,8 @@
 			old := c.blocks[id]
 			c.blocks[id] = &blockEntry{id, record, version}
 			c.indexBlock(id, old, c.blocks[id])
-			c.followBoots(old, c.blocks[id])
-			c.blockSeen(id, old)
+			c.trackProvisioning(old, c.blocks[id])
+			c.blockChanged(id, old)
 		}
 	}
 }
@@ -382,10 +382,10 @@
 	} else if entry.record.ReadySince() != record.ReadySince() || entry.record.Number != record.Number {
 		c.sortedJobs = nil
 	}
-	c.overlay(&record)
+	c.overlayStarts(&record)
 	entry.record, entry.version = record, version
 	c.rankJob(entry)
-	c.jobSeen(entry)
+	c.jobChanged(entry)
 }
 
 // applyMachineType applies a write of a machine type. A changed capacity marks all machines dirty.
@@ -394,7 +394,7 @@
 	c.machineTypes[record.Name] = record
 	if !known || old.CPUs != record.CPUs || old.GPUs != record.GPUs || old.MemoryGB != record.MemoryGB {
 		c.sizeGeneration++ // prices are written every minute and do not affect the capacity
-		c.touchShard(-1)
+		c.markShardDirty(-1)
 	}
 }
 
@@ -410,13 +410,13 @@
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
 	case key == wire.KeyLadder:
-		c.putLadder(wire.Ladder{})
+		c.putTierOrder(wire.Ladder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
 		c.calendar.Remove(key[len(wire.PrefixCrew):])
 	case strings.HasPrefix(key, wire.PrefixReach):
-		c.assignments.Withdrew(key[len(wire.PrefixReach):])
+		c.assignments.RemoveStored(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
 		c.recordEvent(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
@@ -426,18 +426,18 @@
 	case strings.HasPrefix(key, wire.PrefixType):
 		delete(c.machineTypes, key[len(wire.PrefixType):])
 		c.sizeGeneration++
-		c.touchShard(-1)
+		c.markShardDirty(-1)
 	case strings.HasPrefix(key, wire.PrefixJob):
 		id := key[len(wire.PrefixJob):]
 		if entry := c.jobs[id]; entry != nil {
 			delete(c.jobs, id)
 			delete(c.peerJobCounts, id)
 			c.updateSortedJobs(entry, false)
-			c.jobGone(entry)
-			c.lookOver(id)
+			c.jobRemoved(entry)
+			c.recheckDependents(id)
 		}
 	case strings.HasPrefix(key, wire.PrefixWaiting):
-		c.waitingGone(key[len(wire.PrefixWaiting):])
+		c.removeWaitingJob(key[len(wire.PrefixWaiting):])
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
 	case strings.HasPrefix(key, wire.PrefixWant):
@@ -449,8 +449,8 @@
 		old := c.blocks[id]
 		delete(c.blocks, id)
 		c.indexBlock(id, old, nil)
-		c.followBoots(old, nil)
-		c.blockSeen(id, old)
+		c.trackProvisioning(old, nil)
+		c.blockChanged(id, old)
 	case strings.HasPrefix(key, wire.PrefixShard):
 		c.log(0, "a shard record was deleted", "key", key)
 	}
@@ -477,8 +477,8 @@
 // mirrorChanged runs the leader's and the holder's work after a change of the mirror.
 func (c *Core) mirrorChanged() {
 	if c.loaded {
-		c.lead()
-		c.hold()
+		c.runLeader()
+		c.runHolder()
 	}
 }
 
@@ -492,7 +492,7 @@
 
 // holdsShard reports whether this incarnation of the controller holds a shard and has started to serve it.
 func (c *Core) holdsShard(shard int) bool {
-	return c.held[shard]
+	return c.heldShards[shard]
 }
 
 // fencingToken returns the fencing token of a block: the revision of the write that last assigned it,
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -14,12 +14,12 @@
 
 // peerState is what this controller knows from the other controllers.
 type peerState struct {
-	pingNonce      uint64               // number of the last ping
-	confirmation   *membership.Vouching // confirmation by peers that none of them acted against this controller
-	peerJobCounts  map[string]JobCount  // by job: progress as last sent by the job's holder
-	yieldedTo      map[int]string       // by shard: the peer that holds it under a token later than the mirror's
-	relays         *relay.Book          // reports relayed to and by other controllers
-	newestRevision uint64               // newest revision known, which may be ahead of the watch
+	pingNonce      uint64                       // number of the last ping
+	confirmation   *membership.PeerConfirmation // confirmation by peers that none of them acted against this controller
+	peerJobCounts  map[string]JobCount          // by job: progress as last sent by the job's holder
+	yieldedTo      map[int]string               // by shard: the peer that holds it under a token later than the mirror's
+	relays         *relay.Tracker               // reports relayed to and by other controllers
+	newestRevision uint64                       // newest revision known, which may be ahead of the watch
 }
 
 func newPeerState(params Params) peerState {
@@ -30,14 +30,14 @@
 		}
 	}
 	return peerState{
-		confirmation:  membership.New(others, tuning.PeerPings, tuning.PeerNews),
+		confirmation:  membership.NewPeerConfirmation(others, tuning.PeerPings, tuning.PeerNews),
 		yieldedTo:     map[int]string{},
 		peerJobCounts: map[string]JobCount{},
-		relays: relay.New(relay.Limits{
-			Lease:   params.WorkerLease,
-			For:     tuning.RelayFor,
-			Reports: tuning.RelayReports,
-			Wait:    tuning.RelayWait,
+		relays: relay.NewTracker(relay.Limits{
+			Lease:            params.WorkerLease,
+			RedirectInterval: tuning.RelayFor,
+			MaxReports:       tuning.RelayReports,
+			AnswerTimeout:    tuning.RelayWait,
 		}),
 	}
 }
@@ -48,7 +48,7 @@
 // sendToPeer sends a message to a peer, after it has filled in the fields that describe the sender.
 func (c *Core) sendToPeer(to string, message PeerMessage) {
 	message.From, message.Boot, message.Revision, message.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
-	message.Way = c.stateRoutes.Offer(c.now, to)
+	message.Way = c.stateRoutes.OfferFor(c.now, to)
 	c.effects = append(c.effects, PeerSend{To: to, Msg: message})
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	c.pingNonce++
-	c.confirmation.Pinged(c.now, c.pingNonce)
+	c.confirmation.PingSent(c.now, c.pingNonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
 		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.PeerJobs {
@@ -68,10 +68,10 @@
 		}
 	}
 	var holds []HeldShard
-	for _, shard := range sortedInts(c.held) {
+	for _, shard := range sortedIntKeys(c.heldShards) {
 		holds = append(holds, HeldShard{Shard: shard, Token: c.shards[shard].version})
 	}
-	c.relays.Forget(c.now)
+	c.relays.Prune(c.now)
 	ownReach, addresses := c.ownReach(), c.recentWorkerAddresses()
 	for _, node := range sortedKeys(c.params.NodeZones) {
 		if node != c.params.Node {
@@ -90,7 +90,7 @@
 // recentWorkerAddresses lists the addresses of held workers that have come up recently. Each is repeated in
 // several pings.
 func (c *Core) recentWorkerAddresses() (recent []WorkerAddr) {
-	for _, name := range c.workerAddresses.News(c.now, tuning.AddrsFor, tuning.AddrsMost) {
+	for _, name := range c.workerAddresses.RecentlyUp(c.now, tuning.AddrsFor, tuning.AddrsMost) {
 		if m := c.machines[name]; m != nil {
 			recent = append(recent, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
@@ -101,7 +101,7 @@
 // expireRelays answers relayed reports that the holder has not answered in time. An answer of the holder
 // that arrives later is dropped, as the worker no longer waits for it.
 func (c *Core) expireRelays() {
-	for _, request := range c.relays.GiveUp(c.now) {
+	for _, request := range c.relays.Expire(c.now) {
 		c.answer(request, 503, unavailable("holder does not answer"))
 	}
 }
@@ -112,7 +112,7 @@
 		c.log(1, "message from an unknown controller", "from", message.From)
 		return
 	}
-	c.stateRoutes.Offered(c.now, message.From, message.Way)
+	c.stateRoutes.OfferReceived(c.now, message.From, message.Way)
 	switch {
 	case message.Order != nil:
 		order := *message.Order
@@ -130,20 +130,20 @@
 		return
 	case message.Wants != nil:
 		for _, announcement := range message.Wants {
-			c.lacks.Hear(c.now, announcement)
+			c.peerDemand.Hear(c.now, announcement)
 		}
-		if c.loaded && c.leading() {
-			c.lead()
+		if c.loaded && c.isLeader() {
+			c.runLeader()
 		}
 		return
 	case message.Relay != nil:
 		c.lastID++
 		request := 1<<63 | c.lastID
-		c.relays.Take(request, relay.Taken{From: message.From, ID: message.Relay.ID})
+		c.relays.ReceivedFrom(request, relay.Origin{From: message.From, ID: message.Relay.ID})
 		c.onReport(WorkerReport{Req: request, Report: message.Relay.Report})
 		return
 	case message.Answer != nil:
-		if request, ok := c.relays.Answered(message.Answer.ID); ok {
+		if request, ok := c.relays.AnswerReceived(message.Answer.ID); ok {
 			if message.Answer.Status == 200 {
 				c.answer(request, 200, wire.ReportReply{Token: message.Answer.Token, Commands: message.Answer.Commands})
 			} else {
@@ -160,7 +160,7 @@
 		c.workerAddresses.Learn(address.Machine, address.Addr, address.Session)
 	}
 	if message.Word != nil {
-		c.assignments.Spoke(c.now, message.From, *message.Word)
+		c.assignments.ReportReceived(c.now, message.From, *message.Word)
 	}
 	if !message.Reply {
 		for _, counts := range message.Jobs {
@@ -168,25 +168,25 @@
 				c.peerJobCounts[counts.ID] = counts
 			}
 		}
-		statement := c.confirmation.Answer(message.From, message.Mirror)
+		statement := c.confirmation.StatementFor(message.From, message.Mirror)
 		c.sendToPeer(message.From, PeerMessage{Nonce: message.Nonce, Reply: true, Statement: &statement})
 		return
 	}
-	if _, ok := c.confirmation.Sent(message.Nonce); !ok {
+	if _, ok := c.confirmation.PingSentAt(message.Nonce); !ok {
 		return // not an answer to a ping of this controller, or to one too old to count
 	}
-	c.assignments.Answered(c.now, message.From)
+	c.assignments.PingAnswered(c.now, message.From)
 	uptime := time.Duration(float64(message.UpMS)*(1-tuning.Drift)) * time.Millisecond
 	peer := membership.Peer{
 		Name:      message.From,
-		Since:     c.now - uptime,
+		StartedAt: c.now - uptime,
 		Revision:  message.Revision,
 		Statement: message.Statement,
 	}
 	if message.Statement != nil {
-		peer.Against = c.applyPeerUpdates(message.Statement.News)
+		peer.Conflict = c.applyPeerUpdates(message.Statement.Entries)
 	}
-	c.confirmation.Heard(message.Nonce, peer, c.mirrorRevision, c.lastConfirmed())
+	c.confirmation.AnswerReceived(message.Nonce, peer, c.mirrorRevision, c.lastConfirmed())
 }
 
 // applyPeerUpdates applies what a peer knows and the mirror may not contain yet: assignments of shards and
@@ -205,12 +205,12 @@
 		case update.Revision <= c.mirrorRevision:
 		case isBlock:
 			if block := c.blocks[id]; block != nil && block.version < update.Revision {
-				against = against || c.held[block.record.Shard] || c.pending[block.record.Shard]
+				against = against || c.heldShards[block.record.Shard] || c.grantedShards[block.record.Shard]
 			}
 		default:
 			shard, err := strconv.Atoi(strings.TrimPrefix(update.Key, wire.PrefixShard))
 			entry := c.shards[shard]
-			against = against || err != nil || entry != nil && entry.version < update.Revision && (c.held[shard] || c.pending[shard])
+			against = against || err != nil || entry != nil && entry.version < update.Revision && (c.heldShards[shard] || c.grantedShards[shard])
 		}
 	}
 	return against
@@ -222,11 +222,11 @@
 		// A peer that holds a shard of this controller under a later token has read the assignment in the
 		// state service, and this controller cannot or has not yet. If it went on answering the workers,
 		// they would not switch to the peer for as long as this controller may act unconfirmed.
-		if entry := c.shards[held.Shard]; entry != nil && c.held[held.Shard] && held.Token > entry.version {
+		if entry := c.shards[held.Shard]; entry != nil && c.heldShards[held.Shard] && held.Token > entry.version {
 			c.yieldedTo[held.Shard] = message.From
 			c.recordShardEvent(trail.ShardYielded, held.Shard, wire.TrailEvent{Node: message.From, Token: held.Token})
 			c.log(1, "shard yielded to a later token", "shard", held.Shard, "to", message.From, "token", held.Token)
-			c.leaveShard(held.Shard)
+			c.stopHoldingShard(held.Shard)
 		}
 	}
 }
@@ -235,11 +235,11 @@
 // reach it. It returns false if the report was not relayed. token is the shard's fencing token: a worker
 // that reports an earlier one has not been in contact with the holder yet.
 func (c *Core) relayReport(request uint64, report *wire.Report, holder string, token uint64) bool {
-	if !c.peerResponsive(holder) || !c.relays.Passes(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
+	if !c.peerResponsive(holder) || !c.relays.ShouldRelay(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
 		return false
 	}
 	c.lastID++
-	c.relays.Pass(c.now, c.lastID, request)
+	c.relays.Relayed(c.now, c.lastID, request)
 	c.sendToPeer(holder, PeerMessage{Relay: &RelayReport{ID: c.lastID, Report: *report}})
 	return true
 }
@@ -250,20 +250,20 @@
 // lastAuthorized returns the latest time until which nobody can have taken anything over from this
 // controller: either the state service confirmed it, or every peer did. So an outage of the state service
 // for all controllers leaves them their authority to act; one that affects only this controller does not.
-func (c *Core) lastAuthorized() Time { return max(c.lastConfirmed(), c.confirmation.Until()) }
+func (c *Core) lastAuthorized() Time { return max(c.lastConfirmed(), c.confirmation.ConfirmedUntil()) }
 
 // maxUnconfirmed returns how long workers may be answered without a confirmation. If an abort is missed
 // during that time, its tasks still end within cancel_s, since the workers' leases expire in the rest of
 // it. There must be no lower bound: with one of half a lease, tasks outlived cancel_s by that time when
 // the lease and cancel_s were close to each other.
 func (c *Core) maxUnconfirmed() time.Duration {
-	return membership.Unconfirmed(c.params.WorkerLease, c.params.CancelTimeout)
+	return membership.MaxUnconfirmed(c.params.WorkerLease, c.params.CancelTimeout)
 }
 
 // leaseBound returns the time after an answer with status 200 has left, after which the worker's lease has
 // certainly expired.
 func (c *Core) leaseBound() time.Duration {
-	return membership.LeaseOver(c.params.WorkerLease)
+	return membership.LeaseExpiredAfter(c.params.WorkerLease)
 }
 
 // authorized reports whether this controller's authority to act was confirmed recently enough.
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -70,10 +70,10 @@
 			continue
 		}
 		for _, id := range sortedKeys(c.jobs) {
-			if e := c.jobs[id]; onOf(&e.record, 0) == "" {
+			if e := c.jobs[id]; recordedMachine(&e.record, 0) == "" {
 				t.Errorf("%s: the successor does not know where it was started", id)
-			} else if onOf(&e.record, 0) != hung.info.Name && e.run.held > 0 {
-				t.Errorf("%s waits, though %s has been heard of", id, onOf(&e.record, 0))
+			} else if recordedMachine(&e.record, 0) != hung.info.Name && e.run.inheritedBelow > 0 {
+				t.Errorf("%s waits, though %s has been heard of", id, recordedMachine(&e.record, 0))
 			}
 		}
 	}
@@ -115,10 +115,10 @@
 		c.applyPut(key, raw, ver)
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1", Fresh: true}, {Name: "n-2", Fresh: true}}}, 60)
-	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntry + "n-1": {N: 1}}}, 70)
+	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntryPrefix + "n-1": {N: 1}}}, 70)
 	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100)
 	c.mirrorRevision = 100
-	c.enterShards()
+	c.startHoldingShards()
 	if !c.machines["n-1"].inherited || c.machines["n-1"].fresh || c.machines["n-2"].inherited || !c.machines["n-2"].fresh {
 		t.Fatalf("n-1 %+v, n-2 %+v", c.machines["n-1"], c.machines["n-2"])
 	}
@@ -135,7 +135,7 @@
 	w.kill("c1")
 	w.start("c1")
 	w.run(2 * sec)
-	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newBoots()
+	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
 	c := w.nodes["c1"].core
 	if !c.loaded || c.provisioning.Fresh(c.now, kind) != without.Fresh(0, kind) {
 		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.Fresh(c.now, kind), without.Fresh(0, kind))
--- a/internal/core/state_calls.go
+++ b/internal/core/state_calls.go
@@ -9,21 +9,21 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newStateRouter() *reach.Ways[StateReply] {
-	return reach.NewWays[StateReply](reach.WayLimits{
-		Keep:    tuning.WayKeep,
-		Hops:    tuning.WayHops,
-		Fresh:   tuning.WayFresh,
-		Cut:     tuning.CutAfter,
-		Grace:   tuning.WayGrace,
-		Timeout: tuning.StateTimeout,
+func newStateRouter() *reach.Router[StateReply] {
+	return reach.NewRouter[StateReply](reach.RouterLimits{
+		OfferTTL:      tuning.WayKeep,
+		MaxHops:       tuning.WayHops,
+		OfferFreshFor: tuning.WayFresh,
+		CutOffAfter:   tuning.CutAfter,
+		RerouteGrace:  tuning.WayGrace,
+		CallTimeout:   tuning.StateTimeout,
 		Link: reach.LinkLimits{
-			Late:    tuning.LinkLate,
-			Slowest: tuning.LinkSlowest,
-			Down:    tuning.LinkDown,
-			Back:    tuning.LinkBack,
-			BackMax: tuning.LinkBackMax,
-			Window:  tuning.LinkWindow,
+			LateAfter:       tuning.LinkLate,
+			LateAfterMax:    tuning.LinkSlowest,
+			DownAfter:       tuning.LinkDown,
+			RecoverAfter:    tuning.LinkBack,
+			RecoverAfterMax: tuning.LinkBackMax,
+			FlapWindow:      tuning.LinkWindow,
 		},
 	})
 }
@@ -56,26 +56,26 @@
 // maintainStateRoute gives up calls through peers that are overdue, and switches between the direct link and
 // peers when the state of the link has changed.
 func (c *Core) maintainStateRoute() {
-	judgement := c.stateRoutes.Judge(c.now)
-	for _, id := range c.stateRoutes.Late(c.now) {
+	judgement := c.stateRoutes.EvaluateLink(c.now)
+	for _, id := range c.stateRoutes.Overdue(c.now) {
 		done, reason := c.stateRoutes.GiveUp(c.now, id)
 		done(StateReply{Err: reason})
 	}
-	if peer := c.stateRoutes.Around(c.now); peer != c.stateRoutes.Through() {
-		if c.stateRoutes.Through() == "" {
-			for _, id := range c.stateRoutes.Hanging(c.now) {
+	if peer := c.stateRoutes.BestPeer(c.now); peer != c.stateRoutes.CurrentPeer() {
+		if c.stateRoutes.CurrentPeer() == "" {
+			for _, id := range c.stateRoutes.Stalled(c.now) {
 				if done := c.stateRoutes.Abandon(id); done != nil {
 					done(StateReply{Err: "given up for another way"})
 				}
 			}
 		}
-		if c.stateRoutes.Turn(peer); peer != "" {
-			c.presence.Hurry(c.now) // the renewal of the state lease is sent first
+		if c.stateRoutes.SetCurrentPeer(peer); peer != "" {
+			c.presence.RenewNow(c.now) // the renewal of the state lease is sent first
 		}
-		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Why})
-		c.log(1, "route to the state service changed", "through", peer, "link", judgement.Level.String(), "why", judgement.Why)
+		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Reason})
+		c.log(1, "route to the state service changed", "through", peer, "link", judgement.Level.String(), "why", judgement.Reason)
 	}
-	if c.stateRoutes.Doubted(judgement) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
+	if c.stateRoutes.ShouldProbe(judgement) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
 		c.probeState()
 	}
 }
@@ -85,7 +85,7 @@
 	c.probingState = true
 	c.lastID++
 	call := StateCall{ID: c.lastID, Op: OpGet, Key: wire.KeyLeader}
-	c.stateRoutes.Try(c.now, call.ID, func(reply StateReply) {
+	c.stateRoutes.SendDirect(c.now, call.ID, func(reply StateReply) {
 		c.probingState = false
 		c.applyRead(wire.KeyLeader, reply)
 	})
@@ -96,7 +96,7 @@
 func (c *Core) onStateDone(result StateDone) {
 	reply := &result.Reply
 	c.noteRevision(max(reply.Txn.Revision, reply.Events.Revision, reply.List.Revision, reply.Item.Version))
-	if done := c.stateRoutes.Done(c.now, result.ID, reply.Status, reply.Own); done != nil {
+	if done := c.stateRoutes.CallDone(c.now, result.ID, reply.Status, reply.Own); done != nil {
 		done(*reply)
 	}
 }
@@ -109,7 +109,7 @@
 		}
 		c.sendToPeer(peer, PeerMessage{Result: &PeerResult{ID: call.ID, Life: call.Life, Reply: reply}})
 	}
-	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.Offer(c.now, peer) == 0 || call.Hops >= tuning.WayHops {
+	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.OfferFor(c.now, peer) == 0 || call.Hops >= tuning.WayHops {
 		respond(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
 		return
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	if status := result.Reply.Status; status == 0 || status == http.StatusServiceUnavailable {
-		c.stateRoutes.Withdrawn(c.now, peer) // until the peer offers its route again
+		c.stateRoutes.WithdrawOffer(c.now, peer) // until the peer offers its route again
 	}
 	c.onStateDone(StateDone{ID: result.ID, Reply: result.Reply})
 }
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -28,9 +28,9 @@
 // known to be stored, whether from the reply to the write or from the watch, so that the events that follow from
 // it come after it.
 func (c *Core) recordShardTaken(shard int) {
-	transfer, ours := c.taking[shard]
+	transfer, ours := c.pendingTransfers[shard]
 	if entry := c.shards[shard]; ours && entry.record.Holder == transfer.record.Holder && entry.record.Boot == transfer.record.Boot {
-		delete(c.taking, shard)
+		delete(c.pendingTransfers, shard)
 		c.recordShardEvent(trail.ShardTaken, shard, wire.TrailEvent{Node: transfer.from, Token: entry.version, Why: "for " + transfer.record.Holder})
 	}
 }
@@ -43,7 +43,7 @@
 
 // recordTaskEvent adds an event about an attempt of a task to the trail.
 func (c *Core) recordTaskEvent(kind string, a *attempt, reason string) {
-	c.recordMachineEvent(kind, a.m, wire.TrailEvent{Task: a.key.task, Block: a.m.block, Why: reason})
+	c.recordMachineEvent(kind, a.machine, wire.TrailEvent{Task: a.key.task, Block: a.machine.block, Why: reason})
 }
 
 // recordTaskRecovery adds an event to the trail if a lost task has a machine again, or runs again.
@@ -56,7 +56,7 @@
 // recordHeldTasks adds to the trail how many started tasks of a job are not started again until it is known
 // whether they run on machines of an earlier holder.
 func (c *Core) recordHeldTasks(entry *jobEntry, shard int) {
-	if count := entry.run.held - entry.run.done.Count(); entry.run.held > 0 && count > 0 {
+	if count := entry.run.inheritedBelow - entry.run.done.Count(); entry.run.inheritedBelow > 0 && count > 0 {
 		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{Job: entry.record.ID, Count: count, Why: "may run on machines that are not accounted for"})
 	}
 }
@@ -66,23 +66,23 @@
 func (c *Core) recordDependentsMoved(ids []string, cancelledBy map[string]string) {
 	for _, id := range ids {
 		if cancelledBy != nil {
-			c.told.Cancelled++
+			c.announcedChains.Cancelled++
 			c.recordEvent(wire.TrailEvent{Kind: trail.JobCancelled, Job: id, Why: "with " + cancelledBy[id]})
 		} else {
-			c.told.Released++
+			c.announcedChains.Released++
 			c.recordEvent(wire.TrailEvent{Kind: trail.JobReleased, Job: id, Why: "all that it awaits is done"})
 		}
 	}
-	c.effects = append(c.effects, c.told)
+	c.effects = append(c.effects, c.announcedChains)
 }
 
 // detectSilentMachines marks machines whose reports are overdue, long before their lease expires.
 func (c *Core) detectSilentMachines() {
 	late := time.Duration(tuning.SuspectReports * float64(c.params.ReportInterval))
 	for _, m := range c.heldMachines() {
-		if m.reported && !m.silent && !m.over && c.now-m.lastReport > late && c.holdsShard(m.shard) {
+		if m.reported && !m.silent && !m.leaseOver && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
-			c.touch(m) // its worker may be unable to report the ends of its tasks
+			c.markDirty(m) // its worker may be unable to report the ends of its tasks
 			c.recordMachineEvent(trail.MachineSilent, m, wire.TrailEvent{
 				Count: len(m.attempts),
 				Why:   fmt.Sprintf("no report for %.1f s", (c.now - m.lastReport).Seconds()),
@@ -183,17 +183,17 @@
 // fillMachineView fills in what only the holder of the machine knows.
 func (c *Core) fillMachineView(view *wire.Believed, m *machine) {
 	view.Held, view.State, view.Session, view.Inherited, view.Accounted = true, m.state(), m.session, m.inherited, m.accounted
-	view.FreeCPUs, view.Images = c.free(m).CPUs, sortedKeys(m.images)
-	_, view.Errors = c.health.Machine(m.name)
+	view.FreeCPUs, view.Images = c.freeCapacity(m).CPUs, sortedKeys(m.images)
+	_, view.Errors = c.taskHealth.Machine(m.name)
 	if m.reported {
-		ago, left := (c.now - m.lastReport).Seconds(), (m.lastOK + c.leaseBound() - c.now).Seconds()
+		ago, left := (c.now - m.lastReport).Seconds(), (m.lastAnswered + c.leaseBound() - c.now).Seconds()
 		view.ReportedS, view.LeaseLeftS = &ago, &left
 	}
-	for _, k := range sortedAttempts(m) {
+	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		task := wire.BelievedTask{Task: k.task, Attempt: k.try, Status: a.status, ForS: (c.now - a.created).Seconds()}
+		task := wire.BelievedTask{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
 		switch {
-		case task.Status == "" && a.sent:
+		case task.Status == "" && a.startSent:
 			task.Status = "sent"
 		case task.Status == "":
 			task.Status = "reserved"
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -32,9 +32,9 @@
 	if _, ok := c.finalStates[id]; ok {
 		return
 	}
-	c.confirmation.Over(jobKey(id), revision)
+	c.confirmation.JobOver(jobKey(id), revision)
 	c.finalStates[id] = final
-	c.chain.End(id, final.Status == wire.JobDone, final.By)
+	c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 	c.finalOrder = append(c.finalOrder, id)
 	if len(c.finalOrder) > tuning.FinalCache {
 		delete(c.finalStates, c.finalOrder[0])
@@ -64,7 +64,7 @@
 		return
 	}
 	keys := []string{jobKey(id), finalKey(id)}
-	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingAt) > 0) {
+	if c.jobs[id] == nil && (!c.loaded || c.featureEnabled(rollout.Chains) || len(c.waitingJobs) > 0) {
 		keys = append([]string{waitingKey(id)}, keys...)
 	}
 	c.lookUpKeys(id, keys, done)
@@ -100,7 +100,7 @@
 				done(result)
 				return
 			}
-			c.refreshed(func(ok bool) { c.judgeWaiting(id, result, ok, done) })
+			c.refreshMirror(func(ok bool) { c.evaluateWaiting(id, result, ok, done) })
 		}
 	})
 }
@@ -182,8 +182,8 @@
 			switch {
 			case known:
 				c.answer(poll.Req, 200, finalStatus(poll.ID, final))
-			case reply.Status == 200 && entry == nil && !c.loading && c.waitsForOthers(poll.ID):
-				c.judgeWaiting(poll.ID, jobLookup{job: &wire.Job{ID: poll.ID, Tasks: 1}, ok: true}, true, func(result jobLookup) {
+			case reply.Status == 200 && entry == nil && !c.loading && c.isWaiting(poll.ID):
+				c.evaluateWaiting(poll.ID, jobLookup{job: &wire.Job{ID: poll.ID, Tasks: 1}, ok: true}, true, func(result jobLookup) {
 					c.answerLookup(poll.Req, poll.ID, result)
 				})
 			case reply.Status == 410 || reply.Status == 200 && (entry == nil || c.loading):
@@ -326,7 +326,7 @@
 	if job.Shape != wire.ShapeBatch {
 		tasks = float64(job.Tasks)
 	}
-	if team.exceeds(placement.Size{CPUs: job.CPUs * tasks, GPUs: job.GPUs * tasks}) {
+	if team.exceededBy(placement.Size{CPUs: job.CPUs * tasks, GPUs: job.GPUs * tasks}) {
 		return fmt.Sprintf("the job needs more than team %q may use", job.Team)
 	}
 	for _, name := range sortedKeys(c.machineTypes) {
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,5 +1,5 @@
-// Package disruption chooses machines to be emptied, so that few tasks are away at a time and
-// all of them find room elsewhere. Pure.
+// Package disruption chooses machines to be emptied, so that few tasks are moved at a time and all
+// of them fit on other machines. The package has no clock and no I/O.
 package disruption
 
 import (
@@ -9,57 +9,61 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Machine is one in use.
+// Machine is a machine in use.
 type Machine[M comparable] struct {
 	Handle M
 	Free   placement.Size
-	// Moves are its tasks, if all of them may be moved and the machine is worth emptying;
-	// Stays: it is not.
+	// Moves are the machine's tasks, if Pinned is false.
 	Moves []Move[M]
-	Stays bool
+	// Pinned is whether the machine is not to be emptied, because a task may not be moved or because
+	// emptying it would gain nothing.
+	Pinned bool
 }
 
-// Move is a task that would go to another machine.
+// Move is a task that would move to another machine.
 type Move[M comparable] struct {
 	Size   placement.Size
-	Allows func(M) bool // its image is there, and it may run there
+	Allows func(M) bool // the machine has its image, and the task may run there
 }
 
-// Consolidate chooses up to most machines, the emptiest first, whose tasks all fit on others
-// in use that are not emptied themselves; only the first look are considered. Anchors spread by
-// design; once the batches around them have ended, each holds a machine alone.
-func Consolidate[M comparable](in []Machine[M], most, look int) (out []M) {
-	sort.SliceStable(in, func(i, j int) bool { return in[i].Free.CPUs > in[j].Free.CPUs })
-	taken := map[M]placement.Size{} // of the machines that tasks are moved to
-	leaving := map[M]bool{}
-	for i := range in {
-		m := &in[i]
-		if len(out) >= most || i >= look {
+// Consolidate chooses at most maxMachines machines, the emptiest first, whose tasks all fit on other
+// machines in use that are not emptied themselves. Only the first maxConsidered machines are
+// considered. Anchors are spread by design; once the batches around them have ended, each occupies a
+// machine alone.
+func Consolidate[M comparable](machines []Machine[M], maxMachines, maxConsidered int) (chosen []M) {
+	sort.SliceStable(machines, func(i, j int) bool { return machines[i].Free.CPUs > machines[j].Free.CPUs })
+	reserved := map[M]placement.Size{} // on the machines that tasks are moved to
+	emptied := map[M]bool{}
+	for i := range machines {
+		machine := &machines[i]
+		if len(chosen) >= maxMachines || i >= maxConsidered {
 			break
 		}
-		if _, target := taken[m.Handle]; target || m.Stays {
+		if _, target := reserved[machine.Handle]; target || machine.Pinned {
 			continue
 		}
-		if more, ok := m.fit(in, taken, leaving); ok {
-			for o, s := range more {
-				taken[o] = taken[o].Add(s)
+		if required, ok := machine.placeMoves(machines, reserved, emptied); ok {
+			for other, size := range required {
+				reserved[other] = reserved[other].Add(size)
 			}
-			leaving[m.Handle] = true
-			out = append(out, m.Handle)
+			emptied[machine.Handle] = true
+			chosen = append(chosen, machine.Handle)
 		}
 	}
-	return out
+	return chosen
 }
 
-// fit finds room on the others for all tasks of a machine.
-func (m *Machine[M]) fit(in []Machine[M], taken map[M]placement.Size, leaving map[M]bool) (more map[M]placement.Size, ok bool) {
-	more = map[M]placement.Size{}
-	for _, t := range m.Moves {
+// placeMoves finds capacity on the other machines for all tasks of a machine.
+func (m *Machine[M]) placeMoves(machines []Machine[M], reserved map[M]placement.Size, emptied map[M]bool,
+) (required map[M]placement.Size, ok bool) {
+	required = map[M]placement.Size{}
+	for _, move := range m.Moves {
 		found := false
-		for k := range in {
-			o := &in[k]
-			if o.Handle != m.Handle && !leaving[o.Handle] && t.Allows(o.Handle) && placement.Fits(o.Free.Sub(taken[o.Handle]).Sub(more[o.Handle]), t.Size) {
-				more[o.Handle] = more[o.Handle].Add(t.Size)
+		for k := range machines {
+			target := &machines[k]
+			if target.Handle != m.Handle && !emptied[target.Handle] && move.Allows(target.Handle) &&
+				placement.Fits(target.Free.Sub(reserved[target.Handle]).Sub(required[target.Handle]), move.Size) {
+				required[target.Handle] = required[target.Handle].Add(move.Size)
 				found = true
 				break
 			}
@@ -68,27 +72,27 @@
 			return nil, false
 		}
 	}
-	return more, true
+	return required, true
 }
 
 // Block is a block that might be emptied for another shard.
 type Block struct {
-	Name    string
-	Emptied bool          // it is being emptied, or stands idle
-	Holds   int           // tasks of what is asked for
-	Lost    time.Duration // running time that would be lost
-	Fixed   bool          // work on it may not be stopped for this
+	Name        string
+	Vacated     bool          // it is being emptied, or idle
+	TaskSlots   int           // number of the requested tasks that it can hold
+	LostRuntime time.Duration // running time that would be lost
+	Pinned      bool          // has work that may not be stopped for this
 }
 
-// Empty is the block where the least is lost, if those that are emptied already do not hold
-// all that is asked for; "": none.
-func Empty(blocks []Block, tasks int) (best string, lost time.Duration) {
-	for _, b := range blocks {
+// ChooseBlock returns the block where the least running time is lost, and that time. It returns ""
+// if the blocks that are already vacated hold all requested tasks, or if there is no other block.
+func ChooseBlock(blocks []Block, tasks int) (best string, lost time.Duration) {
+	for _, block := range blocks {
 		switch {
-		case b.Emptied:
-			tasks -= b.Holds
-		case !b.Fixed && (best == "" || b.Lost < lost):
-			best, lost = b.Name, b.Lost
+		case block.Vacated:
+			tasks -= block.TaskSlots
+		case !block.Pinned && (best == "" || block.LostRuntime < lost):
+			best, lost = block.Name, block.LostRuntime
 		}
 	}
 	if tasks <= 0 {
--- a/internal/forecast/forecast.go
+++ b/internal/forecast/forecast.go
@@ -1,7 +1,8 @@
-// Package forecast tells how long tasks run: by their owners' estimates, corrected by how
-// far those of their class have been off. Owners err by half, and on some days all one way.
+// Package forecast estimates how long tasks run: by the estimates of their owners, corrected by how
+// far the estimates for their class have been off. Owners' estimates are off by up to half, and on
+// some days all in the same direction.
 //
-// A plain structure: no clock, no I/O, not for concurrent use.
+// An estimator has no clock and no I/O, and is not safe for concurrent use.
 package forecast
 
 import (
@@ -11,103 +12,115 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Params bound what is learned.
+// Params are the parameters of the correction.
 type Params struct {
-	Prior  float64 // tasks that the owners' own estimate counts for, as far as correction goes
-	Keep   float64 // tasks remembered: older ones weigh less
-	Spread float64 // of the logarithm, until enough has been seen
+	PriorTasks  float64 // number of tasks that the owners' own estimate counts for
+	MaxTasks    float64 // number of tasks remembered; older ones have less weight
+	PriorSpread float64 // standard deviation of the logarithm, until enough tasks have run
 }
 
-// Book keeps the bias of each class.
-type Book struct {
-	p  Params
-	of map[string]*bias
+// Estimator keeps the bias of the estimates of each class.
+type Estimator struct {
+	params  Params
+	classes map[string]*classBias
 }
 
-type bias struct{ n, sum, squares float64 } // of log(ran/estimate)
+type classBias struct{ weight, sum, squares float64 } // of log(run time/estimate)
 
-// New returns a book that trusts estimates.
-func New(p Params) *Book { return &Book{p: p, of: map[string]*bias{}} }
+// New returns an estimator without observations, which returns the owners' estimates.
+func New(params Params) *Estimator {
+	return &Estimator{params: params, classes: map[string]*classBias{}}
+}
 
-// Ran notes that a task of a class, estimated at so many seconds, ran for so long.
-func (b *Book) Ran(class string, estimate float64, ran time.Duration) {
-	if estimate <= 0 || ran <= 0 {
+// Record records that a task of a class with an estimate of estimateS seconds ran for a time.
+func (e *Estimator) Record(class string, estimateS float64, runtime time.Duration) {
+	if estimateS <= 0 || runtime <= 0 {
 		return
 	}
-	x := b.of[class]
-	if x == nil {
-		x = &bias{}
-		b.of[class] = x
+	bias := e.classes[class]
+	if bias == nil {
+		bias = &classBias{}
+		e.classes[class] = bias
 	}
-	if x.n >= b.p.Keep {
-		f := 1 - 1/b.p.Keep
-		x.n, x.sum, x.squares = x.n*f, x.sum*f, x.squares*f
+	if bias.weight >= e.params.MaxTasks {
+		decay := 1 - 1/e.params.MaxTasks
+		bias.weight, bias.sum, bias.squares = bias.weight*decay, bias.sum*decay, bias.squares*decay
 	}
-	l := math.Log(ran.Seconds() / estimate)
-	x.n, x.sum, x.squares = x.n+1, x.sum+l, x.squares+l*l
+	logRatio := math.Log(runtime.Seconds() / estimateS)
+	bias.weight, bias.sum, bias.squares = bias.weight+1, bias.sum+logRatio, bias.squares+logRatio*logRatio
 }
 
-// Factor corrects estimates of a class: its tasks run so many times as long, typically.
-func (b *Book) Factor(class string) float64 { f, _ := b.log(class); return math.Exp(f) }
+// Factor returns the correction of estimates of a class: its tasks typically run for this multiple
+// of the estimate.
+func (e *Estimator) Factor(class string) float64 {
+	mean, _ := e.logBias(class)
+	return math.Exp(mean)
+}
 
-// Surely bounds the run time of a task of a class from above, nearly always.
-func (b *Book) Surely(class string, estimate float64) time.Duration {
-	mean, spread := b.log(class)
-	return time.Duration(estimate * math.Exp(mean+2*spread) * float64(time.Second))
+// UpperBound returns a time that a task of a class nearly always ends within.
+func (e *Estimator) UpperBound(class string, estimateS float64) time.Duration {
+	mean, spread := e.logBias(class)
+	return time.Duration(estimateS * math.Exp(mean+2*spread) * float64(time.Second))
 }
 
-// Typical is how long a task of a class runs.
-func (b *Book) Typical(class string, estimate float64) time.Duration {
-	return time.Duration(estimate * b.Factor(class) * float64(time.Second))
+// Typical returns how long a task of a class typically runs.
+func (e *Estimator) Typical(class string, estimateS float64) time.Duration {
+	return time.Duration(estimateS * e.Factor(class) * float64(time.Second))
 }
 
-func (b *Book) log(class string) (mean, spread float64) {
-	x := b.of[class]
-	if x == nil {
-		return 0, b.p.Spread
+// logBias returns the mean and the standard deviation of log(run time/estimate) of a class.
+func (e *Estimator) logBias(class string) (mean, spread float64) {
+	bias := e.classes[class]
+	if bias == nil {
+		return 0, e.params.PriorSpread
 	}
-	mean = x.sum / (x.n + b.p.Prior)
-	v := (x.squares+b.p.Prior*b.p.Spread*b.p.Spread)/(x.n+b.p.Prior) - mean*mean
-	return mean, math.Sqrt(max(v, 0.01))
+	mean = bias.sum / (bias.weight + e.params.PriorTasks)
+	variance := (bias.squares+e.params.PriorTasks*e.params.PriorSpread*e.params.PriorSpread)/
+		(bias.weight+e.params.PriorTasks) - mean*mean
+	return mean, math.Sqrt(max(variance, 0.01))
 }
 
-// Export is what is worth keeping: classes of which so many tasks have been seen.
-func (b *Book) Export(least float64) map[string][3]float64 {
-	out := map[string][3]float64{}
-	for class, x := range b.of {
-		if x.n >= least {
-			out[class] = [3]float64{x.n, x.sum, x.squares}
+// Export returns what is worth storing: the classes with the weight of at least minWeight tasks, as
+// weight, sum and sum of squares.
+func (e *Estimator) Export(minWeight float64) map[string][3]float64 {
+	exported := map[string][3]float64{}
+	for class, bias := range e.classes {
+		if bias.weight >= minWeight {
+			exported[class] = [3]float64{bias.weight, bias.sum, bias.squares}
 		}
 	}
-	return out
+	return exported
 }
 
-// Shorter leaves out the class of which least is known, and tells whether there was one.
-func Shorter(b *wire.Bias) bool {
+// DropLeastKnownClass removes the class with the least weight from a record, and reports whether
+// there was one.
+func DropLeastKnownClass(record *wire.Bias) bool {
 	least, found := "", false
-	for class, v := range b.Classes {
-		if x := b.Classes[least]; !found || v[0] < x[0] || v[0] == x[0] && class < least {
+	for class, bias := range record.Classes {
+		if leastBias := record.Classes[least]; !found || bias[0] < leastBias[0] || bias[0] == leastBias[0] && class < least {
 			least, found = class, true
 		}
 	}
-	delete(b.Classes, least)
+	delete(record.Classes, least)
 	return found
 }
 
-// Import takes what another has learned, for classes of which less is known here.
-func (b *Book) Import(classes map[string][3]float64) {
-	for class, v := range classes {
-		if x := b.of[class]; (x == nil || x.n < v[0]) && v[0] > 0 && v[0] <= 2*b.p.Keep {
-			b.of[class] = &bias{v[0], v[1], v[2]}
+// Import takes over what another controller has learned, for classes of which less is known here.
+func (e *Estimator) Import(classes map[string][3]float64) {
+	for class, stored := range classes {
+		if known := e.classes[class]; (known == nil || known.weight < stored[0]) &&
+			stored[0] > 0 && stored[0] <= 2*e.params.MaxTasks {
+			e.classes[class] = &classBias{stored[0], stored[1], stored[2]}
 		}
 	}
 }
 
-// Moved tells whether a class's factor differs by more than a share from what was exported.
-func (b *Book) Moved(was map[string][3]float64, least, share float64) bool {
-	for class := range b.Export(least) {
-		old, known := was[class]
-		if f := b.Factor(class); !known || math.Abs(math.Log(f)-old[1]/(old[0]+b.p.Prior)) > share {
+// Changed reports whether the logarithm of a class's factor differs by more than threshold from what
+// was exported.
+func (e *Estimator) Changed(exported map[string][3]float64, minWeight, threshold float64) bool {
+	for class := range e.Export(minWeight) {
+		before, known := exported[class]
+		if f := e.Factor(class); !known || math.Abs(math.Log(f)-before[1]/(before[0]+e.params.PriorTasks)) > threshold {
 			return true
 		}
 	}
--- a/internal/ledger/find.go
+++ b/internal/ledger/find.go
@@ -2,8 +2,8 @@
 
 import "github.com/barrowbridge/barrowbridge/internal/placement"
 
-// Found is a machine that has room.
-type Found[H comparable] struct {
+// Match is a machine with enough free capacity.
+type Match[H comparable] struct {
 	Handle H
 	Kind   Kind
 	Free   placement.Size
@@ -12,119 +12,133 @@
 // eps absorbs the rounding of sums of decimal amounts.
 const eps = 1e-6
 
-// Find proposes machines with room for a task: of every kind those among which the
-// heuristic's choice is, at most `look` of a kind and walk. For an anchor that is the
-// largest beta, for others the smallest; better machines go before (for an anchor) or
-// break ties. A machine that is found twice stands twice.
+// Find appends to matches machines of a shard with free capacity for a task. Of every kind it
+// proposes those among which the heuristic's choice is: the machines with the largest beta for an
+// anchor, else those with the smallest. Preferred machines go first for an anchor, and break ties of
+// beta otherwise. limit bounds the machines of one kind that are examined in each search. A machine
+// that is found twice is listed twice.
 //
-// Beta is a minimum over resources, so its smallest value is the smallest of one
-// resource alone: each order is walked upwards from what is asked, as long as that
-// resource allows no more copies than the first that fits. The largest is found by
-// walking one order downwards until it allows fewer copies than what was found.
-func (b *Book[H]) Find(shard int, ask placement.Size, anchor bool, look int, kind func(Kind) bool, allowed, better func(H) bool, out []Found[H]) []Found[H] {
-	for _, k := range b.kinds {
-		if k.Shard != shard || !kind(k) {
+// Beta is a minimum over resources, so the smallest beta is the smallest of one resource alone. For
+// each resource, the index is searched upwards from the requested amount, as long as that resource
+// allows no more copies than on the first machine that fits. For the largest beta one index is
+// searched downwards until its resource allows fewer copies than the best machine so far.
+func (l *Ledger[H]) Find(shard int, size placement.Size, anchor bool, limit int,
+	kindAllowed func(Kind) bool, allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	for _, kind := range l.kinds {
+		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
 		}
-		g := b.groups[k]
+		machines := l.groups[kind]
 		if anchor {
-			out = g.largest(k, ask, look, allowed, better, out)
+			matches = machines.largestBeta(kind, size, limit, allowed, preferred, matches)
 			continue
 		}
 		for r := range resources {
-			if amount(ask, r) > 0 {
-				out = g.smallest(k, r, ask, look, allowed, better, out)
+			if amount(size, r) > 0 {
+				matches = machines.smallestBeta(kind, r, size, limit, allowed, preferred, matches)
 			}
 		}
 	}
-	return out
+	return matches
 }
 
-// pivot is an entry to start a walk at: what has this much left of every resource.
-func pivot[H comparable](ask placement.Size) *entry[H] {
-	return &entry[H]{facts: Facts{Free: placement.Size{CPUs: ask.CPUs - eps, GPUs: ask.GPUs - eps, MemGB: ask.MemGB - eps}}}
+// lowerBound returns an entry to start a search at: a machine that has exactly this much free of
+// every resource.
+func lowerBound[H comparable](size placement.Size) *entry[H] {
+	return &entry[H]{state: MachineState{Free: placement.Size{
+		CPUs:  size.CPUs - eps,
+		GPUs:  size.GPUs - eps,
+		MemGB: size.MemGB - eps,
+	}}}
 }
 
-// only leaves one resource of an ask.
-func only(ask placement.Size, r int) placement.Size {
-	switch r {
+// onlyResource returns the size with a single resource left.
+func onlyResource(size placement.Size, resource int) placement.Size {
+	switch resource {
 	case 0:
-		return placement.Size{CPUs: ask.CPUs}
+		return placement.Size{CPUs: size.CPUs}
 	case 1:
-		return placement.Size{MemGB: ask.MemGB}
+		return placement.Size{MemGB: size.MemGB}
 	}
-	return placement.Size{GPUs: ask.GPUs}
+	return placement.Size{GPUs: size.GPUs}
 }
 
-func (g *group[H]) smallest(k Kind, r int, ask placement.Size, look int, allowed, better func(H) bool, out []Found[H]) []Found[H] {
-	least, one := -1, only(ask, r)
-	g.by[r].AscendGreaterOrEqual(pivot[H](ask), func(e *entry[H]) bool {
-		if !placement.Fits(e.facts.Free, ask) || !allowed(e.handle) {
+// smallestBeta appends the machines with the smallest beta, by the index of one resource. It stops at
+// the first preferred machine.
+func (g *group[H]) smallestBeta(kind Kind, resource int, size placement.Size, limit int,
+	allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	minCopies, single := -1, onlyResource(size, resource)
+	g.byResource[resource].AscendGreaterOrEqual(lowerBound[H](size), func(e *entry[H]) bool {
+		if !placement.Fits(e.state.Free, size) || !allowed(e.handle) {
 			return true
 		}
-		n := placement.Beta(e.facts.Free, one)
-		if least >= 0 && n > least {
+		copies := placement.Beta(e.state.Free, single)
+		if minCopies >= 0 && copies > minCopies {
 			return false
 		}
-		least = n
-		out = append(out, Found[H]{e.handle, k, e.facts.Free})
-		look--
-		return look > 0 && !better(e.handle)
+		minCopies = copies
+		matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
+		limit--
+		return limit > 0 && !preferred(e.handle)
 	})
-	return out
+	return matches
 }
 
-func (g *group[H]) largest(k Kind, ask placement.Size, look int, allowed, better func(H) bool, out []Found[H]) []Found[H] {
-	r := 0
-	for r < resources-1 && amount(ask, r) <= 0 {
-		r++
+// largestBeta appends machines of growing beta up to the largest, and the first preferred machine, by
+// the index of the first resource that the task asks for.
+func (g *group[H]) largestBeta(kind Kind, size placement.Size, limit int,
+	allowed, preferred func(H) bool, matches []Match[H]) []Match[H] {
+	resource := 0
+	for resource < resources-1 && amount(size, resource) <= 0 {
+		resource++
 	}
-	most, seen, one := -1, 0, only(ask, r)
-	g.by[r].Descend(func(e *entry[H]) bool {
-		if amount(e.facts.Free, r) < amount(ask, r)-eps || seen >= look {
+	maxCopies, seen, single := -1, 0, onlyResource(size, resource)
+	g.byResource[resource].Descend(func(e *entry[H]) bool {
+		if amount(e.state.Free, resource) < amount(size, resource)-eps || seen >= limit {
 			return false
 		}
-		if !placement.Fits(e.facts.Free, ask) || !allowed(e.handle) {
+		if !placement.Fits(e.state.Free, size) || !allowed(e.handle) {
 			return true
 		}
 		seen++
-		if better(e.handle) { // the first that is better has the largest beta of these, nearly always
-			out = append(out, Found[H]{e.handle, k, e.facts.Free})
+		if preferred(e.handle) { // the first preferred machine nearly always has the largest beta of them
+			matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
 			return false
 		}
-		if n := placement.Beta(e.facts.Free, one); n < most {
-			return true // only a better one counts from here on
+		if copies := placement.Beta(e.state.Free, single); copies < maxCopies {
+			return true // its beta is smaller too; from here on only preferred machines count
 		}
-		if n := placement.Beta(e.facts.Free, ask); n > most {
-			most = n
-			out = append(out, Found[H]{e.handle, k, e.facts.Free})
+		if copies := placement.Beta(e.state.Free, size); copies > maxCopies {
+			maxCopies = copies
+			matches = append(matches, Match[H]{e.handle, kind, e.state.Free})
 		}
 		return true
 	})
-	return out
+	return matches
 }
 
-// Each calls f with every usable machine of a shard that has room for a task. It
-// costs as much as there are such machines.
-func (b *Book[H]) Each(shard int, ask placement.Size, kind func(Kind) bool, f func(H, Kind, placement.Size)) {
-	for _, k := range b.kinds {
-		if k.Shard != shard || !kind(k) {
+// EachFitting calls visit with every usable machine of a shard that has free capacity for a task.
+// Its cost grows with the number of such machines.
+func (l *Ledger[H]) EachFitting(shard int, size placement.Size, kindAllowed func(Kind) bool,
+	visit func(H, Kind, placement.Size)) {
+	for _, kind := range l.kinds {
+		if kind.Shard != shard || !kindAllowed(kind) {
 			continue
 		}
-		b.groups[k].by[0].AscendGreaterOrEqual(pivot[H](ask), func(e *entry[H]) bool {
-			if placement.Fits(e.facts.Free, ask) {
-				f(e.handle, k, e.facts.Free)
+		l.groups[kind].byResource[0].AscendGreaterOrEqual(lowerBound[H](size), func(e *entry[H]) bool {
+			if placement.Fits(e.state.Free, size) {
+				visit(e.handle, kind, e.state.Free)
 			}
 			return true
 		})
 	}
 }
 
-// Of returns what is known of a machine.
-func (b *Book[H]) Of(h H) (Facts, bool) {
-	e := b.byHandle[h]
+// Get returns the state of a machine, and false if none has been put.
+func (l *Ledger[H]) Get(h H) (MachineState, bool) {
+	e := l.byHandle[h]
 	if e == nil || !e.known {
-		return Facts{}, false
+		return MachineState{}, false
 	}
-	return e.facts, true
+	return e.state, true
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,13 +45,13 @@
 		cpus, gpus := t.Most()
 		p.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: cpus, GPUs: t.GPUs, GPUsMax: gpus}
 	}
-	p.Objectives.Finished, p.Objectives.Begun = map[string]float64{}, map[string]float64{}
+	p.Objectives.CompleteWithinS, p.Objectives.StartWithinS = map[string]float64{}, map[string]float64{}
 	for _, o := range cfg.Params.Objectives {
 		switch o.Kind {
 		case "finished":
-			p.Objectives.Finished[o.Class] = o.WithinS
+			p.Objectives.CompleteWithinS[o.Class] = o.WithinS
 		case "wait":
-			p.Objectives.Begun[o.Class] = o.WithinS
+			p.Objectives.StartWithinS[o.Class] = o.WithinS
 		}
 	}
 	return p
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,9 +1,11 @@
-// Package queue keeps the order in which waiting jobs are served: rung (package ladder), the first task
-// of a job that has waited too long for it, work within its team's guarantee, the strictest closeness (Pogonip's order), what can
-// still be on time, deadline, age. The order is kept up job by job and is never
-// sorted anew, and a walk skips what fits nowhere without looking at each.
+// Package queue keeps waiting jobs in the order in which they are served. The order is, most
+// significant first: tier (package tiers); the first task of a job that has waited too long for it;
+// jobs that a departure leaves no slack; work within its team's guarantee; jobs bound to one zone
+// before others (Pogonip's order of strictness); jobs that can still be on time; deadline; age. The
+// order is updated job by job and never sorted anew, and a walk skips jobs that fit nowhere without
+// visiting each of them.
 //
-// A queue is a plain structure: no clock, no I/O, not for concurrent use.
+// A queue has no clock and no I/O, and is not safe for concurrent use.
 package queue
 
 import (
@@ -16,93 +18,97 @@
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 )
 
-// Job is what the order hangs on.
+// Job is what the order depends on of a job.
 type Job struct {
-	ID       string
-	Team     string
-	Accepted int64  // milliseconds of the day's time: its age
-	Number   uint64 // its age: orders jobs, and before the time if it is written
-	Rank     int    // of its rung, higher first
-	Strict   bool   // bound to one zone
-	Service  bool
-	Due      float64        // seconds of the day's time; +Inf without a deadline
-	Turn     float64        // orders those that are due at the same time, or never; lower first
-	Estimate float64        // seconds of one task
-	Ask      placement.Size // of one task
-	Rest     int            // tasks not done
-	Pending  int            // tasks to start; 0: it only counts against its team's guarantee
-	Pressed  bool           // a departure leaves it no slack: it goes before other work of its rung
-	Begun    bool           // a task of it has been started, as far as records tell
+	ID            string
+	Team          string
+	AcceptedMS    int64  // its age, in milliseconds of wall-clock time
+	Number        uint64 // its age, where one was written; compared before AcceptedMS
+	Rank          int    // of its tier, higher first
+	ZoneBound     bool   // has to run in one zone
+	Service       bool
+	Due           float64        // seconds of wall-clock time; +Inf without a deadline
+	VirtualFinish float64        // orders jobs that are due at the same time, or never; lower first
+	EstimateS     float64        // of one task
+	TaskSize      placement.Size // of one task
+	Unfinished    int            // tasks not done
+	Pending       int            // tasks to start; 0: it only counts against its team's guarantee
+	Pressed       bool           // a departure leaves it no slack: it is served before other work of its tier
+	Started       bool           // one of its tasks has been started, as far as the records show
 }
 
+// demand returns what the unfinished tasks count against the guarantee: CPUs and GPUs.
 func (j *Job) demand() placement.Size {
-	n := float64(j.Rest)
-	return placement.Size{CPUs: j.Ask.CPUs * n, GPUs: j.Ask.GPUs * n}
+	n := float64(j.Unfinished)
+	return placement.Size{CPUs: j.TaskSize.CPUs * n, GPUs: j.TaskSize.GPUs * n}
 }
 
-// work is the CPU seconds left.
-func (j *Job) work() float64 { return float64(j.Rest) * j.Estimate * j.Ask.CPUs }
-
-// Place is a job with its place in the order. H is the owner's handle of a job.
-type Place[H any] struct {
-	Handle H
-	Job    Job
-	Within bool // its team's unfinished jobs up to this one fit into the guarantee
-	Late   bool // cannot be on time without making more jobs late
-	// Overdue: it has waited too long for its first task, which goes ahead; the others do not.
+// workLeft returns the CPU seconds of the unfinished tasks.
+func (j *Job) workLeft() float64 { return float64(j.Unfinished) * j.EstimateS * j.TaskSize.CPUs }
+
+// Entry is a job with what determines its position in the order. H is the caller's handle of a job.
+type Entry[H any] struct {
+	Handle          H
+	Job             Job
+	WithinGuarantee bool // its team's unfinished jobs up to this one, by age, fit into the guarantee
+	Late            bool // cannot be on time without making more jobs late
+	// Overdue is whether the job has waited too long for its first task. That task goes ahead, the
+	// others do not.
 	Overdue bool
-	n       *node[H]
+	node    *node[H]
 }
 
 // Queue is the order of one controller's jobs.
 type Queue[H any] struct {
 	guarantees map[string]placement.Size // by team
-	jobs       map[string]*Place[H]
+	jobs       map[string]*Entry[H]
 	teams      map[string]*team[H]
-	names      []string // of teams, in order
+	teamNames  []string // sorted
 }
 
-// team holds the jobs of one team: all by age, with the boundary of its guarantee, and
-// those that wait in the order they are served.
+// team holds the jobs of one team: all of them by age, with the boundary of its guarantee, and the
+// waiting ones in the order in which they are served.
 type team[H any] struct {
-	guarantee placement.Size
-	byAge     *btree.BTreeG[*Place[H]]
-	last      *Place[H] // the youngest within the guarantee; nil: none
-	inside    placement.Size
-	within    int
-	services  float64 // CPUs of services
-	serving   int     // services
-	byDue     *btree.BTreeG[*Place[H]]
-	waiting   tree[H]
+	guarantee    placement.Size
+	byAge        *btree.BTreeG[*Entry[H]]
+	lastWithin   *Entry[H] // the youngest job within the guarantee; nil if there is none
+	withinDemand placement.Size
+	withinCount  int
+	serviceCPUs  float64 // used by unfinished services
+	serviceTasks int     // unfinished tasks of services
+	byDue        *btree.BTreeG[*Entry[H]]
+	waiting      tree[H]
 }
 
-// New returns an empty queue. Jobs of teams it does not know are never within a guarantee.
+// New returns an empty queue. Jobs of teams without a guarantee are never within one.
 func New[H any](guarantees map[string]placement.Size) *Queue[H] {
-	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Place[H]{}, teams: map[string]*team[H]{}}
+	return &Queue[H]{guarantees: guarantees, jobs: map[string]*Entry[H]{}, teams: map[string]*team[H]{}}
 }
 
-func older[H any](a, b *Place[H]) bool {
+// older reports whether a comes before b by age.
+func older[H any](a, b *Entry[H]) bool {
 	if a.Job.Number != b.Job.Number {
 		return a.Job.Number < b.Job.Number
 	}
-	if a.Job.Accepted != b.Job.Accepted {
-		return a.Job.Accepted < b.Job.Accepted
+	if a.Job.AcceptedMS != b.Job.AcceptedMS {
+		return a.Job.AcceptedMS < b.Job.AcceptedMS
 	}
 	return a.Job.ID < b.Job.ID
 }
 
-func sooner[H any](a, b *Place[H]) bool {
+// dueBefore reports whether a comes before b by deadline, then by virtual finish and age.
+func dueBefore[H any](a, b *Entry[H]) bool {
 	if a.Job.Due != b.Job.Due {
 		return a.Job.Due < b.Job.Due
 	}
-	if a.Job.Turn != b.Job.Turn {
-		return a.Job.Turn < b.Job.Turn
+	if a.Job.VirtualFinish != b.Job.VirtualFinish {
+		return a.Job.VirtualFinish < b.Job.VirtualFinish
 	}
 	return older(a, b)
 }
 
-// before is the order in which jobs are served.
-func before[H any](a, b *Place[H]) bool {
+// servedBefore reports whether a is served before b.
+func servedBefore[H any](a, b *Entry[H]) bool {
 	switch {
 	case a.Job.Rank != b.Job.Rank:
 		return a.Job.Rank > b.Job.Rank
@@ -110,253 +116,270 @@
 		return a.Overdue
 	case a.Job.Pressed != b.Job.Pressed:
 		return a.Job.Pressed
-	case a.Within != b.Within:
-		return a.Within
-	case a.Job.Strict != b.Job.Strict:
-		return a.Job.Strict
+	case a.WithinGuarantee != b.WithinGuarantee:
+		return a.WithinGuarantee
+	case a.Job.ZoneBound != b.Job.ZoneBound:
+		return a.Job.ZoneBound
 	case a.Late != b.Late:
 		return !a.Late
-	case a.Late && a.Job.work() != b.Job.work():
-		return a.Job.work() < b.Job.work()
+	case a.Late && a.Job.workLeft() != b.Job.workLeft():
+		return a.Job.workLeft() < b.Job.workLeft()
 	}
-	return sooner(a, b)
+	return dueBefore(a, b)
 }
 
+// team returns the jobs of a team, and adds the team if it is not known yet.
 func (q *Queue[H]) team(name string) *team[H] {
 	t := q.teams[name]
 	if t == nil {
-		t = &team[H]{guarantee: q.guarantees[name], byAge: btree.NewG(16, older[H]), byDue: btree.NewG(16, sooner[H])}
+		t = &team[H]{guarantee: q.guarantees[name], byAge: btree.NewG(16, older[H]), byDue: btree.NewG(16, dueBefore[H])}
 		q.teams[name] = t
-		i, _ := slices.BinarySearch(q.names, name)
-		q.names = slices.Insert(q.names, i, name)
+		i, _ := slices.BinarySearch(q.teamNames, name)
+		q.teamNames = slices.Insert(q.teamNames, i, name)
 	}
 	return t
 }
 
-// Put adds a job or replaces what is known of it.
-func (q *Queue[H]) Put(h H, j Job) {
-	if p := q.jobs[j.ID]; p != nil {
-		if p.Job == j {
+// Put adds a job or replaces its data.
+func (q *Queue[H]) Put(handle H, job Job) {
+	if entry := q.jobs[job.ID]; entry != nil {
+		if entry.Job == job {
 			return
 		}
-		if p.Job.Team == j.Team && p.Job.Accepted == j.Accepted && p.Job.Number == j.Number && p.Job.Due == j.Due && p.Job.Turn == j.Turn && p.Job.Service == j.Service {
-			q.amend(p, j)
+		if entry.Job.Team == job.Team &&
+			entry.Job.AcceptedMS == job.AcceptedMS &&
+			entry.Job.Number == job.Number &&
+			entry.Job.Due == job.Due &&
+			entry.Job.VirtualFinish == job.VirtualFinish &&
+			entry.Job.Service == job.Service {
+			q.updateRemaining(entry, job)
 			return
 		}
-		q.Drop(j.ID)
+		q.Remove(job.ID)
 	}
-	t := q.team(j.Team)
-	p := &Place[H]{Handle: h, Job: j}
-	q.jobs[j.ID] = p
-	t.byAge.ReplaceOrInsert(p)
-	t.byDueChanged(p, true)
-	t.serve(&j, 1)
-	if t.last != nil && older(p, t.last) {
-		p.Within = true
-		t.inside, t.within = t.inside.Add(j.demand()), t.within+1
+	t := q.team(job.Team)
+	entry := &Entry[H]{Handle: handle, Job: job}
+	q.jobs[job.ID] = entry
+	t.byAge.ReplaceOrInsert(entry)
+	t.setByDue(entry, true)
+	t.addService(&job, 1)
+	if t.lastWithin != nil && older(entry, t.lastWithin) {
+		entry.WithinGuarantee = true
+		t.withinDemand, t.withinCount = t.withinDemand.Add(job.demand()), t.withinCount+1
 	}
-	t.settle()
-	t.wait(p)
+	t.moveBoundary()
+	t.enqueue(entry)
 }
 
-// amend changes how much is left and waits; a job's place by age and deadline stays.
-func (q *Queue[H]) amend(p *Place[H], j Job) {
-	t := q.team(j.Team)
-	t.leave(p)
-	t.serve(&p.Job, -1)
-	if p.Within {
-		t.inside = t.inside.Sub(p.Job.demand()).Add(j.demand())
+// updateRemaining changes what is unfinished and pending of a job. Its position by age and by
+// deadline stays the same.
+func (q *Queue[H]) updateRemaining(entry *Entry[H], job Job) {
+	t := q.team(job.Team)
+	t.dequeue(entry)
+	t.addService(&entry.Job, -1)
+	if entry.WithinGuarantee {
+		t.withinDemand = t.withinDemand.Sub(entry.Job.demand()).Add(job.demand())
 	}
-	p.Job = j
-	p.Overdue = p.Overdue && !j.Begun
-	t.serve(&j, 1)
-	t.settle()
-	t.wait(p)
+	entry.Job = job
+	entry.Overdue = entry.Overdue && !job.Started
+	t.addService(&job, 1)
+	t.moveBoundary()
+	t.enqueue(entry)
 }
 
-// Drop forgets a job.
-func (q *Queue[H]) Drop(id string) {
-	p := q.jobs[id]
-	if p == nil {
+// Remove removes a job.
+func (q *Queue[H]) Remove(id string) {
+	entry := q.jobs[id]
+	if entry == nil {
 		return
 	}
 	delete(q.jobs, id)
-	t := q.team(p.Job.Team)
-	t.leave(p)
-	t.serve(&p.Job, -1)
-	if p.Within {
-		t.inside, t.within = t.inside.Sub(p.Job.demand()), t.within-1
-		if p == t.last {
-			t.last = t.next(p, false)
+	t := q.team(entry.Job.Team)
+	t.dequeue(entry)
+	t.addService(&entry.Job, -1)
+	if entry.WithinGuarantee {
+		t.withinDemand, t.withinCount = t.withinDemand.Sub(entry.Job.demand()), t.withinCount-1
+		if entry == t.lastWithin {
+			t.lastWithin = t.neighbor(entry, false)
 		}
-		if t.within == 0 {
-			t.inside, t.last = placement.Size{}, nil // rounding ends here
+		if t.withinCount == 0 {
+			t.withinDemand, t.lastWithin = placement.Size{}, nil // drops accumulated rounding errors
 		}
 	}
-	t.byAge.Delete(p)
-	t.byDueChanged(p, false)
-	t.settle()
+	t.byAge.Delete(entry)
+	t.setByDue(entry, false)
+	t.moveBoundary()
 }
 
-func (t *team[H]) serve(j *Job, n int) {
-	if !j.Service {
+// addService adds the unfinished tasks of a service to the sums of the team if sign is 1, and subtracts
+// them if sign is -1. The sum of CPUs is reset at zero tasks, so that rounding errors do not accumulate.
+func (t *team[H]) addService(job *Job, sign int) {
+	if !job.Service {
 		return
 	}
-	if t.serving += n * j.Rest; t.serving == 0 {
-		t.services = 0
+	if t.serviceTasks += sign * job.Unfinished; t.serviceTasks == 0 {
+		t.serviceCPUs = 0
 	} else {
-		t.services += float64(n*j.Rest) * j.Ask.CPUs
+		t.serviceCPUs += float64(sign*job.Unfinished) * job.TaskSize.CPUs
 	}
 }
 
-func (t *team[H]) byDueChanged(p *Place[H], in bool) {
-	if math.IsInf(p.Job.Due, 1) {
+// setByDue adds a job to the index by deadline, or removes it. Jobs without a deadline are not in it.
+func (t *team[H]) setByDue(entry *Entry[H], in bool) {
+	if math.IsInf(entry.Job.Due, 1) {
 		return
 	}
 	if in {
-		t.byDue.ReplaceOrInsert(p)
+		t.byDue.ReplaceOrInsert(entry)
 	} else {
-		t.byDue.Delete(p)
+		t.byDue.Delete(entry)
 	}
 }
 
-// wait puts a job among those that wait, leave takes it out; its place in the order
-// must not change in between.
-func (t *team[H]) wait(p *Place[H]) {
-	if p.Job.Pending > 0 && p.n == nil {
-		p.n = t.waiting.insert(p)
+// enqueue adds a job to the waiting ones, and dequeue removes it. What its position depends on must
+// not change in between.
+func (t *team[H]) enqueue(entry *Entry[H]) {
+	if entry.Job.Pending > 0 && entry.node == nil {
+		entry.node = t.waiting.insert(entry)
 	}
 }
 
-func (t *team[H]) leave(p *Place[H]) {
-	if p.n != nil {
-		t.waiting.remove(p)
-		p.n = nil
+func (t *team[H]) dequeue(entry *Entry[H]) {
+	if entry.node != nil {
+		t.waiting.remove(entry)
+		entry.node = nil
 	}
 }
 
-// next is the neighbour by age, younger or older; nil: none.
-func (t *team[H]) next(p *Place[H], younger bool) (found *Place[H]) {
-	look := func(o *Place[H]) bool {
-		if o == p {
+// neighbor returns the next younger or next older job of the team, or nil.
+func (t *team[H]) neighbor(entry *Entry[H], younger bool) (found *Entry[H]) {
+	visit := func(other *Entry[H]) bool {
+		if other == entry {
 			return true
 		}
-		found = o
+		found = other
 		return false
 	}
 	if younger {
-		t.byAge.AscendGreaterOrEqual(p, look)
+		t.byAge.AscendGreaterOrEqual(entry, visit)
 	} else {
-		t.byAge.DescendLessOrEqual(p, look)
+		t.byAge.DescendLessOrEqual(entry, visit)
 	}
 	return found
 }
 
+// eps absorbs the rounding of sums of decimal amounts.
 const eps = 1e-6
 
-func fits(s, most placement.Size) bool { return s.CPUs <= most.CPUs+eps && s.GPUs <= most.GPUs+eps }
+// fits reports whether demand is within a limit; a guarantee has no limit of memory.
+func fits(size, limit placement.Size) bool {
+	return size.CPUs <= limit.CPUs+eps && size.GPUs <= limit.GPUs+eps
+}
 
-// settle moves the boundary of the guarantee. Sums over jobs by age only grow, so what
-// is within is always the oldest jobs up to some one.
-func (t *team[H]) settle() {
-	for t.last != nil && !fits(t.inside, t.guarantee) {
-		p := t.last
-		t.last = t.next(p, false)
-		t.inside, t.within = t.inside.Sub(p.Job.demand()), t.within-1
-		t.setWithin(p, false)
+// moveBoundary moves the boundary of the guarantee. The sum of demand only grows with each younger
+// job, so the jobs within the guarantee are always the oldest ones up to some job.
+func (t *team[H]) moveBoundary() {
+	for t.lastWithin != nil && !fits(t.withinDemand, t.guarantee) {
+		entry := t.lastWithin
+		t.lastWithin = t.neighbor(entry, false)
+		t.withinDemand, t.withinCount = t.withinDemand.Sub(entry.Job.demand()), t.withinCount-1
+		t.setWithin(entry, false)
 	}
-	if t.last == nil {
-		t.inside, t.within = placement.Size{}, 0
+	if t.lastWithin == nil {
+		t.withinDemand, t.withinCount = placement.Size{}, 0
 	}
 	for {
-		var p *Place[H]
-		if t.last != nil {
-			p = t.next(t.last, true)
-		} else if o, ok := t.byAge.Min(); ok {
-			p = o
+		var entry *Entry[H]
+		if t.lastWithin != nil {
+			entry = t.neighbor(t.lastWithin, true)
+		} else if oldest, ok := t.byAge.Min(); ok {
+			entry = oldest
 		}
-		if p == nil || !fits(t.inside.Add(p.Job.demand()), t.guarantee) {
+		if entry == nil || !fits(t.withinDemand.Add(entry.Job.demand()), t.guarantee) {
 			return
 		}
-		t.last = p
-		t.inside, t.within = t.inside.Add(p.Job.demand()), t.within+1
-		t.setWithin(p, true)
+		t.lastWithin = entry
+		t.withinDemand, t.withinCount = t.withinDemand.Add(entry.Job.demand()), t.withinCount+1
+		t.setWithin(entry, true)
 	}
 }
 
-func (t *team[H]) setWithin(p *Place[H], v bool) {
-	t.leave(p)
-	p.Within = v
-	t.wait(p)
+// setWithin sets WithinGuarantee, which changes the position of a waiting job.
+func (t *team[H]) setWithin(entry *Entry[H], within bool) {
+	t.dequeue(entry)
+	entry.WithinGuarantee = within
+	t.enqueue(entry)
 }
 
-// Judge decides anew which jobs of each team are late, where anything has changed, and
-// which are overdue: accepted more than begin seconds ago, and not begun. now is in seconds
-// of the day's time, cpus what a team can use for its batches.
-func (q *Queue[H]) Judge(now, begin float64, cpus func(team string) float64) {
-	for _, name := range q.names {
+// UpdateDeadlines recomputes which jobs of each team are late, and which are overdue: accepted more
+// than startWithinS seconds ago and not started. nowS is in seconds of wall-clock time. cpus returns
+// the CPUs that a team can use, its services included.
+func (q *Queue[H]) UpdateDeadlines(nowS, startWithinS float64, cpus func(team string) float64) {
+	for _, name := range q.teamNames {
 		t := q.teams[name]
-		t.overdue(now - begin)
+		t.updateOverdue(nowS - startWithinS)
 		if t.byDue.Len() == 0 {
 			continue
 		}
-		t.judge(now, max(1, cpus(name)-t.services))
+		t.updateLate(nowS, max(1, cpus(name)-t.serviceCPUs))
 	}
 }
 
-// overdue marks the jobs accepted before a time that have not begun. Those that cannot be on
-// time go last, the largest of them after all others; without a bound one waited for seven
-// minutes while younger work kept coming. One task each goes ahead, so the others lose little.
-func (t *team[H]) overdue(before float64) {
-	var turned []*Place[H]
-	t.byAge.Ascend(func(p *Place[H]) bool {
-		if float64(p.Job.Accepted)/1000 <= before && !p.Job.Begun && !p.Overdue && p.Job.Pending > 0 {
-			turned = append(turned, p)
+// updateOverdue marks the jobs accepted until a time that have not started. Jobs that cannot be on
+// time are served last, and the largest of them after all others. Without this limit, one of them
+// waited for seven minutes while younger work kept coming. Only one task of each goes ahead, so the
+// other jobs lose little.
+func (t *team[H]) updateOverdue(acceptedUntilS float64) {
+	var changed []*Entry[H]
+	t.byAge.Ascend(func(entry *Entry[H]) bool {
+		if float64(entry.Job.AcceptedMS)/1000 <= acceptedUntilS &&
+			!entry.Job.Started && !entry.Overdue && entry.Job.Pending > 0 {
+			changed = append(changed, entry)
 		}
 		return true
 	})
-	for _, p := range turned {
-		t.leave(p)
-		p.Overdue = true
-		t.wait(p)
+	for _, entry := range changed {
+		t.dequeue(entry)
+		entry.Overdue = true
+		t.enqueue(entry)
 	}
 }
 
-// judge gives up being on time for as few jobs as possible (Moore and Hodgson): in
-// order of deadline, and whenever one would be late, the largest so far is left out.
-// Plain order of deadline lets one hopeless job make all after it late.
-func (t *team[H]) judge(now, cpus float64) {
-	var kept largest[H]
-	late := map[*Place[H]]bool{}
-	at := now
-	t.byDue.Ascend(func(p *Place[H]) bool {
-		if now+p.Job.Estimate > p.Job.Due && p.Job.Pending > 0 {
-			late[p] = true
+// updateLate chooses as few jobs as possible to be late, by the Moore-Hodgson algorithm: it adds
+// jobs in order of deadline, and whenever one would be late, it leaves out the largest so far. In
+// plain order of deadline, a single job that cannot be on time would make all jobs after it late.
+func (t *team[H]) updateLate(nowS, cpus float64) {
+	var onTime workHeap[H]
+	late := map[*Entry[H]]bool{}
+	finishS := nowS
+	t.byDue.Ascend(func(entry *Entry[H]) bool {
+		if nowS+entry.Job.EstimateS > entry.Job.Due && entry.Job.Pending > 0 {
+			late[entry] = true
 			return true
 		}
-		heap.Push(&kept, p)
-		if at += p.Job.work() / cpus; at > p.Job.Due {
-			o := heap.Pop(&kept).(*Place[H])
-			late[o] = true
-			at -= o.Job.work() / cpus
+		heap.Push(&onTime, entry)
+		if finishS += entry.Job.workLeft() / cpus; finishS > entry.Job.Due {
+			largest := heap.Pop(&onTime).(*Entry[H])
+			late[largest] = true
+			finishS -= largest.Job.workLeft() / cpus
 		}
 		return true
 	})
-	var turned []*Place[H]
-	t.byDue.Ascend(func(p *Place[H]) bool {
-		if p.Late != late[p] {
-			turned = append(turned, p)
+	var changed []*Entry[H]
+	t.byDue.Ascend(func(entry *Entry[H]) bool {
+		if entry.Late != late[entry] {
+			changed = append(changed, entry)
 		}
 		return true
 	})
-	for _, p := range turned {
-		t.leave(p)
-		p.Late = !p.Late
-		t.wait(p)
+	for _, entry := range changed {
+		t.dequeue(entry)
+		entry.Late = !entry.Late
+		t.enqueue(entry)
 	}
 }
 
-// Len is how many jobs wait.
+// Len returns the number of waiting jobs.
 func (q *Queue[H]) Len() int {
 	n := 0
 	for _, t := range q.teams {
@@ -365,61 +388,61 @@
 	return n
 }
 
-// Of returns a job's place; nil: not known.
-func (q *Queue[H]) Of(id string) *Place[H] { return q.jobs[id] }
-
-// Walk calls f with the waiting jobs in the order they are served. room is asked anew
-// for each step what a job of the team may find at the most; jobs that ask for more
-// are skipped without a look at each. f may place tasks, but must not put or drop
-// jobs; it says whether to go on.
-func (q *Queue[H]) Walk(room func(team string) placement.Size, f func(*Place[H]) bool) {
-	heads := make([]*Place[H], 0, len(q.names))
-	for _, name := range q.names {
-		if p := q.teams[name].waiting.first(room(name)); p != nil {
-			heads = append(heads, p)
+// Get returns the entry of a job, or nil if it is not known.
+func (q *Queue[H]) Get(id string) *Entry[H] { return q.jobs[id] }
+
+// Walk calls visit with the waiting jobs in the order in which they are served, until visit returns
+// false. freeFor returns the most capacity that a task of the team may find; it is called again for
+// each step. Jobs whose tasks are larger are skipped without visiting each of them. visit may place
+// tasks, but must not put or remove jobs.
+func (q *Queue[H]) Walk(freeFor func(team string) placement.Size, visit func(*Entry[H]) bool) {
+	heads := make([]*Entry[H], 0, len(q.teamNames))
+	for _, name := range q.teamNames {
+		if entry := q.teams[name].waiting.first(freeFor(name)); entry != nil {
+			heads = append(heads, entry)
 		}
 	}
 	for len(heads) > 0 {
-		k := 0
+		next := 0
 		for i := range heads {
-			if before(heads[i], heads[k]) {
-				k = i
+			if servedBefore(heads[i], heads[next]) {
+				next = i
 			}
 		}
-		p := heads[k]
-		// Room has shrunk since this head was found.
-		if most := room(p.Job.Team); !placement.Fits(most, p.Job.Ask) {
-			if n := q.teams[p.Job.Team].waiting.after(p, most); n != nil {
-				heads[k] = n
+		entry := heads[next]
+		// There is less free capacity than when this head was found.
+		if free := freeFor(entry.Job.Team); !placement.Fits(free, entry.Job.TaskSize) {
+			if following := q.teams[entry.Job.Team].waiting.after(entry, free); following != nil {
+				heads[next] = following
 			} else {
-				heads = slices.Delete(heads, k, k+1)
+				heads = slices.Delete(heads, next, next+1)
 			}
 			continue
 		}
-		if !f(p) {
+		if !visit(entry) {
 			return
 		}
-		if n := q.teams[p.Job.Team].waiting.after(p, room(p.Job.Team)); n != nil {
-			heads[k] = n
+		if following := q.teams[entry.Job.Team].waiting.after(entry, freeFor(entry.Job.Team)); following != nil {
+			heads[next] = following
 		} else {
-			heads = slices.Delete(heads, k, k+1)
+			heads = slices.Delete(heads, next, next+1)
 		}
 	}
 }
 
-// largest is a heap of jobs, the most work on top.
-type largest[H any] []*Place[H]
+// workHeap is a heap of jobs with the one with the most work on top.
+type workHeap[H any] []*Entry[H]
 
-func (h largest[H]) Len() int { return len(h) }
-func (h largest[H]) Less(i, j int) bool {
-	if a, b := h[i].Job.work(), h[j].Job.work(); a != b {
+func (h workHeap[H]) Len() int { return len(h) }
+func (h workHeap[H]) Less(i, j int) bool {
+	if a, b := h[i].Job.workLeft(), h[j].Job.workLeft(); a != b {
 		return a > b
 	}
-	return sooner(h[i], h[j])
+	return dueBefore(h[i], h[j])
 }
-func (h largest[H]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *largest[H]) Push(x any)   { *h = append(*h, x.(*Place[H])) }
-func (h *largest[H]) Pop() any {
+func (h workHeap[H]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *workHeap[H]) Push(x any)   { *h = append(*h, x.(*Entry[H])) }
+func (h *workHeap[H]) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
