--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -109,23 +109,24 @@
 }
 
 // New returns a core that has not read the state yet.
-func New(p Params) *Core {
-	c := &Core{params: p,
+func New(params Params) *Core {
+	c := &Core{
+		params:         params,
 		cloudCallbacks: map[uint64]func(CloudReply){},
 		notBefore:      map[string]Time{},
 	}
-	seed := fnv.New64a()
-	_, _ = seed.Write([]byte(p.Node))
-	c.jitter = rand.New(rand.NewPCG(seed.Sum64(), 0))
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(params.Node))
+	c.jitter = rand.New(rand.NewPCG(hash.Sum64(), 0))
 	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
 	c.mirror = newMirror()
-	c.rollout = rollout.New(rollout.Features(), sortedKeys(p.NodeZones), c.nodes)
+	c.rollout = rollout.New(rollout.Features(), sortedKeys(params.NodeZones), c.nodes)
 	c.holderState = newHolderState()
 	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
-	c.indexes = newIndexes(p.Teams)
-	c.objectives = p.Objectives
-	c.callQueue = newCallQueue(p)
-	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(p.Weights, c.imageCaches)
+	c.indexes = newIndexes(params.Teams)
+	c.objectives = params.Objectives
+	c.callQueue = newCallQueue(params)
+	c.calendar, c.dependencyState, c.weights = newCalendar(), newDependencyState(), newWeights(params.Weights, c.imageCaches)
 	c.limitReservations = map[string]reservation.Reservation{}
 	c.reservations = map[int]*reservation.Table[*machine]{}
 	c.runTimes = forecast.New(forecast.Params{
@@ -135,17 +136,17 @@
 	})
 	c.pendingMachines, c.workerAddresses = newPendingMachines(), takeover.NewAddressBook()
 	c.userState = newUserState()
-	c.peerState = newPeerState(p)
+	c.peerState = newPeerState(params)
 	c.stateRoutes = newStateRouter()
-	c.reachability = newReachability(p, c.nodes)
+	c.reachability = newReachability(params, c.nodes)
 	// The longest time without confirmation has to span several renewals.
 	c.presence = membership.NewPresence(membership.PresenceTimes{
 		Retry:  tuning.RetryAfter,
 		Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4),
 	})
 	c.term = membership.NewTerm(tuning.RetryAfter)
-	c.leader.reset(p.CloudListLag)
-	c.writeLimits = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: p.MaxValueBytes, Changes: p.MaxTxnOps})
+	c.leader.reset(params.CloudListLag)
+	c.writeLimits = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: params.MaxValueBytes, Changes: params.MaxTxnOps})
 	c.applyWriteLimits(c.writeLimits.Bounds())
 	return c
 }
@@ -226,8 +227,8 @@
 }
 
 // answer answers a request with an HTTP status and a body.
-func (c *Core) answer(req uint64, status int, body any) {
-	if origin, ok := c.relays.TakeOrigin(req); ok { // the report was relayed by a peer, and so is its answer
+func (c *Core) answer(request uint64, status int, body any) {
+	if origin, ok := c.relays.TakeOrigin(request); ok { // the report was relayed by a peer, and so is its answer
 		relayed := &RelayAnswer{ID: origin.ID, Status: status}
 		if report, ok := body.(wire.ReportReply); ok {
 			relayed.Token, relayed.Commands = report.Token, report.Commands
@@ -235,15 +236,16 @@
 		c.sendToPeer(origin.From, PeerMessage{Answer: relayed})
 		return
 	}
-	answer := Answer{Req: req, Status: status, Body: body}
+	response := Answer{Req: request, Status: status, Body: body}
 	if status == 503 || status == 429 {
-		answer.RetryAfter = tuning.RetryHint
+		response.RetryAfter = tuning.RetryHint
 	}
-	c.effects = append(c.effects, answer)
+	c.effects = append(c.effects, response)
 }
 
-func (c *Core) log(level int, msg string, kv ...any) {
-	c.effects = append(c.effects, Log{Level: level, Msg: msg, KV: kv})
+// log emits a log line at a level: 0 error, 1 info, 2 debug, 3 warning.
+func (c *Core) log(level int, message string, attributes ...any) {
+	c.effects = append(c.effects, Log{Level: level, Msg: message, KV: attributes})
 }
 
 // dueEvery reports whether the periodic action of this name is due. If so, it schedules the next run
@@ -475,13 +477,16 @@
 	}
 	from := entry.record.Holder
 	c.pendingTransfers[shard] = pendingTransfer{record, from}
-	c.commit(LaneFirst, append(conditions, wire.Condition{Key: key, Version: entry.version}), []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
-		if reply.Status == 200 {
-			c.recordShardTaken(shard)
-		}
-		c.log(1, "shard assigned", "shard", shard, "holder", node, "from", from, "status", reply.Status)
-		c.mirrorChanged()
-	})
+	c.commit(LaneFirst,
+		append(conditions, wire.Condition{Key: key, Version: entry.version}),
+		[]wire.Change{{Put: key, Value: record}},
+		func(reply StateReply) {
+			if reply.Status == 200 {
+				c.recordShardTaken(shard)
+			}
+			c.log(1, "shard assigned", "shard", shard, "holder", node, "from", from, "status", reply.Status)
+			c.mirrorChanged()
+		})
 }
 
 // commit writes a transaction and calls done with the reply. On success it applies the changes to the
@@ -522,6 +527,7 @@
 	return placement.Size{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemGB: machineType.MemoryGB}, ok
 }
 
+// sortedKeys returns a map's keys in ascending order, so that every run visits them in the same order.
 func sortedKeys[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -192,7 +192,7 @@
 // applyPeerUpdates applies what a peer knows and the mirror may not contain yet: assignments of shards and
 // blocks, and jobs that are over. It reports whether a shard or block that this controller holds has been
 // assigned again; then the peer's answer does not confirm this controller's authority to act.
-func (c *Core) applyPeerUpdates(updates []membership.Entry) (against bool) {
+func (c *Core) applyPeerUpdates(updates []membership.Entry) (conflict bool) {
 	for _, update := range updates {
 		switch id, isBlock := strings.CutPrefix(update.Key, wire.PrefixBlock); {
 		case strings.HasPrefix(update.Key, wire.PrefixJob):
@@ -205,15 +205,15 @@
 		case update.Revision <= c.mirrorRevision:
 		case isBlock:
 			if block := c.blocks[id]; block != nil && block.version < update.Revision {
-				against = against || c.heldShards[block.record.Shard] || c.grantedShards[block.record.Shard]
+				conflict = conflict || c.heldShards[block.record.Shard] || c.grantedShards[block.record.Shard]
 			}
 		default:
 			shard, err := strconv.Atoi(strings.TrimPrefix(update.Key, wire.PrefixShard))
 			entry := c.shards[shard]
-			against = against || err != nil || entry != nil && entry.version < update.Revision && (c.heldShards[shard] || c.grantedShards[shard])
+			conflict = conflict || err != nil || entry != nil && entry.version < update.Revision && (c.heldShards[shard] || c.grantedShards[shard])
 		}
 	}
-	return against
+	return conflict
 }
 
 // yieldShards stops serving shards that a peer holds under a later fencing token.
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -143,7 +143,10 @@
 		if successor == "" || c.now < c.notBefore["take:"+shardKey(shard)] {
 			continue
 		}
-		c.recordShardEvent(trail.ShardGiven, shard, wire.TrailEvent{Node: successor, Why: fmt.Sprintf("its machines silent for %.1f s here, heard there", silent.Seconds())})
+		c.recordShardEvent(trail.ShardGiven, shard, wire.TrailEvent{
+			Node: successor,
+			Why:  fmt.Sprintf("its machines silent for %.1f s here, heard there", silent.Seconds()),
+		})
 		c.assignShard(shard, successor, c.nodes[successor].Boot)
 	}
 }
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -57,7 +57,11 @@
 // whether they run on machines of an earlier holder.
 func (c *Core) recordHeldTasks(entry *jobEntry, shard int) {
 	if count := entry.run.inheritedBelow - entry.run.done.Count(); entry.run.inheritedBelow > 0 && count > 0 {
-		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{Job: entry.record.ID, Count: count, Why: "may run on machines that are not accounted for"})
+		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{
+			Job:   entry.record.ID,
+			Count: count,
+			Why:   "may run on machines that are not accounted for",
+		})
 	}
 }
 
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -284,7 +284,8 @@
 		return
 	}
 	job.AcceptedMS, job.Number = c.wall.UnixMilli(), c.newestRevision
-	if encoded, err := wire.Marshal(job); err != nil || !wire.FitsIn(encoded, c.params.MaxValueBytes-min(1024, c.params.MaxValueBytes/2)) { // leaves space for the job's progress in the record
+	// The record needs space for the job's progress.
+	if encoded, err := wire.Marshal(job); err != nil || !wire.FitsIn(encoded, c.params.MaxValueBytes-min(1024, c.params.MaxValueBytes/2)) {
 		unlessKnown(func() { c.answer(submit.Req, 422, wire.Problem{Error: "job description too large to keep"}) })
 		return
 	}
@@ -332,7 +333,8 @@
 	for _, name := range sortedKeys(c.machineTypes) {
 		machineType := c.machineTypes[name]
 		capacity, _ := c.machineSize(name)
-		if supply.AllowsType(job.Types, name) && placement.Fits(capacity, jobSize(job)) && (job.Zone == "" || slices.Contains(machineType.Zones, job.Zone)) {
+		if supply.AllowsType(job.Types, name) && placement.Fits(capacity, jobSize(job)) &&
+			(job.Zone == "" || slices.Contains(machineType.Zones, job.Zone)) {
 			return ""
 		}
 	}
