--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -122,7 +122,7 @@
 // as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
 	inherited := c.dependencies.Inherited(e.record.ID)
-	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
+	e.priority, e.rank, e.inheritedDue = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
 	if inherited.Priority > e.priority {
 		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
 			normal := e.record
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -187,7 +187,7 @@
 		Rank:          e.rank,
 		ZoneBound:     j.Zone != "" || j.OneZone,
 		Service:       j.Shape == wire.ShapeService,
-		Due:           min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.due),
+		Due:           min(c.objectives.Due(objectiveWork(j)), c.crewDue(j.ID), e.inheritedDue),
 		Pressed:       c.crewPressed(j.ID),
 		VirtualFinish: objectiveLimits.VirtualFinish(objectiveWork(j)),
 		EstimateS:     j.EstimateS,
--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -134,10 +134,10 @@
 			if e.priority != wire.PriorityRank(priority) || e.rank != c.tierOrder.Rank(&as) {
 				t.Errorf("%s: %s: priority %d, rung %d, want those of an %s job", when, n, e.priority, e.rank, priority)
 			}
-			if last := float64(c.waitingJobs[ids[4]].record.AcceptedMS)/1000 + 200; e.due >= last-4*sec.Seconds() || e.due < last-120 {
-				t.Errorf("%s: %s: due at %.1f, the last job at %.1f", when, n, e.due, last)
+			if last := float64(c.waitingJobs[ids[4]].record.AcceptedMS)/1000 + 200; e.inheritedDue >= last-4*sec.Seconds() || e.inheritedDue < last-120 {
+				t.Errorf("%s: %s: due at %.1f, the last job at %.1f", when, n, e.inheritedDue, last)
 			}
-			out = append(out, fmt.Sprintf("%.3f", e.due))
+			out = append(out, fmt.Sprintf("%.3f", e.inheritedDue))
 			for _, a := range e.runActive() {
 				if a.idlePriority || a.belowUrgent != (e.priority < urgentRank) {
 					t.Errorf("%s: %s: a task that runs gives way: to normal work %v, to urgent %v", when, n, a.idlePriority, a.belowUrgent)
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -67,10 +67,12 @@
 type jobEntry struct {
 	record   wire.Job
 	version  uint64
-	priority int     // effective priority, which may be inherited from a dependent job
-	rank     int     // rank of its tier
-	due      float64 // earliest due time of the job and its dependents, in seconds since the Unix epoch; +Inf if there is none
-	run      *jobRun // nil unless this controller holds the job's shard
+	priority int // effective priority: the job's own or that of a job that depends on it
+	rank     int // rank of the effective tier
+	// inheritedDue is when the job has to be done for the jobs that depend on it to be on time, in seconds
+	// since the Unix epoch; +Inf if none of them has a due time.
+	inheritedDue float64
+	run          *jobRun // nil unless this controller holds the job's shard
 
 	dirty bool // its entries in the indexes have to be refreshed
 }
