--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -26,14 +26,14 @@
 func New(addr string, rps float64) *Client {
 	return &Client{
 		base:  "http://" + addr,
-		http:  cborhttp.NewClient(tuning.CloudTimeout, 8),
-		calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps*tuning.CloudShare))),
+		http:  cborhttp.NewClient(tuning.CloudCallTimeout, 8),
+		calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudCallShare), max(1, int(rps*tuning.CloudCallShare))),
 	}
 }
 
 // Do performs one call. Status 0 means that no usable answer came.
 func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudReply {
-	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CloudCallTimeout)
 	defer cancel()
 	if err := c.calls.Wait(ctx); err != nil {
 		return core.CloudReply{Status: http.StatusTooManyRequests, Err: "own call limit"}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -168,8 +168,8 @@
 // cannot be reached that is all that ends the tasks of a cancelled job.
 func (w Workers) check() error {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-	if membership.MaxUnconfirmed(seconds(w.LeaseS), seconds(w.CancelS)) < tuning.UnconfirmedLeast {
-		least := membership.LeaseExpiredAfter(seconds(w.LeaseS)) + tuning.UnconfirmedLeast*4/3
+	if membership.MaxUnconfirmed(seconds(w.LeaseS), seconds(w.CancelS)) < tuning.MinUnconfirmed {
+		least := membership.LeaseExpiredAfter(seconds(w.LeaseS)) + tuning.MinUnconfirmed*4/3
 		return fmt.Errorf("params.workers.cancel_s: must be at least %.2f with lease_s %v, got %v", least.Seconds()+0.005, w.LeaseS, w.CancelS)
 	}
 	return nil
--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -12,7 +12,7 @@
 
 // defaultSettings returns the settings that apply as long as an operator has not changed them.
 func defaultSettings() wire.Settings {
-	return wire.Settings{IdleReturnS: tuning.IdleReturn.Seconds(), SilentDropS: tuning.SilentDrop.Seconds(), Spot: true}
+	return wire.Settings{IdleReturnS: tuning.IdleReturnAfter.Seconds(), SilentDropS: tuning.SilentMachineDeleteAfter.Seconds(), Spot: true}
 }
 
 // settingsView returns the current settings and the version of their record.
--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -21,9 +21,9 @@
 // newCallQueue returns an empty queue of workers to be called.
 func newCallQueue(p Params) *callqueue.Queue[*machine] {
 	return callqueue.New[*machine](callqueue.Limits{
-		PerSecond: tuning.OrdersPerSecond,
-		Burst:     tuning.OrdersPerSecond / 2,
-		ScanLimit: tuning.OrderLook,
+		PerSecond: tuning.WorkerCallRate,
+		Burst:     tuning.WorkerCallRate / 2,
+		ScanLimit: tuning.WorkerCallCandidates,
 		MaxAge:    2 * p.ReportInterval,
 	})
 }
@@ -62,7 +62,7 @@
 	case c.machines[m.name] != m || m.addr == "" || m.leaseOver || m.silent ||
 		m.delivery.MissesAnswers() || !m.reported || !m.accounted || !c.holdsShard(m.shard):
 		return callqueue.Forget
-	case c.now-m.lastAnswered < tuning.OrderAfterAnswer:
+	case c.now-m.lastAnswered < tuning.WorkerCallDelay:
 		return callqueue.Wait // the call must not overtake the last answer
 	case len(c.stopCommands(m)) > 0:
 		return callqueue.Call
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -63,8 +63,8 @@
 	s = dependency.Stage{
 		Tasks:  j.Tasks,
 		Run:    c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
-		Spread: tuning.ChainSpread,
-		Begin:  tuning.ChainBegin.Seconds(),
+		Spread: tuning.ChainRunTimeSpread,
+		Begin:  tuning.ChainStartDelay.Seconds(),
 	}
 	if rate > 0 {
 		s.Fetch = j.ImageGB / rate
@@ -99,7 +99,7 @@
 		if c.shardOfTeam(job.Team) != shard {
 			continue
 		}
-		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
+		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.SlowBootFactor) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
 			list = append(list, job)
 		}
 	}
@@ -124,7 +124,7 @@
 	inherited := c.dependencies.Inherited(e.record.ID)
 	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
 	if inherited.Priority > e.priority {
-		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.MinChainSlack.Seconds() {
 			normal := e.record
 			normal.Priority = wire.PriorityName(normalRank)
 			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.tierOrder.Rank(&normal))
@@ -176,7 +176,7 @@
 // are cancelled end. A cancellation already follows from the stored end of another job, so it is written
 // at low priority.
 func (c *Core) processWaitingJobs() {
-	if c.dueEvery("rankWaiting", tuning.ChainRank) {
+	if c.dueEvery("rankWaiting", tuning.ChainEstimateInterval) {
 		c.rankWaitingJobs()
 	}
 	if c.announcedChains.Waiting != len(c.waitingJobs) {
@@ -260,7 +260,7 @@
 			c.recordDependentsMoved(ids[:len(keys)], cancelledBy)
 		}
 		if r.Status != 200 {
-			c.notBefore["chains"] = c.now + tuning.RetryAfter/2
+			c.notBefore["chains"] = c.now + tuning.BackgroundRetryDelay/2
 			for _, k := range keys {
 				c.rereadKey(k)
 			}
@@ -287,7 +287,7 @@
 	}
 	c.lookUpKeys(id, []string{finalKey(id)}, func(at jobLookup) {
 		if at.final == nil {
-			c.notBefore["chains"] = c.now + tuning.RetryAfter
+			c.notBefore["chains"] = c.now + tuning.BackgroundRetryDelay
 			done(false)
 			return
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -118,11 +118,11 @@
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(params.Node))
 	c.jitter = rand.New(rand.NewPCG(hash.Sum64(), 0))
-	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
+	c.trail = trail.New(trail.Limits{Events: tuning.MaxTrailEvents, Every: tuning.TrailWriteInterval})
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(params.NodeZones), c.nodes)
 	c.holderState = newHolderState()
-	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
+	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.ProgressRecordTasks)
 	c.indexes = newIndexes(params.Teams)
 	c.objectives = params.Objectives
 	c.callQueue = newCallQueue(params)
@@ -130,9 +130,9 @@
 	c.limitReservations = map[string]reservation.Reservation{}
 	c.reservations = map[int]*reservation.Table[*machine]{}
 	c.runTimes = forecast.New(forecast.Params{
-		PriorTasks:  tuning.ForecastPrior,
-		MaxTasks:    tuning.ForecastKeep,
-		PriorSpread: tuning.ForecastSpread,
+		PriorTasks:  tuning.ForecastPriorTasks,
+		MaxTasks:    tuning.ForecastMaxTasks,
+		PriorSpread: tuning.ForecastPriorSpread,
 	})
 	c.pendingMachines, c.workerAddresses = newPendingMachines(), takeover.NewAddressBook()
 	c.userState = newUserState()
@@ -141,10 +141,10 @@
 	c.reachability = newReachability(params, c.nodes)
 	// The longest time without confirmation has to span several renewals.
 	c.presence = membership.NewPresence(membership.PresenceTimes{
-		Retry:  tuning.RetryAfter,
-		Extend: min(tuning.ExtendEvery, c.maxUnconfirmed()/4),
+		Retry:  tuning.BackgroundRetryDelay,
+		Extend: min(tuning.StateLeaseRenewInterval, c.maxUnconfirmed()/4),
 	})
-	c.term = membership.NewTerm(tuning.RetryAfter)
+	c.term = membership.NewTerm(tuning.BackgroundRetryDelay)
 	c.leader.reset(params.CloudListLag)
 	c.writeLimits = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: params.MaxValueBytes, Changes: params.MaxTxnOps})
 	c.applyWriteLimits(c.writeLimits.Bounds())
@@ -238,7 +238,7 @@
 	}
 	response := Answer{Req: request, Status: status, Body: body}
 	if status == 503 || status == 429 {
-		response.RetryAfter = tuning.RetryHint
+		response.RetryAfter = tuning.UnavailableRetryAfter
 	}
 	c.effects = append(c.effects, response)
 }
@@ -351,7 +351,7 @@
 	if c.presence.Boot() == 0 {
 		return
 	}
-	if !c.loaded && !c.loading && c.dueEvery("load", tuning.RetryAfter) {
+	if !c.loaded && !c.loading && c.dueEvery("load", tuning.BackgroundRetryDelay) {
 		c.loading, c.listedKeys, c.listRevision = true, map[string]bool{}, 0
 		c.loadPage("", c.now)
 	}
@@ -362,7 +362,7 @@
 			Op:       OpWatch,
 			Key:      wire.LivePrefix,
 			Revision: c.mirrorRevision,
-			Hold:     min(tuning.WatchHold, c.maxUnconfirmed()/4),
+			Hold:     min(tuning.WatchMaxWait, c.maxUnconfirmed()/4),
 		}, func(reply StateReply) {
 			c.watching = false
 			switch reply.Status {
@@ -378,7 +378,7 @@
 				c.loadPage("", c.now)
 			default:
 				c.log(2, "watch failed", "status", reply.Status, "err", reply.Err)
-				c.notBefore["watch"] = c.now + tuning.RetryAfter
+				c.notBefore["watch"] = c.now + tuning.BackgroundRetryDelay
 			}
 		})
 	}
@@ -408,7 +408,7 @@
 		if reply.Status != 200 {
 			c.loading, c.watching = false, false
 			if c.loaded {
-				c.notBefore["watch"] = c.now + tuning.RetryAfter
+				c.notBefore["watch"] = c.now + tuning.BackgroundRetryDelay
 			}
 			c.log(0, "cannot list the state", "status", reply.Status, "err", reply.Err)
 			return
@@ -470,9 +470,9 @@
 // revision of the write is the shard's fencing token.
 func (c *Core) assignShard(shard int, node string, boot uint64, conditions ...wire.Condition) {
 	entry := c.shards[shard]
-	record := assignment.WithNewHolder(entry.record, node, boot, tuning.PastLives, c.params.MaxValueBytes)
+	record := assignment.WithNewHolder(entry.record, node, boot, tuning.MaxPastIncarnations, c.params.MaxValueBytes)
 	key := shardKey(shard)
-	if !c.dueEvery("take:"+key, tuning.RetryAfter) {
+	if !c.dueEvery("take:"+key, tuning.BackgroundRetryDelay) {
 		return
 	}
 	from := entry.record.Holder
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -21,16 +21,16 @@
 
 func newCalendar() *calendar.Book {
 	return calendar.NewBook(calendar.Margins{
-		Clock:    tuning.CrewClock,
-		Takeover: tuning.CrewTakeover,
-		Failures: tuning.CrewFailures,
-		Press:    tuning.CrewPress,
-		Rounds:   tuning.CrewRounds,
+		Clock:    tuning.CrewClockMargin,
+		Takeover: tuning.CrewTakeoverMargin,
+		Failures: tuning.CrewFailureShare,
+		Press:    tuning.CrewUrgentBefore,
+		Rounds:   tuning.CrewTaskRounds,
 	}, calendar.Limits{
-		Most:   tuning.CrewsMost,
-		Keep:   tuning.CrewKeep,
-		Settle: tuning.CrewSettle,
-		Rent:   tuning.RentMax,
+		Most:   tuning.MaxCrews,
+		Keep:   tuning.CrewHistoryEntries,
+		Settle: tuning.CrewMissedAfter,
+		Rent:   tuning.MaxRentMachines,
 	})
 }
 
@@ -89,7 +89,7 @@
 // planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
 // past departures.
 func (c *Core) planCrews() {
-	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
+	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewPlanInterval) {
 		return
 	}
 	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
@@ -128,7 +128,7 @@
 // rentAhead has the leader rent machines for work that crews expect. The request names are stored in the
 // crew's record before any request is sent, so every leader sends the same requests and no more.
 func (c *Core) rentAhead() {
-	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewEvery) {
+	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewPlanInterval) {
 		return
 	}
 	leader := &c.leader
@@ -178,7 +178,7 @@
 	}
 	offer, machineType := &offers[0], c.machineTypes[offers[0].Type]
 	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.params.Teams[entry.Rec.Team].CPUsMax,
-		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
+		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizonFactor))
 	if due {
 		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
 	}
@@ -198,14 +198,14 @@
 
 // publishBias writes how far run time estimates are off, for the held shards where that has changed.
 func (c *Core) publishBias() {
-	if !c.dueEvery("bias", tuning.BiasEvery) {
+	if !c.dueEvery("bias", tuning.BiasWriteInterval) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
+		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.MinBiasTasks, tuning.MinBiasChange) {
 			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
 				Put:   biasKey(i),
-				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
+				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.MinBiasTasks)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
 		}
 	}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -133,7 +133,7 @@
 	c.refreshIndexes()
 	var out []wire.Need
 	if need, short := c.spareNeed(shard); short {
-		out = supply.MergeNeed(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.MaxDemandNeeds)
 	}
 	starved := false
 	used := map[string]placement.Size{}
@@ -173,7 +173,7 @@
 			Urgent: e.priority >= urgentRank,
 			Idle:   e.priority <= idleRank,
 		}, want)
-		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.StarvedAfter
 		if missing == 0 && !overdue {
 			return true
 		}
@@ -184,11 +184,11 @@
 		}
 		if p.WithinGuarantee && missing > 0 {
 			starved = true
-			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.DireAfter {
+			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.StarvedAfter {
 				need.Dire = true
 			}
 		}
-		out = supply.MergeNeed(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.MaxDemandNeeds)
 		return true
 	})
 	for _, j := range soon { // after all jobs that could run now
@@ -199,7 +199,7 @@
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		if missing := want - pool.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
-			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.NeedsMax)
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.MaxDemandNeeds)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -219,18 +219,18 @@
 		if e.priority >= urgentRank || p.WithinGuarantee || p.Job.Service || e.record.DueS <= 0 {
 			return p.Job.Pending
 		}
-		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
+		bounds.Headroom, runtimeS = tuning.DeadlineHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
 	}
 	places := bounds.TargetParallelism(p.Job.Unfinished, runtimeS, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
 // demandPace bounds how often unmet demand is published and written.
-var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
+var demandPace = wants.Pace{Again: tuning.DemandRepeatInterval, Write: tuning.DemandWriteInterval, Keep: tuning.DemandTTL}
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
-	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
+	if !c.authorized() || !c.dueEvery("want", tuning.DemandInterval) {
 		return
 	}
 	var announcements []wants.Told
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -12,7 +12,7 @@
 // flush writes what the holder has to make durable, by compare-and-set. It writes what tasks and users
 // wait for first and the rest later, so that a low write rate never delays a start behind progress.
 func (c *Core) flush() {
-	if !c.dueEvery("flush", tuning.Tick) {
+	if !c.dueEvery("flush", tuning.TickInterval) {
 		return
 	}
 	c.flushStarts()
@@ -38,7 +38,7 @@
 func (c *Core) newBatch() *batch {
 	b := &batch{
 		c:              c,
-		maxChanges:     c.writeLimits.Bounds().Short(tuning.ShortOps),
+		maxChanges:     c.writeLimits.Bounds().Short(tuning.MinShortTxnChanges),
 		comparedShards: map[int]bool{},
 	}
 	if c.writeLimits.Alone(c.now) {
@@ -48,7 +48,7 @@
 }
 
 // full reports whether the batch has reached its limit of changes or bytes.
-func (b *batch) full() bool { return len(b.changes)+2 > b.maxChanges || b.bytes > tuning.TxnBytes }
+func (b *batch) full() bool { return len(b.changes)+2 > b.maxChanges || b.bytes > tuning.MaxTxnBytes }
 
 // add adds changes of a shard, with an optional further condition.
 func (b *batch) add(shard int, cond *wire.Condition, changes ...wire.Change) {
@@ -116,7 +116,7 @@
 		if r.Status == 200 {
 			written(r.Txn.Revision)
 		} else {
-			c.notBefore[duty] = c.now + tuning.RetryAfter/2
+			c.notBefore[duty] = c.now + tuning.BackgroundRetryDelay/2
 			c.log(2, "batch not written", "changes", len(b.changes), "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
@@ -214,7 +214,7 @@
 
 // flushLater writes changed block records and the progress of jobs, at low priority.
 func (c *Core) flushLater() {
-	if c.writingProgress || !c.dueEvery("flushLater", tuning.LaterEvery) {
+	if c.writingProgress || !c.dueEvery("flushLater", tuning.DeferredWriteInterval) {
 		return
 	}
 	b := c.newBatch()
@@ -230,7 +230,7 @@
 	c.refreshIndexes()
 	// The fewer jobs have progress to write, the sooner each is written: ends that are not stored are lost
 	// if this controller stops and the leases of the workers expire.
-	pause := min(max(time.Duration(len(c.pendingProgress))*tuning.ProgressEach, tuning.HastyFlush), tuning.LazyFlush)
+	pause := min(max(time.Duration(len(c.pendingProgress))*tuning.ProgressWriteInterval, tuning.UrgentProgressInterval), tuning.ProgressMaxDelay)
 	for _, e := range sortedJobs(c.pendingProgress) {
 		if b.full() {
 			break
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -67,7 +67,7 @@
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
 			// A third of the machines is one shard's.
-			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
+			book, each := starts.New(starts.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []starts.Entry
 			for k := range each {
 				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
@@ -98,7 +98,7 @@
 				}
 				images = append(images, has)
 			}
-			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.BlockSize, Max: tuning.BlockSizeMax, BlocksPerBatch: tuning.BlocksAtOnce}, true, true) {
+			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.MinBlockMachines, Max: tuning.MaxBlockMachines, BlocksPerBatch: tuning.BlocksPerBatch}, true, true) {
 				b.Idle, b.Spot = true, true
 				for k := range b.Machines {
 					b.Machines[k].Drop, b.Machines[k].Empty = true, true
@@ -121,7 +121,7 @@
 			}
 
 			want := wire.Want{Seen: 1 << 40}
-			for k := range tuning.NeedsMax {
+			for k := range tuning.MaxDemandNeeds {
 				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Dire: true, Rung: 7})
 			}
 			fit := limits.Fit(want, bytes, wants.Shorter)
@@ -130,7 +130,7 @@
 			}
 			w.put(demandKey(0), fit)
 
-			tr := trail.New(trail.Limits{Events: tuning.TrailEvents, Bytes: min(tuning.TrailBytes, bytes/2)})
+			tr := trail.New(trail.Limits{Events: tuning.MaxTrailEvents, Bytes: min(tuning.MaxStoredTrailBytes, bytes/2)})
 			for k := range machines {
 				tr.Add(time.Duration(k)*sec, time.UnixMilli(1e12), wire.TrailEvent{Kind: trail.LeaseOver, Machine: long(k), Count: 4, Node: "controller-of-a-long-name"})
 			}
@@ -155,7 +155,7 @@
 		shard.Teams = append(shard.Teams, fmt.Sprintf("team-of-a-long-name-%02d", k))
 	}
 	for k := range 20 {
-		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
+		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.MaxPastIncarnations, bytes)
 		w.put(shardKey(0), shard)
 	}
 
@@ -195,16 +195,16 @@
 // operators' records are those that they write.
 func (w *writer) operators(bytes, machines int) {
 	crew := wire.Crew{Name: "crew-of-a-long-name", Team: "team-of-a-long-name", Zone: "zone-of-a-long-name", Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Leaves: "2026-12-03T06:30", TimeZone: "Africa/Dakar", Rule: "FREQ=DAILY"}
-	for k := range tuning.CrewKeep {
+	for k := range tuning.CrewHistoryEntries {
 		crew.Past = append(crew.Past, wire.CrewOutcome{LeavesMS: 1e12 + int64(k), Jobs: 20, Met: 19, LateS: 12.5, Why: "two jobs of 40 tasks will be 80 s late"})
 		crew.History = append(crew.History, wire.CrewChange{AtMS: 1e12, Node: "controller-of-a-long-name", What: "changed, was to leave 2026-12-03T06:30 Africa/Dakar FREQ=DAILY"})
 	}
 	w.put(wire.PrefixCrew+crew.Name, limits.Fit(crew, bytes, calendar.Shorter))
-	for k := range (machines + tuning.RentMax - 1) / tuning.RentMax {
-		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.Booking(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.RentMax, Done: true})
+	for k := range (machines + tuning.MaxRentMachines - 1) / tuning.MaxRentMachines {
+		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.Booking(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.MaxRentMachines, Done: true})
 	}
 	crew = limits.Fit(crew, bytes, calendar.Fewer)
-	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewKeep-1 {
+	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewHistoryEntries-1 {
 		w.t.Errorf("%d bookings and %d departures are left", len(crew.Booked), len(crew.Past))
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
@@ -213,7 +213,7 @@
 	for k := range 6 {
 		lad.Rungs = append(lad.Rungs, wire.Rung{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
-	for k := range tuning.LadderHistory {
+	for k := range tuning.TierHistoryChanges {
 		c := wire.LadderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
 		for _, r := range lad.Rungs {
 			c.Rungs = append(c.Rungs, r.Name)
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -179,8 +179,8 @@
 		idleMarkVersions:        map[string]uint64{},
 		starvedSince:            map[int]Time{},
 		urgentReserve: supply.NewReserve(supply.ReserveLimits{
-			Retention: tuning.UrgentMemory,
-			Window:    tuning.ArrivalWindow,
+			Retention: tuning.UrgentSizeMemory,
+			Window:    tuning.UrgentArrivalWindow,
 		}),
 	}
 }
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	return requested && c.emptyFor(block, tuning.IdleOffer) && c.hasSpareWithout(block.record.Shard, c.machinesOf(block)...)
+	return requested && c.emptyFor(block, tuning.IdleBlockOfferAfter) && c.hasSpareWithout(block.record.Shard, c.machinesOf(block)...)
 }
 
 // emptyFor reports whether nothing has been on any machine of a block for a duration.
@@ -90,7 +90,7 @@
 // work around it has ended. A small share of the shard's machines is freed at a time: when it was one at
 // a time, the remaining machines of a fleet were paid for ten minutes longer.
 func (c *Core) consolidate(shard int) {
-	if c.unreconciledShards[shard] || !c.dueEvery(fmt.Sprintf("move%d", shard), tuning.MoveEvery) {
+	if c.unreconciledShards[shard] || !c.dueEvery(fmt.Sprintf("move%d", shard), tuning.ReplicaMoveInterval) {
 		return
 	}
 	var inUse []*machine
@@ -123,7 +123,7 @@
 		}
 		candidates = append(candidates, candidate)
 	}
-	for _, m := range disruption.Consolidate(candidates, max(1, len(inUse)/tuning.MoveShare)-moving, tuning.MoveLook) {
+	for _, m := range disruption.Consolidate(candidates, max(1, len(inUse)/tuning.MachinesPerReplicaMove)-moving, tuning.ReplicaMoveCandidates) {
 		m.moving = true
 		c.markDirty(m)
 		for _, k := range sortedAttemptKeys(m) {
@@ -137,7 +137,7 @@
 func (c *Core) movable(a *attempt) bool {
 	e := c.jobs[a.job]
 	return e != nil && e.run != nil && e.record.Shape == wire.ShapeService && !e.record.OneZone && !e.record.Spread && !a.stopping &&
-		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.MoveAfter
+		a.status == wire.TaskRunning && c.now-a.runningSince >= tuning.ReplicaMoveAfter
 }
 
 // retireMachines marks the machines of a shard that are to be returned: those that are idle, are silent, do
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -211,10 +211,10 @@
 
 // objectiveLimits bound the machines that are rented for work that is not urgent.
 var objectiveLimits = objectives.Limits{
-	ReferenceCPUs: tuning.TurnCPUs,
-	HorizonS:      tuning.IdleHorizon.Seconds(),
-	MinTimeS:      tuning.IdleLeast.Seconds(),
-	Headroom:      tuning.IdleHeadroom,
+	ReferenceCPUs: tuning.ReferenceCPUs,
+	HorizonS:      tuning.IdleWorkHorizon.Seconds(),
+	MinTimeS:      tuning.MinIdleWorkTime.Seconds(),
+	Headroom:      tuning.IdleWorkHeadroom,
 }
 
 // objectiveWork returns a job as the objectives see it. Times are in seconds.
@@ -237,7 +237,7 @@
 		return 0, true, true
 	}
 	started = max(e.record.Started, run.nextIndex)
-	if startsAhead := max(tuning.StartAhead, tuning.AheadTimes*len(run.active)); e.record.Started-run.nextIndex < startsAhead/2 && run.nextIndex > 0 {
+	if startsAhead := max(tuning.MinStartsAhead, tuning.StartsAheadFactor*len(run.active)); e.record.Started-run.nextIndex < startsAhead/2 && run.nextIndex > 0 {
 		started = max(started, min(e.record.Tasks, run.nextIndex+startsAhead))
 	}
 	return started, false, started > e.record.Started || c.placementChanged(e) || c.failureUnrecorded(e)
@@ -245,11 +245,11 @@
 
 // refreshLateness periodically decides again which jobs are late.
 func (c *Core) refreshLateness() {
-	if !c.dueEvery("judge", tuning.JudgeEvery) {
+	if !c.dueEvery("judge", tuning.LatenessCheckInterval) {
 		return
 	}
 	shardCPUs := c.shardCPUs()
-	c.jobQueue.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.BeginAfter.Seconds(), func(team string) float64 {
+	c.jobQueue.UpdateDeadlines(float64(c.wall.UnixMilli())/1000, tuning.FirstTaskWait.Seconds(), func(team string) float64 {
 		t := c.params.Teams[team]
 		return min(t.CPUsMax, max(shardCPUs[c.shardOfTeam(team)], t.CPUs))
 	})
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -39,9 +39,9 @@
 	*l = leaderState{
 		cloudMachines: inventory.New(inventory.Limits{
 			Lag:   listLag,
-			Gone:  3*listLag + tuning.GoneAfter,
-			Grace: tuning.SurpriseGrace,
-			Again: tuning.SurpriseAgain,
+			Gone:  3*listLag + tuning.UnlistedMachineGoneAfter,
+			Grace: tuning.UnassignedMachineGrace,
+			Again: tuning.UnassignedMachineCallInterval,
 		}),
 		servingShards:  map[int]bool{},
 		rentedMachines: map[int][]wire.MachineInfo{},
@@ -138,7 +138,7 @@
 	leader := &c.leader
 	names := sortedKeys(c.params.NodeZones)
 	if len(c.shards) < len(names) {
-		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.ShardGrace) || !c.dueEvery("shards", tuning.RetryAfter) {
+		if leader.writePending || (len(c.nodes) < len(names) && c.now-c.term.Since() < tuning.InitialShardGrace) || !c.dueEvery("shards", tuning.BackgroundRetryDelay) {
 			return
 		}
 		guarantees := map[string]float64{}
@@ -182,7 +182,7 @@
 		node, up := c.nodes[shard.record.Holder]
 		newHolder := ""
 		switch {
-		case !up || (node.Boot != shard.record.Boot && c.now-leader.nodeSince[shard.record.Holder] > tuning.GrantTTL):
+		case !up || (node.Boot != shard.record.Boot && c.now-leader.nodeSince[shard.record.Holder] > tuning.StateLeaseTTL):
 			// The holder is dead, or has restarted without retaking the shard.
 			newHolder = assignment.Successor(shard.record.Home, c.params.NodeZones, c.assignments.Members(c.now, c.self(), i, held))
 		case shard.record.Home != shard.record.Holder:
@@ -206,7 +206,7 @@
 		if c.shardOfTeam(team) >= 0 {
 			continue
 		}
-		if !c.dueEvery("addTeams", tuning.RetryAfter) {
+		if !c.dueEvery("addTeams", tuning.BackgroundRetryDelay) {
 			return
 		}
 		best := 0
@@ -229,8 +229,8 @@
 // cloudFailed records a failed cloud call and delays the next ones by an exponential, jittered backoff.
 func (c *Core) cloudFailed(what string, r CloudReply) {
 	leader := &c.leader
-	leader.cloudBackoff = min(max(2*leader.cloudBackoff, tuning.RetryAfter), tuning.CloudBackoffMax)
-	leader.cloudRetryAt = c.now + time.Duration(float64(leader.cloudBackoff)*(1-tuning.Jitter*c.jitter.Float64()))
+	leader.cloudBackoff = min(max(2*leader.cloudBackoff, tuning.BackgroundRetryDelay), tuning.CloudBackoffMax)
+	leader.cloudRetryAt = c.now + time.Duration(float64(leader.cloudBackoff)*(1-tuning.RetryJitter*c.jitter.Float64()))
 	c.recordEvent(wire.TrailEvent{Kind: trail.CloudFailed, Why: fmt.Sprintf("%s: status %d %s", what, r.Status, r.Err)})
 	c.log(1, "cloud call failed", "call", what, "status", r.Status, "err", r.Err, "pause", leader.cloudBackoff.String())
 }
@@ -238,14 +238,14 @@
 // readTypes reads the machine types from the cloud and writes them to the state service.
 func (c *Core) readTypes() {
 	leader := &c.leader
-	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.dueEvery("types", tuning.TypesEvery) {
+	if leader.readingTypes || c.now < leader.cloudRetryAt || !c.dueEvery("types", tuning.MachineTypesInterval) {
 		return
 	}
 	leader.readingTypes = true
 	c.callCloud(CloudCall{Op: OpTypes}, func(r CloudReply) {
 		leader.readingTypes = false
 		if r.Status != 200 {
-			c.notBefore["types"] = c.now + tuning.RetryAfter
+			c.notBefore["types"] = c.now + tuning.BackgroundRetryDelay
 			c.cloudFailed("machine types", r)
 			return
 		}
@@ -262,7 +262,7 @@
 			r.Types = r.Types[n:]
 			c.commit(LaneUser, []wire.Condition{c.leaderCondition()}, changes, func(r StateReply) {
 				if r.Status != 200 {
-					c.notBefore["types"] = c.now + tuning.RetryAfter
+					c.notBefore["types"] = c.now + tuning.BackgroundRetryDelay
 				}
 				c.mirrorChanged()
 			})
@@ -282,7 +282,7 @@
 // failed or are no longer listed are deleted.
 func (c *Core) readMachines() {
 	leader := &c.leader
-	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.dueEvery("list", tuning.ListEvery) {
+	if leader.listingMachines || c.now < leader.cloudRetryAt || !c.dueEvery("list", tuning.MachineListInterval) {
 		return
 	}
 	leader.listingMachines = true
@@ -393,7 +393,7 @@
 	if leader.deletingMachines || c.now < leader.cloudRetryAt {
 		return
 	}
-	names := leader.cloudMachines.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
+	names := leader.cloudMachines.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.MaxDeleteMachines)
 	if len(names) == 0 {
 		return
 	}
--- a/internal/core/meeting_slow_test.go
+++ b/internal/core/meeting_slow_test.go
@@ -11,7 +11,7 @@
 // The state service answers slowly, to everybody. Users poll live jobs, and one cancels:
 // a way around that is as slow is no way, so calls go on over the link, and polls are answered,
 // nineteen of twenty within the 2 s that users wait. It fails without `2*l.lastLatency` in reach.Link (503 to half of
-// the polls and more), and without AskAgain (up to 49 of 184 later than 2 s).
+// the polls and more), and without PollReadOverlapDelay (up to 49 of 184 later than 2 s).
 func TestSlowStateAnswersPolls(t *testing.T) {
 	t.Parallel()
 	for _, slow := range [][2]time.Duration{{300, 500}, {700, 1400}, {500, 1200}} { // ms, the least and the most
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -62,7 +62,7 @@
 				for i, team := range []string{"red", "blue", "green"} {
 					if w.shardRec(team).Holder == lone {
 						id := fmt.Sprintf("job-%06d", i)
-						w.at(tuning.WatchHold+sec, func() { w.cancelAt("c0", id, func() {}) }) // its open watch has ended
+						w.at(tuning.WatchMaxWait+sec, func() { w.cancelAt("c0", id, func() {}) }) // its open watch has ended
 					}
 				}
 				asked, refused := 0, 0
@@ -260,7 +260,7 @@
 				t.Fatalf("taken over %v: a report of session %d, number %d, changes what is known:\n%s\n%s", taken, r.Session, r.Seq, was, now)
 			}
 		}
-		w.run(tuning.RelayWait + sec)
+		w.run(tuning.RelayTimeout + sec)
 		w.backTo(t, 12, 40*sec)
 	}
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -93,7 +93,7 @@
 		machineCounts:     map[int]map[string]int{},
 		blockRevisions:    map[int]uint64{},
 		teamShards:        map[string]int{},
-		imageCaches:       weights.NewCaches(tuning.CachesEvery),
+		imageCaches:       weights.NewCaches(tuning.CacheRecordInterval),
 	}
 }
 
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -30,14 +30,14 @@
 		}
 	}
 	return peerState{
-		confirmation:  membership.NewPeerConfirmation(others, tuning.PeerPings, tuning.PeerNews),
+		confirmation:  membership.NewPeerConfirmation(others, tuning.MaxOpenPings, tuning.MaxPeerUpdates),
 		yieldedTo:     map[int]string{},
 		peerJobCounts: map[string]JobCount{},
 		relays: relay.NewTracker(relay.Limits{
 			Lease:            params.WorkerLease,
-			RedirectInterval: tuning.RelayFor,
-			MaxReports:       tuning.RelayReports,
-			AnswerTimeout:    tuning.RelayWait,
+			RedirectInterval: tuning.RelayTime,
+			MaxReports:       tuning.MaxRelayedReports,
+			AnswerTimeout:    tuning.RelayTimeout,
 		}),
 	}
 }
@@ -55,14 +55,14 @@
 // pingPeers pings every other controller. A ping carries the shards that this controller holds, the progress
 // of their jobs, its reachability report and new addresses of workers.
 func (c *Core) pingPeers() {
-	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
+	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerPingInterval) {
 		return
 	}
 	c.pingNonce++
 	c.confirmation.PingSent(c.now, c.pingNonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
-		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.PeerJobs {
+		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.MaxPeerJobCounts {
 			running, done := entry.run.taskCounts()
 			jobs = append(jobs, JobCount{ID: id, Running: running, Done: done})
 		}
@@ -90,7 +90,7 @@
 // recentWorkerAddresses lists the addresses of held workers that have come up recently. Each is repeated in
 // several pings.
 func (c *Core) recentWorkerAddresses() (recent []WorkerAddr) {
-	for _, name := range c.workerAddresses.RecentlyUp(c.now, tuning.AddrsFor, tuning.AddrsMost) {
+	for _, name := range c.workerAddresses.RecentlyUp(c.now, tuning.WorkerAddrAnnounceTime, tuning.MaxWorkerAddrs) {
 		if m := c.machines[name]; m != nil {
 			recent = append(recent, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
@@ -176,7 +176,7 @@
 		return // not an answer to a ping of this controller, or to one too old to count
 	}
 	c.assignments.PingAnswered(c.now, message.From)
-	uptime := time.Duration(float64(message.UpMS)*(1-tuning.Drift)) * time.Millisecond
+	uptime := time.Duration(float64(message.UpMS)*(1-tuning.ClockDrift)) * time.Millisecond
 	peer := membership.Peer{
 		Name:      message.From,
 		StartedAt: c.now - uptime,
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -10,13 +10,13 @@
 // newPendingMachines returns an empty set of machines to be accounted for.
 func newPendingMachines() *takeover.PendingMachines[*machine] {
 	return takeover.NewPendingMachines[*machine](takeover.Limits{
-		PerSecond:     tuning.RollPerSecond,
-		Burst:         tuning.RollBurst,
-		MaxInFlight:   tuning.RollOpen,
-		ScanLimit:     tuning.RollLook,
-		LostAfter:     2 * tuning.OrderTimeout,
-		RetryDelay:    tuning.RollPause,
-		RetryDelayMax: tuning.RollPauseMax,
+		PerSecond:     tuning.PendingQueryRate,
+		Burst:         tuning.PendingQueryBurst,
+		MaxInFlight:   tuning.MaxPendingQueries,
+		ScanLimit:     tuning.PendingQueryCandidates,
+		LostAfter:     2 * tuning.WorkerCallTimeout,
+		RetryDelay:    tuning.PendingQueryRetryDelay,
+		RetryDelayMax: tuning.PendingQueryRetryDelayMax,
 	})
 }
 
@@ -116,7 +116,7 @@
 			missing++
 		}
 	}
-	c.notBefore["addrs"] = c.now + tuning.AddrsEvery
+	c.notBefore["addrs"] = c.now + tuning.WorkerAddrCheckInterval
 	if missing > 0 {
 		c.listingMachines = true
 		c.readAddressPage("", map[string]wire.MachineInfo{})
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -75,7 +75,9 @@
 
 // reportMaxAge returns how long after its last report a machine is still given tasks. It allows
 // for two late reports, or a lost one.
-func (c *Core) reportMaxAge() time.Duration { return 2*c.params.ReportInterval + tuning.FreshMargin }
+func (c *Core) reportMaxAge() time.Duration {
+	return 2*c.params.ReportInterval + tuning.ReportFreshnessMargin
+}
 
 // urgentRank is the lowest priority that is served regardless of free capacity and cost.
 var urgentRank = wire.PriorityRank("urgent")
@@ -249,7 +251,7 @@
 		}
 	}
 	leftToOthers := []*machine{}
-	for range tuning.LocalTries {
+	for range tuning.LocalImageMachines {
 		m, beta := c.pickMachine(e, shard, size, anchor, zones, allowed, leftToOthers)
 		// gangFits has counted capacity for the whole gang, so it may not pass over any of it.
 		if m == nil || m.images[j.Image] || anchor || e.priority >= urgentRank || j.Shape == wire.ShapeGang || !c.leaveToLocalJob(p, m) {
@@ -263,10 +265,10 @@
 // leaveToLocalJob reports whether a machine without a job's image is better left to another job
 // that is served equally early and has its image there. A fetch takes as long as many tasks do,
 // and where tasks end all the time a machine with the image soon has free capacity. After
-// tuning.LocalWait of this, the job takes any machine.
+// tuning.LocalImageWait of this, the job takes any machine.
 func (c *Core) leaveToLocalJob(p *queue.Entry[*jobEntry], m *machine) bool {
 	run, examined, found := p.Handle.run, 0, false
-	if run.passedOverSince > 0 && c.now-run.passedOverSince > tuning.LocalWait {
+	if run.passedOverSince > 0 && c.now-run.passedOverSince > tuning.LocalImageWait {
 		return false
 	}
 	free := c.freeCapacity(m)
@@ -278,7 +280,7 @@
 		return placement.Size{CPUs: min(free.CPUs, t.CPUsMax-u.CPUs), GPUs: min(free.GPUs, t.GPUsMax-u.GPUs), MemGB: free.MemGB}
 	}, func(other *queue.Entry[*jobEntry]) bool {
 		e := other.Handle
-		if examined++; examined > tuning.LocalLook || e.rank < p.Handle.rank {
+		if examined++; examined > tuning.LocalImageJobs || e.rank < p.Handle.rank {
 			return false
 		}
 		found = other != p && e.rank == p.Handle.rank && other.WithinGuarantee == p.WithinGuarantee && other.Late == p.Late && other.Overdue == p.Overdue &&
@@ -296,7 +298,7 @@
 // the excluded ones, and its beta; nil if there is none.
 func (c *Core) pickMachine(e *jobEntry, shard int, size placement.Size, anchor bool, zones map[string]int, allowed func(ledger.Kind) bool, excluded []*machine) (*machine, int) {
 	j := &e.record
-	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.LookAt, allowed,
+	c.foundMachines = c.capacity.Find(shard, size, anchor, tuning.PlacementCandidates, allowed,
 		func(m *machine) bool { return !c.avoids(e, m) && !slices.Contains(excluded, m) },
 		func(m *machine) bool { return m.images[j.Image] }, c.foundMachines[:0])
 	c.candidates = c.candidates[:0]
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -19,7 +19,7 @@
 // are served in one pass, each on the machine where the least running time is lost. When they were served
 // one by one, each waited until the one before it had its machine.
 func (c *Core) preempt() {
-	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
+	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptionInterval) {
 		return
 	}
 	var jobs []*jobEntry
@@ -34,7 +34,7 @@
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
 		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang &&
-			c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+			c.now-e.run.waitingSince > tuning.PreemptionDelay && len(jobs) < tuning.MaxPreemptionJobs {
 			jobs = append(jobs, e)
 		}
 		return true
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -84,7 +84,7 @@
 		switch {
 		case !c.pendingProgress[e]:
 			delete(c.urgentProgress, e) // written, or the job is over or no longer held
-		case !b.full() && !e.run.writeInFlight && c.now-e.run.progressWrittenAt >= tuning.HastyFlush:
+		case !b.full() && !e.run.writeInFlight && c.now-e.run.progressWrittenAt >= tuning.UrgentProgressInterval:
 			e.run.progressWrittenAt = c.now
 			b.addProgress(e)
 		}
@@ -94,7 +94,7 @@
 // deleteStaleProgress deletes the progress records of a job that is over. The write requires that the
 // job's own record does not exist, and a job that is over never gets one again.
 func (c *Core) deleteStaleProgress() {
-	if c.leader.deletingProgress || !c.dueEvery("tidyDone", tuning.TidyEvery) {
+	if c.leader.deletingProgress || !c.dueEvery("tidyDone", tuning.CleanupInterval) {
 		return
 	}
 	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.MaxTxnOps/2)
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -19,16 +19,16 @@
 			{Ratio: 1.2, Weight: 3},
 			{Ratio: 1.5, Weight: 1.3},
 			{Ratio: 2.5, Weight: 0.25},
-			{Ratio: tuning.BootGiveUp, Weight: 0.25},
+			{Ratio: tuning.BootTimeoutFactor, Weight: 0.25},
 			{Ratio: math.Inf(1), Weight: 0.2},
 		},
-		Keep:    tuning.BootKeep,
-		Memory:  tuning.BootMemory,
-		Horizon: tuning.BootHorizon,
-		Enough:  tuning.BootEnough,
-		GiveUp:  tuning.BootHopeless,
-		Trust:   tuning.BootTrust,
-		Ahead:   tuning.BootAhead,
+		Keep:    tuning.MaxBootSamples,
+		Memory:  tuning.BootSampleTTL,
+		Horizon: tuning.BootHorizonFactor,
+		Enough:  tuning.BootChanceSufficient,
+		GiveUp:  tuning.BootChanceHopeless,
+		Trust:   tuning.BootChanceTrusted,
+		Ahead:   tuning.BootReplacementShare,
 	})
 }
 
@@ -82,7 +82,7 @@
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
-	case c.provisioning.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.provisioning.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootTimeoutFactor), tuning.MinBootTimeout):
 		return "never came up"
 	}
 	return ""
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -23,43 +23,43 @@
 
 // assignmentLimits are the times and counts by which reachability reports are evaluated.
 var assignmentLimits = assignment.Limits{
-	ReportTTL:           tuning.WayKeep,
-	ReachableFor:        3 * tuning.PeerEvery,
-	UnreachableAfter:    tuning.ApartAfter,
-	CloudAnswerTTL:      2 * tuning.AskCloud,
-	ReturnHomeAfter:     tuning.HomeAfter,
-	AllowedMissing:      tuning.MissingFew,
-	AllowedMissingShare: tuning.MissingShare,
+	ReportTTL:           tuning.RouteTTL,
+	ReachableFor:        3 * tuning.PeerPingInterval,
+	UnreachableAfter:    tuning.PeerUnreachableAfter,
+	CloudAnswerTTL:      2 * tuning.CloudQueryInterval,
+	ReturnHomeAfter:     tuning.HomeShardReturnAfter,
+	AllowedMissing:      tuning.FewMissingMachines,
+	AllowedMissingShare: tuning.MissingMachinesDivisor,
 }
 
 func newReachability(params Params, present map[string]wire.Node) reachability {
 	state := reachability{
 		cloudLink: reach.NewLink(reach.LinkLimits{
 			LateAfter:       time.Minute,
-			DownAfter:       tuning.CloudDown,
-			RecoverAfter:    tuning.CloudBack,
-			RecoverAfterMax: tuning.CloudBackMax,
-			FlapWindow:      tuning.CloudWindow,
+			DownAfter:       tuning.CloudLinkDownAfter,
+			RecoverAfter:    tuning.CloudLinkRecovery,
+			RecoverAfterMax: tuning.CloudLinkRecoveryMax,
+			FlapWindow:      tuning.CloudLinkFlapWindow,
 		}),
 		workerReach: reach.NewWorkers(reach.WorkerLimits{
-			ProbeInterval: tuning.ProbeEvery,
-			ProbeTimeout:  tuning.ProbeWait,
-			SampleSize:    tuning.ProbeSample,
-			ResampleAfter: tuning.ProbeAgain,
-			CutOffFor:     tuning.DeafFor,
-			CutOffForMax:  tuning.DeafMax,
+			ProbeInterval: tuning.ProbeInterval,
+			ProbeTimeout:  tuning.ProbeTimeout,
+			SampleSize:    tuning.ProbeSampleSize,
+			ResampleAfter: tuning.ProbeRepeatDelay,
+			CutOffFor:     tuning.CutOffPause,
+			CutOffForMax:  tuning.CutOffPauseMax,
 			Group: reach.GroupLimits{
 				ReportInterval: params.ReportInterval,
-				MinSilence:     tuning.SilenceLeast,
+				MinSilence:     tuning.MinSilence,
 				DownGaps:       tuning.SilenceGaps,
-				DownIntervals:  tuning.SuspectReports,
-				ProbeGaps:      tuning.AskGaps,
-				ProbeIntervals: tuning.AskReports,
+				DownIntervals:  tuning.SuspectReportIntervals,
+				ProbeGaps:      tuning.ProbeSilenceGaps,
+				ProbeIntervals: tuning.ProbeSilenceIntervals,
 			},
 		}),
 	}
 	state.assignments = assignment.NewTracker(params.Node, params.NodeZones, present, state.workerReach, state.cloudLink,
-		assignment.Rules{MinGain: tuning.MoveGain, SilentAfter: tuning.GiveAfter}, assignmentLimits)
+		assignment.Rules{MinGain: tuning.ShardTransferGain, SilentAfter: tuning.ShardTransferAfter}, assignmentLimits)
 	return state
 }
 
@@ -81,7 +81,7 @@
 // no report shows it. It reports changed links, publishes this controller's reachability report, and hands
 // over shards and leadership if another controller can serve them and this one cannot.
 func (c *Core) updateReachability() {
-	if !c.dueEvery("reach", tuning.ReachEvery) {
+	if !c.dueEvery("reach", tuning.ReachabilityInterval) {
 		return
 	}
 	held, missing := map[int]reach.MachineGroup{}, map[int]int{}
@@ -179,14 +179,14 @@
 func (c *Core) resignLeadership() {
 	r := &c.reachability
 	if !c.isLeader() {
-		if c.reachOf(c.leaderRecord.Node).NoCloud && !r.probingCloud && c.dueEvery("askCloud", tuning.AskCloud) {
+		if c.reachOf(c.leaderRecord.Node).NoCloud && !r.probingCloud && c.dueEvery("askCloud", tuning.CloudQueryInterval) {
 			r.probingCloud = true
 			c.callCloud(CloudCall{Op: OpTypes}, func(CloudReply) { r.probingCloud = false })
 		}
 		return
 	}
 	successor := c.assignments.LeadershipTarget(c.now, c.self())
-	if successor == "" || !c.term.StartResignation(c.now, tuning.StandDown) {
+	if successor == "" || !c.term.StartResignation(c.now, tuning.LeadershipPause) {
 		return
 	}
 	c.recordEvent(wire.TrailEvent{Kind: trail.LeadGiven, Node: successor, Why: "the cloud is not reached here, and is there"})
@@ -205,7 +205,7 @@
 	if stored.Boot != c.presence.Boot() {
 		stored = wire.Reach{Boot: c.presence.Boot()} // it is absent or an earlier incarnation's, which is deleted when that one's state lease expires
 	}
-	if wire.Same(current, stored) || r.writingReport || !c.presence.Registered() || !c.dueEvery("tellReach", tuning.TellReach) {
+	if wire.Same(current, stored) || r.writingReport || !c.presence.Registered() || !c.dueEvery("tellReach", tuning.ReachabilityWriteInterval) {
 		return
 	}
 	if current.Lacks != stored.Lacks {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -86,7 +86,7 @@
 }
 
 // tracksMachines reports whether the starts of a job are recorded with their machines.
-func tracksMachines(j *wire.Job) bool { return j.Tasks <= tuning.TrackTasks }
+func tracksMachines(j *wire.Job) bool { return j.Tasks <= tuning.MaxTrackedTasks }
 
 // recordedMachine returns the machine that a task was last started on according to its job's
 // record, or "" if it is not recorded.
@@ -235,17 +235,17 @@
 // outage, so these are waited for.
 func (c *Core) returnMissing() {
 	for _, shard := range sortedIntKeys(c.unreconciledShards) {
-		if unaccounted := c.unaccountedMachines[shard]; unaccounted == 0 || c.now-c.shardHeldSince[shard] < tuning.MissingCalled {
+		if unaccounted := c.unaccountedMachines[shard]; unaccounted == 0 || c.now-c.shardHeldSince[shard] < tuning.UnansweredMachineAfter {
 			continue
-		} else if total := c.machineCount(shard); unaccounted > max(tuning.MissingFew, total/tuning.MissingShare) {
+		} else if total := c.machineCount(shard); unaccounted > max(tuning.FewMissingMachines, total/tuning.MissingMachinesDivisor) {
 			continue
 		}
 		for _, m := range c.heldMachines() {
 			// A machine counts as missing after two calls without a usable answer. One whose
 			// address is not known gets until its next report is overdue.
-			waited := c.pendingMachines.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingAfter, c.params.ReportInterval*3/2)
+			waited := c.pendingMachines.FailedCalls(m) >= 2 || c.now-c.shardHeldSince[shard] > max(tuning.MissingMachineAfter, c.params.ReportInterval*3/2)
 			if m.shard == shard && m.inherited && !m.accounted && !m.reported && !m.base && !m.returning && waited &&
-				c.now-m.unprovenAnsweredAt > tuning.MissingCalled {
+				c.now-m.unprovenAnsweredAt > tuning.UnansweredMachineAfter {
 				m.returning = true
 				c.markDirty(m)
 				c.urgentBlocks[m.block] = true // written with the urgent writes
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -237,8 +237,8 @@
 	if prio <= own {
 		much = little
 	}
-	late := tuning.ChainRank.Seconds() + 1
-	switch slack := due - c.demandOf(&e.record).Length - float64(c.wall.UnixMilli())/1000 - tuning.ChainSlack.Seconds(); {
+	late := tuning.ChainEstimateInterval.Seconds() + 1
+	switch slack := due - c.demandOf(&e.record).Length - float64(c.wall.UnixMilli())/1000 - tuning.MinChainSlack.Seconds(); {
 	case slack > late:
 		return much
 	case slack < -late:
@@ -328,7 +328,7 @@
 	}
 	for _, p := range all {
 		if p.pending > 0 {
-			p.overdue = p.e.record.Started == 0 && p.e.run.nextIndex == 0 && float64(p.e.record.ReadySince())/1000 <= now-tuning.BeginAfter.Seconds()
+			p.overdue = p.e.record.Started == 0 && p.e.run.nextIndex == 0 && float64(p.e.record.ReadySince())/1000 <= now-tuning.FirstTaskWait.Seconds()
 			q = append(q, p)
 		}
 	}
@@ -359,7 +359,7 @@
 
 // turn orders jobs due at the same time: those with less work need not wait for long.
 func turn(e *jobEntry) float64 {
-	return float64(e.record.ReadySince())/1000 + float64(e.record.Tasks)*e.record.EstimateS*e.record.CPUs/tuning.TurnCPUs
+	return float64(e.record.ReadySince())/1000 + float64(e.record.Tasks)*e.record.EstimateS*e.record.CPUs/tuning.ReferenceCPUs
 }
 
 // markLate finds the jobs of one team to give up being on time for, so that as
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -17,9 +17,9 @@
 func (c *Core) writeBlocks(infos []wire.MachineInfo, base, fresh bool, assign func(*wire.Block), done func(ok bool)) {
 	leader := &c.leader
 	blocks := supply.FormBlocks(infos, supply.BlockSizes{
-		Min:            tuning.BlockSize,
-		Max:            tuning.BlockSizeMax,
-		BlocksPerBatch: tuning.BlocksAtOnce,
+		Min:            tuning.MinBlockMachines,
+		Max:            tuning.MaxBlockMachines,
+		BlocksPerBatch: tuning.BlocksPerBatch,
 	}, base, fresh)
 	leader.writePending = true
 	var write func(rest []wire.Block, allOK bool)
@@ -32,7 +32,7 @@
 			c.mirrorChanged()
 			return
 		}
-		n := min(len(rest), c.writeLimits.Bounds().Short(tuning.ShortOps))
+		n := min(len(rest), c.writeLimits.Bounds().Short(tuning.MinShortTxnChanges))
 		conditions := []wire.Condition{c.leaderCondition()}
 		var changes []wire.Change
 		for k := range rest[:n] {
@@ -146,7 +146,7 @@
 			offers = append(offers, offer)
 			requests = append(requests, boot.Ask{
 				Kind:  boot.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
-				Count: offer.MachineCount(need.Tasks, tuning.RentMax),
+				Count: offer.MachineCount(need.Tasks, tuning.MaxRentMachines),
 			})
 		}
 	}
@@ -188,7 +188,7 @@
 		case r.Status == 200:
 			leader.cloudBackoff = 0
 			if len(r.Names) < req.Count {
-				leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+				leader.offerRetryAt[key] = c.now + tuning.NoCapacityRetryDelay
 			}
 			infos := supply.RentedMachines(req, r.Names)
 			if len(infos) == 0 {
@@ -201,14 +201,14 @@
 			delete(leader.servingShards, shard)
 			c.runLeader()
 		case r.Status == 503 && r.Err == "no capacity":
-			leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			leader.offerRetryAt[key] = c.now + tuning.NoCapacityRetryDelay
 			delete(leader.servingShards, shard)
 			c.recordShardEvent(trail.RentRefused, shard, wire.TrailEvent{Why: "no capacity for " + req.Type + " in " + req.Zone})
 			c.log(1, "no capacity", "type", req.Type, "zone", req.Zone, "spot", req.Spot)
 			c.runLeader()
 		case r.Status == 400:
 			c.log(0, "rental refused as malformed", "booking", req.Request, "err", r.Err)
-			leader.offerRetryAt[key] = c.now + tuning.NoCapacityPause
+			leader.offerRetryAt[key] = c.now + tuning.NoCapacityRetryDelay
 			delete(leader.servingShards, shard)
 		case (r.Status == 429 || r.Status == 503) && tries == 0:
 			// The first attempt was refused, so the rental was certainly not executed.
@@ -247,7 +247,7 @@
 		to := shard
 		c.writeBlocks(rest, false, true, func(b *wire.Block) { b.Shard = to }, func(ok bool) {
 			if !ok { // tried again with the machines that are still in no block
-				c.notBefore["booked"] = c.now + tuning.RetryAfter
+				c.notBefore["booked"] = c.now + tuning.BackgroundRetryDelay
 			}
 		})
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -94,8 +94,8 @@
 // over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 &&
-		(c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.pendingMachines.FailedCalls(m) > 1)
+	exhausted := m.unprovenAnswers >= tuning.UnprovenReportAnswers || m.unprovenAnswers > 0 &&
+		(c.now-m.unprovenAnsweredAt > tuning.UnprovenReportWindow || c.pendingMachines.FailedCalls(m) > 1)
 	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -109,7 +109,7 @@
 // a worker that timed out waiting for an answer.
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.DeafGap, c.params.ReportInterval*5/4+time.Second))
+	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.UnansweredReportGap, c.params.ReportInterval*5/4+time.Second))
 	if m.delivery.StartTest(c.now, suspicious, c.params.WorkerLease/2) {
 		m.raisedToken = max(m.raisedToken, c.mirrorRevision)
 	}
@@ -354,7 +354,7 @@
 		return
 	}
 	e.run.failures++
-	e.run.notBefore = c.now + min(tuning.ErrorBackoff<<min(e.run.failures-1, 10), tuning.ErrorBackoffMax)
+	e.run.notBefore = c.now + min(tuning.TaskErrorBackoff<<min(e.run.failures-1, 10), tuning.TaskErrorBackoffMax)
 }
 
 // commands returns the commands for a machine, in answer to its report.
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -13,8 +13,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var reservationLimits = reservation.Limits{MaxShare: tuning.HoldShare,
-	Horizon: tuning.HoldHorizon, MinGain: tuning.HoldBetter,
+var reservationLimits = reservation.Limits{MaxShare: tuning.MaxReservationShare,
+	Horizon: tuning.ReservationHorizon, MinGain: tuning.ReservationMoveGain,
 }
 
 // withoutReservation returns what is left of a machine's free capacity for jobs other than the one that
@@ -41,13 +41,13 @@
 		return 0
 	}
 	_, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
-	return table.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizon))
+	return table.CountUntil(j.ID, c.now+seconds(boot*tuning.BootHorizonFactor))
 }
 
 // planReservations reserves capacity on the held shards for jobs whose tasks fit on no machine (package
 // reservation).
 func (c *Core) planReservations() {
-	if !c.authorized() || !c.dueEvery("holds", tuning.HoldEvery) {
+	if !c.authorized() || !c.dueEvery("holds", tuning.ReservationInterval) {
 		return
 	}
 	for _, shard := range c.shardIDs() {
@@ -70,7 +70,7 @@
 				machines = c.appendReservable(m, machines, &least)
 			}
 		}
-		wide := reservation.Oversized(requests, least, tuning.HoldTimes)
+		wide := reservation.Oversized(requests, least, tuning.OversizedFactor)
 		c.reserveTeamLimits(shard, wide)
 		for _, m := range table.Plan(c.now, wide, machines) {
 			if held, ok := table.Get(m); ok {
@@ -90,7 +90,7 @@
 	}
 	largestFree, used := c.capacity.MaxFree(shard), map[string]placement.Size{}
 	least = unlimitedCapacity("")
-	acceptedBefore := c.wall.Add(-tuning.HoldAfter).UnixMilli()
+	acceptedBefore := c.wall.Add(-tuning.ReservationDelay).UnixMilli()
 	c.jobQueue.Walk(func(team string) placement.Size {
 		if c.shardOfTeam(team) != shard {
 			return placement.Size{CPUs: -1}
@@ -100,7 +100,7 @@
 		e, size := p.Handle, p.Job.TaskSize
 		least = smallerSize(least, size)
 		if e.priority >= urgentRank || p.Late && !p.Overdue ||
-			p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs ||
+			p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.MaxReservationJobs ||
 			e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
 			return true // urgent work preempts other work instead
 		}
@@ -211,7 +211,7 @@
 				table.Remove(m)
 				c.placeOn(e, m, true)
 				c.log(2, "task placed on its reservation", "job", held.Job, "machine", m.name)
-			} else if held.FitsAt-c.now > tuning.HoldFill {
+			} else if held.FitsAt-c.now > tuning.ReservationLendAfter {
 				c.backfill(m, shard, held)
 			}
 		}
@@ -266,7 +266,7 @@
 		return c.freeCapacity(m)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e := p.Handle
-		if examined++; examined > tuning.HoldLook {
+		if examined++; examined > tuning.ReservationLendCandidates {
 			return false
 		}
 		if e.record.EstimateS <= 0 || !m.images[e.record.Image] || e.record.Shape != wire.ShapeBatch || c.placementBlocked(e, shard) ||
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -34,7 +34,7 @@
 		Version:  c.params.Version,
 		Features: c.params.Features,
 	})
-	if !due || !c.presence.Registered() || !c.dueEvery("version", tuning.RetryAfter) {
+	if !due || !c.presence.Registered() || !c.dueEvery("version", tuning.BackgroundRetryDelay) {
 		return
 	}
 	nodeKey, versionKey := wire.PrefixNode+node, wire.PrefixVersion+node
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -15,13 +15,13 @@
 
 // writeLimitParams configure how the limits of writes are learned from refused writes.
 var writeLimitParams = limits.FormParams{
-	Least:  limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
-	Factor: tuning.FormFactor,
-	Aside:  tuning.FormAside,
-	AsideM: tuning.FormAsideMax,
-	Alone:  tuning.FormAlone,
-	Stuck:  tuning.FormStuck,
-	Again:  tuning.FormAgain,
+	Least:  limits.Bounds{ValueBytes: tuning.MinLearnedValueBytes, Changes: 2},
+	Factor: tuning.LearnedLimitFactor,
+	Aside:  tuning.MalformedWriteDelay,
+	AsideM: tuning.MalformedWriteDelayMax,
+	Alone:  tuning.MalformedIsolationTime,
+	Stuck:  tuning.StartWriteStuckAfter,
+	Again:  tuning.MalformedWarningInterval,
 }
 
 // writeRefused lowers the limits of writes after the state service has refused one as malformed.
@@ -43,8 +43,8 @@
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
-	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
-	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
+	c.startLog.KeepTo(starts.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.trail.KeepTo(min(tuning.MaxStoredTrailBytes, bounds.ValueBytes/2))
 	c.calendar.KeepTo(bounds.ValueBytes)
 }
 
@@ -179,7 +179,7 @@
 		}
 	}
 	c.startsInFlight[shard] = true
-	c.startsPacedUntil[shard] = c.now + tuning.StartsEvery
+	c.startsPacedUntil[shard] = c.now + tuning.StartWriteInterval
 	c.commit(LaneUser, conditions, []wire.Change{{Put: plan.Key, Value: plan.Record}}, func(r StateReply) {
 		delete(c.startsInFlight, shard)
 		for _, e := range busy {
@@ -188,7 +188,7 @@
 			}
 		}
 		if r.Status != 200 {
-			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
+			c.startsRetryAt[shard] = c.now + tuning.StartWriteRetryDelay
 			c.log(2, "starts not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
--- a/internal/core/state_calls.go
+++ b/internal/core/state_calls.go
@@ -11,19 +11,19 @@
 
 func newStateRouter() *reach.Router[StateReply] {
 	return reach.NewRouter[StateReply](reach.RouterLimits{
-		OfferTTL:      tuning.WayKeep,
-		MaxHops:       tuning.WayHops,
-		OfferFreshFor: tuning.WayFresh,
-		CutOffAfter:   tuning.CutAfter,
-		RerouteGrace:  tuning.WayGrace,
-		CallTimeout:   tuning.StateTimeout,
+		OfferTTL:      tuning.RouteTTL,
+		MaxHops:       tuning.MaxRouteHops,
+		OfferFreshFor: tuning.RouteFreshness,
+		CutOffAfter:   tuning.NoRouteGrace,
+		RerouteGrace:  tuning.RouteLossGrace,
+		CallTimeout:   tuning.StateCallTimeout,
 		Link: reach.LinkLimits{
-			LateAfter:       tuning.LinkLate,
-			LateAfterMax:    tuning.LinkSlowest,
-			DownAfter:       tuning.LinkDown,
-			RecoverAfter:    tuning.LinkBack,
-			RecoverAfterMax: tuning.LinkBackMax,
-			FlapWindow:      tuning.LinkWindow,
+			LateAfter:       tuning.LinkLateAfter,
+			LateAfterMax:    tuning.LinkLateMax,
+			DownAfter:       tuning.LinkDownAfter,
+			RecoverAfter:    tuning.LinkRecovery,
+			RecoverAfterMax: tuning.LinkRecoveryMax,
+			FlapWindow:      tuning.LinkFlapWindow,
 		},
 	})
 }
@@ -75,7 +75,7 @@
 		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Reason})
 		c.log(1, "route to the state service changed", "through", peer, "link", judgement.Level.String(), "why", judgement.Reason)
 	}
-	if c.stateRoutes.ShouldProbe(judgement) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
+	if c.stateRoutes.ShouldProbe(judgement) && !c.probingState && c.dueEvery("probe", tuning.BackgroundRetryDelay) {
 		c.probeState()
 	}
 }
@@ -104,12 +104,12 @@
 // onPeerCall makes a call to the state service on behalf of a peer, if there is a route.
 func (c *Core) onPeerCall(peer string, call *PeerCall) {
 	respond := func(reply StateReply) {
-		if reply.Size() > tuning.PeerCarry {
+		if reply.Size() > tuning.MaxRelayedReplyBytes {
 			reply = StateReply{Err: "too large to pass on"}
 		}
 		c.sendToPeer(peer, PeerMessage{Result: &PeerResult{ID: call.ID, Life: call.Life, Reply: reply}})
 	}
-	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.OfferFor(c.now, peer) == 0 || call.Hops >= tuning.WayHops {
+	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.OfferFor(c.now, peer) == 0 || call.Hops >= tuning.MaxRouteHops {
 		respond(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
 		return
 	}
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -15,15 +15,15 @@
 		SoundJob:        tuning.BlameSoundJob,
 		NewJob:          tuning.BlameNewJob,
 		FailsElsewhere:  tuning.BlameElsewhere,
-		Suspect:         tuning.BlameSuspect,
-		Sick:            tuning.BlameSick,
+		Suspect:         tuning.BlameSuspectMachine,
+		Sick:            tuning.BlameFaultyMachine,
 		SoundMachine:    tuning.BlameSoundMachine,
 		NewMachine:      tuning.BlameNewMachine,
-		TroubledMachine: tuning.BlameTroubled,
-		Mistaken:        tuning.BlameMistaken,
-		Pause:           tuning.ErrorBackoff,
-		PauseMax:        tuning.ErrorBackoffMax,
-		MistakenMax:     tuning.MistakenMax,
+		TroubledMachine: tuning.BlameTroubledMachine,
+		Mistaken:        tuning.BlameFaultyJob,
+		Pause:           tuning.TaskErrorBackoff,
+		PauseMax:        tuning.TaskErrorBackoffMax,
+		MistakenMax:     tuning.FaultyJobBackoffMax,
 	})
 }
 
@@ -56,10 +56,10 @@
 	}
 }
 
-// countLongRunning counts a replica of a service that has run for tuning.ProvedAfter as a
+// countLongRunning counts a replica of a service that has run for tuning.ReplicaProvenAfter as a
 // completed task: services never complete, and a faulty machine or a mistake in the job shows sooner.
 func (c *Core) countLongRunning(a *attempt) {
-	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ProvedAfter {
+	if a.countedSound || a.status != wire.TaskRunning || c.now-a.runningSince < tuning.ReplicaProvenAfter {
 		return
 	}
 	if e := c.jobs[a.job]; e != nil && e.record.Shape == wire.ShapeService {
@@ -78,7 +78,7 @@
 	if c.taskHealth.Avoids(e.record.ID, m.name) {
 		return true
 	}
-	if c.taskHealth.Mistaken(e.record.ID) && !m.images[e.record.Image] && c.now < e.run.notBefore+tuning.MistakenFetch {
+	if c.taskHealth.Mistaken(e.record.ID) && !m.images[e.record.Image] && c.now < e.run.notBefore+tuning.FaultyJobImageWait {
 		return true // a job that fails everywhere causes no fetch, unless no machine has its image any more
 	}
 	if e.priority >= urgentRank {
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -38,7 +38,7 @@
 		return
 	}
 	version := c.versions.Of(wire.KeyLadder)
-	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.MaxValueBytes, tiers.DropOldestChange)
+	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.TierHistoryChanges), c.params.MaxValueBytes, tiers.DropOldestChange)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
 		return
@@ -72,6 +72,6 @@
 		Version:  c.versions.Of(wire.KeyLadder),
 		Digest:   digest,
 		Count:    len(ordered),
-		Jobs:     ordered[:min(len(ordered), tuning.OrderAnswer)],
+		Jobs:     ordered[:min(len(ordered), tuning.MaxOrderAnswerJobs)],
 	})
 }
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -82,7 +82,7 @@
 
 // detectSilentMachines marks machines whose reports are overdue, long before their lease expires.
 func (c *Core) detectSilentMachines() {
-	late := time.Duration(tuning.SuspectReports * float64(c.params.ReportInterval))
+	late := time.Duration(tuning.SuspectReportIntervals * float64(c.params.ReportInterval))
 	for _, m := range c.heldMachines() {
 		if m.reported && !m.silent && !m.leaseOver && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
@@ -128,7 +128,7 @@
 // onAdminTrail answers an operator with events of the trail: of this controller from memory, of another one
 // from its stored trail.
 func (c *Core) onAdminTrail(query AdminTrail) {
-	query.Query.Most = max(1, min(query.Query.Most, tuning.TrailAnswer))
+	query.Query.Most = max(1, min(query.Query.Most, tuning.MaxTrailAnswerEvents))
 	if query.Node == "" || query.Node == c.params.Node {
 		answer := wire.Trail{Node: c.params.Node, Boot: c.presence.Boot()}
 		answer.Events, answer.Next, answer.Missed = c.trail.Events(query.Query)
@@ -176,7 +176,7 @@
 		Cordoned: cordoned,
 		Images:   []string{},
 		Attempts: []wire.BelievedTask{},
-		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.TrailOfMachine}),
+		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.MaxMachineTrailEvents}),
 	}
 	if m := c.machines[query.Machine]; m != nil && c.holdsShard(m.shard) {
 		c.fillMachineView(&view, m)
--- a/internal/core/troubles_test.go
+++ b/internal/core/troubles_test.go
@@ -231,7 +231,7 @@
 			}
 			// Its open watch would tell it of what is cancelled at once: with that, this passed with a
 			// lone controller that never stops.
-			w.at(min(c.lone/2, tuning.WatchHold+sec), func() { w.abort(gone) })
+			w.at(min(c.lone/2, tuning.WatchMaxWait+sec), func() { w.abort(gone) })
 			w.run(c.lone)
 			w.hung[lone] = false
 			w.silence(lone, false)
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -36,7 +36,7 @@
 	c.finalStates[id] = final
 	c.dependencies.End(id, final.Status == wire.JobDone, final.By)
 	c.finalOrder = append(c.finalOrder, id)
-	if len(c.finalOrder) > tuning.FinalCache {
+	if len(c.finalOrder) > tuning.FinalCacheJobs {
 		delete(c.finalStates, c.finalOrder[0])
 		c.finalOrder = c.finalOrder[1:]
 	}
@@ -166,11 +166,11 @@
 // read for each poll, polls were most of the calls of a large fleet to the state service, and used up
 // the call limit that renewals of state leases need.
 func (c *Core) answerPolls() {
-	if len(c.pendingPolls) == 0 || c.pollReadsInFlight > 0 && c.now < c.notBefore["ask again"] || !c.dueEvery("ask", tuning.AskEvery) {
+	if len(c.pendingPolls) == 0 || c.pollReadsInFlight > 0 && c.now < c.notBefore["ask again"] || !c.dueEvery("ask", tuning.PollReadInterval) {
 		return
 	}
 	batch := c.pendingPolls
-	c.pendingPolls, c.pollReadsInFlight, c.notBefore["ask again"] = nil, c.pollReadsInFlight+1, c.now+tuning.AskAgain
+	c.pendingPolls, c.pollReadsInFlight, c.notBefore["ask again"] = nil, c.pollReadsInFlight+1, c.now+tuning.PollReadOverlapDelay
 	c.callState(StateCall{Op: OpWatch, Key: wire.LivePrefix, Revision: c.mirrorRevision}, func(reply StateReply) {
 		c.pollReadsInFlight--
 		if reply.Status == 200 {
@@ -279,7 +279,7 @@
 		unlessKnown(func() { c.answer(submit.Req, 422, wire.Problem{Error: reason}) })
 		return
 	}
-	if c.now-c.presence.LastRenewed() > 2*tuning.GrantTTL {
+	if c.now-c.presence.LastRenewed() > 2*tuning.StateLeaseTTL {
 		c.answer(submit.Req, 503, unavailable("state service not reached"))
 		return
 	}
--- a/internal/core/users_test.go
+++ b/internal/core/users_test.go
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	w.run(4 * tuning.AskEvery)
+	w.run(4 * tuning.PollReadInterval)
 	calls := w.reached["c1"] - before // what goes on beside it included
 	if answered != jobs || calls > 20 {
 		t.Errorf("%d of %d answered by %d calls", answered, jobs, calls)
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -8,17 +8,17 @@
 
 func newWeights(switches weights.Switches, caches *weights.Caches) *weights.Book {
 	return weights.NewBook(switches, weights.Limits{
-		Many:    tuning.WeightsMany,
-		Degree:  tuning.HandDegree,
-		Sources: tuning.HandSources,
-		Roots:   tuning.HandRoots,
-		Fetches: tuning.StoreFetches,
-		Bound:   tuning.StoreBound,
-		Spare:   tuning.StoreSpare,
-		Least:   tuning.StoreLeast,
-		Memory:  tuning.StoreMemory,
-		Stale:   tuning.WeightsStale,
-		Keep:    tuning.WeightsKeep,
+		Many:    tuning.MinSharedImageMachines,
+		Degree:  tuning.HandOnDegree,
+		Sources: tuning.HandOnSources,
+		Roots:   tuning.HandOnRoots,
+		Fetches: tuning.MinStoreSampleFetches,
+		Bound:   tuning.StoreBoundShare,
+		Spare:   tuning.StoreFetchFactor,
+		Least:   tuning.MinStoreSampleDuration,
+		Memory:  tuning.StoreSampleTTL,
+		Stale:   tuning.FetchRecordTTL,
+		Keep:    tuning.SharedImageIdleFactor,
 	}, caches)
 }
 
@@ -73,7 +73,7 @@
 // publishImages periodically writes which images the machines of a held shard have, and the plans for
 // images that many machines fetch.
 func (c *Core) publishImages() {
-	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
+	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.ImagePlanInterval) {
 		return
 	}
 	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
--- a/internal/core/world_orders_test.go
+++ b/internal/core/world_orders_test.go
@@ -56,27 +56,27 @@
 		}
 	}
 	if w.outOfReach(n.name, v.Machine) && !w.called || w.oneWay[n.name] == "calls" || w.deaf[v.Machine] {
-		w.at(tuning.OrderTimeout, func() { told(0, wire.Report{}) })
+		w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
 		return
 	}
 	if w.unsure > 0 && w.rng.IntN(100) < w.unsure {
 		if w.rng.IntN(2) == 0 {
-			w.at(tuning.OrderTimeout, func() { told(0, wire.Report{}) })
+			w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
 			return
 		}
 		lag += time.Duration(w.rng.IntN(8000)) * time.Millisecond
 	}
 	if w.holdOrders > 0 { // the sender gives up, the packets are delivered when the cut ends
 		lag += time.Duration(w.rng.Int64N(int64(w.holdOrders)))
-		if answered := told; lag > tuning.OrderTimeout {
-			w.at(tuning.OrderTimeout, func() { answered(0, wire.Report{}) })
+		if answered := told; lag > tuning.WorkerCallTimeout {
+			w.at(tuning.WorkerCallTimeout, func() { answered(0, wire.Report{}) })
 			told = func(int, wire.Report) {}
 		}
 	}
 	w.at(lag, func() {
 		m := w.machines[v.Machine]
 		if m.gone || !m.up {
-			w.at(tuning.OrderTimeout, func() { told(0, wire.Report{}) })
+			w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
 			return
 		}
 		if m.Fault.Hung {
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -266,7 +266,7 @@
 			w.reach(n.name, v, func(r StateReply) { w.at(w.lag(), back(StateDone{ID: v.ID, Reply: r})) })
 		case CloudCall:
 			if w.noCloud[n.name] {
-				w.at(tuning.CloudTimeout, back(CloudDone{ID: v.ID}))
+				w.at(tuning.CloudCallTimeout, back(CloudDone{ID: v.ID}))
 				continue
 			}
 			w.at(w.lag(), func() { r := w.callCloud(v); w.at(w.lag(), back(CloudDone{ID: v.ID, Reply: r})) })
@@ -328,14 +328,14 @@
 	}
 	w.tried[node]++
 	if w.hung[node] {
-		w.at(tuning.StateTimeout+v.Hold, func() { reply(StateReply{}) })
+		w.at(tuning.StateCallTimeout+v.Hold, func() { reply(StateReply{}) })
 		return
 	}
 	w.reached[node]++
 	lag += w.lateMark(node, v, lag)
 	if late, hit := w.unanswered(node, v); hit { // executed, late, and never answered
 		w.at(lag+late, func() { w.callStore(node, v, func(StateReply) {}) })
-		w.at(tuning.StateTimeout, func() { reply(StateReply{}) })
+		w.at(tuning.StateCallTimeout, func() { reply(StateReply{}) })
 		return
 	}
 	if v.Op == OpWatch && v.Hold > 0 && w.watchLag > 0 {
@@ -359,11 +359,11 @@
 	if fate > 0 {
 		w.at(lag, func() { w.callStore(node, v, func(StateReply) {}) })
 	}
-	w.at(tuning.StateTimeout, func() { reply(StateReply{}) })
+	w.at(tuning.StateCallTimeout, func() { reply(StateReply{}) })
 }
 
 func (w *world) callStore(node string, c StateCall, reply func(StateReply)) {
-	call := state.Call{Client: node, Op: storeOps[c.Op], Key: c.Key, After: c.After, Lease: c.Lease, Life: tuning.GrantTTL, Revision: c.Revision, Hold: c.Hold}
+	call := state.Call{Client: node, Op: storeOps[c.Op], Key: c.Key, After: c.After, Lease: c.Lease, Life: tuning.StateLeaseTTL, Revision: c.Revision, Hold: c.Hold}
 	call.Txn.If = c.Txn.If
 	for _, ch := range c.Txn.Then {
 		x := state.Change{Put: ch.Put, Lease: ch.Lease, Delete: ch.Delete}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -162,17 +162,17 @@
 	if why := body(c, &spec); why != "" {
 		return send(c, bad(why))
 	}
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Submit{Req: id, Spec: spec} }, tuning.UserTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Submit{Req: id, Spec: spec} }, tuning.UserRequestTimeout))
 }
 
 func (s *Server) poll(c echo.Context) error {
 	job := c.Param("id")
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Poll{Req: id, ID: job} }, tuning.PollTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Poll{Req: id, ID: job} }, tuning.PollRequestTimeout))
 }
 
 func (s *Server) abort(c echo.Context) error {
 	job := c.Param("id")
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Abort{Req: id, ID: job} }, tuning.UserTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Abort{Req: id, ID: job} }, tuning.UserRequestTimeout))
 }
 
 func (s *Server) ready(c echo.Context) error {
@@ -188,12 +188,12 @@
 	if r.Machine == "" || r.Session == 0 {
 		return send(c, bad("host and tenure are needed"))
 	}
-	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.ReportTimeout))
+	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.WorkerReportTimeout))
 }
 
 // put sends an administrator's request to the core.
 func (s *Server) put(c echo.Context, in func(id uint64) any) error {
-	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserTimeout))
+	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserRequestTimeout))
 }
 
 func (s *Server) overview(c echo.Context) error {
@@ -266,7 +266,7 @@
 
 // trail answers with events after a number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
 func (s *Server) trail(c echo.Context) error {
-	q := trail.Query{Machine: c.QueryParam("machine"), Job: c.QueryParam("job"), Most: tuning.TrailAnswer}
+	q := trail.Query{Machine: c.QueryParam("machine"), Job: c.QueryParam("job"), Most: tuning.MaxTrailAnswerEvents}
 	if v := c.QueryParam("after"); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
@@ -276,8 +276,8 @@
 	}
 	if v := c.QueryParam("most"); v != "" {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < 1 || n > tuning.TrailAnswer {
-			return send(c, bad("most: must be from 1 to "+strconv.Itoa(tuning.TrailAnswer)))
+		if err != nil || n < 1 || n > tuning.MaxTrailAnswerEvents {
+			return send(c, bad("most: must be from 1 to "+strconv.Itoa(tuning.MaxTrailAnswerEvents)))
 		}
 		q.Most = n
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -9,7 +9,7 @@
 // LeaseExpiredAfter returns how long after a controller has sent a 200 the worker's lease has certainly
 // expired.
 func LeaseExpiredAfter(lease time.Duration) time.Duration {
-	return time.Duration(float64(lease)*(1+tuning.Drift)) + tuning.LeaseMargin
+	return time.Duration(float64(lease)*(1+tuning.ClockDrift)) + tuning.WorkerLeaseMargin
 }
 
 // MaxUnconfirmed returns how long a controller may answer workers without confirmation of its
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -88,7 +88,7 @@
 	limits := cfg.Params.State.Least()
 	n := &node{
 		first: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
-		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueue),
+		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		state:   statestore.New(cfg.Services.State, limits.RPS, limits.WriteRPS),
 		cloud:   cloud.New(cfg.Services.Cloud, cfg.Params.Cloud.RPS),
 		waiting: map[uint64]chan httpapi.Reply{},
@@ -136,13 +136,13 @@
 	select {
 	case queue <- r:
 	default:
-		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.RetryHint}
+		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.UnavailableRetryAfter}
 	}
 	select {
 	case rep := <-r.reply:
 		return rep
 	case <-ctx.Done():
-		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.RetryHint}
+		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.UnavailableRetryAfter}
 	}
 }
 
@@ -193,7 +193,7 @@
 
 func (n *node) loop(ctx context.Context, c *core.Core) {
 	start := time.Now()
-	tick := time.NewTicker(tuning.Tick)
+	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
 	step := func(in any) {
 		now := time.Now()
--- a/internal/node/queue_test.go
+++ b/internal/node/queue_test.go
@@ -13,7 +13,7 @@
 // A controller that cannot keep up serves workers first, tells users beyond a
 // short queue at once to come back, and does no work nobody waits for.
 func TestOverload(t *testing.T) {
-	n := &node{first: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueue),
+	n := &node{first: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		waiting: map[uint64]chan httpapi.Reply{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -28,10 +28,10 @@
 	if r := <-left; r.Status != 503 {
 		t.Errorf("a user that left: %+v", r)
 	}
-	for range tuning.UserQueue - 1 {
+	for range tuning.UserQueueSize - 1 {
 		go n.ask(ctx, httpapi.User, poll, time.Minute)
 	}
-	for len(n.users) < tuning.UserQueue {
+	for len(n.users) < tuning.UserQueueSize {
 		time.Sleep(time.Millisecond)
 	}
 	if r := n.ask(ctx, httpapi.User, poll, time.Minute); r.Status != 503 || r.RetryAfter == 0 {
@@ -56,12 +56,12 @@
 	if in, _ := n.next(ctx, nil); !isReport(in) {
 		t.Errorf("a report should go first, got %T", in)
 	}
-	for i := range tuning.UserQueue - 1 {
+	for i := range tuning.UserQueueSize - 1 {
 		if in, ok := n.next(ctx, nil); !ok || isReport(in) {
 			t.Fatalf("request %d: %T", i, in)
 		}
 	}
-	if len(n.users) != 0 || len(n.waiting) != tuning.UserQueue {
+	if len(n.users) != 0 || len(n.waiting) != tuning.UserQueueSize {
 		t.Errorf("%d requests left, %d answers due: the one that left should have been passed over", len(n.users), len(n.waiting))
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	if len(b) > tuning.PeerFrame {
+	if len(b) > tuning.MaxPeerFrameBytes {
 		return fmt.Errorf("frame of %d bytes", len(b))
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
@@ -40,7 +40,7 @@
 		return m, err
 	}
 	n := binary.BigEndian.Uint32(head[:])
-	if n > tuning.PeerFrame {
+	if n > tuning.MaxPeerFrameBytes {
 		return m, fmt.Errorf("frame of %d bytes", n)
 	}
 	b := make([]byte, n)
@@ -65,7 +65,7 @@
 func start(ctx context.Context, addrs map[string]string, log *slog.Logger, dial func(string) (net.Conn, error)) *Links {
 	l := &Links{log: log, out: map[string]chan core.PeerMessage{}, dial: dial}
 	for name, addr := range addrs {
-		ch := make(chan core.PeerMessage, tuning.PeerQueue)
+		ch := make(chan core.PeerMessage, tuning.PeerQueueSize)
 		l.out[name] = ch
 		go l.keep(ctx, name, addr, ch)
 	}
@@ -128,13 +128,13 @@
 		}
 		if err != nil {
 			log.Error("peer connection not accepted", "err", err.Error())
-			time.Sleep(tuning.AcceptPause)
+			time.Sleep(tuning.AcceptRetryDelay)
 			continue
 		}
 		go func() {
 			defer conn.Close()
 			for {
-				_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdle))
+				_ = conn.SetReadDeadline(time.Now().Add(tuning.PeerIdleTimeout))
 				m, err := Read(conn)
 				if err != nil {
 					if !errors.Is(err, io.EOF) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -81,7 +81,7 @@
 
 // What comes from the wire costs bounded memory and ends in an error.
 func TestBadFrames(t *testing.T) {
-	huge := binary.BigEndian.AppendUint32(nil, tuning.PeerFrame+1)
+	huge := binary.BigEndian.AppendUint32(nil, tuning.MaxPeerFrameBytes+1)
 	for name, raw := range map[string][]byte{
 		"oversized":   huge,
 		"cut short":   {0, 0, 0, 9, 1},
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -448,5 +448,5 @@
 
 // params are the times by which recoveries are bounded.
 func (r *rehearsal) params() recovery.Params {
-	return recovery.Params{Report: seconds(r.sc.Fleet.ReportS), Lease: seconds(r.sc.Fleet.LeaseS), Grant: tuning.GrantTTL, Renew: tuning.ExtendEvery}
+	return recovery.Params{Report: seconds(r.sc.Fleet.ReportS), Lease: seconds(r.sc.Fleet.LeaseS), Grant: tuning.StateLeaseTTL, Renew: tuning.StateLeaseRenewInterval}
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -38,7 +38,7 @@
 }
 
 func newShared(limit, most float64) *shared {
-	p := limits.ShareParams{Min: limit * tuning.ShareLeast, Max: limit * most, Gain: limit * tuning.ShareGain, Cut: tuning.ShareCut, Pause: tuning.SharePause}
+	p := limits.ShareParams{Min: limit * tuning.MinRateShare, Max: limit * most, Gain: limit * tuning.RateShareGain, Cut: tuning.RateShareCut, Pause: tuning.RateShareCutInterval}
 	return &shared{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
 }
 
@@ -64,11 +64,11 @@
 func New(addr string, rps, writeRPS float64) *Client {
 	return &Client{
 		base:   "http://" + addr,
-		http:   cborhttp.NewClient(tuning.StateTimeout, 32),
-		calls:  newShared(rps, tuning.StateShare),
-		writes: newShared(writeRPS, tuning.WriteShare),
+		http:   cborhttp.NewClient(tuning.StateCallTimeout, 32),
+		calls:  newShared(rps, tuning.StateCallShare),
+		writes: newShared(writeRPS, tuning.StateWriteShare),
 		began:  time.Now(),
-		later:  rate.NewLimiter(rate.Limit(writeRPS*tuning.LaterShare), max(1, int(writeRPS*tuning.LaterShare))),
+		later:  rate.NewLimiter(rate.Limit(writeRPS*tuning.DeferredWriteShare), max(1, int(writeRPS*tuning.DeferredWriteShare))),
 	}
 }
 
@@ -82,7 +82,7 @@
 	if call.Op == core.OpExtend || call.Op == core.OpWatch || call.Op == core.OpCommit && n > 0 && call.Lane == core.LaneFirst {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.LimitWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.RateLimitMaxWait)
 	defer cancel()
 	if n > 0 && call.Lane == core.LaneLater {
 		if err := c.later.WaitN(ctx, min(n, c.later.Burst())); err != nil {
@@ -114,24 +114,24 @@
 			c.writes.learn(rep.Status, n, time.Since(c.began))
 			// Of what there is: of a limit that has fallen it would take all. The burst stays,
 			// since a write counts for no more than that.
-			c.later.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.LaterShare / tuning.WriteShare))
+			c.later.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.DeferredWriteShare / tuning.StateWriteShare))
 		} else {
 			c.calls.learn(rep.Status, 1, time.Since(c.began))
 		}
-		if rep.Status != http.StatusTooManyRequests || !awaited || tries == tuning.LimitRetries {
+		if rep.Status != http.StatusTooManyRequests || !awaited || tries == tuning.RateLimitRetries {
 			return rep
 		}
 		select {
 		case <-ctx.Done():
 			return rep
-		case <-time.After(tuning.LimitPause):
+		case <-time.After(tuning.RateLimitRetryDelay):
 		}
 	}
 }
 
 // do sends the call once; the wait for our own limits is not in its time.
 func (c *Client) do(ctx context.Context, call core.StateCall) core.StateReply {
-	timeout := tuning.StateTimeout
+	timeout := tuning.StateCallTimeout
 	if call.Op == core.OpWatch {
 		timeout += call.Hold
 	}
@@ -158,7 +158,7 @@
 	case core.OpCommit:
 		method, path, body, into = http.MethodPost, "/commit", call.Txn, &txn
 	case core.OpGrant:
-		method, path, body, into = http.MethodPost, "/grants", wire.LeaseRequest{TTLMS: tuning.GrantTTL.Milliseconds()}, &lease
+		method, path, body, into = http.MethodPost, "/grants", wire.LeaseRequest{TTLMS: tuning.StateLeaseTTL.Milliseconds()}, &lease
 	case core.OpExtend:
 		method, path, into = http.MethodPost, fmt.Sprintf("/grants/%d/extend", call.Lease), nil
 	case core.OpWatch:
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -31,11 +31,11 @@
 // New returns a client that works until the context ends; done is called after each
 // call, with status 0 for one that had no answer.
 func New(ctx context.Context, log *slog.Logger, done func(status int, took time.Duration)) *Client {
-	c := &Client{queue: make(chan call, tuning.OrderQueue), log: log, done: done,
+	c := &Client{queue: make(chan call, tuning.WorkerCallQueueSize), log: log, done: done,
 		// A connection to each of a thousand workers would cost more sockets than it saves.
-		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.OrderTimeout}).DialContext,
+		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.WorkerCallTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true}}}
-	for range tuning.OrderCalls {
+	for range tuning.MaxWorkerCalls {
 		go c.work(ctx)
 	}
 	return c
@@ -69,7 +69,7 @@
 			return
 		case x := <-c.queue:
 			began := time.Now()
-			ctx, cancel := context.WithTimeout(ctx, tuning.OrderTimeout)
+			ctx, cancel := context.WithTimeout(ctx, tuning.WorkerCallTimeout)
 			method, path, body := http.MethodGet, "/inspect", any(nil)
 			if x.orders != nil {
 				method, path, body = http.MethodPost, "/orders", *x.orders
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -62,7 +62,7 @@
 		if s != 0 {
 			t.Errorf("the silent one answered %d", s)
 		}
-	case <-time.After(tuning.OrderTimeout + 5*time.Second):
+	case <-time.After(tuning.WorkerCallTimeout + 5*time.Second):
 		t.Fatal("a silent worker holds a call for ever")
 	}
 	if x := <-tells; x.status != 0 {
