--- a/internal/core/callqueue.go
+++ b/internal/core/callqueue.go
@@ -9,10 +9,10 @@
 // callWorker calls a worker, through a peer if this controller reaches no worker and the peer does.
 // Relaying through a peer is no different from a slow network: the worker checks the token and the
 // session of the call.
-func (c *Core) callWorker(order Order) {
+func (c *Core) callWorker(order WorkerCall) {
 	if peer := c.assignments.WorkerProxy(c.now); peer != "" {
-		order.For = c.params.Node
-		c.sendToPeer(peer, PeerMessage{Order: &order})
+		order.RequestedBy = c.params.Node
+		c.sendToPeer(peer, PeerMessage{WorkerCall: &order})
 		return
 	}
 	c.effects = append(c.effects, order)
@@ -52,7 +52,7 @@
 		if len(stops) == 0 {
 			m.raisedToken, m.earlyCallAt = max(m.raisedToken, c.mirrorRevision), c.now
 		}
-		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.answerToken(m, b), Session: m.session, Commands: stops}})
+		c.callWorker(WorkerCall{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.answerToken(m, b), Session: m.session, Commands: stops}})
 	}
 }
 
@@ -101,6 +101,6 @@
 // answers with this controller's tokens are no longer valid.
 func (c *Core) sendToNextHolder(m *machine, b *blockEntry) {
 	if b != nil && m.addr != "" && m.session > 0 && !m.leaseOver && c.authorized() {
-		c.callWorker(Order{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.fencingToken(b), Session: m.session, Commands: []wire.Command{}}})
+		c.callWorker(WorkerCall{Machine: m.name, Addr: m.addr, Orders: wire.Orders{Token: c.fencingToken(b), Session: m.session, Commands: []wire.Command{}}})
 	}
 }
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -17,7 +17,7 @@
 	recheckWaiting  bool                 // something changed that the outcome of a waiting job may depend on
 	movingWaiting   bool                 // a write that moves waiting jobs is in progress
 	readingOutcomes bool                 // a read of the outcomes of predecessors is in progress
-	announcedChains ChainsSeen           // the counts that were last reported as an effect
+	announcedChains ChainCounts          // the counts that were last reported as an effect
 	oneJobPerWrite  bool                 // the last write that moved jobs met a conflict: move one job at a time
 }
 
@@ -224,7 +224,7 @@
 func (c *Core) moveWaitingJobs(ids []string, cancelledBy map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
 	if cancelledBy != nil {
-		lane = LaneLater
+		lane = LaneDeferred
 	}
 	var keys []string
 	for _, id := range ids {
--- a/internal/core/chains_told_test.go
+++ b/internal/core/chains_told_test.go
@@ -42,10 +42,10 @@
 	}
 	w.abort("job-000012")
 	w.run(60 * sec)
-	got, told := map[string][]string{}, ChainsSeen{}
+	got, told := map[string][]string{}, ChainCounts{}
 	for _, n := range sortedKeys(w.nodes) {
 		c := w.nodes[n].core.announcedChains
-		told = ChainsSeen{Waiting: told.Waiting + c.Waiting, Released: told.Released + c.Released, Cancelled: told.Cancelled + c.Cancelled}
+		told = ChainCounts{Waiting: told.Waiting + c.Waiting, Released: told.Released + c.Released, Cancelled: told.Cancelled + c.Cancelled}
 		for _, e := range w.trailOf(n, "").Events {
 			if e.Kind == trail.JobReleased || e.Kind == trail.JobCancelled {
 				got[e.Kind] = append(got[e.Kind], e.Job+" "+e.Why)
@@ -56,7 +56,7 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	if told != (ChainsSeen{Released: 1, Cancelled: 1}) {
+	if told != (ChainCounts{Released: 1, Cancelled: 1}) {
 		t.Errorf("told %+v", told)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -171,7 +171,7 @@
 		c.onReady(v)
 	case WorkerReport:
 		c.onReport(v)
-	case OrderDone:
+	case WorkerCallDone:
 		c.onOrderDone(v)
 	case Peer:
 		c.onPeer(v.Msg)
@@ -333,7 +333,7 @@
 			return
 		}
 		c.applyRead(key, reply)
-		c.commit(LaneFirst, []wire.Condition{{Key: key, Version: reply.Item.Version}}, []wire.Change{{
+		c.commit(LaneAuthority, []wire.Condition{{Key: key, Version: reply.Item.Version}}, []wire.Change{{
 			Put:   key,
 			Value: wire.Node{Boot: c.presence.Boot(), Zone: c.params.Zone, Features: c.params.Features},
 			Lease: lease,
@@ -477,7 +477,7 @@
 	}
 	from := entry.record.Holder
 	c.pendingTransfers[shard] = pendingTransfer{record, from}
-	c.commit(LaneFirst,
+	c.commit(LaneAuthority,
 		append(conditions, wire.Condition{Key: key, Version: entry.version}),
 		[]wire.Change{{Put: key, Value: record}},
 		func(reply StateReply) {
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -119,7 +119,7 @@
 func (c *Core) putCrew(entry calendar.Entry, when wire.Condition, f func(StateReply)) {
 	key := wire.PrefixCrew + entry.Rec.Name
 	c.calendar.Write(entry.Rec.Name)
-	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Ver}}, []wire.Change{{Put: key, Value: entry.Rec}}, func(r StateReply) {
+	c.commit(LaneDeferred, []wire.Condition{when, {Key: key, Version: entry.Ver}}, []wire.Change{{Put: key, Value: entry.Rec}}, func(r StateReply) {
 		c.calendar.Written(entry.Rec.Name)
 		f(r)
 	})
@@ -203,7 +203,7 @@
 	}
 	for _, i := range c.shardIDs() {
 		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.MinBiasTasks, tuning.MinBiasChange) {
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
+			c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
 				Put:   biasKey(i),
 				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.MinBiasTasks)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -259,13 +259,13 @@
 		}
 		if writeRecord {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
+			c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if announcements != nil {
 		for _, node := range sortedKeys(c.params.NodeZones) {
 			if node != c.params.Node {
-				c.sendToPeer(node, PeerMessage{Wants: announcements})
+				c.sendToPeer(node, PeerMessage{Demand: announcements})
 			}
 		}
 	}
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -242,5 +242,5 @@
 		e.run.progressWrittenAt = c.now
 		b.addProgress(e)
 	}
-	b.send(LaneLater, &c.writingProgress, "flushLater", func(uint64) {})
+	b.send(LaneDeferred, &c.writingProgress, "flushLater", func(uint64) {})
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -69,7 +69,7 @@
 		}
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
 		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
-			c.commit(LaneFirst,
+			c.commit(LaneAuthority,
 				[]wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
 				[]wire.Change{{
 					Put:   wire.KeyLeader,
@@ -125,7 +125,7 @@
 		return ok
 	}
 	c.log(1, "a write that forms blocks got no answer, the leader record is written anew")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.leaderRecord, Lease: c.presence.StateLease()}}, func(r StateReply) {
+	c.commit(LaneAuthority, []wire.Condition{c.leaderCondition()}, []wire.Change{{Put: wire.KeyLeader, Value: c.leaderRecord, Lease: c.presence.StateLease()}}, func(r StateReply) {
 		c.term.FenceWritten(r.Status == 200, r.Txn.Revision)
 		c.mirrorChanged()
 	})
@@ -167,7 +167,7 @@
 			}})
 		}
 		leader.writePending = true
-		c.commit(LaneFirst, conditions, changes, func(r StateReply) {
+		c.commit(LaneAuthority, conditions, changes, func(r StateReply) {
 			leader.writePending = false
 			if r.Status == 200 {
 				leader.shardsCreatedAt = c.now
@@ -218,7 +218,7 @@
 		shard := c.shards[best]
 		rec := shard.record
 		rec.Teams = append(append([]string(nil), rec.Teams...), team)
-		c.commit(LaneFirst,
+		c.commit(LaneAuthority,
 			[]wire.Condition{c.leaderCondition(), {Key: shardKey(best), Version: shard.version}},
 			[]wire.Change{{Put: shardKey(best), Value: rec}},
 			func(StateReply) { c.mirrorChanged() })
@@ -327,7 +327,7 @@
 // old one, so the worker is probed before the machine is adopted.
 func (c *Core) onUnassignedReport(r *wire.Report) {
 	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
-		c.effects = append(c.effects, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
+		c.effects = append(c.effects, WorkerCall{Machine: r.Machine, Addr: r.Addr, ProbeOnly: true})
 	}
 }
 
@@ -370,7 +370,7 @@
 	}
 	if len(changes) > 0 {
 		leader.writePending = true
-		c.commit(LaneLater, conditions, changes, func(r StateReply) {
+		c.commit(LaneDeferred, conditions, changes, func(r StateReply) {
 			leader.writePending = false
 			c.mirrorChanged()
 		})
--- a/internal/core/masks_test.go
+++ b/internal/core/masks_test.go
@@ -336,22 +336,22 @@
 	name := w.order[0]
 	before, _ := w.machines[name].Inspect(w.now)
 	c.effects = nil
-	c.callWorker(Order{Machine: name, Addr: name + ":1", Orders: wire.Orders{Token: before.Token, Session: before.Session, Commands: []wire.Command{}}, Roll: true})
+	c.callWorker(WorkerCall{Machine: name, Addr: name + ":1", Orders: wire.Orders{Token: before.Token, Session: before.Session, Commands: []wire.Command{}}, ReturnOutcome: true})
 	if len(c.effects) != 1 {
 		t.Fatalf("%d effects", len(c.effects))
 	}
 	sent, ok := c.effects[0].(PeerSend)
-	if !ok || sent.Msg.Order == nil || sent.Msg.Order.For != "c2" {
+	if !ok || sent.Msg.WorkerCall == nil || sent.Msg.WorkerCall.RequestedBy != "c2" {
 		t.Fatalf("not through a peer: %+v", c.effects[0])
 	}
 	sent.Msg.From = "c2"
 	n := w.nodes[sent.To]
 	out := n.core.Step(w.now-n.began, time.UnixMilli(1e12), Peer{Msg: sent.Msg})
-	if o, ok := out[len(out)-1].(Order); !ok || o.Machine != name || o.For != "c2" || o.Orders.Token != before.Token {
+	if o, ok := out[len(out)-1].(WorkerCall); !ok || o.Machine != name || o.RequestedBy != "c2" || o.Orders.Token != before.Token {
 		t.Fatalf("the peer makes another call: %+v", out)
 	}
-	out = n.core.Step(w.now-n.began, time.UnixMilli(1e12), OrderDone{Machine: name, For: "c2", Status: 200, Report: before})
-	if back, ok := out[len(out)-1].(PeerSend); !ok || back.To != "c2" || back.Msg.Ordered == nil || back.Msg.Ordered.Status != 200 {
+	out = n.core.Step(w.now-n.began, time.UnixMilli(1e12), WorkerCallDone{Machine: name, RequestedBy: "c2", Status: 200, Report: before})
+	if back, ok := out[len(out)-1].(PeerSend); !ok || back.To != "c2" || back.Msg.WorkerCallDone == nil || back.Msg.WorkerCallDone.Status != 200 {
 		t.Fatalf("the answer does not come back: %+v", out)
 	}
 }
--- a/internal/core/meeting_hands_test.go
+++ b/internal/core/meeting_hands_test.go
@@ -145,7 +145,7 @@
 		}
 		m := w.machines[name]
 		old := w.nodes[w.holderOf(name)]
-		stop := Order{Machine: name, Addr: m.Info.Addr, Orders: wire.Orders{Token: old.core.answerToken(old.core.machines[name], old.core.blocks[old.core.machines[name].block]),
+		stop := WorkerCall{Machine: name, Addr: m.Info.Addr, Orders: wire.Orders{Token: old.core.answerToken(old.core.machines[name], old.core.blocks[old.core.machines[name].block]),
 			Session: w.session(m), Commands: []wire.Command{{Verb: wire.VerbStop, Task: task.Task, Attempt: task.Attempt, GraceS: ptr(0.0)}}}}
 		if hang {
 			w.hang(m)
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("the machine should have been taken over and not be accounted for: %+v", x)
 	}
 	before.Seq += 50 // it is newer than all that has been heard here
-	done := OrderDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
+	done := WorkerCallDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
 	if w.step(w.nodes[c.params.Node], done); x.accounted {
 		t.Error("an answer given under an earlier grant accounts for the machine")
 	}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -48,7 +48,7 @@
 // sendToPeer sends a message to a peer, after it has filled in the fields that describe the sender.
 func (c *Core) sendToPeer(to string, message PeerMessage) {
 	message.From, message.Boot, message.Revision, message.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
-	message.Way = c.stateRoutes.OfferFor(c.now, to)
+	message.RouteHops = c.stateRoutes.OfferFor(c.now, to)
 	c.effects = append(c.effects, PeerSend{To: to, Msg: message})
 }
 
@@ -76,12 +76,12 @@
 	for _, node := range sortedKeys(c.params.NodeZones) {
 		if node != c.params.Node {
 			c.sendToPeer(node, PeerMessage{
-				Nonce:  c.pingNonce,
-				Mirror: c.mirrorRevision,
-				Jobs:   jobs,
-				Holds:  holds,
-				Word:   &ownReach,
-				Addrs:  addresses,
+				Nonce:        c.pingNonce,
+				Mirror:       c.mirrorRevision,
+				Jobs:         jobs,
+				HeldShards:   holds,
+				Reachability: &ownReach,
+				WorkerAddrs:  addresses,
 			})
 		}
 	}
@@ -112,15 +112,15 @@
 		c.log(1, "message from an unknown controller", "from", message.From)
 		return
 	}
-	c.stateRoutes.OfferReceived(c.now, message.From, message.Way)
+	c.stateRoutes.OfferReceived(c.now, message.From, message.RouteHops)
 	switch {
-	case message.Order != nil:
-		order := *message.Order
-		order.For = message.From
+	case message.WorkerCall != nil:
+		order := *message.WorkerCall
+		order.RequestedBy = message.From
 		c.effects = append(c.effects, order)
 		return
-	case message.Ordered != nil:
-		c.onOrderDone(*message.Ordered)
+	case message.WorkerCallDone != nil:
+		c.onOrderDone(*message.WorkerCallDone)
 		return
 	case message.Call != nil:
 		c.onPeerCall(message.From, message.Call)
@@ -128,8 +128,8 @@
 	case message.Result != nil:
 		c.onPeerResult(message.From, message.Result)
 		return
-	case message.Wants != nil:
-		for _, announcement := range message.Wants {
+	case message.Demand != nil:
+		for _, announcement := range message.Demand {
 			c.peerDemand.Hear(c.now, announcement)
 		}
 		if c.loaded && c.isLeader() {
@@ -156,11 +156,11 @@
 		return // a message of a kind that this version does not know: pings have a number
 	}
 	c.yieldShards(message)
-	for _, address := range message.Addrs {
+	for _, address := range message.WorkerAddrs {
 		c.workerAddresses.Learn(address.Machine, address.Addr, address.Session)
 	}
-	if message.Word != nil {
-		c.assignments.ReportReceived(c.now, message.From, *message.Word)
+	if message.Reachability != nil {
+		c.assignments.ReportReceived(c.now, message.From, *message.Reachability)
 	}
 	if !message.Reply {
 		for _, counts := range message.Jobs {
@@ -218,7 +218,7 @@
 
 // yieldShards stops serving shards that a peer holds under a later fencing token.
 func (c *Core) yieldShards(message PeerMessage) {
-	for _, held := range message.Holds {
+	for _, held := range message.HeldShards {
 		// A peer that holds a shard of this controller under a later token has read the assignment in the
 		// state service, and this controller cannot or has not yet. If it went on answering the workers,
 		// they would not switch to the peer for as long as this controller may act unconfirmed.
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -36,7 +36,7 @@
 			continue
 		}
 		address, _ := c.workerAddresses.Lookup(m.name)
-		c.callWorker(Order{Machine: m.name, Addr: address.Addr, Roll: true,
+		c.callWorker(WorkerCall{Machine: m.name, Addr: address.Addr, ReturnOutcome: true,
 			Orders: wire.Orders{Token: c.fencingToken(block), Session: max(address.Session, m.session), Commands: []wire.Command{}}})
 	}
 }
@@ -45,28 +45,28 @@
 // machine as a report that the worker sends by itself: it names the token of this controller, so
 // the worker refuses every lower one from then on, and no command of this controller can still be
 // in transit, since a machine that is not accounted for is sent none.
-func (c *Core) onOrderDone(v OrderDone) {
+func (c *Core) onOrderDone(v WorkerCallDone) {
 	r := &v.Report
 	if v.Status != 0 && r.Machine == v.Machine {
 		c.workerAddresses.Learn(r.Machine, r.Addr, r.Session)
-		if !v.Through {
+		if !v.Relayed {
 			c.workerReach.CallAnswered(c.now, c.heldShardOf(v.Machine), v.Machine)
 		}
 	}
-	if v.For != "" && v.For != c.params.Node {
-		caller := v.For
-		v.For, v.Through = "", true
-		c.sendToPeer(caller, PeerMessage{Ordered: &v})
+	if v.RequestedBy != "" && v.RequestedBy != c.params.Node {
+		caller := v.RequestedBy
+		v.RequestedBy, v.Relayed = "", true
+		c.sendToPeer(caller, PeerMessage{WorkerCallDone: &v})
 		return
 	}
 	m := c.machines[v.Machine]
-	if v.Look && v.Status == 200 && r.Machine == v.Machine {
+	if v.ProbeOnly && v.Status == 200 && r.Machine == v.Machine {
 		c.noteAnswered(r) // an answer to this controller's own call is no late copy
 	}
-	if v.Look && v.Status == 0 && m != nil && v.For == "" && m.delivery.CallUnanswered() {
+	if v.ProbeOnly && v.Status == 0 && m != nil && v.RequestedBy == "" && m.delivery.CallUnanswered() {
 		c.deliveryChanged(m)
 	}
-	if v.Look || m == nil || m.accounted || !c.holdsShard(m.shard) {
+	if v.ProbeOnly || m == nil || m.accounted || !c.holdsShard(m.shard) {
 		return // it has reported by itself meanwhile, or is no longer held here
 	}
 	b := c.blocks[m.block]
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -106,5 +106,5 @@
 		changes = append(changes, wire.Change{Delete: key})
 	}
 	c.leader.deletingProgress = true
-	c.commit(LaneLater, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, changes, func(StateReply) { c.leader.deletingProgress = false })
+	c.commit(LaneDeferred, []wire.Condition{c.leaderCondition(), {Key: jobKey(id)}}, changes, func(StateReply) { c.leader.deletingProgress = false })
 }
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -106,12 +106,12 @@
 	c.assignments.Update(c.now, missing, c.machineCount)
 	for _, name := range c.workerReach.StartProbes(c.now, c.assignments.SoughtShards(c.now, c.holdsShard), c.probeCandidates) {
 		address, _ := c.workerAddresses.Lookup(name)
-		c.effects = append(c.effects, Order{Machine: name, Addr: address.Addr, Look: true})
+		c.effects = append(c.effects, WorkerCall{Machine: name, Addr: address.Addr, ProbeOnly: true})
 	}
 	c.transferSilentShards(held)
 	c.resignLeadership()
 	for _, link := range c.assignments.ChangedLinks(c.now, c.stateRoutes.EvaluateLink(c.now).Level) {
-		c.effects = append(c.effects, LinkSeen{To: link.To, Level: link.Level})
+		c.effects = append(c.effects, LinkChanged{To: link.To, Level: link.Level})
 	}
 	c.publishReachability()
 }
@@ -191,7 +191,7 @@
 	}
 	c.recordEvent(wire.TrailEvent{Kind: trail.LeadGiven, Node: successor, Why: "the cloud is not reached here, and is there"})
 	c.log(1, "resigning leadership", "to", successor, "why", "the cloud is not reached here")
-	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
+	c.commit(LaneAuthority, []wire.Condition{c.leaderCondition()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
 		c.term.WriteFinished()
 		c.mirrorChanged()
 	})
@@ -212,7 +212,7 @@
 		c.log(1, "reachability of the workers changed", "lost", current.Lacks)
 	}
 	r.writingReport = true
-	c.commit(LaneLater,
+	c.commit(LaneDeferred,
 		[]wire.Condition{{Key: key, Version: c.versions.Of(key)}},
 		[]wire.Change{{Put: key, Value: current, Lease: c.presence.StateLease()}},
 		func(StateReply) { r.writingReport = false })
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -120,7 +120,7 @@
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.params.WorkerLease && m.reported && !m.leaseOver
 	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
 	if m.delivery.Suspected() && r.Addr != "" && !c.workerReach.LacksWorkers(c.now) {
-		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
+		c.effects = append(c.effects, WorkerCall{Machine: m.name, Addr: r.Addr, ProbeOnly: true})
 	}
 	if verdictChanged {
 		c.deliveryChanged(m)
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -38,7 +38,7 @@
 		return
 	}
 	nodeKey, versionKey := wire.PrefixNode+node, wire.PrefixVersion+node
-	c.commit(LaneLater,
+	c.commit(LaneDeferred,
 		[]wire.Condition{
 			{Key: nodeKey, Version: c.versions.Of(nodeKey)},
 			{Key: versionKey, Version: c.versions.Of(versionKey)},
--- a/internal/core/state_calls.go
+++ b/internal/core/state_calls.go
@@ -96,7 +96,7 @@
 func (c *Core) onStateDone(result StateDone) {
 	reply := &result.Reply
 	c.noteRevision(max(reply.Txn.Revision, reply.Events.Revision, reply.List.Revision, reply.Item.Version))
-	if done := c.stateRoutes.CallDone(c.now, result.ID, reply.Status, reply.Own); done != nil {
+	if done := c.stateRoutes.CallDone(c.now, result.ID, reply.Status, reply.OwnLimit); done != nil {
 		done(*reply)
 	}
 }
@@ -107,7 +107,7 @@
 		if reply.Size() > tuning.MaxRelayedReplyBytes {
 			reply = StateReply{Err: "too large to pass on"}
 		}
-		c.sendToPeer(peer, PeerMessage{Result: &PeerResult{ID: call.ID, Life: call.Life, Reply: reply}})
+		c.sendToPeer(peer, PeerMessage{Result: &PeerResult{ID: call.ID, Incarnation: call.Incarnation, Reply: reply}})
 	}
 	if call.Op < OpGet || call.Op > OpWatch || c.stateRoutes.OfferFor(c.now, peer) == 0 || call.Hops >= tuning.MaxRouteHops {
 		respond(StateReply{Status: http.StatusServiceUnavailable, Err: "no way to the state service here"})
@@ -119,7 +119,7 @@
 // onPeerResult handles the result of a call that was sent through a peer. A result for an earlier incarnation
 // of this controller is ignored, as its call IDs were other ones.
 func (c *Core) onPeerResult(peer string, result *PeerResult) {
-	if via, known := c.stateRoutes.Via(result.ID); !known || via != peer || result.Life != c.incarnation {
+	if via, known := c.stateRoutes.Via(result.ID); !known || via != peer || result.Incarnation != c.incarnation {
 		return
 	}
 	if status := result.Reply.Status; status == 0 || status == http.StatusServiceUnavailable {
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -117,7 +117,7 @@
 			return
 		}
 		c.trailCallPending = true
-		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
+		c.commit(LaneDeferred, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
 			if c.trailCallPending = false; reply.Status != 200 {
 				c.trail.Failed(c.now)
 			}
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -255,12 +255,12 @@
 	next.unaccountedMachines[m.shard]++
 	next.pendingMachines.Add(m, false)
 	r, _ := w.machines[m.name].Inspect(w.now)
-	for what, d := range map[string]OrderDone{
+	for what, d := range map[string]WorkerCallDone{
 		"another machine's":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"refused":            {Machine: m.name, Status: 409, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takeoverToken - 1}},
 		"with a later token": {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: 1 << 40}},
-		"only looked at":     {Machine: m.name, Status: 200, Look: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
+		"only looked at":     {Machine: m.name, Status: 200, ProbeOnly: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
 		"older":              {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: 1, Token: r.Token}},
 	} {
 		if next.onOrderDone(d); m.accounted {
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -78,7 +78,7 @@
 	}
 	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
 		c.writingImages = true
-		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
+		c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.writingImages = false
 			write.Done(c.now, r.Status == 200)
 		})
--- a/internal/core/world_orders_test.go
+++ b/internal/core/world_orders_test.go
@@ -10,13 +10,13 @@
 // checkOrder judges a direct call by the state as it stands: nothing may be started by
 // it, and once another holder has been granted the machine, no token of ours may reach
 // that holder's. Only a call that carries no command may name the other's own token.
-func (w *world) checkOrder(n *ctrl, v Order) {
+func (w *world) checkOrder(n *ctrl, v WorkerCall) {
 	for _, cmd := range v.Orders.Commands {
 		if cmd.Verb != wire.VerbStop {
 			w.t.Fatalf("%v: %s calls %s to %s", w.now, n.name, v.Machine, cmd.Verb)
 		}
 	}
-	if v.Look {
+	if v.ProbeOnly {
 		return
 	}
 	granted, shard := uint64(0), wire.Shard{}
@@ -48,11 +48,11 @@
 
 // deliver brings direct commands to a worker. Some are lost, some come late; those for a
 // machine that hangs are read when it goes on.
-func (w *world) deliver(n *ctrl, v Order, lag time.Duration) {
+func (w *world) deliver(n *ctrl, v WorkerCall, lag time.Duration) {
 	life := n.life
 	told := func(status int, r wire.Report) {
-		if (v.Roll || v.Look) && n.life == life {
-			w.step(n, OrderDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, Look: v.Look, For: v.For, Status: status, Report: r})
+		if (v.ReturnOutcome || v.ProbeOnly) && n.life == life {
+			w.step(n, WorkerCallDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, ProbeOnly: v.ProbeOnly, RequestedBy: v.RequestedBy, Status: status, Report: r})
 		}
 	}
 	if w.outOfReach(n.name, v.Machine) && !w.called || w.oneWay[n.name] == "calls" || w.deaf[v.Machine] {
@@ -83,7 +83,7 @@
 			w.deliver(n, v, 100*time.Millisecond)
 			return
 		}
-		if v.Look {
+		if v.ProbeOnly {
 			r, out := m.Inspect(w.now)
 			w.drive(m, out)
 			w.at(w.lag(), func() { told(200, r) })
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -270,8 +270,8 @@
 				continue
 			}
 			w.at(w.lag(), func() { r := w.callCloud(v); w.at(w.lag(), back(CloudDone{ID: v.ID, Reply: r})) })
-		case Order:
-			if v.For == "" {
+		case WorkerCall:
+			if v.RequestedBy == "" {
 				w.checkOrder(n, v)
 			}
 			w.deliver(n, v, w.lag())
@@ -280,11 +280,11 @@
 			if a != b && (w.apart[[2]string{a, b}] || w.apart[[2]string{b, a}]) || w.mute[[2]string{n.name, v.To}] {
 				continue
 			}
-			if o := v.Msg.Order; o != nil {
+			if o := v.Msg.WorkerCall; o != nil {
 				w.checkOrder(n, *o)
 			}
 			if w.noWays {
-				v.Msg.Way = 0
+				v.Msg.RouteHops = 0
 			}
 			w.at(w.lag()+w.peerLate(n.name, v), func() { w.step(w.nodes[v.To], Peer{Msg: v.Msg}) })
 		case Log:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -229,7 +229,7 @@
 			if v.Op != core.OpWatch { // a watch is meant to take long
 				n.metrics.Call("state", rep.Status, time.Since(began))
 			}
-			if v.Lane == core.LaneFirst && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
+			if v.Lane == core.LaneAuthority && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
 				n.first <- core.StateDone{ID: v.ID, Reply: rep}
 			} else {
 				n.inbox <- core.StateDone{ID: v.ID, Reply: rep}
@@ -242,14 +242,14 @@
 			n.metrics.Call("cloud", rep.Status, time.Since(began))
 			n.inbox <- core.CloudDone{ID: v.ID, Reply: rep}
 		}()
-	case core.Order:
+	case core.WorkerCall:
 		var answer func(int, wire.Report)
-		if v.Roll || v.Look {
+		if v.ReturnOutcome || v.ProbeOnly {
 			answer = func(status int, r wire.Report) {
-				n.inbox <- core.OrderDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, Look: v.Look, For: v.For, Status: status, Report: r}
+				n.inbox <- core.WorkerCallDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, ProbeOnly: v.ProbeOnly, RequestedBy: v.RequestedBy, Status: status, Report: r}
 			}
 		}
-		if v.Look {
+		if v.ProbeOnly {
 			n.orders.Inspect(v.Addr, answer)
 		} else {
 			n.orders.Send(v.Addr, v.Orders, answer)
@@ -258,9 +258,9 @@
 		n.peers.Send(v.To, v.Msg)
 	case core.WriteRefused:
 		n.metrics.Refused(v.Kind)
-	case core.ChainsSeen:
+	case core.ChainCounts:
 		n.metrics.Chains(v.Waiting, v.Released, v.Cancelled)
-	case core.LinkSeen:
+	case core.LinkChanged:
 		n.metrics.Link(v.To, int(v.Level))
 	case core.Log:
 		n.log.Log(ctx, levels[v.Level], v.Msg, v.KV...)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,12 +60,12 @@
 }
 
 func TestFrames(t *testing.T) {
-	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, Way: 2, Word: &wire.Reach{Boot: 7, Lacks: true, Seeks: []int{1}, Hears: []wire.ShardReach{{Shard: 1, Of: 4, Heard: 3}}, Apart: []string{"b"}},
-		Call: &core.PeerCall{ID: 9, Life: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
-		Result: &core.PeerResult{ID: 9, Life: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
+	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, RouteHops: 2, Reachability: &wire.Reach{Boot: 7, Lacks: true, Seeks: []int{1}, Hears: []wire.ShardReach{{Shard: 1, Of: 4, Heard: 3}}, Apart: []string{"b"}},
+		Call: &core.PeerCall{ID: 9, Incarnation: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
+		Result: &core.PeerResult{ID: 9, Incarnation: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
 			List: wire.ItemList{Items: []wire.Item{{Key: "live/y", Value: wire.Raw{0x01}, Version: 2}}, Revision: 9}, Events: wire.Events{Revision: 9, Events: []wire.Event{{Delete: "live/z", Version: 9}}}}},
-		Order:   &core.Order{Machine: "m", Addr: "1:1", Orders: wire.Orders{Token: 5, Session: 2}, Roll: true},
-		Ordered: &core.OrderDone{Machine: "m", Token: 5, Session: 2, Status: 409, Report: wire.Report{Machine: "m", Session: 3, Seq: 8}}}
+		WorkerCall:     &core.WorkerCall{Machine: "m", Addr: "1:1", Orders: wire.Orders{Token: 5, Session: 2}, ReturnOutcome: true},
+		WorkerCallDone: &core.WorkerCallDone{Machine: "m", Token: 5, Session: 2, Status: 409, Report: wire.Report{Machine: "m", Session: 3, Seq: 8}}}
 	var b bytes.Buffer
 	if err := Write(&b, in); err != nil {
 		t.Fatal(err)
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -79,12 +79,12 @@
 // which has a smaller share of its own.
 func (c *Client) admit(ctx context.Context, call *core.StateCall) error {
 	n := len(call.Txn.Then)
-	if call.Op == core.OpExtend || call.Op == core.OpWatch || call.Op == core.OpCommit && n > 0 && call.Lane == core.LaneFirst {
+	if call.Op == core.OpExtend || call.Op == core.OpWatch || call.Op == core.OpCommit && n > 0 && call.Lane == core.LaneAuthority {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.RateLimitMaxWait)
 	defer cancel()
-	if n > 0 && call.Lane == core.LaneLater {
+	if n > 0 && call.Lane == core.LaneDeferred {
 		if err := c.later.WaitN(ctx, min(n, c.later.Burst())); err != nil {
 			return errOwnLimit
 		}
@@ -107,7 +107,7 @@
 	awaited := call.Lane == core.LaneUser && len(call.Txn.Then) > 0
 	for tries := 0; ; tries++ {
 		if err := c.admit(ctx, &call); err != nil {
-			return core.StateReply{Status: http.StatusTooManyRequests, Err: err.Error(), Own: true}
+			return core.StateReply{Status: http.StatusTooManyRequests, Err: err.Error(), OwnLimit: true}
 		}
 		rep := c.do(ctx, call)
 		if n := len(call.Txn.Then); n > 0 {
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -76,7 +76,7 @@
 		{"a user's write over the limit is sent again", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, say(200, map[string]any{"epoch": 10})}, 200, 3,
 			func(r core.StateReply) bool { return r.Txn.Revision == 10 }},
 		{"but not for ever", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, tooMany, tooMany, tooMany}, 429, 4, nil},
-		{"progress over the limit is left to its writer", put(core.LaneLater), []func(http.ResponseWriter, []byte){tooMany, tooMany}, 429, 1, nil},
+		{"progress over the limit is left to its writer", put(core.LaneDeferred), []func(http.ResponseWriter, []byte){tooMany, tooMany}, 429, 1, nil},
 		{"an outage is said at once", put(core.LaneUser), []func(http.ResponseWriter, []byte){say(503, map[string]any{"error": "trouble"})}, 503, 1,
 			func(r core.StateReply) bool { return r.Err == "trouble" }},
 		{"a missing key carries the revision", core.StateCall{Op: core.OpGet, Key: "final/job-1"}, []func(http.ResponseWriter, []byte){say(404, map[string]any{"epoch": 431})}, 404, 1,
@@ -112,18 +112,18 @@
 	}
 	cl, _ := client(t, ok...)
 	slow := New(strings.TrimPrefix(cl.base, "http://"), 1000, 2) // two changes a second
-	if r := slow.Do(context.Background(), put(core.LaneLater)); r.Status != 200 {
+	if r := slow.Do(context.Background(), put(core.LaneDeferred)); r.Status != 200 {
 		t.Fatalf("the first change: %+v", r)
 	}
 	began := time.Now()
-	if r := slow.Do(context.Background(), put(core.LaneLater)); r.Status != 429 || r.Err != errOwnLimit.Error() {
+	if r := slow.Do(context.Background(), put(core.LaneDeferred)); r.Status != 429 || r.Err != errOwnLimit.Error() {
 		t.Errorf("progress over its share: %+v", r)
 	}
 	if d := time.Since(began); d > 500*time.Millisecond {
 		t.Errorf("told only after %v", d)
 	}
 	for range 5 {
-		if r := slow.Do(context.Background(), put(core.LaneFirst)); r.Status != 200 {
+		if r := slow.Do(context.Background(), put(core.LaneAuthority)); r.Status != 200 {
 			t.Errorf("entitlement: %+v", r)
 		}
 	}
@@ -140,7 +140,7 @@
 	told := c.later.Limit()
 	for range 4 {
 		c.writes.share.Refused(-time.Hour) // as if each came long after the last
-		if r := c.Do(context.Background(), put(core.LaneLater)); r.Status != http.StatusTooManyRequests {
+		if r := c.Do(context.Background(), put(core.LaneDeferred)); r.Status != http.StatusTooManyRequests {
 			t.Fatalf("status %d", r.Status)
 		}
 	}
--- a/internal/step/admin.go
+++ b/internal/step/admin.go
@@ -8,7 +8,7 @@
 
 // Inputs of the administration API.
 type (
-	// AdminSettings reads the operators' settings, or changes them.
+	// AdminSettings reads the operators' settings, or changes them if Patch is set.
 	AdminSettings struct {
 		Req   uint64
 		Patch *wire.SettingsPatch
@@ -21,12 +21,12 @@
 		Machine string
 		Cordon  *wire.Cordon // nil: lift
 	}
-	// AdminWhy asks why a job waits.
+	// AdminWhy asks for the reasons why a job waits.
 	AdminWhy struct {
 		Req uint64
 		ID  string
 	}
-	// AdminChain asks for the jobs that a job awaits and those that await it.
+	// AdminChain asks for the jobs that a job depends on and for those that depend on it.
 	AdminChain struct {
 		Req uint64
 		ID  string
@@ -34,13 +34,14 @@
 )
 
 type (
-	// AdminTrail asks for a controller's trail; another one's is read from the state.
+	// AdminTrail asks for a controller's trail; that of another controller is read from the
+	// state service.
 	AdminTrail struct {
 		Req   uint64
-		Node  string // "": this one's
+		Node  string // "": this controller
 		Query trail.Query
 	}
-	// AdminMachine asks for a machine as this controller believes it to be.
+	// AdminMachine asks for this controller's view of a machine.
 	AdminMachine struct {
 		Req     uint64
 		Machine string
@@ -48,7 +49,7 @@
 )
 
 type (
-	// AdminLadder reads the ladder, or replaces or judges its rungs.
+	// AdminLadder reads the tier order, or replaces or validates its tiers if Patch is set.
 	AdminLadder struct {
 		Req   uint64
 		Patch *wire.LadderPatch
@@ -57,63 +58,65 @@
 	AdminOrder struct{ Req uint64 }
 )
 
-// AdminReach asks what this controller reaches.
+// AdminReach asks what this controller can reach.
 type AdminReach struct{ Req uint64 }
 
-// AdminWeights asks what this controller knows of images in use, or of one.
+// AdminWeights asks what this controller knows of all images in use, or of one if Image is set.
 type AdminWeights struct {
 	Req   uint64
 	Image string
 }
 
-// AdminVersion asks who runs which version, and what is held back for whom.
+// AdminVersion asks which versions the controllers run, and which features are not used yet
+// because some of them do not understand these.
 type AdminVersion struct{ Req uint64 }
 
-// WriteRefused is an effect: the state service has called a write of a kind of record malformed.
+// WriteRefused is the effect that the state service refused a write of this kind of record as malformed.
 type WriteRefused struct{ Kind string }
 
-// ChainsSeen is an effect: how many jobs wait for others, and how many this controller, in this life,
-// has let go on because all that they await is done, or ended because one of these is cancelled.
-type ChainsSeen struct{ Waiting, Released, Cancelled int }
+// ChainCounts is the effect that reports how many jobs wait for others, and how many this controller,
+// since it started, has released because all their predecessors are done, or ended because one of
+// these was cancelled.
+type ChainCounts struct{ Waiting, Released, Cancelled int }
 
-// LinkSeen is an effect: what is believed of a link has changed.
-type LinkSeen struct {
+// LinkChanged is the effect that the believed state of a link has changed.
+type LinkChanged struct {
 	To    string
 	Level reach.Level
 }
 
-// Order is a direct call to a worker: stops, or nothing but a higher token, which makes
-// it report at once. Starts go in answers to reports only.
-type Order struct {
-	Machine string
-	Addr    string
-	Orders  wire.Orders
-	Roll    bool   // its outcome is to come back as OrderDone
-	Look    bool   // nothing is ordered: only its report is asked for, and comes back so too
-	For     string // the controller that asked for the call; "": this one
+// WorkerCall is an effect: a direct call to a worker. It carries stops, or only a higher token,
+// which makes the worker report at once. Starts are sent in answers to reports only.
+type WorkerCall struct {
+	Machine       string
+	Addr          string
+	Orders        wire.Orders
+	ReturnOutcome bool   `msgpack:"Roll"` // the outcome is to be returned as WorkerCallDone
+	ProbeOnly     bool   `msgpack:"Look"` // only the worker's report is requested, without orders; it is returned in the same way
+	RequestedBy   string `msgpack:"For"`  // controller that requested the call; "": this one
 }
 
-// OrderDone is the outcome of a direct call that was to account for a machine: the report
-// that its worker answered with, Status 0 if none came.
-type OrderDone struct {
+// WorkerCallDone is the outcome of a WorkerCall whose outcome was requested: the report that the
+// worker answered with, or Status 0 if none came.
+type WorkerCallDone struct {
 	Machine        string
-	Token, Session uint64 // as they were sent
-	Look           bool   // nothing was ordered, so the report proves nothing
-	For            string // who asked for the call; "": this one
-	Through        bool   // it comes from a peer, so says nothing of what we reach
+	Token, Session uint64 // as sent with the call
+	ProbeOnly      bool   `msgpack:"Look"`    // the call had no orders, so the report does not prove that the worker received the token
+	RequestedBy    string `msgpack:"For"`     // controller that requested the call; "": this one
+	Relayed        bool   `msgpack:"Through"` // the call was made by a peer, so the outcome is no evidence of what this controller reaches
 	Status         int
 	Report         wire.Report
 }
 
 type (
-	// AdminCrews asks for all crews and what is planned for them.
+	// AdminCrews asks for all crews and their plans.
 	AdminCrews struct{ Req uint64 }
-	// AdminCrew adds or changes a crew, or takes it away.
+	// AdminCrew adds or changes a crew, or removes it.
 	AdminCrew struct {
 		Req    uint64
 		Name   string
-		Patch  *wire.CrewPatch // nil: cancel
-		Ver    uint64          // that was read, for a cancellation
+		Patch  *wire.CrewPatch // nil: remove
+		Ver    uint64          // version that was read, for a removal
 		DryRun bool
 	}
 )
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,5 +1,6 @@
-// Package step holds the inputs that the core takes, the effects that it returns and what
-// controllers tell each other, so that the edges need not know how it decides.
+// Package step declares the inputs that the core takes, the effects that it returns and the
+// messages that controllers send each other. The packages that carry these out depend on this
+// package and not on how the core decides.
 package step
 
 import (
@@ -8,44 +9,45 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Inputs.
+// Inputs of the core.
 type (
-	// Tick is the clock pulse.
+	// Tick is a tick of the clock.
 	Tick struct{}
-	// Submit is a user's job. Problem tells why the body could not be read.
+	// Submit is a user's request to accept a job.
 	Submit struct {
 		Req  uint64
 		Spec wire.JobSpec
 	}
-	// Poll asks for a job's state.
+	// Poll is a user's request for a job's state.
 	Poll struct {
 		Req uint64
 		ID  string
 	}
-	// Abort cancels a job.
+	// Abort is a user's request to cancel a job.
 	Abort struct {
 		Req uint64
 		ID  string
 	}
-	// Ready is the load balancer's probe.
+	// Ready is the load balancer's readiness probe.
 	Ready struct{ Req uint64 }
 	// WorkerReport is a worker's report.
 	WorkerReport struct {
 		Req    uint64
 		Report wire.Report
 	}
-	// StateDone and CloudDone return a call's outcome.
+	// StateDone is the outcome of a StateCall.
 	StateDone struct {
 		ID    uint64
 		Reply StateReply
 	}
+	// CloudDone is the outcome of a CloudCall.
 	CloudDone struct {
 		ID    uint64
 		Reply CloudReply
 	}
 )
 
-// State service calls.
+// Operations of the state service (OpGet to OpWatch) and of the cloud (OpTypes to OpDelete).
 const (
 	OpGet = iota
 	OpList
@@ -59,23 +61,23 @@
 	OpDelete
 )
 
-// Lanes of writes, by what may not wait when the state service's limit is short.
+// Lanes of writes. They decide which writes wait when the state service's rate limit is reached.
 const (
-	LaneFirst = iota // entitlement: leadership, shards, presence
-	LaneUser         // acceptances, aborts, starts and ends
-	LaneLater        // progress, blocks, wants: nothing is lost if they wait
+	LaneAuthority = iota // leadership, shards and presence, on which the authority to act depends
+	LaneUser             // acceptances, aborts, starts and ends
+	LaneDeferred         // progress, blocks and demand: nothing is lost if they wait
 )
 
-// Effects.
+// Effects of the core.
 type (
-	// Answer replies to request Req. Holder is set on a 421.
+	// Answer is the response to request Req.
 	Answer struct {
 		Req        uint64
-		Status     int
+		Status     int // of HTTP
 		Body       any
-		RetryAfter int
+		RetryAfter int // in seconds; 0: no Retry-After header
 	}
-	// StateCall asks the state service.
+	// StateCall is a call of the state service.
 	StateCall struct {
 		ID       uint64
 		Op       int
@@ -85,9 +87,9 @@
 		Lane     int
 		Lease    uint64
 		Revision uint64
-		Hold     time.Duration
+		Hold     time.Duration // longest time that a watch stays open without changes
 	}
-	// CloudCall asks the cloud.
+	// CloudCall is a call of the cloud.
 	CloudCall struct {
 		ID    uint64
 		Op    int
@@ -95,27 +97,27 @@
 		Rent  wire.RentRequest
 		Names []string
 	}
-	// Log is one line for the operator. Level: 0 error, 1 info, 2 debug, 3 warning.
+	// Log is one log line for the operator.
 	Log struct {
-		Level int
+		Level int // 0 error, 1 info, 2 debug, 3 warning
 		Msg   string
-		KV    []any
+		KV    []any // names and values of the attributes, alternating
 	}
 )
 
-// StateReply is the state service's answer; Status 0: none came.
+// StateReply is the state service's answer to a StateCall; Status 0 means that none came.
 type StateReply struct {
-	Status int
-	Err    string
-	Item   wire.Item
-	List   wire.ItemList
-	Txn    wire.TxnReply
-	Lease  uint64
-	Events wire.Events
-	Own    bool // our own limit refused it: the service was not asked
+	Status   int
+	Err      string
+	Item     wire.Item
+	List     wire.ItemList
+	Txn      wire.TxnReply
+	Lease    uint64
+	Events   wire.Events
+	OwnLimit bool `msgpack:"Own"` // refused by this controller's own rate limit, without asking the service
 }
 
-// CloudReply is the cloud's answer; Status 0: none came.
+// CloudReply is the cloud's answer to a CloudCall; Status 0 means that none came.
 type CloudReply struct {
 	Status int
 	Err    string
