--- a/cmd/barrowbridge/ladder.go
+++ b/cmd/barrowbridge/ladder.go
@@ -16,18 +16,18 @@
 // ladderCommand shows and changes the order in which work is served.
 func (c *client) ladderCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "ladder", Short: "The rungs on which work is served, top down"}
-	show := func(v wire.LadderView) string {
+	show := func(v wire.TierOrderView) string {
 		lines := []string{fmt.Sprintf("version %d", v.Version)}
 		for i, r := range v.All {
 			from := ""
-			if i >= len(v.Ladder.Rungs) {
+			if i >= len(v.Order.Tiers) {
 				from = ", by priority"
 			}
 			lines = append(lines, fmt.Sprintf("%d. %s%s%s", i+1, r.Name, chosen(r), from))
 		}
 		return strings.Join(lines, "\n")
 	}
-	read := func() (v wire.LadderView, err error) {
+	read := func() (v wire.TierOrderView, err error) {
 		err = c.call(http.MethodGet, "/admin/v1/ladder", nil, &v)
 		return v, err
 	}
@@ -40,7 +40,7 @@
 		if err != nil {
 			return err
 		}
-		if err := c.call(http.MethodPut, "/admin/v1/ladder", wire.LadderPatch{Version: v.Version, Rungs: rungs, Check: check}, &v); err != nil {
+		if err := c.call(http.MethodPut, "/admin/v1/ladder", wire.TierOrderPatch{Version: v.Version, Tiers: rungs, Check: check}, &v); err != nil {
 			return err
 		}
 		return c.print(v, show(v))
@@ -69,7 +69,7 @@
 			}
 			lines := []string{fmt.Sprintf("%s at revision %d, ladder %d: %d jobs, digest %s", o.Node, o.Revision, o.Version, o.Count, o.Digest)}
 			for _, j := range o.Jobs {
-				lines = append(lines, fmt.Sprintf("%s  %d  %s", j.Job, j.Number, j.Rung))
+				lines = append(lines, fmt.Sprintf("%s  %d  %s", j.Job, j.Number, j.Tier))
 			}
 			return c.print(o, strings.Join(lines, "\n"))
 		},
@@ -81,17 +81,17 @@
 				return err
 			}
 			var lines []string
-			for _, h := range v.Ladder.History {
-				lines = append(lines, fmt.Sprintf("version %d, until %s at %s: %s", h.Version, time.UnixMilli(h.AtMS).UTC().Format(time.RFC3339), h.Node, strings.Join(h.Rungs, ", ")))
+			for _, h := range v.Order.History {
+				lines = append(lines, fmt.Sprintf("version %d, until %s at %s: %s", h.Version, time.UnixMilli(h.AtMS).UTC().Format(time.RFC3339), h.Node, strings.Join(h.Tiers, ", ")))
 			}
-			return c.print(v.Ladder.History, strings.Join(lines, "\n"))
+			return c.print(v.Order.History, strings.Join(lines, "\n"))
 		},
 	})
 	return cmd
 }
 
 // chosen tells what a rung selects by.
-func chosen(r wire.Rung) string {
+func chosen(r wire.Tier) string {
 	var parts []string
 	for _, p := range []struct {
 		what string
@@ -105,13 +105,13 @@
 }
 
 // readRungs reads a ladder's file: [[rung]] tables, top down.
-func readRungs(file string) ([]wire.Rung, error) {
+func readRungs(file string) ([]wire.Tier, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
 	var f struct {
-		Rung []wire.Rung `toml:"rung"`
+		Rung []wire.Tier `toml:"rung"`
 	}
 	if err := tomlfile.Decode(file, b, &f); err != nil {
 		return nil, err
--- a/cmd/barrowbridge/reach.go
+++ b/cmd/barrowbridge/reach.go
@@ -72,7 +72,7 @@
 			}
 			b.WriteString("\n")
 		}
-		for _, w := range v.Words {
+		for _, w := range v.Reports {
 			if s := wordOf(w); s != "" {
 				fmt.Fprintf(&b, "%-10s has heard from %s: %s\n", v.Node, w.Node, s)
 			}
@@ -84,21 +84,21 @@
 	return b.String()
 }
 
-func wordOf(w wire.ReachWord) string {
+func wordOf(w wire.ReachReportView) string {
 	var out []string
-	if w.Lacks {
+	if w.NoWorkers {
 		out = append(out, "workers do not reach it")
 	}
-	for _, i := range w.Seeks {
+	for _, i := range w.SilentShards {
 		out = append(out, fmt.Sprintf("the machines of its shard %d are silent", i))
 	}
-	for _, h := range w.Hears {
-		out = append(out, fmt.Sprintf("%d of %d machines of shard %d answer it", h.Heard, h.Of, h.Shard))
+	for _, h := range w.SampledShards {
+		out = append(out, fmt.Sprintf("%d of %d machines of shard %d answer it", h.Answered, h.Called, h.Shard))
 	}
-	for _, i := range w.Misses {
+	for _, i := range w.DegradedShards {
 		out = append(out, fmt.Sprintf("many machines of its shard %d are silent", i))
 	}
-	for _, n := range w.Apart {
+	for _, n := range w.UnreachableNodes {
 		out = append(out, n+" does not answer it")
 	}
 	if w.NoCloud {
--- a/cmd/barrowbridge/trail.go
+++ b/cmd/barrowbridge/trail.go
@@ -167,11 +167,11 @@
 	return &cobra.Command{
 		Use: "machine NAME", Short: "Print a machine as its holder believes it to be now", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var best *wire.Believed
+			var best *wire.MachineDetail
 			var last error
 			for _, s := range c.servers { // the holder knows most, whoever it is
 				one := &client{servers: []string{s}, timeout: min(askWait, c.timeout)}
-				var m wire.Believed
+				var m wire.MachineDetail
 				if err := one.call(http.MethodGet, "/admin/v1/machines/"+url.PathEscape(args[0]), nil, &m); err != nil {
 					last = err
 				} else if best == nil || m.Held {
@@ -186,7 +186,7 @@
 	}
 }
 
-func showMachine(m *wire.Believed) string {
+func showMachine(m *wire.MachineDetail) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s, %s in %s, block %s, shard %d, holder %s, token %d", m.Machine, m.State, m.Type, m.Zone, m.Block, m.Shard, m.Holder, m.Token)
 	if m.Spot {
--- a/internal/assignment/tracker.go
+++ b/internal/assignment/tracker.go
@@ -44,18 +44,18 @@
 	cloud           *reach.Link
 	rules           Rules
 	limits          Limits
-	stored          map[string]wire.Reach     // reports by controller, as stored in the state service
-	received        map[string]receivedReport // last report received from each peer directly
-	answeredAt      map[string]time.Duration  // when each peer last answered a ping
-	lackedWorkersAt map[string]time.Duration  // when each controller was last known to lack workers
-	missingShards   []int                     // held shards with too many missing machines
-	startedAt       time.Duration             // time of the first Update
-	shownLevels     map[string]reach.Level    // link levels last returned by ChangedLinks
+	stored          map[string]wire.ReachReport // reports by controller, as stored in the state service
+	received        map[string]receivedReport   // last report received from each peer directly
+	answeredAt      map[string]time.Duration    // when each peer last answered a ping
+	lackedWorkersAt map[string]time.Duration    // when each controller was last known to lack workers
+	missingShards   []int                       // held shards with too many missing machines
+	startedAt       time.Duration               // time of the first Update
+	shownLevels     map[string]reach.Level      // link levels last returned by ChangedLinks
 }
 
 // receivedReport is a report that a peer sent, and when it arrived.
 type receivedReport struct {
-	report wire.Reach
+	report wire.ReachReport
 	at     time.Duration
 }
 
@@ -70,7 +70,7 @@
 		cloud:           cloud,
 		rules:           rules,
 		limits:          limits,
-		stored:          map[string]wire.Reach{},
+		stored:          map[string]wire.ReachReport{},
 		received:        map[string]receivedReport{},
 		answeredAt:      map[string]time.Duration{},
 		lackedWorkersAt: map[string]time.Duration{},
@@ -79,16 +79,16 @@
 }
 
 // SetStored records a controller's report as stored in the state service.
-func (t *Tracker) SetStored(node string, report wire.Reach) { t.stored[node] = report }
+func (t *Tracker) SetStored(node string, report wire.ReachReport) { t.stored[node] = report }
 
 // RemoveStored records that the state service no longer holds a report of a controller.
 func (t *Tracker) RemoveStored(node string) { delete(t.stored, node) }
 
 // Stored returns a controller's report as stored in the state service.
-func (t *Tracker) Stored(node string) wire.Reach { return t.stored[node] }
+func (t *Tracker) Stored(node string) wire.ReachReport { return t.stored[node] }
 
 // ReportReceived records a report that a controller has sent to us directly.
-func (t *Tracker) ReportReceived(now time.Duration, node string, report wire.Reach) {
+func (t *Tracker) ReportReceived(now time.Duration, node string, report wire.ReachReport) {
 	t.received[node] = receivedReport{report, now}
 }
 
@@ -113,7 +113,7 @@
 		return ""
 	}
 	for _, n := range t.others() {
-		if t.Reachable(now, n) && !t.Latest(now, n).Lacks {
+		if t.Reachable(now, n) && !t.Latest(now, n).NoWorkers {
 			return n
 		}
 	}
@@ -122,33 +122,33 @@
 
 // Latest returns the newest known report of a controller: the one it sent to us, while that is
 // recent, else the stored one if its present incarnation wrote it, else an empty report.
-func (t *Tracker) Latest(now time.Duration, node string) wire.Reach {
+func (t *Tracker) Latest(now time.Duration, node string) wire.ReachReport {
 	if received, ok := t.received[node]; ok && now-received.at < t.limits.ReportTTL {
 		return received.report
 	}
 	if stored := t.stored[node]; stored.Boot == t.present[node].Boot {
 		return stored
 	}
-	return wire.Reach{}
+	return wire.ReachReport{}
 }
 
 // OwnReport returns our own reachability report for the other controllers.
-func (t *Tracker) OwnReport(now time.Duration, self Self) wire.Reach {
+func (t *Tracker) OwnReport(now time.Duration, self Self) wire.ReachReport {
 	report := t.workers.Report(now)
-	report.Boot, report.Misses = self.Boot, t.missingShards
+	report.Boot, report.DegradedShards = self.Boot, t.missingShards
 	cloud := t.cloud.Evaluate(now)
 	report.NoCloud = self.Leading && cloud.Level == reach.Down
-	report.Cloud = !self.Leading && cloud.Level == reach.Up && now-t.cloud.LastAnswered() < t.limits.CloudAnswerTTL && t.Latest(now, self.Leader).NoCloud
+	report.CloudAnswers = !self.Leading && cloud.Level == reach.Up && now-t.cloud.LastAnswered() < t.limits.CloudAnswerTTL && t.Latest(now, self.Leader).NoCloud
 	for _, n := range t.others() {
 		if now-max(t.answeredAt[n], t.startedAt) > t.limits.UnreachableAfter {
-			report.Apart = append(report.Apart, n)
+			report.UnreachableNodes = append(report.UnreachableNodes, n)
 		}
 	}
 	return report
 }
 
 // reportOf returns the newest known report of a controller, which may be ourselves.
-func (t *Tracker) reportOf(now time.Duration, self Self, node string) wire.Reach {
+func (t *Tracker) reportOf(now time.Duration, self Self, node string) wire.ReachReport {
 	if node == t.self {
 		return t.OwnReport(now, self)
 	}
@@ -176,7 +176,7 @@
 		t.lackedWorkersAt[t.self] = now
 	}
 	for _, n := range t.others() {
-		if t.Latest(now, n).Lacks {
+		if t.Latest(now, n).NoWorkers {
 			t.lackedWorkersAt[n] = now
 		}
 	}
@@ -187,7 +187,7 @@
 func (t *Tracker) SoughtShards(now time.Duration, holdsShard func(shard int) bool) map[int]bool {
 	sought := map[int]bool{}
 	for _, n := range t.others() {
-		for _, i := range t.Latest(now, n).Seeks {
+		for _, i := range t.Latest(now, n).SilentShards {
 			if !holdsShard(i) {
 				sought[i] = true
 			}
@@ -205,12 +205,12 @@
 			Node:         n,
 			Zone:         t.present[n].Zone,
 			HeldShards:   held[n],
-			LacksWorkers: report.Lacks,
+			LacksWorkers: report.NoWorkers,
 			Reachable:    t.Reachable(now, n),
 		}
-		for _, h := range report.Hears {
+		for _, h := range report.SampledShards {
 			if h.Shard == shard {
-				member.Reach = &Reach{Total: h.Of, Reached: h.Heard}
+				member.Reach = &Reach{Total: h.Called, Reached: h.Answered}
 			}
 		}
 		members = append(members, member)
@@ -246,8 +246,8 @@
 	if lackedAt, ever := t.lackedWorkersAt[rec.Home]; ever {
 		presentFor = min(presentFor, now-lackedAt)
 	}
-	home := Member{Node: rec.Home, HeldShards: held, LacksWorkers: t.reportOf(now, self, rec.Home).Lacks}
-	return t.rules.MayReturnHome(home, slices.Contains(holder.Misses, shard), presentFor, t.limits.ReturnHomeAfter)
+	home := Member{Node: rec.Home, HeldShards: held, LacksWorkers: t.reportOf(now, self, rec.Home).NoWorkers}
+	return t.rules.MayReturnHome(home, slices.Contains(holder.DegradedShards, shard), presentFor, t.limits.ReturnHomeAfter)
 }
 
 // LeadershipTarget returns the controller to which we should leave leadership because we do not
@@ -260,7 +260,7 @@
 	var others []Member
 	for _, n := range t.others() {
 		report := t.Latest(now, n)
-		others = append(others, Member{Node: n, ReachesCloud: report.Cloud, LacksWorkers: report.Lacks})
+		others = append(others, Member{Node: n, ReachesCloud: report.CloudAnswers, LacksWorkers: report.NoWorkers})
 	}
 	return NextLeader(others)
 }
@@ -294,9 +294,9 @@
 	link := state.View(now, "state")
 	link.Through = through
 	view := wire.ReachView{
-		Node:  t.self,
-		Words: []wire.ReachWord{},
-		Links: []wire.LinkView{link, t.cloud.Evaluate(now).View(now, "cloud")},
+		Node:    t.self,
+		Reports: []wire.ReachReportView{},
+		Links:   []wire.LinkView{link, t.cloud.Evaluate(now).View(now, "cloud")},
 	}
 	for _, n := range slices.Sorted(maps.Keys(t.zones)) {
 		if n != t.self {
@@ -311,7 +311,7 @@
 		view.Links = append(view.Links, wire.LinkView{To: "workers", Level: reach.Down.String(), Why: "none reports, none that was called answers"})
 	}
 	for _, n := range t.others() {
-		view.Words = append(view.Words, t.Latest(now, n).Told(n))
+		view.Reports = append(view.Reports, t.Latest(now, n).View(n))
 	}
 	return view
 }
--- a/internal/assignment/tracker_test.go
+++ b/internal/assignment/tracker_test.go
@@ -36,23 +36,23 @@
 // earlier incarnation is ignored.
 func TestLatestReport(t *testing.T) {
 	tracker, _ := newTestTracker()
-	tracker.SetStored("b", wire.Reach{Boot: 2, Lacks: true})
-	tracker.SetStored("c", wire.Reach{Boot: 1, Lacks: true})
-	if !tracker.Latest(time.Second, "b").Lacks || tracker.Latest(time.Second, "c").Lacks {
+	tracker.SetStored("b", wire.ReachReport{Boot: 2, NoWorkers: true})
+	tracker.SetStored("c", wire.ReachReport{Boot: 1, NoWorkers: true})
+	if !tracker.Latest(time.Second, "b").NoWorkers || tracker.Latest(time.Second, "c").NoWorkers {
 		t.Error("the report of the present incarnation is ignored, or that of an earlier one is used")
 	}
-	tracker.ReportReceived(time.Second, "b", wire.Reach{Boot: 2, Seeks: []int{1, 4}})
-	if report := tracker.Latest(2*time.Second, "b"); report.Lacks || len(report.Seeks) != 2 {
+	tracker.ReportReceived(time.Second, "b", wire.ReachReport{Boot: 2, SilentShards: []int{1, 4}})
+	if report := tracker.Latest(2*time.Second, "b"); report.NoWorkers || len(report.SilentShards) != 2 {
 		t.Errorf("received a second ago: %+v", report)
 	}
 	if sought := tracker.SoughtShards(2*time.Second, func(i int) bool { return i == 4 }); len(sought) != 1 || !sought[1] {
 		t.Errorf("sought: %v", sought)
 	}
-	if !tracker.Latest(4*time.Second, "b").Lacks {
+	if !tracker.Latest(4*time.Second, "b").NoWorkers {
 		t.Error("an outdated received report is used instead of the stored one")
 	}
 	tracker.RemoveStored("b")
-	if tracker.Latest(4*time.Second, "b").Lacks {
+	if tracker.Latest(4*time.Second, "b").NoWorkers {
 		t.Error("a removed report is used")
 	}
 }
@@ -64,7 +64,7 @@
 	if !tracker.Reachable(3*time.Second, "b") || tracker.Reachable(3500*time.Millisecond, "b") || tracker.Reachable(time.Second, "c") {
 		t.Error("only a peer that has answered within the last second is reachable")
 	}
-	if report := tracker.OwnReport(4500*time.Millisecond, Self{Boot: 1}); !slices.Equal(report.Apart, []string{"c"}) || report.Boot != 1 {
+	if report := tracker.OwnReport(4500*time.Millisecond, Self{Boot: 1}); !slices.Equal(report.UnreachableNodes, []string{"c"}) || report.Boot != 1 {
 		t.Errorf("%+v", report)
 	}
 }
@@ -75,7 +75,7 @@
 	tracker.workers = reach.NewWorkers(reach.WorkerLimits{CutOffFor: time.Minute, Group: reach.GroupLimits{MinSilence: 1500 * time.Millisecond}})
 	tracker.PingAnswered(3*time.Second, "b")
 	tracker.PingAnswered(3*time.Second, "c")
-	tracker.ReportReceived(3*time.Second, "b", wire.Reach{Boot: 2, Lacks: true})
+	tracker.ReportReceived(3*time.Second, "b", wire.ReachReport{Boot: 2, NoWorkers: true})
 	if to := tracker.WorkerProxy(3 * time.Second); to != "" {
 		t.Errorf("workers may be reached directly, and calls go through %s", to)
 	}
@@ -103,7 +103,7 @@
 	if mayReturn(15*time.Second) || !mayReturn(17*time.Second) {
 		t.Error("must return after 15 s, and not sooner")
 	}
-	tracker.ReportReceived(18*time.Second, "b", wire.Reach{Lacks: true})
+	tracker.ReportReceived(18*time.Second, "b", wire.ReachReport{NoWorkers: true})
 	tracker.Update(18*time.Second, map[int]int{0: 2}, func(int) int { return 100 })
 	if mayReturn(19*time.Second) || mayReturn(30*time.Second) || !mayReturn(34*time.Second) {
 		t.Error("must return 15 s after the home last lacked workers")
@@ -130,7 +130,7 @@
 func TestLeadershipTarget(t *testing.T) {
 	tracker, cloud := newTestTracker()
 	lead := Self{Boot: 1, Leading: true, Leader: "a"}
-	tracker.ReportReceived(time.Second, "c", wire.Reach{Cloud: true})
+	tracker.ReportReceived(time.Second, "c", wire.ReachReport{CloudAnswers: true})
 	if to := tracker.LeadershipTarget(time.Second, lead); to != "" {
 		t.Errorf("the cloud may be reached, and leadership goes to %s", to)
 	}
@@ -143,7 +143,7 @@
 	if len(changed) != 3 || changed[1] != (Link{"cloud", reach.Down}) || len(tracker.ChangedLinks(2500*time.Millisecond, reach.Up)) != 0 {
 		t.Errorf("%v", changed)
 	}
-	if v := tracker.View(2500*time.Millisecond, reach.LinkStatus{Level: reach.Up}, "", []int{0}); len(v.Links) != 5 || len(v.Words) != 2 || v.Links[1].Level != "down" {
+	if v := tracker.View(2500*time.Millisecond, reach.LinkStatus{Level: reach.Up}, "", []int{0}); len(v.Links) != 5 || len(v.Reports) != 2 || v.Links[1].Level != "down" {
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/assignment/transfer.go
+++ b/internal/assignment/transfer.go
@@ -12,9 +12,9 @@
 // must list more than one incarnation: otherwise two crashes in a row hid who had held the shard
 // before the last one, and its tasks waited half a minute for machines that never answer.
 func WithNewHolder(rec wire.Shard, node string, boot uint64, maxPast, maxBytes int) wire.Shard {
-	last := wire.Life{Node: rec.Holder, Boot: rec.Boot}
+	last := wire.Incarnation{Node: rec.Holder, Boot: rec.Boot}
 	if rec.Settled {
-		rec.Past, rec.Known = []wire.Life{last}, true
+		rec.Past, rec.Known = []wire.Incarnation{last}, true
 	} else if len(rec.Past) < maxPast {
 		rec.Past = append(slices.Clone(rec.Past), last)
 	} else {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -69,7 +69,7 @@
 // Guest teams come without guarantee and limit, and taken for a limit of nothing each of
 // their jobs was refused for ever. Of a team that has a limit on CPUs and none on GPUs
 // nobody has said that it may use GPUs.
-func (t Team) Most() (cpus, gpus float64) {
+func (t Team) MaxUsage() (cpus, gpus float64) {
 	cpus, gpus = t.CPUsMax, t.GPUsMax
 	if cpus == 0 {
 		cpus = math.Inf(1)
@@ -117,7 +117,7 @@
 
 // Least is the smaller of the present and the next limits, each. Nobody says when the next
 // ones begin, so every write keeps to both from the first on.
-func (s State) Least() State {
+func (s State) Strictest() State {
 	least := func(to *float64, next *float64) {
 		if next != nil {
 			*to = min(*to, *next)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatalf("%q: %v", x.team, err)
 		}
-		if cpus, gpus := c.Params.Teams[0].Most(); fmt.Sprint(cpus) != x.cpus || fmt.Sprint(gpus) != x.gpus {
+		if cpus, gpus := c.Params.Teams[0].MaxUsage(); fmt.Sprint(cpus) != x.cpus || fmt.Sprint(gpus) != x.gpus {
 			t.Errorf("%q: at most %v cpus, %v gpus", x.team, cpus, gpus)
 		}
 	}
@@ -92,21 +92,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l != c.Params.State {
+	if l := c.Params.State.Strictest(); l != c.Params.State {
 		t.Fatalf("without next limits: %+v", l)
 	}
 	c, err = Parse([]byte(next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\nlater = 1")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l.RPS != 80 || l.WriteRPS != 15 || l.ValueKB != 2 || l.TxnOps != 5 {
+	if l := c.Params.State.Strictest(); l.RPS != 80 || l.WriteRPS != 15 || l.ValueKB != 2 || l.TxnOps != 5 {
 		t.Fatalf("least: %+v", l)
 	}
 	c, err = Parse([]byte(next("write_rps = 30.0\ntxn_ops = 4")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l.WriteRPS != 20 || l.ValueKB != 16 || l.TxnOps != 4 {
+	if l := c.Params.State.Strictest(); l.WriteRPS != 20 || l.ValueKB != 16 || l.TxnOps != 4 {
 		t.Fatalf("one larger, one absent: %+v", l)
 	}
 	for _, bad := range []struct{ lines, field string }{
--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -57,7 +57,7 @@
 	case 409:
 		c.answer(request, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	case 400:
-		c.answer(request, 422, wire.NotTaken(reply.Err))
+		c.answer(request, 422, wire.RecordRefused(reply.Err))
 	default:
 		c.answer(request, 503, unavailable("state service not reached"))
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -181,13 +181,13 @@
 		c.onAdminOverview(v)
 	case AdminCordon:
 		c.onAdminCordon(v)
-	case AdminLadder:
+	case AdminTierOrder:
 		c.onAdminTiers(v)
 	case AdminCrews:
 		c.onAdminCrews(v)
 	case AdminCrew:
 		c.onAdminCrew(v)
-	case AdminOrder:
+	case AdminServiceOrder:
 		c.onAdminJobOrder(v)
 	case AdminWhy:
 		c.onAdminWhy(v)
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -123,7 +123,7 @@
 		GPUs:  urgentTask.GPUs,
 		MemGB: urgentTask.MemGB,
 		Tasks: missing,
-		Rung:  tier,
+		Tier:  tier,
 	}, missing > 0
 }
 
@@ -180,12 +180,12 @@
 		need := supply.NeedOf(j, zone, missing, e.rank)
 		if overdue {
 			// At best a machine is booting for it; a borrowed machine is available now.
-			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
+			need.Starved, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
 		if p.WithinGuarantee && missing > 0 {
 			starved = true
 			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.StarvedAfter {
-				need.Dire = true
+				need.Starved = true
 			}
 		}
 		out = supply.MergeNeed(out, need, tuning.MaxDemandNeeds)
@@ -238,7 +238,7 @@
 		if !c.holdsShard(shard) {
 			continue
 		}
-		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
+		unmet := wire.Demand{Seen: c.latestBlockRevision(shard)}
 		// While starts are stuck, nothing is rented for tasks that cannot start, and no machine is
 		// given back for lack of tasks.
 		if !c.writeLimits.Stuck(c.now) {
@@ -272,11 +272,11 @@
 }
 
 // shardDemand returns the unmet demand of a shard, as far as it is known here.
-func (c *Core) shardDemand(shard int) wire.Want {
+func (c *Core) shardDemand(shard int) wire.Demand {
 	entry := c.shards[shard]
 	switch {
 	case entry == nil:
-		return wire.Want{}
+		return wire.Demand{}
 	case c.holdsShard(shard):
 		return c.publishedDemand[shard]
 	}
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -116,8 +116,8 @@
 		ask(n, func(q uint64) any { return AdminMachine{Req: q, Machine: machine} })
 		ask(n, func(q uint64) any { return AdminReach{Req: q} })
 		ask(n, func(q uint64) any { return AdminVersion{Req: q} })
-		ask(n, func(q uint64) any { return AdminOrder{Req: q} })
-		ask(n, func(q uint64) any { return AdminLadder{Req: q} })
+		ask(n, func(q uint64) any { return AdminServiceOrder{Req: q} })
+		ask(n, func(q uint64) any { return AdminTierOrder{Req: q} })
 		ask(n, func(q uint64) any { return AdminCrews{Req: q} })
 		ask(n, func(q uint64) any { return AdminSettings{Req: q} })
 		ask(n, func(q uint64) any {
@@ -135,9 +135,9 @@
 		cordon := []*wire.Cordon{nil, {}, {Drain: true}}[w.rng.IntN(3)]
 		ask(n, func(q uint64) any { return AdminCordon{Req: q, Machine: machine, Cordon: cordon} })
 	case 2:
-		rungs := [][]wire.Rung{alarmRungs, nil, {{Name: ""}}, alarmRungs[1:]}[w.rng.IntN(4)]
+		rungs := [][]wire.Tier{alarmRungs, nil, {{Name: ""}}, alarmRungs[1:]}[w.rng.IntN(4)]
 		ask(n, func(q uint64) any {
-			return AdminLadder{Req: q, Patch: &wire.LadderPatch{Version: w.key(wire.KeyLadder).Version, Rungs: rungs, Check: w.rng.IntN(4) == 0}}
+			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: w.key(wire.KeyTierOrder).Version, Tiers: rungs, Check: w.rng.IntN(4) == 0}}
 		})
 	default:
 		name := []string{"early", "late", "Never"}[w.rng.IntN(3)]
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -120,9 +120,9 @@
 				w.put(wire.PrefixWeights+"0", rec)
 			}
 
-			want := wire.Want{Seen: 1 << 40}
+			want := wire.Demand{Seen: 1 << 40}
 			for k := range tuning.MaxDemandNeeds {
-				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Dire: true, Rung: 7})
+				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Starved: true, Tier: 7})
 			}
 			fit := limits.Fit(want, bytes, wants.Shorter)
 			if len(fit.Needs) < 8 {
@@ -159,11 +159,11 @@
 		w.put(shardKey(0), shard)
 	}
 
-	reach := wire.Reach{Boot: 1 << 40, Lacks: true, NoCloud: true, Cloud: true}
+	reach := wire.ReachReport{Boot: 1 << 40, NoWorkers: true, NoCloud: true, CloudAnswers: true}
 	for k := range 12 { // controllers and shards
-		reach.Apart = append(reach.Apart, fmt.Sprintf("controller-of-a-long-name-%d", k))
-		reach.Seeks, reach.Misses = append(reach.Seeks, k), append(reach.Misses, k)
-		reach.Hears = append(reach.Hears, wire.ShardReach{Shard: k, Of: machines, Heard: machines})
+		reach.UnreachableNodes = append(reach.UnreachableNodes, fmt.Sprintf("controller-of-a-long-name-%d", k))
+		reach.SilentShards, reach.DegradedShards = append(reach.SilentShards, k), append(reach.DegradedShards, k)
+		reach.SampledShards = append(reach.SampledShards, wire.ShardReach{Shard: k, Called: machines, Answered: machines})
 	}
 	w.put(wire.PrefixReach+"c0", reach)
 	w.put(wire.PrefixNode+"c0", wire.Node{Boot: 1 << 60, Zone: "zone-of-a-long-name"})
@@ -209,18 +209,18 @@
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
-	lad := wire.Ladder{}
+	lad := wire.TierOrder{}
 	for k := range 6 {
-		lad.Rungs = append(lad.Rungs, wire.Rung{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
+		lad.Tiers = append(lad.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
 	for k := range tuning.TierHistoryChanges {
-		c := wire.LadderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
-		for _, r := range lad.Rungs {
-			c.Rungs = append(c.Rungs, r.Name)
+		c := wire.TierOrderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
+		for _, r := range lad.Tiers {
+			c.Tiers = append(c.Tiers, r.Name)
 		}
 		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.DropOldestChange))
+	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
 // progress is that of a job with the longest description that is accepted.
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -31,7 +31,7 @@
 	writingJobs, writingProgress, writingImages bool // a write of that kind is in flight
 	lastAttemptNumber                           uint64
 
-	publishedDemand  map[int]wire.Want     // by held shard: the unmet demand last published
+	publishedDemand  map[int]wire.Demand   // by held shard: the unmet demand last published
 	demandPublishers map[int]*wants.Teller // by held shard
 	peerDemand       *wants.Board          // unmet demand that other holders have published
 
@@ -168,7 +168,7 @@
 		grantedShards:      map[int]bool{},
 		unreconciledShards: map[int]bool{},
 
-		publishedDemand:  map[int]wire.Want{},
+		publishedDemand:  map[int]wire.Demand{},
 		demandPublishers: map[int]*wants.Teller{},
 		peerDemand:       wants.NewBoard(demandPace),
 
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -43,8 +43,8 @@
 }
 
 func (w *world) ladderNow() *tiers.Order {
-	var rec wire.Ladder
-	_ = wire.Unmarshal(w.key(wire.KeyLadder).Value, &rec)
+	var rec wire.TierOrder
+	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &rec)
 	return tiers.NewOrder(rec)
 }
 
@@ -167,7 +167,7 @@
 			}
 			digests := map[string]int{}
 			for _, n := range sortedKeys(w.nodes) {
-				w.ask(n, func(q uint64) any { return AdminOrder{Req: q} }, func(a Answer) {
+				w.ask(n, func(q uint64) any { return AdminServiceOrder{Req: q} }, func(a Answer) {
 					if o, ok := a.Body.(wire.OrderView); ok {
 						digests[fmt.Sprint(o.Revision, " ", o.Version, " ", o.Digest)]++
 					}
@@ -180,10 +180,12 @@
 	}
 }
 
-var alarmRungs = []wire.Rung{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
+var alarmRungs = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
 
-func (w *world) setLadder(node string, ver uint64, rungs []wire.Rung) (status int) {
-	w.ask(node, func(q uint64) any { return AdminLadder{Req: q, Patch: &wire.LadderPatch{Version: ver, Rungs: rungs}} }, func(a Answer) { status = a.Status })
+func (w *world) setLadder(node string, ver uint64, rungs []wire.Tier) (status int) {
+	w.ask(node, func(q uint64) any {
+		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
+	}, func(a Answer) { status = a.Status })
 	w.run(sec)
 	return status
 }
@@ -195,20 +197,22 @@
 	w := staffed(t, 96, 2)
 	var got []int
 	for _, n := range []string{"c0", "c1"} {
-		w.ask(n, func(q uint64) any { return AdminLadder{Req: q, Patch: &wire.LadderPatch{Rungs: alarmRungs}} }, func(a Answer) { got = append(got, a.Status) })
+		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmRungs}} }, func(a Answer) { got = append(got, a.Status) })
 	}
 	w.run(sec)
 	if len(got) != 2 || got[0]+got[1] != 200+409 {
 		t.Errorf("two at once are answered %v", got)
 	}
-	ver := w.key(wire.KeyLadder).Version
-	if s := w.setLadder("c2", ver, []wire.Rung{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyLadder).Version != ver {
+	ver := w.key(wire.KeyTierOrder).Version
+	if s := w.setLadder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
 		t.Errorf("a class without teams: %d", s)
 	}
 	for i, after := range []time.Duration{0, time.Millisecond, 4 * time.Millisecond, 8 * time.Millisecond, 12 * time.Millisecond, 20 * time.Millisecond} {
-		ver, was := w.key(wire.KeyLadder).Version, w.ladderNow()
-		rungs := []wire.Rung{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
-		w.ask("c0", func(q uint64) any { return AdminLadder{Req: q, Patch: &wire.LadderPatch{Version: ver, Rungs: rungs}} }, func(Answer) {})
+		ver, was := w.key(wire.KeyTierOrder).Version, w.ladderNow()
+		rungs := []wire.Tier{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
+		w.ask("c0", func(q uint64) any {
+			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
+		}, func(Answer) {})
 		w.run(after)
 		w.bounce(300*time.Millisecond, "c0", w.shardRec("blue").Holder)
 		w.run(8 * sec)
@@ -217,18 +221,18 @@
 			t.Errorf("ended %v after the change: %v", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
-			if n.core.versions.Of(wire.KeyLadder) != w.key(wire.KeyLadder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
-				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Of(wire.KeyLadder))
+			if n.core.versions.Of(wire.KeyTierOrder) != w.key(wire.KeyTierOrder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
+				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Of(wire.KeyTierOrder))
 			}
 		}
 	}
-	if h := w.ladderRec().History; len(h) == 0 || h[0].Rungs[0] != "alarms" {
+	if h := w.ladderRec().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
 		t.Errorf("history %v", h)
 	}
 }
 
-func (w *world) ladderRec() (r wire.Ladder) {
-	_ = wire.Unmarshal(w.key(wire.KeyLadder).Value, &r)
+func (w *world) ladderRec() (r wire.TierOrder) {
+	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &r)
 	return r
 }
 
--- a/internal/core/meeting_beliefs_test.go
+++ b/internal/core/meeting_beliefs_test.go
@@ -96,7 +96,7 @@
 		if err := wire.Unmarshal(w.key(wire.PrefixNode+to).Value, &node); err != nil {
 			w.t.Fatalf("%s is not present: %v", to, err)
 		}
-		rec.Past, rec.Known = append(rec.Past, wire.Life{Node: rec.Holder, Boot: rec.Boot}), rec.Known || rec.Settled
+		rec.Past, rec.Known = append(rec.Past, wire.Incarnation{Node: rec.Holder, Boot: rec.Boot}), rec.Known || rec.Settled
 		rec.Holder, rec.Boot, rec.Settled = to, node.Boot, false
 		w.at(0, func() { w.set(it.Key, rec) })
 	})
--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -107,10 +107,10 @@
 	}
 	entered := holder.shardHeldSince[i]
 	other := rec
-	other.Holder, other.Boot, other.Settled, other.Past = "c9", 1, false, []wire.Life{{Node: rec.Holder, Boot: rec.Boot}}
+	other.Holder, other.Boot, other.Settled, other.Past = "c9", 1, false, []wire.Incarnation{{Node: rec.Holder, Boot: rec.Boot}}
 	w.set(shardKey(i), other)
 	back := other
-	back.Holder, back.Boot, back.Past = rec.Holder, rec.Boot, append(other.Past, wire.Life{Node: "c9", Boot: 1})
+	back.Holder, back.Boot, back.Past = rec.Holder, rec.Boot, append(other.Past, wire.Incarnation{Node: "c9", Boot: 1})
 	w.set(shardKey(i), back)
 	holder.applyRead(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
 	if holder.heldShards[i] {
@@ -122,8 +122,8 @@
 	}
 	w.run(20 * sec) // the world judges what runs where
 
-	us, them := wire.Life{Node: "c0", Boot: 1}, wire.Life{Node: "c1", Boot: 2}
-	held := wire.Shard{Holder: "c0", Boot: 1, Teams: []string{"red"}, Past: []wire.Life{them}, Known: true}
+	us, them := wire.Incarnation{Node: "c0", Boot: 1}, wire.Incarnation{Node: "c1", Boot: 2}
+	held := wire.Shard{Holder: "c0", Boot: 1, Teams: []string{"red"}, Past: []wire.Incarnation{them}, Known: true}
 	for what, x := range map[string]struct {
 		old, now func(*wire.Shard)
 		grant    bool
@@ -131,8 +131,8 @@
 		"settled by us":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Settled = true }, false},
 		"another team":               {func(*wire.Shard) {}, func(s *wire.Shard) { s.Teams = []string{"red", "blue"} }, false},
 		"another team, settled":      {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Settled, s.Teams = true, []string{"red", "blue"} }, false},
-		"gone and back":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Past = []wire.Life{them, us, them} }, true},
-		"gone and back when settled": {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Past = []wire.Life{us, them} }, true},
+		"gone and back":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Past = []wire.Incarnation{them, us, them} }, true},
+		"gone and back when settled": {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Past = []wire.Incarnation{us, them} }, true},
 		"too many lives to name":     {func(*wire.Shard) {}, func(s *wire.Shard) { s.Known = false }, true},
 		"too many before":            {func(s *wire.Shard) { s.Known = false }, func(s *wire.Shard) { s.Known = false }, true},
 	} {
--- a/internal/core/meeting_late_test.go
+++ b/internal/core/meeting_late_test.go
@@ -56,7 +56,7 @@
 		return "version"
 	case of(wire.PrefixReach):
 		return "reach"
-	case of(wire.PrefixWant):
+	case of(wire.PrefixDemand):
 		return "wants"
 	case of(wire.PrefixType):
 		return "types"
@@ -160,9 +160,9 @@
 					t.Errorf("seed %d: %v are up and not present", seed, a)
 				}
 				for _, n := range sortedKeys(w.nodes) {
-					r := wire.Reach{Boot: w.nodes[n].core.presence.Boot()} // none: nothing to tell
+					r := wire.ReachReport{Boot: w.nodes[n].core.presence.Boot()} // none: nothing to tell
 					_ = wire.Unmarshal(w.key(wire.PrefixReach+n).Value, &r)
-					if own := w.nodes[n].core.ownReach(); !wire.Same(r, own) {
+					if own := w.nodes[n].core.ownReach(); !wire.EqualEncoding(r, own) {
 						t.Errorf("seed %d: the word of %s is %+v, it says %+v", seed, n, r, own)
 					}
 				}
@@ -299,11 +299,14 @@
 	apart("c2") // the word that says so is on its way for long
 	w.until(20*sec, func() bool { return holds > 0 })
 	apart("c0") // and another follows
-	var r wire.Reach
-	w.until(11*sec, func() bool { _ = wire.Unmarshal(w.key(wire.PrefixReach+"c1").Value, &r); return len(r.Apart) == 2 })
+	var r wire.ReachReport
+	w.until(11*sec, func() bool {
+		_ = wire.Unmarshal(w.key(wire.PrefixReach+"c1").Value, &r)
+		return len(r.UnreachableNodes) == 2
+	})
 	second := w.key(wire.PrefixReach + "c1").Version
 	w.run(15 * sec)
-	if now := w.key(wire.PrefixReach + "c1").Version; holds != 1 || len(r.Apart) != 2 || now != second {
-		t.Errorf("%d words were held back; the one at %d, of %v, was replaced at %d", holds, second, r.Apart, now)
+	if now := w.key(wire.PrefixReach + "c1").Version; holds != 1 || len(r.UnreachableNodes) != 2 || now != second {
+		t.Errorf("%d words were held back; the one at %d, of %v, was replaced at %d", holds, second, r.UnreachableNodes, now)
 	}
 }
--- a/internal/core/meeting_takeovers_test.go
+++ b/internal/core/meeting_takeovers_test.go
@@ -66,17 +66,17 @@
 // then. What the other started is not known, so its machines have to be accounted for anew.
 func TestAShardThatWasAwayInBetween(t *testing.T) {
 	t.Parallel()
-	b, a7 := wire.Life{Node: "b", Boot: 5}, wire.Life{Node: "a", Boot: 7}
+	b, a7 := wire.Incarnation{Node: "b", Boot: 5}, wire.Incarnation{Node: "a", Boot: 7}
 	for _, x := range []struct {
 		name      string
 		old, now  wire.Shard
 		inherited bool
 	}{
-		{"settled before", wire.Shard{Settled: true, Known: true}, wire.Shard{Past: []wire.Life{a7, b}, Known: true}, true},
-		{"taken from the same before", wire.Shard{Settled: true, Past: []wire.Life{b}, Known: true}, wire.Shard{Past: []wire.Life{b}, Known: true}, true},
-		{"not settled before", wire.Shard{Past: []wire.Life{b}, Known: true}, wire.Shard{Past: []wire.Life{b, a7, b}, Known: true}, true},
-		{"settled by us", wire.Shard{Past: []wire.Life{b}, Known: true}, wire.Shard{Past: []wire.Life{b}, Known: true, Settled: true}, false},
-		{"a team more", wire.Shard{Settled: true, Past: []wire.Life{b}, Known: true}, wire.Shard{Settled: true, Past: []wire.Life{b}, Known: true, Teams: []string{"red", "blue"}}, false},
+		{"settled before", wire.Shard{Settled: true, Known: true}, wire.Shard{Past: []wire.Incarnation{a7, b}, Known: true}, true},
+		{"taken from the same before", wire.Shard{Settled: true, Past: []wire.Incarnation{b}, Known: true}, wire.Shard{Past: []wire.Incarnation{b}, Known: true}, true},
+		{"not settled before", wire.Shard{Past: []wire.Incarnation{b}, Known: true}, wire.Shard{Past: []wire.Incarnation{b, a7, b}, Known: true}, true},
+		{"settled by us", wire.Shard{Past: []wire.Incarnation{b}, Known: true}, wire.Shard{Past: []wire.Incarnation{b}, Known: true, Settled: true}, false},
+		{"a team more", wire.Shard{Settled: true, Past: []wire.Incarnation{b}, Known: true}, wire.Shard{Settled: true, Past: []wire.Incarnation{b}, Known: true, Teams: []string{"red", "blue"}}, false},
 	} {
 		c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
 		c.born(7)
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -25,13 +25,13 @@
 	blocks       map[string]*blockEntry
 	shards       map[int]*shardEntry
 	nodes        map[string]wire.Node        // controllers that are present
-	demands      map[int]wire.Want           // by shard: demand for machines that its holder announced
+	demands      map[int]wire.Demand         // by shard: demand for machines that its holder announced
 	machineTypes map[string]wire.MachineType // by name
 	leaderRecord wire.Leader
 	settings     wire.Settings
 	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *tiers.Order
-	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
+	tierRecord   wire.TierOrder       // the stored record that tierOrder was read from
 	startLog     *starts.Book         // recorded starts of tasks
 	progress     *progress.Book       // recorded done tasks
 	provisioning *boot.Book           // machines that are booting
@@ -82,10 +82,10 @@
 		blocks:            map[string]*blockEntry{},
 		shards:            map[int]*shardEntry{},
 		nodes:             map[string]wire.Node{},
-		demands:           map[int]wire.Want{},
+		demands:           map[int]wire.Demand{},
 		machineTypes:      map[string]wire.MachineType{},
 		settings:          defaultSettings(),
-		tierOrder:         tiers.NewOrder(wire.Ladder{}),
+		tierOrder:         tiers.NewOrder(wire.TierOrder{}),
 		cordons:           map[string]wire.Cordon{},
 		biases:            map[string]wire.Bias{},
 		blockOfMachine:    map[string]string{},
@@ -98,7 +98,7 @@
 }
 
 func shardKey(shard int) string  { return wire.PrefixShard + strconv.Itoa(shard) }
-func demandKey(shard int) string { return wire.PrefixWant + strconv.Itoa(shard) }
+func demandKey(shard int) string { return wire.PrefixDemand + strconv.Itoa(shard) }
 
 // shardIDs lists the shards in ascending order.
 func (m *mirror) shardIDs() []int {
@@ -243,8 +243,8 @@
 		if read(&record) {
 			c.settings = record
 		}
-	case key == wire.KeyLadder:
-		var record wire.Ladder
+	case key == wire.KeyTierOrder:
+		var record wire.TierOrder
 		if read(&record) {
 			c.putTierOrder(record)
 		}
@@ -264,7 +264,7 @@
 			c.biases[key] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixReach):
-		var record wire.Reach
+		var record wire.ReachReport
 		if read(&record) {
 			c.assignments.SetStored(key[len(wire.PrefixReach):], record)
 		}
@@ -334,9 +334,9 @@
 				c.jobChanged(entry)
 			}
 		}
-	case strings.HasPrefix(key, wire.PrefixWant):
-		var record wire.Want
-		shard, err := strconv.Atoi(key[len(wire.PrefixWant):])
+	case strings.HasPrefix(key, wire.PrefixDemand):
+		var record wire.Demand
+		shard, err := strconv.Atoi(key[len(wire.PrefixDemand):])
 		if err != nil {
 			fail(err)
 		} else if read(&record) {
@@ -409,8 +409,8 @@
 		c.log(1, "leader record deleted")
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
-	case key == wire.KeyLadder:
-		c.putTierOrder(wire.Ladder{})
+	case key == wire.KeyTierOrder:
+		c.putTierOrder(wire.TierOrder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
@@ -440,8 +440,8 @@
 		c.removeWaitingJob(key[len(wire.PrefixWaiting):])
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
-	case strings.HasPrefix(key, wire.PrefixWant):
-		if shard, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
+	case strings.HasPrefix(key, wire.PrefixDemand):
+		if shard, err := strconv.Atoi(key[len(wire.PrefixDemand):]); err == nil {
 			delete(c.demands, shard)
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -28,9 +28,9 @@
 			put(shardKey(i), wire.Shard{Holder: "b", Boot: 5}, uint64(20+i))
 			n := wire.Need{CPUs: 1, MemGB: 1, Tasks: 2}
 			if i == upper {
-				n.Rung = 3
+				n.Tier = 3
 			}
-			put(demandKey(i), wire.Want{Needs: []wire.Need{n}, Seen: 80}, uint64(30+i))
+			put(demandKey(i), wire.Demand{Needs: []wire.Need{n}, Seen: 80}, uint64(30+i))
 		}
 		c.effects = nil
 		c.serveDemand()
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -122,7 +122,7 @@
 		if n != rec.Holder || wire.Unmarshal(s.world.key(wire.PrefixNode+to).Value, &node) != nil {
 			continue
 		}
-		rec.Past, rec.Known = append(rec.Past, wire.Life{Node: rec.Holder, Boot: rec.Boot}), rec.Known || rec.Settled
+		rec.Past, rec.Known = append(rec.Past, wire.Incarnation{Node: rec.Holder, Boot: rec.Boot}), rec.Known || rec.Settled
 		rec.Holder, rec.Boot, rec.Settled = to, node.Boot, false
 		s.set(key, rec)
 		return
@@ -135,9 +135,9 @@
 		var r wire.Shard
 		_ = wire.Unmarshal(it.Value, &r)
 		if i, err := strconv.Atoi(strings.TrimPrefix(it.Key, wire.PrefixShard)); err == nil && slices.Contains(r.Teams, "red") == own {
-			w := wire.Want{Seen: 1 << 40, Needs: []wire.Need{{CPUs: 4, MemGB: 4, Tasks: 1, Zone: s.other.info.Zone, Dire: true}}}
+			w := wire.Demand{Seen: 1 << 40, Needs: []wire.Need{{CPUs: 4, MemGB: 4, Tasks: 1, Zone: s.other.info.Zone, Starved: true}}}
 			s.set(demandKey(i), w)
-			s.at(3*sec, func() { s.set(demandKey(i), wire.Want{Seen: 1 << 40}) })
+			s.at(3*sec, func() { s.set(demandKey(i), wire.Demand{Seen: 1 << 40}) })
 		}
 	})
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -235,7 +235,7 @@
 // reach it. It returns false if the report was not relayed. token is the shard's fencing token: a worker
 // that reports an earlier one has not been in contact with the holder yet.
 func (c *Core) relayReport(request uint64, report *wire.Report, holder string, token uint64) bool {
-	if !c.peerResponsive(holder) || !c.relays.ShouldRelay(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
+	if !c.peerResponsive(holder) || !c.relays.ShouldRelay(c.now, report.Machine, report.Token < token, c.reachOf(holder).NoWorkers) {
 		return false
 	}
 	c.lastID++
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -129,7 +129,7 @@
 	starved := false
 	for _, i := range c.shardIDs() {
 		for _, need := range c.shardDemand(i).Needs {
-			if !need.Dire {
+			if !need.Starved {
 				continue
 			}
 			starved = true
@@ -197,7 +197,7 @@
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Tier) {
 					candidate.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -69,10 +69,10 @@
 }
 
 // reachOf returns the latest reachability report of a controller.
-func (c *Core) reachOf(node string) wire.Reach { return c.assignments.Latest(c.now, node) }
+func (c *Core) reachOf(node string) wire.ReachReport { return c.assignments.Latest(c.now, node) }
 
 // ownReach returns this controller's own reachability report.
-func (c *Core) ownReach() wire.Reach { return c.assignments.OwnReport(c.now, c.self()) }
+func (c *Core) ownReach() wire.ReachReport { return c.assignments.OwnReport(c.now, c.self()) }
 
 // peerResponsive reports whether a peer has answered a ping recently.
 func (c *Core) peerResponsive(peer string) bool { return c.assignments.Reachable(c.now, peer) }
@@ -203,13 +203,13 @@
 	r := &c.reachability
 	key, current, stored := wire.PrefixReach+c.params.Node, c.ownReach(), c.assignments.Stored(c.params.Node)
 	if stored.Boot != c.presence.Boot() {
-		stored = wire.Reach{Boot: c.presence.Boot()} // it is absent or an earlier incarnation's, which is deleted when that one's state lease expires
+		stored = wire.ReachReport{Boot: c.presence.Boot()} // it is absent or an earlier incarnation's, which is deleted when that one's state lease expires
 	}
-	if wire.Same(current, stored) || r.writingReport || !c.presence.Registered() || !c.dueEvery("tellReach", tuning.ReachabilityWriteInterval) {
+	if wire.EqualEncoding(current, stored) || r.writingReport || !c.presence.Registered() || !c.dueEvery("tellReach", tuning.ReachabilityWriteInterval) {
 		return
 	}
-	if current.Lacks != stored.Lacks {
-		c.log(1, "reachability of the workers changed", "lost", current.Lacks)
+	if current.NoWorkers != stored.NoWorkers {
+		c.log(1, "reachability of the workers changed", "lost", current.NoWorkers)
 	}
 	r.writingReport = true
 	c.commit(LaneDeferred,
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -269,7 +269,7 @@
 // allIncarnationsDead reports whether none of these incarnations can be answering a worker now.
 // A later incarnation of the same node proves it, and this node itself answers only as its
 // current incarnation.
-func (c *Core) allIncarnationsDead(incarnations []wire.Life) bool {
+func (c *Core) allIncarnationsDead(incarnations []wire.Incarnation) bool {
 	for _, incarnation := range incarnations {
 		if n, up := c.nodes[incarnation.Node]; incarnation.Node != c.params.Node && (!up || n.Boot == incarnation.Boot) {
 			return false
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -225,14 +225,14 @@
 // none at all or not those of this shard.
 func (c *Core) holderUnreachable(holder string, shard int) bool {
 	w := c.reachOf(holder)
-	return w.Lacks || slices.Contains(w.Seeks, shard)
+	return w.NoWorkers || slices.Contains(w.SilentShards, shard)
 }
 
 // redirectToRelay redirects a worker to a controller that can relay its reports to a holder
 // that neither the worker nor this controller can reach, if there is one.
 func (c *Core) redirectToRelay(req uint64, holder string) {
 	for _, node := range sortedKeys(c.nodes) {
-		if node != c.params.Node && node != holder && !c.reachOf(node).Lacks && !slices.Contains(c.reachOf(node).Apart, holder) {
+		if node != c.params.Node && node != holder && !c.reachOf(node).NoWorkers && !slices.Contains(c.reachOf(node).UnreachableNodes, holder) {
 			c.answer(req, 421, wire.Redirect{Holder: node})
 			return
 		}
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -162,7 +162,7 @@
 		return
 	}
 	_, cordoned := c.cordons[query.Machine]
-	view := wire.Believed{
+	view := wire.MachineDetail{
 		Machine:  query.Machine,
 		Node:     c.params.Node,
 		Holder:   c.holderName(block.record.Shard),
@@ -175,7 +175,7 @@
 		State:    "held by " + c.holderName(block.record.Shard),
 		Cordoned: cordoned,
 		Images:   []string{},
-		Attempts: []wire.BelievedTask{},
+		Attempts: []wire.AttemptDetail{},
 		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.MaxMachineTrailEvents}),
 	}
 	if m := c.machines[query.Machine]; m != nil && c.holdsShard(m.shard) {
@@ -185,7 +185,7 @@
 }
 
 // fillMachineView fills in what only the holder of the machine knows.
-func (c *Core) fillMachineView(view *wire.Believed, m *machine) {
+func (c *Core) fillMachineView(view *wire.MachineDetail, m *machine) {
 	view.Held, view.State, view.Session, view.Inherited, view.Accounted = true, m.state(), m.session, m.inherited, m.accounted
 	view.FreeCPUs, view.Images = c.freeCapacity(m).CPUs, sortedKeys(m.images)
 	_, view.Errors = c.taskHealth.Machine(m.name)
@@ -195,7 +195,7 @@
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		task := wire.BelievedTask{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
+		task := wire.AttemptDetail{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
 		switch {
 		case task.Status == "" && a.startSent:
 			task.Status = "sent"
--- a/internal/core/trailing_test.go
+++ b/internal/core/trailing_test.go
@@ -59,8 +59,8 @@
 	holder := w.holderOf(hung.info.Name)
 	w.hang(hung)
 	w.run(7 * sec)
-	var b wire.Believed
-	w.ask(holder, func(q uint64) any { return AdminMachine{Req: q, Machine: hung.info.Name} }, func(a Answer) { b, _ = a.Body.(wire.Believed) })
+	var b wire.MachineDetail
+	w.ask(holder, func(q uint64) any { return AdminMachine{Req: q, Machine: hung.info.Name} }, func(a Answer) { b, _ = a.Body.(wire.MachineDetail) })
 	if !b.Held || len(b.Attempts) == 0 || b.ReportedS == nil || *b.ReportedS < 3 || len(b.Trail) == 0 {
 		t.Errorf("believed of the hung machine: %+v", b)
 	}
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -310,7 +310,7 @@
 			// The job is known already or the write got no answer: the stored record decides.
 			unlessKnown(func() { c.answer(request, 503, unavailable("not accepted, try again")) })
 		case 400:
-			unlessKnown(func() { c.answer(request, 422, wire.NotTaken(reply.Err)) })
+			unlessKnown(func() { c.answer(request, 422, wire.RecordRefused(reply.Err)) })
 		default:
 			c.answer(request, 503, unavailable("state service not reached"))
 		}
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -70,10 +70,10 @@
 	a.GET("/chain/:id", s.chain)
 	a.GET("/crews", s.crews)
 	a.PUT("/crews/:name", s.putCrew)
-	a.DELETE("/crews/:name", s.cancelCrew)
-	a.GET("/ladder", s.ladder)
-	a.PUT("/ladder", s.changeLadder)
-	a.GET("/ladder/order", s.order)
+	a.DELETE("/crews/:name", s.removeCrew)
+	a.GET("/ladder", s.tierOrder)
+	a.PUT("/ladder", s.changeTierOrder)
+	a.GET("/ladder/order", s.serviceOrder)
 	a.GET("/overview", s.overview)
 	a.GET("/settings", s.settings)
 	a.PUT("/settings", s.changeSettings)
@@ -137,7 +137,7 @@
 }
 
 // body reads a request's CBOR map into v; what is wrong is said in one line.
-func body(c echo.Context, v any) string {
+func readBody(c echo.Context, v any) string {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	switch {
 	case err != nil:
@@ -153,14 +153,14 @@
 	return ""
 }
 
-func bad(why string) Reply {
+func badRequest(why string) Reply {
 	return Reply{Status: http.StatusBadRequest, Body: wire.Problem{Error: why}}
 }
 
 func (s *Server) submit(c echo.Context) error {
 	var spec wire.JobSpec
-	if why := body(c, &spec); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &spec); why != "" {
+		return send(c, badRequest(why))
 	}
 	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Submit{Req: id, Spec: spec} }, tuning.UserRequestTimeout))
 }
@@ -181,87 +181,87 @@
 
 func (s *Server) report(c echo.Context) error {
 	var r wire.Report
-	if why := body(c, &r); why != "" {
+	if why := readBody(c, &r); why != "" {
 		s.log.Info("report not readable", "from", c.RealIP(), "err", why)
-		return send(c, bad(why))
+		return send(c, badRequest(why))
 	}
 	if r.Machine == "" || r.Session == 0 {
-		return send(c, bad("host and tenure are needed"))
+		return send(c, badRequest("host and tenure are needed"))
 	}
 	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.WorkerReportTimeout))
 }
 
 // put sends an administrator's request to the core.
-func (s *Server) put(c echo.Context, in func(id uint64) any) error {
+func (s *Server) sendToCore(c echo.Context, in func(id uint64) any) error {
 	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserRequestTimeout))
 }
 
 func (s *Server) overview(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminOverview{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminOverview{Req: id} })
 }
 
 func (s *Server) settings(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminSettings{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminSettings{Req: id} })
 }
 
 func (s *Server) changeSettings(c echo.Context) error {
 	var p wire.SettingsPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminSettings{Req: id, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminSettings{Req: id, Patch: &p} })
 }
 
-func (s *Server) ladder(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminLadder{Req: id} })
+func (s *Server) tierOrder(c echo.Context) error {
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTierOrder{Req: id} })
 }
 
-func (s *Server) changeLadder(c echo.Context) error {
-	var p wire.LadderPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+func (s *Server) changeTierOrder(c echo.Context) error {
+	var p wire.TierOrderPatch
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminLadder{Req: id, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTierOrder{Req: id, Patch: &p} })
 }
 
 func (s *Server) crews(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminCrews{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrews{Req: id} })
 }
 
 func (s *Server) putCrew(c echo.Context) error {
 	var p wire.CrewPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Patch: &p} })
 }
 
 // cancelCrew takes a crew away: ?version=N&dry_run=true.
-func (s *Server) cancelCrew(c echo.Context) error {
+func (s *Server) removeCrew(c echo.Context) error {
 	ver, err := strconv.ParseUint(c.QueryParam("version"), 10, 64)
 	if err != nil {
-		return send(c, bad("version: must be a number"))
+		return send(c, badRequest("version: must be a number"))
 	}
 	name, dry := c.Param("name"), c.QueryParam("dry_run") == "true"
-	return s.put(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Ver: ver, DryRun: dry} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Ver: ver, DryRun: dry} })
 }
 
-func (s *Server) order(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminOrder{Req: id} })
+func (s *Server) serviceOrder(c echo.Context) error {
+	return s.sendToCore(c, func(id uint64) any { return core.AdminServiceOrder{Req: id} })
 }
 
 func (s *Server) why(c echo.Context) error {
 	job := c.Param("id")
-	return s.put(c, func(id uint64) any { return core.AdminWhy{Req: id, ID: job} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminWhy{Req: id, ID: job} })
 }
 
 func (s *Server) chain(c echo.Context) error {
 	job := c.Param("id")
 	if !wire.ValidJobID(job) {
-		return send(c, bad("id: must look like job-000412"))
+		return send(c, badRequest("id: must look like job-000412"))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminChain{Req: id, ID: job} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminChain{Req: id, ID: job} })
 }
 
 // trail answers with events after a number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
@@ -270,49 +270,49 @@
 	if v := c.QueryParam("after"); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
-			return send(c, bad("after: must be a number"))
+			return send(c, badRequest("after: must be a number"))
 		}
 		q.After = n
 	}
 	if v := c.QueryParam("most"); v != "" {
 		n, err := strconv.Atoi(v)
 		if err != nil || n < 1 || n > tuning.MaxTrailAnswerEvents {
-			return send(c, bad("most: must be from 1 to "+strconv.Itoa(tuning.MaxTrailAnswerEvents)))
+			return send(c, badRequest("most: must be from 1 to "+strconv.Itoa(tuning.MaxTrailAnswerEvents)))
 		}
 		q.Most = n
 	}
 	node := c.QueryParam("node")
-	return s.put(c, func(id uint64) any { return core.AdminTrail{Req: id, Node: node, Query: q} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTrail{Req: id, Node: node, Query: q} })
 }
 
 func (s *Server) reach(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminReach{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminReach{Req: id} })
 }
 
 func (s *Server) weights(c echo.Context) error {
 	image := c.QueryParam("image")
-	return s.put(c, func(id uint64) any { return core.AdminWeights{Req: id, Image: image} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminWeights{Req: id, Image: image} })
 }
 
 func (s *Server) version(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminVersion{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminVersion{Req: id} })
 }
 
 func (s *Server) machine(c echo.Context) error {
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminMachine{Req: id, Machine: name} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminMachine{Req: id, Machine: name} })
 }
 
 func (s *Server) cordon(c echo.Context) error {
 	var v wire.Cordon
-	if why := body(c, &v); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &v); why != "" {
+		return send(c, badRequest(why))
 	}
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name, Cordon: &v} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name, Cordon: &v} })
 }
 
 func (s *Server) uncordon(c echo.Context) error {
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name} })
 }
--- a/internal/limits/form_test.go
+++ b/internal/limits/form_test.go
@@ -115,11 +115,11 @@
 }
 
 func TestFit(t *testing.T) {
-	w := wire.Want{}
+	w := wire.Demand{}
 	for k := range 24 {
 		w.Needs = append(w.Needs, wire.Need{CPUs: 1.5, MemGB: 3.25, Tasks: k, Zone: "a-zone-of-a-long-name"})
 	}
-	shorter := func(w *wire.Want) bool {
+	shorter := func(w *wire.Demand) bool {
 		if len(w.Needs) == 0 {
 			return false
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -12,7 +12,7 @@
 
 // Metrics is one controller's set.
 type Metrics struct {
-	reg      *prometheus.Registry
+	registry *prometheus.Registry
 	requests *prometheus.HistogramVec
 	calls    *prometheus.HistogramVec
 	steps    prometheus.Histogram
@@ -21,14 +21,14 @@
 
 	waiting             prometheus.Gauge
 	released, cancelled prometheus.Counter
-	told                [2]int // as last told: released, cancelled
+	reported            [2]int // as last told: released, cancelled
 }
 
 // New returns the metrics; queue tells the length of the core's queue.
 func New(queue func() float64) *Metrics {
 	seconds := prometheus.ExponentialBuckets(0.0005, 2, 14) // half a millisecond to four seconds
 	m := &Metrics{
-		reg: prometheus.NewRegistry(),
+		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "barrowbridge_request_seconds",
 			Help: "Time to answer a request, by route and status.", Buckets: seconds}, []string{"route", "status"}),
 		calls: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "barrowbridge_call_seconds",
@@ -46,13 +46,15 @@
 		Help: "Jobs that this controller has let go on, since all that they await is done."})
 	m.cancelled = prometheus.NewCounter(prometheus.CounterOpts{Name: "barrowbridge_jobs_cancelled_with_total",
 		Help: "Jobs whose end this controller has written, since one that they await was cancelled."})
-	m.reg.MustRegister(m.requests, m.calls, m.steps, m.links, m.refused, m.waiting, m.released, m.cancelled, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+	m.registry.MustRegister(m.requests, m.calls, m.steps, m.links, m.refused, m.waiting, m.released, m.cancelled, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "barrowbridge_queue_inputs", Help: "Inputs waiting for the core."}, queue))
 	return m
 }
 
 // Handler serves the metrics.
-func (m *Metrics) Handler() http.Handler { return promhttp.HandlerFor(m.reg, promhttp.HandlerOpts{}) }
+func (m *Metrics) Handler() http.Handler {
+	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
+}
 
 // Request records an answered request.
 func (m *Metrics) Request(route string, status int, d time.Duration) {
@@ -77,7 +79,7 @@
 // these since this controller began. Not for concurrent use.
 func (m *Metrics) Chains(waiting, released, cancelled int) {
 	m.waiting.Set(float64(waiting))
-	m.released.Add(float64(released - m.told[0]))
-	m.cancelled.Add(float64(cancelled - m.told[1]))
-	m.told = [2]int{released, cancelled}
+	m.released.Add(float64(released - m.reported[0]))
+	m.cancelled.Add(float64(cancelled - m.reported[1]))
+	m.reported = [2]int{released, cancelled}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,7 +29,7 @@
 
 // Params turns settings into what the core needs.
 func Params(cfg *config.Config) core.Params {
-	state := cfg.Params.State.Least()
+	state := cfg.Params.State.Strictest()
 	p := core.Params{
 		Node: cfg.Node, Zone: cfg.Zone,
 		NodeZones: map[string]string{cfg.Node: cfg.Zone}, Teams: map[string]core.Team{},
@@ -42,7 +42,7 @@
 		p.NodeZones[n.Node] = n.Zone
 	}
 	for _, t := range cfg.Params.Teams {
-		cpus, gpus := t.Most()
+		cpus, gpus := t.MaxUsage()
 		p.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: cpus, GPUs: t.GPUs, GPUsMax: gpus}
 	}
 	p.Objectives.CompleteWithinS, p.Objectives.StartWithinS = map[string]float64{}, map[string]float64{}
@@ -61,23 +61,23 @@
 
 type request struct {
 	ctx   context.Context // over once nobody waits for the answer any more
-	in    func(id uint64) any
+	input func(id uint64) any
 	reply chan httpapi.Reply
 }
 
 type node struct {
-	first   chan any // what entitlement hangs on: never behind anything else
-	inbox   chan any
-	workers chan request // served first
-	users   chan request
-	log     *slog.Logger
-	state   *statestore.Client
-	cloud   *cloud.Client
-	peers   *peer.Links
-	orders  *workers.Client
-	metrics *metrics.Metrics
-	waiting map[uint64]chan httpapi.Reply
-	nextReq uint64
+	authority   chan any // what entitlement hangs on: never behind anything else
+	inbox       chan any
+	workers     chan request // served first
+	users       chan request
+	log         *slog.Logger
+	state       *statestore.Client
+	cloud       *cloud.Client
+	peers       *peer.Links
+	workerCalls *workers.Client
+	metrics     *metrics.Metrics
+	waiting     map[uint64]chan httpapi.Reply
+	nextReq     uint64
 }
 
 // Run serves until the context ends or a listener fails.
@@ -85,9 +85,9 @@
 	if mb := cfg.Params.Limits.MemoryMB; mb > 0 {
 		debug.SetMemoryLimit(int64(mb * 0.6 * 1024 * 1024)) // the runtime's own share stays below the kill limit
 	}
-	limits := cfg.Params.State.Least()
+	limits := cfg.Params.State.Strictest()
 	n := &node{
-		first: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
+		authority: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
 		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		state:   statestore.New(cfg.Services.State, limits.RPS, limits.WriteRPS),
 		cloud:   cloud.New(cfg.Services.Cloud, cfg.Params.Cloud.RPS),
@@ -107,13 +107,13 @@
 	}
 	n.peers = peer.Dial(ctx, addrs, log)
 	n.metrics = metrics.New(func() float64 { return float64(len(n.inbox) + len(n.workers) + len(n.users)) })
-	n.orders = workers.New(ctx, log, func(status int, took time.Duration) { n.metrics.Call("worker", status, took) })
+	n.workerCalls = workers.New(ctx, log, func(status int, took time.Duration) { n.metrics.Call("worker", status, took) })
 	srv := httpapi.New(n.ask, n.metrics, log)
 	fail := make(chan error, 2)
-	go func() { fail <- peer.Serve(netutil.LimitListener(pln, 4*len(addrs)+4), n.fromPeer, log) }()
+	go func() { fail <- peer.Serve(netutil.LimitListener(pln, 4*len(addrs)+4), n.receivePeerMessage, log) }()
 	go func() { fail <- srv.Serve(ln, cfg.Params.Limits.MaxSockets) }()
 	log.Info("serving", "node", cfg.Node, "zone", cfg.Zone, "listen", cfg.Listen)
-	go n.loop(ctx, core.New(Params(cfg)))
+	go n.run(ctx, core.New(Params(cfg)))
 	select {
 	case <-ctx.Done():
 		return nil
@@ -128,7 +128,7 @@
 func (n *node) ask(ctx context.Context, class httpapi.Class, in func(id uint64) any, timeout time.Duration) httpapi.Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r := request{ctx: ctx, in: in, reply: make(chan httpapi.Reply, 1)}
+	r := request{ctx: ctx, input: in, reply: make(chan httpapi.Reply, 1)}
 	queue := n.users
 	if class == httpapi.Worker {
 		queue = n.workers
@@ -151,7 +151,7 @@
 func (n *node) next(ctx context.Context, tick <-chan time.Time) (any, bool) {
 	for {
 		select { // a loop that is late renews first, and ticks: a grant ends in seconds
-		case in := <-n.first:
+		case in := <-n.authority:
 			return in, true
 		case <-tick:
 			return core.Tick{}, true
@@ -165,7 +165,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case in := <-n.first:
+		case in := <-n.authority:
 			return in, true
 		case in := <-n.inbox:
 			return in, true
@@ -179,19 +179,19 @@
 		}
 		n.nextReq++
 		n.waiting[n.nextReq] = r.reply
-		return r.in(n.nextReq), true
+		return r.input(n.nextReq), true
 	}
 }
 
 // fromPeer queues a peer's message; a full queue drops it.
-func (n *node) fromPeer(m core.PeerMessage) {
+func (n *node) receivePeerMessage(m core.PeerMessage) {
 	select {
 	case n.inbox <- core.Peer{Msg: m}:
 	default:
 	}
 }
 
-func (n *node) loop(ctx context.Context, c *core.Core) {
+func (n *node) run(ctx context.Context, c *core.Core) {
 	start := time.Now()
 	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
@@ -200,7 +200,7 @@
 		effects := c.Step(now.Sub(start), now, in)
 		n.metrics.Step(time.Since(now))
 		for _, e := range effects {
-			n.carryOut(ctx, e)
+			n.execute(ctx, e)
 		}
 	}
 	step(core.Tick{})
@@ -215,7 +215,7 @@
 
 var levels = [4]slog.Level{slog.LevelError, slog.LevelInfo, slog.LevelDebug, slog.LevelWarn}
 
-func (n *node) carryOut(ctx context.Context, e any) {
+func (n *node) execute(ctx context.Context, e any) {
 	switch v := e.(type) {
 	case core.Answer:
 		if ch := n.waiting[v.Req]; ch != nil {
@@ -230,7 +230,7 @@
 				n.metrics.Call("state", rep.Status, time.Since(began))
 			}
 			if v.Lane == core.LaneAuthority && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
-				n.first <- core.StateDone{ID: v.ID, Reply: rep}
+				n.authority <- core.StateDone{ID: v.ID, Reply: rep}
 			} else {
 				n.inbox <- core.StateDone{ID: v.ID, Reply: rep}
 			}
@@ -250,9 +250,9 @@
 			}
 		}
 		if v.ProbeOnly {
-			n.orders.Inspect(v.Addr, answer)
+			n.workerCalls.Inspect(v.Addr, answer)
 		} else {
-			n.orders.Send(v.Addr, v.Orders, answer)
+			n.workerCalls.Send(v.Addr, v.Orders, answer)
 		}
 	case core.PeerSend:
 		n.peers.Send(v.To, v.Msg)
--- a/internal/node/queue_test.go
+++ b/internal/node/queue_test.go
@@ -13,7 +13,7 @@
 // A controller that cannot keep up serves workers first, tells users beyond a
 // short queue at once to come back, and does no work nobody waits for.
 func TestOverload(t *testing.T) {
-	n := &node{first: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
+	n := &node{authority: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		waiting: map[uint64]chan httpapi.Reply{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -43,7 +43,7 @@
 	}
 	// The renewal of a grant and the clock wait behind nothing.
 	n.inbox <- core.StateDone{ID: 1}
-	n.first <- core.StateDone{ID: 2}
+	n.authority <- core.StateDone{ID: 2}
 	tick := make(chan time.Time, 1)
 	tick <- time.Time{}
 	for range 2 {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -52,9 +52,9 @@
 
 // Links holds the connections to the other controllers.
 type Links struct {
-	log  *slog.Logger
-	out  map[string]chan core.PeerMessage
-	dial func(addr string) (net.Conn, error)
+	log    *slog.Logger
+	queues map[string]chan core.PeerMessage
+	dial   func(addr string) (net.Conn, error)
 }
 
 // Dial starts a link to each address. Links connect, and connect again, by themselves.
@@ -63,11 +63,11 @@
 }
 
 func start(ctx context.Context, addrs map[string]string, log *slog.Logger, dial func(string) (net.Conn, error)) *Links {
-	l := &Links{log: log, out: map[string]chan core.PeerMessage{}, dial: dial}
+	l := &Links{log: log, queues: map[string]chan core.PeerMessage{}, dial: dial}
 	for name, addr := range addrs {
 		ch := make(chan core.PeerMessage, tuning.PeerQueueSize)
-		l.out[name] = ch
-		go l.keep(ctx, name, addr, ch)
+		l.queues[name] = ch
+		go l.run(ctx, name, addr, ch)
 	}
 	return l
 }
@@ -75,12 +75,12 @@
 // Send queues a message; a full queue drops it.
 func (l *Links) Send(to string, m core.PeerMessage) {
 	select {
-	case l.out[to] <- m:
+	case l.queues[to] <- m:
 	default:
 	}
 }
 
-func (l *Links) keep(ctx context.Context, name, addr string, ch chan core.PeerMessage) {
+func (l *Links) run(ctx context.Context, name, addr string, ch chan core.PeerMessage) {
 	var conn net.Conn
 	for {
 		var m core.PeerMessage
@@ -93,7 +93,7 @@
 			c, err := l.dial(addr)
 			if err != nil {
 				l.log.Debug("peer not reached", "peer", name, "err", err.Error())
-				drop(ch) // what has waited meanwhile is old, and would come all at once
+				drain(ch) // what has waited meanwhile is old, and would come all at once
 				continue
 			}
 			conn = c
@@ -108,7 +108,7 @@
 }
 
 // drop empties a queue.
-func drop(ch chan core.PeerMessage) {
+func drain(ch chan core.PeerMessage) {
 	for {
 		select {
 		case <-ch:
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestFrames(t *testing.T) {
-	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, RouteHops: 2, Reachability: &wire.Reach{Boot: 7, Lacks: true, Seeks: []int{1}, Hears: []wire.ShardReach{{Shard: 1, Of: 4, Heard: 3}}, Apart: []string{"b"}},
+	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, RouteHops: 2, Reachability: &wire.ReachReport{Boot: 7, NoWorkers: true, SilentShards: []int{1}, SampledShards: []wire.ShardReach{{Shard: 1, Called: 4, Answered: 3}}, UnreachableNodes: []string{"b"}},
 		Call: &core.PeerCall{ID: 9, Incarnation: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
 		Result: &core.PeerResult{ID: 9, Incarnation: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
 			List: wire.ItemList{Items: []wire.Item{{Key: "live/y", Value: wire.Raw{0x01}, Version: 2}}, Revision: 9}, Events: wire.Events{Revision: 9, Events: []wire.Event{{Delete: "live/z", Version: 9}}}}},
@@ -118,9 +118,9 @@
 		l.Send("b", core.PeerMessage{From: "a", Nonce: 2 + n})
 	}
 	close(cut)
-	for len(l.out["b"]) > 0 { // dropped, or sent: then the pipe holds the first of them
+	for len(l.queues["b"]) > 0 { // dropped, or sent: then the pipe holds the first of them
 		time.Sleep(time.Millisecond)
-		if len(l.out["b"]) == 49 {
+		if len(l.queues["b"]) == 49 {
 			break
 		}
 	}
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -283,11 +283,11 @@
 	workers.CallAnswered(200*ms, AnyShard, "a")
 	workers.CallAnswered(200*ms, AnyShard, "c")
 	workers.StartProbes(600*ms, map[int]bool{3: true}, pick)
-	if report := workers.Report(700 * ms); len(report.Hears) != 1 || report.Hears[0].Shard != 3 || report.Hears[0].Of != 3 || report.Hears[0].Heard != 2 {
+	if report := workers.Report(700 * ms); len(report.SampledShards) != 1 || report.SampledShards[0].Shard != 3 || report.SampledShards[0].Called != 3 || report.SampledShards[0].Answered != 2 {
 		t.Fatalf("reported %+v", report)
 	}
 	workers.StartProbes(700*ms, nil, pick)
-	if report := workers.Report(700 * ms); report.Hears != nil {
+	if report := workers.Report(700 * ms); report.SampledShards != nil {
 		t.Fatalf("no longer sought, and still reported: %+v", report)
 	}
 }
@@ -423,7 +423,7 @@
 		if wantTotal, want := 8, 1; answering > 0 && (total != wantTotal || reached != want) || answering == 0 && (total != 4 || reached != 0) {
 			t.Errorf("%d of 4 answer: reached %d of %d", answering, reached, total)
 		}
-		if report := workers.Report(now); len(report.Seeks) != 1 {
+		if report := workers.Report(now); len(report.SilentShards) != 1 {
 			t.Errorf("%d of 4 answer: reported %+v", answering, report)
 		}
 		workers.Update(now, nil) // transferred
--- a/internal/reach/workers.go
+++ b/internal/reach/workers.go
@@ -275,7 +275,7 @@
 				continue // some machines report, so the sample does not show whether any workers are reached
 			}
 		} else if shard != AnyShard {
-			w.sampledShards[shard] = wire.ShardReach{Shard: shard, Of: called, Heard: answered}
+			w.sampledShards[shard] = wire.ShardReach{Shard: shard, Called: called, Answered: answered}
 		}
 		if answered > 0 {
 			w.failedSamples = 0
@@ -294,10 +294,10 @@
 
 // Report returns our reachability report for the other controllers. A shard that is sought by its
 // holder is listed only once a sample of its machines has finished.
-func (w *Workers) Report(now time.Duration) wire.Reach {
-	report := wire.Reach{Lacks: w.LacksWorkers(now), Seeks: slices.Sorted(maps.Keys(w.silent))}
+func (w *Workers) Report(now time.Duration) wire.ReachReport {
+	report := wire.ReachReport{NoWorkers: w.LacksWorkers(now), SilentShards: slices.Sorted(maps.Keys(w.silent))}
 	for _, shard := range slices.Sorted(maps.Keys(w.sampledShards)) {
-		report.Hears = append(report.Hears, w.sampledShards[shard])
+		report.SampledShards = append(report.SampledShards, w.sampledShards[shard])
 	}
 	return report
 }
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -156,7 +156,7 @@
 	}
 	limits := map[string]checker.Limit{}
 	for n, t := range spec.Teams {
-		cpus, gpus := config.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}.Most() // as the controllers read it
+		cpus, gpus := config.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}.MaxUsage() // as the controllers read it
 		limits[n] = checker.Limit{CPUs: cpus, GPUs: gpus}
 	}
 	s.check = checker.New(checker.Params{Teams: limits, Types: spec.Cloud.Types, Cancel: spec.Cancel, Lapsed: func(m string, now time.Duration) bool {
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -22,28 +22,28 @@
 
 // Client is safe for concurrent use.
 type Client struct {
-	base   string
-	http   *http.Client
-	calls  *shared
-	writes *shared
-	later  *rate.Limiter // what LaneLater may take of writes
-	began  time.Time
+	base      string
+	http      *http.Client
+	calls     *sharedLimit
+	writes    *sharedLimit
+	deferred  *rate.Limiter // what LaneLater may take of writes
+	startedAt time.Time
 }
 
 // shared is our part of a limit that the controllers share, as a limiter.
-type shared struct {
+type sharedLimit struct {
 	*rate.Limiter
 	mu    sync.Mutex
 	share *limits.Share
 }
 
-func newShared(limit, most float64) *shared {
+func newSharedLimit(limit, most float64) *sharedLimit {
 	p := limits.ShareParams{Min: limit * tuning.MinRateShare, Max: limit * most, Gain: limit * tuning.RateShareGain, Cut: tuning.RateShareCut, Pause: tuning.RateShareCutInterval}
-	return &shared{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
+	return &sharedLimit{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
 }
 
 // learn takes note of how the service answered n units.
-func (s *shared) learn(status, n int, now time.Duration) {
+func (s *sharedLimit) record(status, n int, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -63,12 +63,12 @@
 // New returns a client of the service at addr.
 func New(addr string, rps, writeRPS float64) *Client {
 	return &Client{
-		base:   "http://" + addr,
-		http:   cborhttp.NewClient(tuning.StateCallTimeout, 32),
-		calls:  newShared(rps, tuning.StateCallShare),
-		writes: newShared(writeRPS, tuning.StateWriteShare),
-		began:  time.Now(),
-		later:  rate.NewLimiter(rate.Limit(writeRPS*tuning.DeferredWriteShare), max(1, int(writeRPS*tuning.DeferredWriteShare))),
+		base:      "http://" + addr,
+		http:      cborhttp.NewClient(tuning.StateCallTimeout, 32),
+		calls:     newSharedLimit(rps, tuning.StateCallShare),
+		writes:    newSharedLimit(writeRPS, tuning.StateWriteShare),
+		startedAt: time.Now(),
+		deferred:  rate.NewLimiter(rate.Limit(writeRPS*tuning.DeferredWriteShare), max(1, int(writeRPS*tuning.DeferredWriteShare))),
 	}
 }
 
@@ -77,7 +77,7 @@
 // admit waits until the call is within our share of the service's limits. What
 // keeps entitlement alive never waits; what users wait for goes before progress,
 // which has a smaller share of its own.
-func (c *Client) admit(ctx context.Context, call *core.StateCall) error {
+func (c *Client) waitForLimits(ctx context.Context, call *core.StateCall) error {
 	n := len(call.Txn.Then)
 	if call.Op == core.OpExtend || call.Op == core.OpWatch || call.Op == core.OpCommit && n > 0 && call.Lane == core.LaneAuthority {
 		return nil
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithTimeout(ctx, tuning.RateLimitMaxWait)
 	defer cancel()
 	if n > 0 && call.Lane == core.LaneDeferred {
-		if err := c.later.WaitN(ctx, min(n, c.later.Burst())); err != nil {
+		if err := c.deferred.WaitN(ctx, min(n, c.deferred.Burst())); err != nil {
 			return errOwnLimit
 		}
 	}
@@ -106,17 +106,17 @@
 func (c *Client) Do(ctx context.Context, call core.StateCall) core.StateReply {
 	awaited := call.Lane == core.LaneUser && len(call.Txn.Then) > 0
 	for tries := 0; ; tries++ {
-		if err := c.admit(ctx, &call); err != nil {
+		if err := c.waitForLimits(ctx, &call); err != nil {
 			return core.StateReply{Status: http.StatusTooManyRequests, Err: err.Error(), OwnLimit: true}
 		}
-		rep := c.do(ctx, call)
+		rep := c.send(ctx, call)
 		if n := len(call.Txn.Then); n > 0 {
-			c.writes.learn(rep.Status, n, time.Since(c.began))
+			c.writes.record(rep.Status, n, time.Since(c.startedAt))
 			// Of what there is: of a limit that has fallen it would take all. The burst stays,
 			// since a write counts for no more than that.
-			c.later.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.DeferredWriteShare / tuning.StateWriteShare))
+			c.deferred.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.DeferredWriteShare / tuning.StateWriteShare))
 		} else {
-			c.calls.learn(rep.Status, 1, time.Since(c.began))
+			c.calls.record(rep.Status, 1, time.Since(c.startedAt))
 		}
 		if rep.Status != http.StatusTooManyRequests || !awaited || tries == tuning.RateLimitRetries {
 			return rep
@@ -130,7 +130,7 @@
 }
 
 // do sends the call once; the wait for our own limits is not in its time.
-func (c *Client) do(ctx context.Context, call core.StateCall) core.StateReply {
+func (c *Client) send(ctx context.Context, call core.StateCall) core.StateReply {
 	timeout := tuning.StateCallTimeout
 	if call.Op == core.OpWatch {
 		timeout += call.Hold
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -137,14 +137,14 @@
 func TestLaterFollowsTheLearnedShare(t *testing.T) {
 	refuse := say(http.StatusTooManyRequests, wire.Problem{Error: "too many writes"})
 	c, _ := client(t, refuse, refuse, refuse, refuse)
-	told := c.later.Limit()
+	told := c.deferred.Limit()
 	for range 4 {
 		c.writes.share.Refused(-time.Hour) // as if each came long after the last
 		if r := c.Do(context.Background(), put(core.LaneDeferred)); r.Status != http.StatusTooManyRequests {
 			t.Fatalf("status %d", r.Status)
 		}
 	}
-	if got := c.later.Limit(); float64(got) > float64(told)*0.5 {
+	if got := c.deferred.Limit(); float64(got) > float64(told)*0.5 {
 		t.Errorf("%v a second of %v after four refusals", got, told)
 	}
 }
--- a/internal/step/admin.go
+++ b/internal/step/admin.go
@@ -50,12 +50,12 @@
 
 type (
 	// AdminLadder reads the tier order, or replaces or validates its tiers if Patch is set.
-	AdminLadder struct {
+	AdminTierOrder struct {
 		Req   uint64
-		Patch *wire.LadderPatch
+		Patch *wire.TierOrderPatch
 	}
 	// AdminOrder asks for the order in which jobs are served.
-	AdminOrder struct{ Req uint64 }
+	AdminServiceOrder struct{ Req uint64 }
 )
 
 // AdminReach asks what this controller can reach.
--- a/internal/step/peer.go
+++ b/internal/step/peer.go
@@ -34,7 +34,7 @@
 	// service; 0: the sender has no route there.
 	RouteHops int `msgpack:"way,omitempty"`
 	// Reachability is, in a ping, the sender's reachability report.
-	Reachability *wire.Reach `msgpack:"word,omitempty"`
+	Reachability *wire.ReachReport `msgpack:"word,omitempty"`
 	// WorkerCall asks the receiver to call a worker, WorkerCallDone is the outcome.
 	WorkerCall     *WorkerCall     `msgpack:"order,omitempty"`
 	WorkerCallDone *WorkerCallDone `msgpack:"ordered,omitempty"`
--- a/internal/supply/shards.go
+++ b/internal/supply/shards.go
@@ -78,7 +78,7 @@
 
 // SortByTier puts shortages of upper tiers first, before what another shard needs for routine work.
 func SortByTier(shortages []Shortage) {
-	slices.SortStableFunc(shortages, func(a, b Shortage) int { return cmp.Compare(b.Need.Rung, a.Need.Rung) })
+	slices.SortStableFunc(shortages, func(a, b Shortage) int { return cmp.Compare(b.Need.Tier, a.Need.Tier) })
 }
 
 // RentedMachines returns the machines of a rental, with the names that the cloud gave them.
--- a/internal/supply/shards_test.go
+++ b/internal/supply/shards_test.go
@@ -35,7 +35,7 @@
 // Machines that are rented already are not rented again, and upper tiers come first.
 func TestShortages(t *testing.T) {
 	need := func(tasks, rank int, booting bool) wire.Need {
-		return wire.Need{CPUs: 1, MemGB: 1, Tasks: tasks, Rung: rank, Booting: booting}
+		return wire.Need{CPUs: 1, MemGB: 1, Tasks: tasks, Tier: rank, Booting: booting}
 	}
 	pool := Pool{{Type: "std", Zone: "n", Free: oneTask.Add(oneTask).Add(oneTask)}} // capacity for three tasks
 	shortages := Shortages(4, []wire.Need{need(2, 1, false), need(2, 2, false), need(5, 1, true)}, pool)
@@ -43,7 +43,7 @@
 		t.Fatalf("%+v", shortages)
 	}
 	shortages = append(shortages, Shortage{5, need(1, 3, false)})
-	if SortByTier(shortages); shortages[0].Shard != 5 || shortages[1].Need.Rung != 2 {
+	if SortByTier(shortages); shortages[0].Shard != 5 || shortages[1].Need.Tier != 2 {
 		t.Errorf("%+v", shortages)
 	}
 }
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -62,7 +62,7 @@
 		GPUs:  size.GPUs,
 		MemGB: size.MemGB,
 		Tasks: tasks,
-		Rung:  rank,
+		Tier:  rank,
 	}
 }
 
--- a/internal/tiers/tiers.go
+++ b/internal/tiers/tiers.go
@@ -27,7 +27,7 @@
 
 // priorityTiers are the tiers that come from job priorities, from the top. They are below the tiers
 // that operators have defined. Among urgent and production work, services go first.
-var priorityTiers = []wire.Rung{
+var priorityTiers = []wire.Tier{
 	{Name: "production services", Priorities: []string{"production"}, Shapes: []string{wire.ShapeService}},
 	{Name: "production", Priorities: []string{"production"}},
 	{Name: "urgent services", Priorities: []string{"urgent"}, Shapes: []string{wire.ShapeService}},
@@ -38,14 +38,14 @@
 
 // Order is one version of the tier order.
 type Order struct {
-	tiers           []wire.Rung
+	tiers           []wire.Tier
 	operatorDefined int // number of tiers that operators have defined
 }
 
 // NewOrder returns the order that a record describes: its tiers, and below them those that come from
 // priorities.
-func NewOrder(record wire.Ladder) *Order {
-	return &Order{append(slices.Clone(record.Rungs), priorityTiers...), len(record.Rungs)}
+func NewOrder(record wire.TierOrder) *Order {
+	return &Order{append(slices.Clone(record.Tiers), priorityTiers...), len(record.Tiers)}
 }
 
 // PriorityOnly reports whether operators have defined no tier, so that jobs are ordered by priority
@@ -53,7 +53,7 @@
 func (o *Order) PriorityOnly() bool { return o.operatorDefined == 0 }
 
 // Tiers returns all tiers, from the top.
-func (o *Order) Tiers() []wire.Rung { return o.tiers }
+func (o *Order) Tiers() []wire.Tier { return o.tiers }
 
 // TierIndex returns the index of a job's tier, counted from the top.
 func (o *Order) TierIndex(j *wire.Job) int {
@@ -72,7 +72,7 @@
 func (o *Order) OperatorDefined(rank int) bool { return rank > len(o.tiers)-o.operatorDefined }
 
 // matches reports whether a job has what a tier names. Where the tier names nothing, every job does.
-func matches(tier *wire.Rung, j *wire.Job) bool {
+func matches(tier *wire.Tier, j *wire.Job) bool {
 	in := func(list []string, s string) bool { return len(list) == 0 || slices.Contains(list, s) }
 	return in(tier.Classes, j.Class) &&
 		(in(tier.Teams, j.Team) || slices.Contains(tier.Teams, "*")) &&
@@ -105,7 +105,7 @@
 		if i := o.TierIndex(j); i < len(o.tiers) {
 			name = o.tiers[i].Name
 		}
-		places = append(places, wire.JobPlace{Job: j.ID, Rung: name, Number: j.Number})
+		places = append(places, wire.JobPlace{Job: j.ID, Tier: name, Number: j.Number})
 		_, _ = fmt.Fprintf(hash, "%s %s %d\n", j.ID, name, j.Number)
 	}
 	return places, hex.EncodeToString(hash.Sum(nil))
@@ -114,12 +114,12 @@
 // Revise returns the record of a tier order with new tiers, as changed at a controller now. version
 // is the version of the record that it replaces. The history of the new record has at most keep
 // changes, the latest ones.
-func Revise(old wire.Ladder, version uint64, tiers []wire.Rung, now time.Time, node string, keep int) wire.Ladder {
-	revised := wire.Ladder{Rungs: tiers, History: slices.Clone(old.History)}
-	if version > 0 || len(old.Rungs) > 0 {
-		replaced := wire.LadderChange{Version: version, AtMS: now.UnixMilli(), Node: node, Rungs: []string{}}
-		for _, tier := range old.Rungs {
-			replaced.Rungs = append(replaced.Rungs, tier.Name)
+func Revise(old wire.TierOrder, version uint64, tiers []wire.Tier, now time.Time, node string, keep int) wire.TierOrder {
+	revised := wire.TierOrder{Tiers: tiers, History: slices.Clone(old.History)}
+	if version > 0 || len(old.Tiers) > 0 {
+		replaced := wire.TierOrderChange{Version: version, AtMS: now.UnixMilli(), Node: node, Tiers: []string{}}
+		for _, tier := range old.Tiers {
+			replaced.Tiers = append(replaced.Tiers, tier.Name)
 		}
 		revised.History = append(revised.History, replaced)
 	}
@@ -128,7 +128,7 @@
 }
 
 // Validate returns an error of one line that names the first fault in tiers, or nil.
-func Validate(tiers []wire.Rung, knownTeam func(string) bool) error {
+func Validate(tiers []wire.Tier, knownTeam func(string) bool) error {
 	if len(tiers) > MaxTiers {
 		return fmt.Errorf("rungs: at most %d, got %d", MaxTiers, len(tiers))
 	}
@@ -178,7 +178,7 @@
 
 // DropOldestChange removes the oldest change from a record's history, and reports whether there was
 // one.
-func DropOldestChange(record *wire.Ladder) bool {
+func DropOldestChange(record *wire.TierOrder) bool {
 	if len(record.History) == 0 {
 		return false
 	}
--- a/internal/tiers/tiers_test.go
+++ b/internal/tiers/tiers_test.go
@@ -12,7 +12,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var alarmTiers = []wire.Rung{
+var alarmTiers = []wire.Tier{
 	{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}, Priorities: []string{"urgent"}},
 	{Name: "unlocks", Classes: []string{"unlock"}, Teams: []string{"*"}, Shapes: []string{wire.ShapeService}},
 }
@@ -24,7 +24,7 @@
 // A job is on the first tier that matches it by everything that the tier names. Below the operators'
 // tiers it is placed by priority, services first among urgent work.
 func TestTiers(t *testing.T) {
-	order, plain := NewOrder(wire.Ladder{Rungs: alarmTiers}), NewOrder(wire.Ladder{})
+	order, plain := NewOrder(wire.TierOrder{Tiers: alarmTiers}), NewOrder(wire.TierOrder{})
 	for _, c := range []struct {
 		j           *wire.Job
 		tier, plain string
@@ -56,7 +56,7 @@
 // a job's position changes the digest.
 func TestOrderDependsOnRecordsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		order := NewOrder(wire.Ladder{Rungs: alarmTiers})
+		order := NewOrder(wire.TierOrder{Tiers: alarmTiers})
 		var jobs []*wire.Job
 		for i := range rapid.IntRange(1, 20).Draw(t, "jobs") {
 			one := func(what string, of ...string) string { return rapid.SampledFrom(of).Draw(t, what) }
@@ -93,23 +93,23 @@
 // Each fault of a tier order is reported in one line.
 func TestValidate(t *testing.T) {
 	known := func(team string) bool { return team == "red" }
-	many := make([]wire.Rung, MaxTiers+1)
+	many := make([]wire.Tier, MaxTiers+1)
 	for _, c := range []struct {
-		tiers []wire.Rung
+		tiers []wire.Tier
 		want  string
 	}{
 		{alarmTiers, ""},
 		{many, "at most 32"},
-		{[]wire.Rung{{Name: "", Teams: []string{"red"}}}, "name: must have"},
-		{[]wire.Rung{{Name: "a", Teams: []string{"red"}}, {Name: "a", Teams: []string{"red"}}}, "stands twice"},
-		{[]wire.Rung{{Name: "urgent", Teams: []string{"red"}}}, "from priorities"},
-		{[]wire.Rung{{Name: "a"}}, "selects everything"},
-		{[]wire.Rung{{Name: "a", Classes: []string{"x"}}}, "name the teams too"},
-		{[]wire.Rung{{Name: "a", Teams: []string{"mauve"}}}, `"mauve" is not known`},
-		{[]wire.Rung{{Name: "a", Classes: []string{"x"}, Teams: []string{"*"}}, {Name: "b", Classes: []string{"x"}, Teams: []string{"*"}}}, `stands on rung "a" already`},
-		{[]wire.Rung{{Name: "a", Priorities: []string{"high"}}}, "priorities: must be"},
-		{[]wire.Rung{{Name: "a", Shapes: []string{"heap"}}}, "shapes: must be"},
-		{[]wire.Rung{{Name: "a", Teams: make([]string, MaxNames+1)}}, "at most 64"},
+		{[]wire.Tier{{Name: "", Teams: []string{"red"}}}, "name: must have"},
+		{[]wire.Tier{{Name: "a", Teams: []string{"red"}}, {Name: "a", Teams: []string{"red"}}}, "stands twice"},
+		{[]wire.Tier{{Name: "urgent", Teams: []string{"red"}}}, "from priorities"},
+		{[]wire.Tier{{Name: "a"}}, "selects everything"},
+		{[]wire.Tier{{Name: "a", Classes: []string{"x"}}}, "name the teams too"},
+		{[]wire.Tier{{Name: "a", Teams: []string{"mauve"}}}, `"mauve" is not known`},
+		{[]wire.Tier{{Name: "a", Classes: []string{"x"}, Teams: []string{"*"}}, {Name: "b", Classes: []string{"x"}, Teams: []string{"*"}}}, `stands on rung "a" already`},
+		{[]wire.Tier{{Name: "a", Priorities: []string{"high"}}}, "priorities: must be"},
+		{[]wire.Tier{{Name: "a", Shapes: []string{"heap"}}}, "shapes: must be"},
+		{[]wire.Tier{{Name: "a", Teams: make([]string, MaxNames+1)}}, "at most 64"},
 	} {
 		err := Validate(c.tiers, known)
 		if (err == nil) != (c.want == "") || err != nil && (!strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n")) {
@@ -122,13 +122,13 @@
 // history stays empty.
 func TestRevise(t *testing.T) {
 	now := time.UnixMilli(1e12)
-	if record := Revise(wire.Ladder{}, 0, alarmTiers, now, "a", 2); len(record.History) != 0 || len(record.Rungs) != len(alarmTiers) {
+	if record := Revise(wire.TierOrder{}, 0, alarmTiers, now, "a", 2); len(record.History) != 0 || len(record.Tiers) != len(alarmTiers) {
 		t.Errorf("the first record: %+v", record)
 	}
-	old := wire.Ladder{Rungs: alarmTiers, History: []wire.LadderChange{{Version: 1}, {Version: 2}}}
+	old := wire.TierOrder{Tiers: alarmTiers, History: []wire.TierOrderChange{{Version: 1}, {Version: 2}}}
 	record := Revise(old, 3, nil, now, "b", 2)
 	if len(record.History) != 2 || record.History[0].Version != 2 || record.History[1].Version != 3 ||
-		record.History[1].Node != "b" || len(record.History[1].Rungs) != len(alarmTiers) || len(old.History) != 2 {
+		record.History[1].Node != "b" || len(record.History[1].Tiers) != len(alarmTiers) || len(old.History) != 2 {
 		t.Errorf("%+v", record)
 	}
 }
--- a/internal/wants/wants.go
+++ b/internal/wants/wants.go
@@ -16,10 +16,10 @@
 // Told is a want on its way to the other controllers: of a shard held under a token, the
 // Nth under it.
 type Told struct {
-	Shard int       `msgpack:"shard"`
-	Token uint64    `msgpack:"token"`
-	N     uint64    `msgpack:"n"`
-	Want  wire.Want `msgpack:"want"`
+	Shard int         `msgpack:"shard"`
+	Token uint64      `msgpack:"token"`
+	N     uint64      `msgpack:"n"`
+	Want  wire.Demand `msgpack:"want"`
 }
 
 // Pace bounds how often wants are told.
@@ -33,7 +33,7 @@
 type Teller struct {
 	pace  Pace
 	n     uint64
-	told  wire.Want
+	told  wire.Demand
 	at    time.Duration // when it was last told
 	wrote time.Duration
 	ever  bool // told before
@@ -46,7 +46,7 @@
 // Next says whether a want is to be told by message, with which number, and whether it is
 // to be written: record is what stands in the state, heard whether messages reach those
 // who act on wants.
-func (t *Teller) Next(now time.Duration, want, record wire.Want, heard bool) (n uint64, tell, write bool) {
+func (t *Teller) Next(now time.Duration, want, record wire.Demand, heard bool) (n uint64, tell, write bool) {
 	stands := Same(want, record)
 	if !t.ever || !Same(want, t.told) || now-t.at >= t.pace.Again && (!stands || len(want.Needs) > 0) {
 		t.n++
@@ -82,7 +82,7 @@
 
 // Of is the want of a shard held under token that counts now: the last message of that
 // holder, unless it has gone silent, and otherwise the record.
-func (b *Board) Of(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
+func (b *Board) Of(now time.Duration, shard int, token uint64, record wire.Demand) wire.Demand {
 	if p, ok := b.heard[shard]; ok && p.Token == token && now-p.at < b.pace.Keep {
 		return p.Want
 	}
@@ -91,7 +91,7 @@
 
 // Shorter leaves out the last need, and tells whether there was one: those beyond what a
 // record holds are asked for once the first are served.
-func Shorter(w *wire.Want) bool {
+func Shorter(w *wire.Demand) bool {
 	if len(w.Needs) == 0 {
 		return false
 	}
@@ -101,7 +101,7 @@
 
 // Same tells whether two wants ask for the same. Which blocks were known matters only
 // while something is asked for.
-func Same(x, y wire.Want) bool {
+func Same(x, y wire.Demand) bool {
 	if len(x.Needs) != len(y.Needs) || len(x.Needs) > 0 && x.Seen != y.Seen {
 		return false
 	}
@@ -116,7 +116,7 @@
 // SameKind tells whether two needs differ by the number of tasks at most.
 func SameKind(x, y wire.Need) bool {
 	if len(x.Types) != len(y.Types) || x.Zone != y.Zone || x.Spot != y.Spot || x.CPUs != y.CPUs || x.GPUs != y.GPUs || x.MemGB != y.MemGB ||
-		x.Dire != y.Dire || x.Booting != y.Booting || x.Rung != y.Rung {
+		x.Starved != y.Starved || x.Booting != y.Booting || x.Tier != y.Tier {
 		return false
 	}
 	for i := range x.Types {
--- a/internal/wants/wants_test.go
+++ b/internal/wants/wants_test.go
@@ -9,11 +9,11 @@
 
 var pace = Pace{Again: time.Second, Write: 3 * time.Second, Keep: 3 * time.Second}
 
-func want(tasks int, seen uint64) wire.Want {
+func want(tasks int, seen uint64) wire.Demand {
 	if tasks == 0 {
-		return wire.Want{Seen: seen}
+		return wire.Demand{Seen: seen}
 	}
-	return wire.Want{Seen: seen, Needs: []wire.Need{{CPUs: 1, MemGB: 2, Tasks: tasks}}}
+	return wire.Demand{Seen: seen, Needs: []wire.Need{{CPUs: 1, MemGB: 2, Tasks: tasks}}}
 }
 
 // A want that changes ten times a second for ten seconds is told each time and written
@@ -21,7 +21,7 @@
 func TestWritesFollowAtLeisure(t *testing.T) {
 	for _, heard := range []bool{true, false} {
 		tell, wrote := NewTeller(pace), 0
-		told, record := 0, wire.Want{}
+		told, record := 0, wire.Demand{}
 		for i := range 100 {
 			now := time.Duration(i) * 100 * time.Millisecond
 			w := want(1+i, 5)
@@ -41,7 +41,7 @@
 
 // The record ends as the last want, also if nothing changes any more; then nothing is told.
 func TestTheRecordCatchesUp(t *testing.T) {
-	tell, record := NewTeller(pace), wire.Want{}
+	tell, record := NewTeller(pace), wire.Demand{}
 	last, messages := time.Duration(0), 0
 	for i := range 200 {
 		now := time.Duration(i) * 100 * time.Millisecond
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -96,7 +96,7 @@
 		}
 		return true
 	})
-	return rec, !wire.Same(rec, p.stands)
+	return rec, !wire.EqualEncoding(rec, p.stands)
 }
 
 // planned is what is written of an image on the machines of a shard, if many fetch it. Rates change all
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -43,7 +43,7 @@
 }
 
 // Same tells whether two messages are encoded alike.
-func Same(a, b any) bool {
+func EqualEncoding(a, b any) bool {
 	x, errX := Marshal(a)
 	y, errY := Marshal(b)
 	return errX == nil && errY == nil && bytes.Equal(x, y)
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -9,7 +9,7 @@
 func messages() []any {
 	return []any{&JobSpec{}, &Report{}, &ReportReply{}, &Redirect{}, &Orders{}, &JobStatus{}, &Problem{}, &Item{}, &ItemList{}, &TxnReply{},
 		&LeaseReply{}, &LeaseRequest{}, &Events{}, &MachineTypes{}, &RentRequest{}, &MachineNames{}, &MachineList{}, &SettingsPatch{}, &Cordon{},
-		&Job{}, &Final{}, &Node{}, &Leader{}, &Shard{}, &Block{}, &Cache{}, &Want{}, &Trail{}, &TrailRecord{}, &Believed{}}
+		&Job{}, &Final{}, &Node{}, &Leader{}, &Shard{}, &Block{}, &Cache{}, &Demand{}, &Trail{}, &TrailRecord{}, &MachineDetail{}}
 }
 
 // What can be read can be written and read again to the same; what cannot be
--- a/wire/production_test.go
+++ b/wire/production_test.go
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	of := map[string]func() any{
-		KeyLeader: func() any { return &Leader{} }, KeySettings: func() any { return &Settings{} }, KeyLadder: func() any { return &Ladder{} },
+		KeyLeader: func() any { return &Leader{} }, KeySettings: func() any { return &Settings{} }, KeyTierOrder: func() any { return &TierOrder{} },
 		PrefixCordon: func() any { return &Cordon{} }, PrefixCrew: func() any { return &Crew{} }, PrefixBias: func() any { return &Bias{} },
-		PrefixReach: func() any { return &Reach{} }, PrefixNode: func() any { return &Node{} }, PrefixType: func() any { return &MachineType{} },
+		PrefixReach: func() any { return &ReachReport{} }, PrefixNode: func() any { return &Node{} }, PrefixType: func() any { return &MachineType{} },
 		PrefixJob: func() any { return &Job{} }, PrefixShard: func() any { return &Shard{} }, PrefixStart: func() any { return &Starts{} },
-		PrefixWant: func() any { return &Want{} }, PrefixCache: func() any { return &Cache{} }, PrefixBlock: func() any { return &Block{} },
+		PrefixDemand: func() any { return &Demand{} }, PrefixCache: func() any { return &Cache{} }, PrefixBlock: func() any { return &Block{} },
 		PrefixFinal: func() any { return &Final{} }, PrefixTrail: func() any { return &TrailRecord{} },
 	}
 	seen := map[string]int{}
--- a/wire/reach.go
+++ b/wire/reach.go
@@ -5,37 +5,37 @@
 const PrefixReach = "live/reach/"
 
 // Reach is a controller's word, written on change only.
-type Reach struct {
+type ReachReport struct {
 	Boot uint64 `cbor:"boot" msgpack:"boot"`
 	// Lacks: it reaches no workers, neither as a holder nor when it calls some.
-	Lacks bool `cbor:"lacks,omitempty" msgpack:"lacks,omitempty"`
+	NoWorkers bool `cbor:"lacks,omitempty" msgpack:"lacks,omitempty"`
 	// Seeks are shards that it holds and whose machines have all fallen silent; who
 	// reaches them is to say so.
-	Seeks []int `cbor:"seeks,omitempty" msgpack:"seeks,omitempty"`
+	SilentShards []int `cbor:"seeks,omitempty" msgpack:"seeks,omitempty"`
 	// Hears answers others' Seeks.
-	Hears []ShardReach `cbor:"hears,omitempty" msgpack:"hears,omitempty"`
+	SampledShards []ShardReach `cbor:"hears,omitempty" msgpack:"hears,omitempty"`
 	// Misses are shards that it holds and of whose machines many are silent.
-	Misses []int `cbor:"misses,omitempty" msgpack:"misses,omitempty"`
+	DegradedShards []int `cbor:"misses,omitempty" msgpack:"misses,omitempty"`
 	// Apart are controllers that are present and have not answered it for long.
-	Apart []string `cbor:"apart,omitempty" msgpack:"apart,omitempty"`
+	UnreachableNodes []string `cbor:"apart,omitempty" msgpack:"apart,omitempty"`
 	// NoCloud: its calls of the cloud have failed for long. Cloud answers another's NoCloud.
-	NoCloud bool `cbor:"nocloud,omitempty" msgpack:"nocloud,omitempty"`
-	Cloud   bool `cbor:"cloud,omitempty" msgpack:"cloud,omitempty"`
+	NoCloud      bool `cbor:"nocloud,omitempty" msgpack:"nocloud,omitempty"`
+	CloudAnswers bool `cbor:"cloud,omitempty" msgpack:"cloud,omitempty"`
 }
 
 // ShardReach is how many of a shard's machines were called, and how many answered.
 type ShardReach struct {
-	Shard int `cbor:"shard" msgpack:"shard" json:"shard"`
-	Of    int `cbor:"of" msgpack:"of" json:"of"`
-	Heard int `cbor:"heard" msgpack:"heard" json:"heard"`
+	Shard    int `cbor:"shard" msgpack:"shard" json:"shard"`
+	Called   int `cbor:"of" msgpack:"of" json:"of"`
+	Answered int `cbor:"heard" msgpack:"heard" json:"heard"`
 }
 
 // ReachView answers the administration API: what one controller believes to reach, and
 // what the others have told it.
 type ReachView struct {
-	Node  string      `cbor:"node" json:"node"`
-	Links []LinkView  `cbor:"links" json:"links"`
-	Words []ReachWord `cbor:"words" json:"words"`
+	Node    string            `cbor:"node" json:"node"`
+	Links   []LinkView        `cbor:"links" json:"links"`
+	Reports []ReachReportView `cbor:"words" json:"words"`
 }
 
 // LinkView is one link as its end believes it to be.
@@ -48,17 +48,17 @@
 }
 
 // Told is a controller's word as operators are shown it.
-func (w Reach) Told(node string) ReachWord {
-	return ReachWord{Node: node, Lacks: w.Lacks, Seeks: w.Seeks, Hears: w.Hears, Misses: w.Misses, Apart: w.Apart, NoCloud: w.NoCloud}
+func (w ReachReport) View(node string) ReachReportView {
+	return ReachReportView{Node: node, NoWorkers: w.NoWorkers, SilentShards: w.SilentShards, SampledShards: w.SampledShards, DegradedShards: w.DegradedShards, UnreachableNodes: w.UnreachableNodes, NoCloud: w.NoCloud}
 }
 
 // ReachWord is another controller's word.
-type ReachWord struct {
-	Node    string       `cbor:"node" json:"node"`
-	Lacks   bool         `cbor:"lacks" json:"lacks_workers"`
-	Seeks   []int        `cbor:"seeks" json:"seeks"`
-	Hears   []ShardReach `cbor:"hears" json:"hears"`
-	Misses  []int        `cbor:"misses" json:"misses"`
-	Apart   []string     `cbor:"apart" json:"apart"`
-	NoCloud bool         `cbor:"nocloud" json:"lacks_cloud"`
+type ReachReportView struct {
+	Node             string       `cbor:"node" json:"node"`
+	NoWorkers        bool         `cbor:"lacks" json:"lacks_workers"`
+	SilentShards     []int        `cbor:"seeks" json:"seeks"`
+	SampledShards    []ShardReach `cbor:"hears" json:"hears"`
+	DegradedShards   []int        `cbor:"misses" json:"misses"`
+	UnreachableNodes []string     `cbor:"apart" json:"apart"`
+	NoCloud          bool         `cbor:"nocloud" json:"lacks_cloud"`
 }
--- a/wire/records.go
+++ b/wire/records.go
@@ -4,16 +4,16 @@
 // stands under LivePrefix and is watched by every controller; final states
 // stand apart, so that starting does not read the whole past.
 const (
-	LivePrefix  = "live/"
-	KeyLeader   = "live/leader"
-	PrefixNode  = "live/node/"
-	PrefixShard = "live/shard/"
-	PrefixBlock = "live/block/"
-	PrefixWant  = "live/want/"
-	PrefixType  = "live/type/"
-	PrefixJob   = "live/job/"
-	PrefixCache = "live/cache/"
-	PrefixStart = "live/start/"
+	LivePrefix   = "live/"
+	KeyLeader    = "live/leader"
+	PrefixNode   = "live/node/"
+	PrefixShard  = "live/shard/"
+	PrefixBlock  = "live/block/"
+	PrefixDemand = "live/want/"
+	PrefixType   = "live/type/"
+	PrefixJob    = "live/job/"
+	PrefixCache  = "live/cache/"
+	PrefixStart  = "live/start/"
 	// PrefixWeights holds, by shard, what is planned for images that many machines fetch.
 	PrefixWeights = "live/weights/"
 	PrefixDone    = "live/done/"
@@ -126,12 +126,12 @@
 	// Past names every life that held the shard since all its machines were last
 	// accounted for, if Known: once all of them are dead, nobody else can be
 	// answering a worker.
-	Past  []Life `cbor:"past,omitempty"`
-	Known bool   `cbor:"known,omitempty"`
+	Past  []Incarnation `cbor:"past,omitempty"`
+	Known bool          `cbor:"known,omitempty"`
 }
 
 // Life is one life of a controller.
-type Life struct {
+type Incarnation struct {
 	Node string `cbor:"node"`
 	Boot uint64 `cbor:"boot"`
 }
@@ -201,7 +201,7 @@
 // Want is what a shard's holder asks of the leader. Seen is the newest
 // revision of the shard's blocks known when it was written, so that the
 // leader does not serve the same want twice.
-type Want struct {
+type Demand struct {
 	Seen  uint64 `cbor:"seen"`
 	Needs []Need `cbor:"needs,omitempty"`
 }
@@ -217,12 +217,12 @@
 	Tasks int      `cbor:"tasks"`
 	// Dire: the tasks lie within their teams' guarantees and the cloud has
 	// given nothing for a while; shards that borrow are to give way.
-	Dire bool `cbor:"dire,omitempty"`
+	Starved bool `cbor:"dire,omitempty" msgpack:"Dire"`
 	// Booting: machines for it are on their way; only blocks that are up help.
 	Booting bool `cbor:"booting,omitempty"`
 	// Rung is the rank of the work that asks; needs of higher rungs are served first, whichever
 	// shard they are of.
-	Rung int `cbor:"rung,omitempty"`
+	Tier int `cbor:"rung,omitempty" msgpack:"Rung"`
 }
 
 // Weights is what a shard's holder has planned for images that many of its machines fetch: one change an
--- a/wire/size.go
+++ b/wire/size.go
@@ -77,6 +77,6 @@
 }
 
 // NotTaken tells who asked for a record to be written that the state service does not take it.
-func NotTaken(why string) Problem {
+func RecordRefused(why string) Problem {
 	return Problem{Error: "the state service does not take this record: " + why}
 }
--- a/wire/ladder.go
+++ b/wire/tiers.go
@@ -1,16 +1,16 @@
 package wire
 
 // KeyLadder holds the operators' ladder; without it rungs come from priorities alone.
-const KeyLadder = "live/ladder"
+const KeyTierOrder = "live/ladder"
 
 // Ladder is the order in which work is served, top down, and what it was before.
-type Ladder struct {
-	Rungs   []Rung         `cbor:"rungs" json:"rungs"`
-	History []LadderChange `cbor:"history,omitempty" json:"history,omitempty"` // the latest last
+type TierOrder struct {
+	Tiers   []Tier            `cbor:"rungs" json:"rungs"`
+	History []TierOrderChange `cbor:"history,omitempty" json:"history,omitempty"` // the latest last
 }
 
 // Rung selects jobs by all that it names; what it leaves empty selects any.
-type Rung struct {
+type Tier struct {
 	Name       string   `cbor:"name" json:"name" toml:"name"`
 	Classes    []string `cbor:"classes,omitempty" json:"classes,omitempty" toml:"classes"`
 	Teams      []string `cbor:"teams,omitempty" json:"teams,omitempty" toml:"teams"` // "*": any team
@@ -20,27 +20,27 @@
 
 // LadderChange is one earlier version: the revision it was written at, when (milliseconds of
 // the day's time), by which controller, and its rungs by name.
-type LadderChange struct {
+type TierOrderChange struct {
 	Version uint64   `cbor:"version" json:"version"`
 	AtMS    int64    `cbor:"at" json:"at_ms"`
 	Node    string   `cbor:"node" json:"node"`
-	Rungs   []string `cbor:"rungs" json:"rungs"`
+	Tiers   []string `cbor:"rungs" json:"rungs"`
 }
 
 // LadderPatch replaces the rungs; Version is the one that was read, 0 if there was none. With
 // Check it is only judged.
-type LadderPatch struct {
+type TierOrderPatch struct {
 	Version uint64 `cbor:"version"`
-	Rungs   []Rung `cbor:"rungs"`
+	Tiers   []Tier `cbor:"rungs"`
 	Check   bool   `cbor:"check,omitempty"`
 }
 
 // LadderView answers the administration API: the record, and all rungs with those that come
 // from priorities beneath them.
-type LadderView struct {
-	Version uint64 `cbor:"version" json:"version"`
-	Ladder  Ladder `cbor:"ladder" json:"ladder"`
-	All     []Rung `cbor:"all" json:"all"`
+type TierOrderView struct {
+	Version uint64    `cbor:"version" json:"version"`
+	Order   TierOrder `cbor:"ladder" json:"ladder"`
+	All     []Tier    `cbor:"all" json:"all"`
 }
 
 // OrderView is the order in which a controller serves the live jobs, by records alone. The
@@ -57,6 +57,6 @@
 // JobPlace is a job's place on the ladder.
 type JobPlace struct {
 	Job    string `cbor:"job" json:"job"`
-	Rung   string `cbor:"rung" json:"rung"`
+	Tier   string `cbor:"rung" json:"rung"`
 	Number uint64 `cbor:"number" json:"number"`
 }
--- a/wire/trail.go
+++ b/wire/trail.go
@@ -43,33 +43,33 @@
 
 // Believed is a machine as one controller believes it to be now. Times are in
 // seconds; those that mean nothing yet are null.
-type Believed struct {
-	Machine    string         `cbor:"machine" json:"machine"`
-	Node       string         `cbor:"node" json:"node"`     // who believes it
-	Holder     string         `cbor:"holder" json:"holder"` // who holds its block
-	Held       bool           `cbor:"held" json:"held"`     // by Node: the rest is known only then
-	Block      string         `cbor:"block" json:"block"`
-	Shard      int            `cbor:"shard" json:"shard"`
-	Token      uint64         `cbor:"token" json:"token"`
-	Type       string         `cbor:"type" json:"type"`
-	Zone       string         `cbor:"zone" json:"zone"`
-	Spot       bool           `cbor:"spot" json:"spot"`
-	State      string         `cbor:"state" json:"state"`
-	Cordoned   bool           `cbor:"cordoned" json:"cordoned"`
-	Session    uint64         `cbor:"session" json:"session"`
-	Inherited  bool           `cbor:"inherited" json:"inherited"`
-	Accounted  bool           `cbor:"accounted" json:"accounted"`
-	ReportedS  *float64       `cbor:"reported_s" json:"reported_s"`     // since its last report
-	LeaseLeftS *float64       `cbor:"lease_left_s" json:"lease_left_s"` // until its lease is surely over; negative: it is
-	FreeCPUs   float64        `cbor:"free_cpus" json:"free_cpus"`
-	Errors     int            `cbor:"errors" json:"errors"` // failures in a row
-	Images     []string       `cbor:"images" json:"images"`
-	Attempts   []BelievedTask `cbor:"attempts" json:"attempts"`
-	Trail      []TrailEvent   `cbor:"trail" json:"trail"`
+type MachineDetail struct {
+	Machine    string          `cbor:"machine" json:"machine"`
+	Node       string          `cbor:"node" json:"node"`     // who believes it
+	Holder     string          `cbor:"holder" json:"holder"` // who holds its block
+	Held       bool            `cbor:"held" json:"held"`     // by Node: the rest is known only then
+	Block      string          `cbor:"block" json:"block"`
+	Shard      int             `cbor:"shard" json:"shard"`
+	Token      uint64          `cbor:"token" json:"token"`
+	Type       string          `cbor:"type" json:"type"`
+	Zone       string          `cbor:"zone" json:"zone"`
+	Spot       bool            `cbor:"spot" json:"spot"`
+	State      string          `cbor:"state" json:"state"`
+	Cordoned   bool            `cbor:"cordoned" json:"cordoned"`
+	Session    uint64          `cbor:"session" json:"session"`
+	Inherited  bool            `cbor:"inherited" json:"inherited"`
+	Accounted  bool            `cbor:"accounted" json:"accounted"`
+	ReportedS  *float64        `cbor:"reported_s" json:"reported_s"`     // since its last report
+	LeaseLeftS *float64        `cbor:"lease_left_s" json:"lease_left_s"` // until its lease is surely over; negative: it is
+	FreeCPUs   float64         `cbor:"free_cpus" json:"free_cpus"`
+	Errors     int             `cbor:"errors" json:"errors"` // failures in a row
+	Images     []string        `cbor:"images" json:"images"`
+	Attempts   []AttemptDetail `cbor:"attempts" json:"attempts"`
+	Trail      []TrailEvent    `cbor:"trail" json:"trail"`
 }
 
 // BelievedTask is an attempt that is, or may be, on a machine.
-type BelievedTask struct {
+type AttemptDetail struct {
 	Task    string  `cbor:"task" json:"task"`
 	Attempt uint64  `cbor:"attempt" json:"attempt"`
 	Status  string  `cbor:"status" json:"status"` // "reserved" or "sent" until reported
