--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one controller: it feeds the core's single queue and
-// carries out what the core returns.
+// Package node runs one controller: it passes inputs to the core one at a time and executes the
+// effects that the core returns.
 package node
 
 import (
@@ -27,16 +27,26 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Params turns settings into what the core needs.
+// Params returns the core's parameters for the settings.
 func Params(cfg *config.Config) core.Params {
 	state := cfg.Params.State.Strictest()
 	p := core.Params{
-		Node: cfg.Node, Zone: cfg.Zone,
-		NodeZones: map[string]string{cfg.Node: cfg.Zone}, Teams: map[string]core.Team{},
-		WorkerLease: seconds(cfg.Params.Workers.LeaseS), CancelTimeout: seconds(cfg.Params.Workers.CancelS),
-		ReportInterval: seconds(cfg.Params.Workers.ReportS), CloudListLag: seconds(cfg.Params.Cloud.ListLagS),
-		MaxTxnOps: state.TxnOps, MaxValueBytes: int(state.ValueKB * 1024),
-		Version: Version(), Features: rollout.Features(), Weights: weights.Switches{HandOn: cfg.Switches.Weights.HandOn, Pace: cfg.Switches.Weights.Pace},
+		Node:           cfg.Node,
+		Zone:           cfg.Zone,
+		NodeZones:      map[string]string{cfg.Node: cfg.Zone},
+		Teams:          map[string]core.Team{},
+		WorkerLease:    seconds(cfg.Params.Workers.LeaseS),
+		CancelTimeout:  seconds(cfg.Params.Workers.CancelS),
+		ReportInterval: seconds(cfg.Params.Workers.ReportS),
+		CloudListLag:   seconds(cfg.Params.Cloud.ListLagS),
+		MaxTxnOps:      state.TxnOps,
+		MaxValueBytes:  int(state.ValueKB * 1024),
+		Version:        Version(),
+		Features:       rollout.Features(),
+		Weights: weights.Switches{
+			HandOn: cfg.Switches.Weights.HandOn,
+			Pace:   cfg.Switches.Weights.Pace,
+		},
 	}
 	for _, n := range cfg.Peers {
 		p.NodeZones[n.Node] = n.Zone
@@ -60,15 +70,15 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 type request struct {
-	ctx   context.Context // over once nobody waits for the answer any more
+	ctx   context.Context // done when the caller no longer waits for the answer
 	input func(id uint64) any
 	reply chan httpapi.Reply
 }
 
 type node struct {
-	authority   chan any // what entitlement hangs on: never behind anything else
+	authority   chan any // results on which the authority to act depends; served before anything else
 	inbox       chan any
-	workers     chan request // served first
+	workers     chan request // served before users' requests
 	users       chan request
 	log         *slog.Logger
 	state       *statestore.Client
@@ -83,7 +93,7 @@
 // Run serves until the context ends or a listener fails.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	if mb := cfg.Params.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.6 * 1024 * 1024)) // the runtime's own share stays below the kill limit
+		debug.SetMemoryLimit(int64(mb * 0.6 * 1024 * 1024)) // leaves a margin below the limit at which the process is killed
 	}
 	limits := cfg.Params.State.Strictest()
 	n := &node{
@@ -122,9 +132,9 @@
 	}
 }
 
-// ask puts a request to the core and waits for its answer. A full queue sheds
-// the request at once; users' queue is the short one, so that they hear early
-// that they must come back.
+// ask passes a request to the core and waits for its answer. If the queue is full, the request is
+// refused at once with status 503. The queue of users' requests is the shorter one, so that users
+// are soon told to retry.
 func (n *node) ask(ctx context.Context, class httpapi.Class, in func(id uint64) any, timeout time.Duration) httpapi.Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -146,11 +156,12 @@
 	}
 }
 
-// next is the next input: answers of services, ticks and workers' reports before
-// users' requests. Requests that nobody waits for any more are passed over.
+// next returns the next input for the core, and false once the context has ended. Answers of
+// services, ticks and workers' reports come before users' requests. Requests whose caller no
+// longer waits are skipped.
 func (n *node) next(ctx context.Context, tick <-chan time.Time) (any, bool) {
 	for {
-		select { // a loop that is late renews first, and ticks: a grant ends in seconds
+		select { // when the loop is behind, renewals and ticks come first: a state lease expires in seconds
 		case in := <-n.authority:
 			return in, true
 		case <-tick:
@@ -159,7 +170,7 @@
 		}
 		users := n.users
 		if len(n.inbox)+len(n.workers)+len(tick) > 0 {
-			users = nil // their turn comes when nothing else waits
+			users = nil // users' requests are served when nothing else waits
 		}
 		var r request
 		select {
@@ -183,7 +194,7 @@
 	}
 }
 
-// fromPeer queues a peer's message; a full queue drops it.
+// receivePeerMessage queues a message from a peer; if the queue is full, the message is dropped.
 func (n *node) receivePeerMessage(m core.PeerMessage) {
 	select {
 	case n.inbox <- core.Peer{Msg: m}:
@@ -191,6 +202,7 @@
 	}
 }
 
+// run passes inputs to the core and executes the effects until the context ends.
 func (n *node) run(ctx context.Context, c *core.Core) {
 	start := time.Now()
 	tick := time.NewTicker(tuning.TickInterval)
@@ -213,8 +225,11 @@
 	}
 }
 
+// levels are the slog levels of core.Log's levels.
 var levels = [4]slog.Level{slog.LevelError, slog.LevelInfo, slog.LevelDebug, slog.LevelWarn}
 
+// execute carries out one effect of the core. Calls run in goroutines of their own and return their
+// outcome as an input.
 func (n *node) execute(ctx context.Context, e any) {
 	switch v := e.(type) {
 	case core.Answer:
@@ -226,7 +241,7 @@
 		go func() {
 			began := time.Now()
 			rep := n.state.Do(ctx, v)
-			if v.Op != core.OpWatch { // a watch is meant to take long
+			if v.Op != core.OpWatch { // a watch takes long by design
 				n.metrics.Call("state", rep.Status, time.Since(began))
 			}
 			if v.Lane == core.LaneAuthority && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,8 +19,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// standIn plays the state service and the cloud by their published protocol,
-// as far as one controller without machines needs them.
+// standIn implements the published protocols of the state service and the cloud, as far as one
+// controller without machines needs them.
 type standIn struct {
 	mu   sync.Mutex
 	rev  uint64
@@ -133,7 +133,7 @@
 	return ln.Addr().String()
 }
 
-// One controller on loopback: what users and operators may send it, good and bad.
+// Runs one controller on loopback and sends it valid and invalid requests of users and operators.
 func TestOverTheWire(t *testing.T) {
 	srv := httptest.NewServer(&standIn{keys: map[string]wire.Item{}})
 	defer srv.Close()
@@ -212,7 +212,7 @@
 		{"good, unknown field ignored", "POST", "/v1/jobs", job(nil), 201},
 		{"again", "POST", "/v1/jobs", job(nil), 200},
 		{"known", "GET", "/v1/jobs/job-000001", nil, 200},
-		{"nothing of the bad ones was kept", "GET", "/v1/jobs/job-000009", nil, 404},
+		{"refused jobs are not kept", "GET", "/v1/jobs/job-000009", nil, 404},
 		{"unknown path", "GET", "/v2/jobs", nil, 404},
 		{"wrong method", "DELETE", "/v1/jobs", nil, 405},
 		{"malformed report", "POST", "/hello", enc(map[string]any{"host": 5}), 400},
@@ -223,7 +223,7 @@
 		{"setting out of range", "PUT", "/admin/v1/settings", enc(map[string]any{"idle_return_s": -3.0}), 400},
 		{"setting", "PUT", "/admin/v1/settings", enc(map[string]any{"idle_return_s": 30.0}), 200},
 		{"setting from an older version", "PUT", "/admin/v1/settings", enc(map[string]any{"version": 0, "spot": false}), 409},
-		{"cordon of nothing", "PUT", "/admin/v1/machines/n-000009/cordon", enc(wire.Cordon{}), 404},
+		{"cordon of an unknown machine", "PUT", "/admin/v1/machines/n-000009/cordon", enc(wire.Cordon{}), 404},
 		{"abort", "POST", "/v1/jobs/job-000001/abort", nil, 200},
 		{"abort again", "POST", "/v1/jobs/job-000001/abort", nil, 200},
 	} {
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -1,4 +1,4 @@
-// Package nodetest lets a test binary be a controller, for tests that start real ones.
+// Package nodetest lets a test binary run as a controller, for tests that start real controllers.
 package nodetest
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/barrowbridge/barrowbridge/internal/node"
 )
 
-// ServeIfAsked serves as a controller, and does not return, if the binary was called
-// as the program is: with --config and a file. TestMain calls it first.
+// ServeIfAsked runs a controller and does not return if the binary was started like the program,
+// with --config and a file. TestMain calls it first.
 func ServeIfAsked() {
 	if len(os.Args) != 3 || os.Args[1] != "--config" {
 		return
--- a/internal/node/params_test.go
+++ b/internal/node/params_test.go
@@ -6,7 +6,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/config"
 )
 
-// What the settings say of a class's starting and finishing reaches the core.
+// The objectives for start and completion in the settings are passed to the core.
 func TestObjectivesReachTheCore(t *testing.T) {
 	cfg := &config.Config{}
 	cfg.Params.Objectives = []config.Objective{{Kind: "finished", Class: "scan", WithinS: 300}, {Kind: "wait", Class: "stitch", WithinS: 40}, {Kind: "deadline", Class: "plan"}}
--- a/internal/node/queue_test.go
+++ b/internal/node/queue_test.go
@@ -10,8 +10,8 @@
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 )
 
-// A controller that cannot keep up serves workers first, tells users beyond a
-// short queue at once to come back, and does no work nobody waits for.
+// A controller that cannot keep up serves workers first, refuses users' requests beyond a short
+// queue at once with a Retry-After, and skips requests whose caller no longer waits.
 func TestOverload(t *testing.T) {
 	n := &node{authority: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		waiting: map[uint64]chan httpapi.Reply{}}
@@ -26,7 +26,7 @@
 	}
 	leave()
 	if r := <-left; r.Status != 503 {
-		t.Errorf("a user that left: %+v", r)
+		t.Errorf("answer to a user that left: %+v", r)
 	}
 	for range tuning.UserQueueSize - 1 {
 		go n.ask(ctx, httpapi.User, poll, time.Minute)
@@ -35,13 +35,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	if r := n.ask(ctx, httpapi.User, poll, time.Minute); r.Status != 503 || r.RetryAfter == 0 {
-		t.Errorf("a user too many: %+v", r)
+		t.Errorf("request beyond the full queue: %+v", r)
 	}
 	go n.ask(ctx, httpapi.Worker, func(id uint64) any { return core.WorkerReport{Req: id} }, time.Minute)
 	for len(n.workers) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	// The renewal of a grant and the clock wait behind nothing.
+	// Renewals of the state lease and ticks are served before everything else.
 	n.inbox <- core.StateDone{ID: 1}
 	n.authority <- core.StateDone{ID: 2}
 	tick := make(chan time.Time, 1)
@@ -49,12 +49,12 @@
 	for range 2 {
 		in, _ := n.next(ctx, tick)
 		if d, ok := in.(core.StateDone); ok && d.ID != 2 || isReport(in) {
-			t.Errorf("before a renewal or a tick: %+v", in)
+			t.Errorf("input served before a renewal or a tick: %+v", in)
 		}
 	}
 	<-n.inbox
 	if in, _ := n.next(ctx, nil); !isReport(in) {
-		t.Errorf("a report should go first, got %T", in)
+		t.Errorf("got %T, want a report before users' requests", in)
 	}
 	for i := range tuning.UserQueueSize - 1 {
 		if in, ok := n.next(ctx, nil); !ok || isReport(in) {
@@ -62,7 +62,7 @@
 		}
 	}
 	if len(n.users) != 0 || len(n.waiting) != tuning.UserQueueSize {
-		t.Errorf("%d requests left, %d answers due: the one that left should have been passed over", len(n.users), len(n.waiting))
+		t.Errorf("%d requests queued, %d answers pending: the request of the user that left should have been skipped", len(n.users), len(n.waiting))
 	}
 }
 
--- a/internal/node/version.go
+++ b/internal/node/version.go
@@ -8,7 +8,8 @@
 // Release is the version of this source.
 const Release = "0.1.0-dev"
 
-// Version is the release, and the commit that the program was built from, if its build knew it.
+// Version returns the release and, if the build recorded it, the commit that the program was built
+// from, with "changed" if the source differed from that commit.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -17,7 +18,7 @@
 	return versionOf(info.Settings)
 }
 
-// shownCommit is as much of a commit's name as people read.
+// shownCommit is the number of digits of the commit that are shown.
 const shownCommit = 12
 
 func versionOf(settings []debug.BuildSetting) string {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between controllers: msgpack frames over TCP,
-// each controller sending on a connection of its own to every other. Messages
-// may be lost, late or held back; nothing that must not be depends on them.
+// Package peer sends messages between controllers as msgpack frames over TCP. Each controller sends
+// on its own connection to every other controller. Messages may be lost or late; correctness does
+// not depend on them.
 package peer
 
 import (
@@ -19,20 +19,21 @@
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 )
 
-// Write sends one frame: four bytes of length, then msgpack.
+// Write writes one frame: four bytes of length, then the message as msgpack. It returns an error if
+// the message is larger than tuning.MaxPeerFrameBytes.
 func Write(w io.Writer, m core.PeerMessage) error {
 	b, err := msgpack.Marshal(&m)
 	if err != nil {
 		return err
 	}
 	if len(b) > tuning.MaxPeerFrameBytes {
-		return fmt.Errorf("frame of %d bytes", len(b))
+		return fmt.Errorf("peer message of %d bytes is too large", len(b))
 	}
 	_, err = w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...))
 	return err
 }
 
-// Read receives one frame.
+// Read reads one frame. It returns an error if the frame is too large or not a message.
 func Read(r io.Reader) (core.PeerMessage, error) {
 	var m core.PeerMessage
 	var head [4]byte
@@ -41,7 +42,7 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n > tuning.MaxPeerFrameBytes {
-		return m, fmt.Errorf("frame of %d bytes", n)
+		return m, fmt.Errorf("peer message of %d bytes is too large", n)
 	}
 	b := make([]byte, n)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -50,14 +51,15 @@
 	return m, msgpack.Unmarshal(b, &m)
 }
 
-// Links holds the connections to the other controllers.
+// Links are the outgoing connections to the other controllers.
 type Links struct {
 	log    *slog.Logger
 	queues map[string]chan core.PeerMessage
 	dial   func(addr string) (net.Conn, error)
 }
 
-// Dial starts a link to each address. Links connect, and connect again, by themselves.
+// Dial starts a link to each of the addresses, by controller name. Links connect and reconnect by
+// themselves until the context ends.
 func Dial(ctx context.Context, addrs map[string]string, log *slog.Logger) *Links {
 	return start(ctx, addrs, log, func(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, tuning.PeerTimeout) })
 }
@@ -72,7 +74,7 @@
 	return l
 }
 
-// Send queues a message; a full queue drops it.
+// Send queues a message for a controller; if the queue is full, the message is dropped.
 func (l *Links) Send(to string, m core.PeerMessage) {
 	select {
 	case l.queues[to] <- m:
@@ -80,6 +82,7 @@
 	}
 }
 
+// run sends the queued messages of one link, and connects again when a write fails.
 func (l *Links) run(ctx context.Context, name, addr string, ch chan core.PeerMessage) {
 	var conn net.Conn
 	for {
@@ -92,22 +95,22 @@
 		if conn == nil {
 			c, err := l.dial(addr)
 			if err != nil {
-				l.log.Debug("peer not reached", "peer", name, "err", err.Error())
-				drain(ch) // what has waited meanwhile is old, and would come all at once
+				l.log.Debug("cannot connect to peer", "peer", name, "err", err.Error())
+				drain(ch) // messages queued meanwhile are outdated and would arrive all at once
 				continue
 			}
 			conn = c
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout))
 		if err := Write(conn, m); err != nil {
-			l.log.Debug("peer link broken", "peer", name, "err", err.Error())
+			l.log.Debug("write to peer failed", "peer", name, "err", err.Error())
 			conn.Close()
 			conn = nil
 		}
 	}
 }
 
-// drop empties a queue.
+// drain empties a queue.
 func drain(ch chan core.PeerMessage) {
 	for {
 		select {
@@ -118,8 +121,9 @@
 	}
 }
 
-// Serve takes connections and hands their messages on until the listener is closed.
-// For want of a file or socket it pauses: a moment's shortage must not end the process.
+// Serve accepts connections and delivers their messages until the listener is closed. After any
+// other error, such as a lack of file descriptors, it retries after a delay: a short shortage must
+// not end the process.
 func Serve(ln net.Listener, deliver func(core.PeerMessage), log *slog.Logger) error {
 	for {
 		conn, err := ln.Accept()
@@ -127,7 +131,7 @@
 			return err
 		}
 		if err != nil {
-			log.Error("peer connection not accepted", "err", err.Error())
+			log.Error("cannot accept peer connection", "err", err.Error())
 			time.Sleep(tuning.AcceptRetryDelay)
 			continue
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// faulty fails to accept at first, as a process does that has no free file or socket.
+// faulty is a listener whose first calls of Accept fail for lack of file descriptors.
 type faulty struct {
 	net.Listener
 	left int
@@ -30,8 +30,8 @@
 	return f.Listener.Accept()
 }
 
-// Found while looking for what could end a controller once in many days: for want of a
-// socket, one refused connection of a peer ended the whole process.
+// One connection of a peer that could not be accepted, for lack of a free socket, used to end the
+// whole process.
 func TestNoFreeSocketDoesNotEndTheService(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// What comes from the wire costs bounded memory and ends in an error.
+// Malformed input uses bounded memory and results in an error.
 func TestBadFrames(t *testing.T) {
 	huge := binary.BigEndian.AppendUint32(nil, tuning.MaxPeerFrameBytes+1)
 	for name, raw := range map[string][]byte{
@@ -94,8 +94,8 @@
 	}
 }
 
-// While a peer cannot be connected to, what waits for it grows old; when it is back it gets
-// what is said from then on, and no flood.
+// Messages that were queued while a peer could not be connected to are outdated. Once it is
+// reachable it gets only messages sent from then on, not a burst of old ones.
 func TestNothingOldAfterACut(t *testing.T) {
 	began, cut := make(chan bool, 1), make(chan bool)
 	near, far := net.Pipe()
@@ -118,7 +118,7 @@
 		l.Send("b", core.PeerMessage{From: "a", Nonce: 2 + n})
 	}
 	close(cut)
-	for len(l.queues["b"]) > 0 { // dropped, or sent: then the pipe holds the first of them
+	for len(l.queues["b"]) > 0 { // until the queue is dropped; if it is sent instead, the pipe blocks on the first message
 		time.Sleep(time.Millisecond)
 		if len(l.queues["b"]) == 49 {
 			break
--- a/internal/peer/production_test.go
+++ b/internal/peer/production_test.go
@@ -12,9 +12,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Messages that the version in production (deploy/service.toml) has sent, as its own code
-// encoded them in scripted days. Each is read in full: what is read, sent again, says the same,
-// and no field that it did not have.
+// Reads messages of the version in production (deploy/service.toml), as its own code encoded them
+// in scripted tests. A message that is read and written again has the same content and no
+// additional field.
 func TestMessagesOfProductionAreRead(t *testing.T) {
 	b, err := os.ReadFile("testdata/production/messages.json")
 	if err != nil {
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(was, is) {
-			t.Errorf("%s: it said\n%v\nand is read as\n%v", m.Kind, was, is)
+			t.Errorf("%s: message\n%v\nis read as\n%v", m.Kind, was, is)
 		}
 	}
 	for _, part := range []string{"reply", "Statement", "Jobs", "Holds", "Relay", "Answer", "Word", "Order", "Ordered", "Call", "Result", "Addrs", "Wants"} {
