--- a/internal/cborhttp/cborhttp.go
+++ b/internal/cborhttp/cborhttp.go
@@ -1,5 +1,5 @@
-// Package cborhttp makes one HTTP call with CBOR bodies, as the outside
-// services ask for it.
+// Package cborhttp makes HTTP calls with CBOR bodies, as the state service, the cloud and the workers
+// expect them.
 package cborhttp
 
 import (
@@ -13,10 +13,12 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// maxReply bounds a reply in bytes; a watch has no size limit of its own.
+// maxReply is the largest response body in bytes; the protocol sets no limit for the answer to a
+// watch.
 const maxReply = 16 << 20
 
-// NewClient returns a client with at most conns connections to its host.
+// NewClient returns an HTTP client with the given timeout for connecting and at most conns
+// connections to a host.
 func NewClient(dial time.Duration, conns int) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
@@ -25,13 +27,14 @@
 	}}
 }
 
-// RoundTrip sends body (nil: none) and returns status and raw answer.
+// RoundTrip sends a request with body, if that is not nil, and returns the status and the encoded
+// body of the response.
 func RoundTrip(ctx context.Context, hc *http.Client, method, url string, body any) (int, []byte, error) {
 	status, _, raw, err := Exchange(ctx, hc, method, url, body)
 	return status, raw, err
 }
 
-// Exchange is RoundTrip for those who need the answer's header as well.
+// Exchange does the same as RoundTrip and returns the header of the response as well.
 func Exchange(ctx context.Context, hc *http.Client, method, url string, body any) (int, http.Header, []byte, error) {
 	var rd io.Reader
 	if body != nil {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud speaks the cloud's protocol within its rate limit.
+// Package cloud is the client of the cloud's API. It keeps to a share of the cloud's rate limit.
 package cloud
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Client is safe for concurrent use.
+// Client makes calls of the cloud. It is safe for concurrent use.
 type Client struct {
 	base  string
 	http  *http.Client
 	calls *rate.Limiter
 }
 
-// New returns a client of the cloud at addr.
+// New returns a client of the cloud at addr, with the cloud's limit in requests per second.
 func New(addr string, rps float64) *Client {
 	return &Client{
 		base:  "http://" + addr,
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -29,12 +29,12 @@
 		{"no capacity", core.CloudCall{Op: core.OpRent}, "POST /hosts", 503, map[string]any{"error": "no capacity"}, 503,
 			func(r core.CloudReply) bool { return r.Err == "no capacity" }},
 		{"over the limit", core.CloudCall{Op: core.OpDelete, Names: []string{"n-000001"}}, "POST /hosts/delete", 429, map[string]any{}, 429, nil},
-		{"an answer that is no CBOR counts as none", core.CloudCall{Op: core.OpTypes}, "GET /machine_types", 200, nil, 0, nil},
+		{"an answer that is not CBOR counts as no answer", core.CloudCall{Op: core.OpTypes}, "GET /machine_types", 200, nil, 0, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if got := r.Method + " " + r.URL.RequestURI(); got != c.path {
-					t.Errorf("asked %s, want %s", got, c.path)
+					t.Errorf("request %s, want %s", got, c.path)
 				}
 				w.WriteHeader(c.status)
 				b := []byte("<html>")
@@ -51,6 +51,6 @@
 		})
 	}
 	if r := New("127.0.0.1:1", 100).Do(context.Background(), core.CloudCall{Op: core.OpTypes}); r.Status != 0 || r.Err == "" {
-		t.Errorf("no cloud at all: %+v", r)
+		t.Errorf("call of an address without a server: %+v", r)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the settings file that the platform hands over.
+// Package config reads and validates the settings file that the platform provides.
 package config
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 )
 
-// Config is the settings file. Fields it does not name are ignored.
+// Config is the content of the settings file. Unknown keys in the file are ignored.
 type Config struct {
 	Node       string   `toml:"node_name"`
 	Zone       string   `toml:"zone"`
@@ -25,7 +25,7 @@
 	Peers      []Peer   `toml:"siblings"`
 	Services   Services `toml:"outside"`
 	Params     Params   `toml:"params"`
-	// Switches are read from a file of their own.
+	// Switches are read from a separate file.
 	Switches Switches `toml:"-"`
 }
 
@@ -36,13 +36,13 @@
 	Addr string `toml:"peer_addr"`
 }
 
-// Services are the outside services' addresses.
+// Services holds the addresses of the outside services.
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Params describe the deployment.
+// Params describes the deployment.
 type Params struct {
 	Nodes      int         `toml:"nodes"`
 	Zones      []string    `toml:"zones"`
@@ -55,8 +55,8 @@
 	Limits     Limits      `toml:"machine_limits"`
 }
 
-// Team has a guarantee and a limit in CPUs and GPUs. 0 means none: no guarantee, no limit
-// (see Most).
+// Team is a team with its guarantee and its limit in CPUs and GPUs. 0 means no guarantee or no limit
+// (see MaxUsage).
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -65,10 +65,10 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Most is what the team's tasks may use at any time, in CPUs and GPUs; +Inf: no limit.
-// Guest teams come without guarantee and limit, and taken for a limit of nothing each of
-// their jobs was refused for ever. Of a team that has a limit on CPUs and none on GPUs
-// nobody has said that it may use GPUs.
+// MaxUsage returns how many CPUs and GPUs the team's tasks may use at a time; +Inf means no limit.
+// Guest teams come without guarantee and limit: when 0 was read as a limit of nothing, each of
+// their jobs was refused for ever. A team that has a limit on CPUs and none on GPUs has not been
+// permitted any GPUs, so its limit on GPUs is 0.
 func (t Team) MaxUsage() (cpus, gpus float64) {
 	cpus, gpus = t.CPUsMax, t.GPUsMax
 	if cpus == 0 {
@@ -80,7 +80,7 @@
 	return cpus, gpus
 }
 
-// Objective repeats one of the users' aims.
+// Objective is one of the users' service objectives for a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -90,24 +90,24 @@
 	Times   float64 `toml:"times"`
 }
 
-// Workers holds the workers' timing, in seconds.
+// Workers holds the workers' report interval, lease and cancellation timeout, in seconds.
 type Workers struct {
 	ReportS float64 `toml:"report_s"`
 	LeaseS  float64 `toml:"lease_s"`
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// State holds the state service's limits.
+// State holds the limits of the state service.
 type State struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next are limits that the service will have from some moment on, without notice.
+	// Next holds limits that the service will apply from some later time, without notice.
 	Next StateNext `toml:"next"`
 }
 
-// StateNext holds limits that are to come; nil: as now.
+// StateNext holds future limits of the state service; nil means unchanged.
 type StateNext struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -115,8 +115,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Least is the smaller of the present and the next limits, each. Nobody says when the next
-// ones begin, so every write keeps to both from the first on.
+// Strictest returns the smaller of the present and the next value of each limit. It is not known when
+// the next limits begin, so every write keeps to both from the start.
 func (s State) Strictest() State {
 	least := func(to *float64, next *float64) {
 		if next != nil {
@@ -132,7 +132,7 @@
 	return s
 }
 
-// check refuses limits that are told and can't be.
+// check returns an error for a limit that is set to an impossible value.
 func (n StateNext) check(positive func(field string, v float64) error) error {
 	for _, f := range []struct {
 		field string
@@ -151,21 +151,21 @@
 	return nil
 }
 
-// Cloud holds the cloud API's limits.
+// Cloud holds the rate limit of the cloud's API, and by how many seconds its list of machines lags.
 type Cloud struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are what the machine gives this process.
+// Limits holds the resources that the machine provides for this process.
 type Limits struct {
 	CPUShare   float64 `toml:"cpu_share"`
 	MemoryMB   float64 `toml:"memory_mb"`
 	MaxSockets int     `toml:"max_sockets"`
 }
 
-// check refuses times that leave leases no room to run out in cancel_s: when the state service
-// cannot be reached that is all that ends the tasks of a cancelled job.
+// check returns an error if leases could not expire within cancel_s: while the state service cannot
+// be reached, only their expiry ends the tasks of a cancelled job.
 func (w Workers) check() error {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	if membership.MaxUnconfirmed(seconds(w.LeaseS), seconds(w.CancelS)) < tuning.MinUnconfirmed {
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (*Config, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -188,7 +188,7 @@
 	return c, nil
 }
 
-// Parse decodes and checks settings.
+// Parse decodes and validates settings.
 func Parse(b []byte) (*Config, error) {
 	var c Config
 	if err := toml.Unmarshal(b, &c); err != nil {
@@ -205,6 +205,7 @@
 	return &c, nil
 }
 
+// joinKey returns the dotted form of a key, or "syntax" if there is none.
 func joinKey(k toml.Key) string {
 	s := ""
 	for i, p := range k {
@@ -219,6 +220,7 @@
 	return s
 }
 
+// check returns the first error in the settings, naming the key.
 func (c *Config) check() error {
 	addr := func(field, v string) error {
 		host, port, err := net.SplitHostPort(v)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -53,7 +53,7 @@
 		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1:99999"`, "outside.state"},
 		{`lease_s = 10.0`, `lease_s = nan`, "params.workers.lease_s"},
 		{`lease_s = 10.0`, `lease_s = "ten"`, "lease_s"},
-		{`cancel_s = 40.0`, `cancel_s = 12.0`, "params.workers.cancel_s"}, // leases could not run out in it
+		{`cancel_s = 40.0`, `cancel_s = 12.0`, "params.workers.cancel_s"}, // leases could not expire within it
 		{`cancel_s = 40.0`, `cancel_s = 9.0`, "params.workers.cancel_s"},
 		{`cpus_max = 16.0`, `cpus_max = 4.0`, "params.teams[0].cpus_max"},
 		{`txn_ops = 16`, `txn_ops = 0`, "params.state.txn_ops"},
@@ -66,7 +66,7 @@
 	}
 }
 
-// A guest team's settings say 0 for everything: no guarantee and no limit.
+// A guest team has 0 for all its settings, which means no guarantee and no limit.
 func TestNoLimit(t *testing.T) {
 	for _, x := range []struct{ team, cpus, gpus string }{
 		{"cpus = 0.0\ncpus_max = 0.0", "+Inf", "+Inf"},
@@ -83,7 +83,7 @@
 	}
 }
 
-// What the state service will have from some moment on is kept to from the first write.
+// Limits that the state service will have later apply from the start.
 func TestNextLimits(t *testing.T) {
 	next := func(lines string) string {
 		return strings.Replace(good, "[params.cloud]", "[params.state.next]\n"+lines+"\n[params.cloud]", 1)
--- a/internal/config/switches.go
+++ b/internal/config/switches.go
@@ -8,19 +8,20 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Switches turn on what is off by default. They are the operators' own, not the platform's, so they stand in a file of
-// their own; what it does not name is off, and what is not known is ignored.
+// Switches enable features that are off by default. They are set by the operators and not by the
+// platform, and therefore in a separate file. Switches that the file does not name are off, and
+// unknown keys are ignored.
 type Switches struct {
 	Weights WeightsSwitches `toml:"weights"`
 }
 
-// WeightsSwitches are for images that many machines want at once.
+// WeightsSwitches control the distribution of images that many machines need at the same time.
 type WeightsSwitches struct {
-	HandOn bool `toml:"hand_on"` // machines are told of others that have an image
-	Pace   bool `toml:"pace"`    // fetches are held back where measurement shows that more at once bring no more
+	HandOn bool `toml:"hand_on"` // machines are told which other machines have an image, and fetch it from these
+	Pace   bool `toml:"pace"`    // fetches are delayed where measurements show that more of them at a time are no faster
 }
 
-// LoadSwitches reads a file of switches.
+// LoadSwitches reads a file of switches. An error names the file, the line and the key.
 func LoadSwitches(path string) (s Switches, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/switches_test.go
+++ b/internal/config/switches_test.go
@@ -34,6 +34,6 @@
 		t.Errorf("deploy/weights.toml: %+v, %v", s, err)
 	}
 	if _, err := LoadSwitches(filepath.Join(dir, "none")); err == nil {
-		t.Error("a file that is not there")
+		t.Error("no error for a file that does not exist")
 	}
 }
--- a/internal/httpapi/bench_test.go
+++ b/internal/httpapi/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// BenchmarkReport is one worker's report over loopback, without the core: what
-// the HTTP face costs. The client's share, a write and a read, is in it.
+// BenchmarkReport measures the cost of the HTTP API for one worker's report over loopback, without
+// the core. It includes the client's write and read.
 func BenchmarkReport(b *testing.B) {
 	ask := func(_ context.Context, _ Class, in func(id uint64) any, _ time.Duration) Reply {
 		r := in(1).(core.WorkerReport)
--- a/internal/httpapi/fuzz_test.go
+++ b/internal/httpapi/fuzz_test.go
@@ -14,8 +14,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Whatever a stranger sends, a controller's face answers, and never with 500; what
-// reaches the core has passed the face's checks. The core behind it is a real one.
+// Any request gets an answer with a status other than 500. The API passes only requests that it has
+// checked to the core, which is a real one here.
 func FuzzFace(f *testing.F) {
 	report, err := wire.Marshal(wire.Report{Machine: "n-1", Session: 1, Seq: 1, Attempts: []wire.TaskReport{{Task: "job-1/0", Attempt: 1, Status: "running"}}})
 	if err != nil {
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi is the HTTP face towards users, workers and probes, on echo.
+// Package httpapi serves the HTTP API for users, workers, administrators and probes, using echo.
 package httpapi
 
 import (
@@ -28,25 +28,25 @@
 	RetryAfter int
 }
 
-// Class orders requests when the core cannot keep up.
+// Class is the priority of a request when the core cannot keep up.
 type Class int
 
 const (
-	Worker Class = iota // reports and probes: leases and traffic hang on them
-	User
+	Worker Class = iota // reports and probes, on which leases and the load balancer depend
+	User                // all other requests
 )
 
-// Ask puts a request to the core; the function makes the input for a request id.
+// Ask passes a request to the core and returns its answer; in returns the input for a request id.
 type Ask func(ctx context.Context, class Class, in func(id uint64) any, timeout time.Duration) Reply
 
-// Server serves the client address.
+// Server serves the API on the client address.
 type Server struct {
 	echo *echo.Echo
 	ask  Ask
 	log  *slog.Logger
 }
 
-// New returns a server that puts requests to ask.
+// New returns a server that passes requests to ask.
 func New(ask Ask, m *metrics.Metrics, log *slog.Logger) *Server {
 	s := &Server{echo: echo.New(), ask: ask, log: log}
 	e := s.echo
@@ -97,8 +97,8 @@
 	return s
 }
 
-// Serve accepts connections until the listener fails. Some sockets are kept
-// for the calls this process makes itself.
+// Serve accepts connections until the listener fails. If maxSockets is not 0, connections take at
+// most 80% of it: the others are reserved for the calls that this process makes.
 func (s *Server) Serve(ln net.Listener, maxSockets int) error {
 	if maxSockets > 0 {
 		ln = netutil.LimitListener(ln, max(16, maxSockets*8/10))
@@ -115,6 +115,7 @@
 	return srv.Serve(ln)
 }
 
+// send writes the answer as CBOR.
 func send(c echo.Context, r Reply) error {
 	h := c.Response().Header()
 	if r.RetryAfter > 0 {
@@ -127,8 +128,8 @@
 	return c.Blob(r.Status, "application/cbor", b)
 }
 
-// sendUser answers a user. A node that could not serve closes the connection,
-// so that the next try may reach another one.
+// sendUser answers a user. If this controller is unavailable it closes the connection, so that the
+// retry may reach another controller.
 func sendUser(c echo.Context, r Reply) error {
 	if r.Status == http.StatusServiceUnavailable {
 		c.Response().Header().Set("Connection", "close")
@@ -136,7 +137,7 @@
 	return send(c, r)
 }
 
-// body reads a request's CBOR map into v; what is wrong is said in one line.
+// readBody decodes a request's CBOR map into v. It returns a one-line description of the problem, or "".
 func readBody(c echo.Context, v any) string {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	switch {
@@ -153,6 +154,7 @@
 	return ""
 }
 
+// badRequest returns the answer to a malformed request.
 func badRequest(why string) Reply {
 	return Reply{Status: http.StatusBadRequest, Body: wire.Problem{Error: why}}
 }
@@ -182,7 +184,7 @@
 func (s *Server) report(c echo.Context) error {
 	var r wire.Report
 	if why := readBody(c, &r); why != "" {
-		s.log.Info("report not readable", "from", c.RealIP(), "err", why)
+		s.log.Info("cannot decode worker report", "from", c.RealIP(), "err", why)
 		return send(c, badRequest(why))
 	}
 	if r.Machine == "" || r.Session == 0 {
@@ -191,7 +193,7 @@
 	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.WorkerReportTimeout))
 }
 
-// put sends an administrator's request to the core.
+// sendToCore passes an administrator's request to the core.
 func (s *Server) sendToCore(c echo.Context, in func(id uint64) any) error {
 	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserRequestTimeout))
 }
@@ -237,7 +239,7 @@
 	return s.sendToCore(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Patch: &p} })
 }
 
-// cancelCrew takes a crew away: ?version=N&dry_run=true.
+// removeCrew removes a crew: ?version=N&dry_run=true.
 func (s *Server) removeCrew(c echo.Context) error {
 	ver, err := strconv.ParseUint(c.QueryParam("version"), 10, 64)
 	if err != nil {
@@ -264,7 +266,7 @@
 	return s.sendToCore(c, func(id uint64) any { return core.AdminChain{Req: id, ID: job} })
 }
 
-// trail answers with events after a number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
+// trail answers with the events after a sequence number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
 func (s *Server) trail(c echo.Context) error {
 	q := trail.Query{Machine: c.QueryParam("machine"), Job: c.QueryParam("job"), Most: tuning.MaxTrailAnswerEvents}
 	if v := c.QueryParam("after"); v != "" {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts and times what a controller does, for scraping.
+// Package metrics holds the Prometheus metrics of a controller.
 package metrics
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics is one controller's set.
+// Metrics is the set of one controller's metrics.
 type Metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.HistogramVec
@@ -21,10 +21,10 @@
 
 	waiting             prometheus.Gauge
 	released, cancelled prometheus.Counter
-	reported            [2]int // as last told: released, cancelled
+	reported            [2]int // totals of the last call of Chains: released, cancelled
 }
 
-// New returns the metrics; queue tells the length of the core's queue.
+// New returns the metrics; queue returns the number of inputs that wait for the core.
 func New(queue func() float64) *Metrics {
 	seconds := prometheus.ExponentialBuckets(0.0005, 2, 14) // half a millisecond to four seconds
 	m := &Metrics{
@@ -51,32 +51,33 @@
 	return m
 }
 
-// Handler serves the metrics.
+// Handler returns the handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Request records an answered request.
+// Request records a request that was answered after d.
 func (m *Metrics) Request(route string, status int, d time.Duration) {
 	m.requests.WithLabelValues(route, strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// Call records a call to an outside service.
+// Call records a call to an outside service that took d; status 0 means that no answer came.
 func (m *Metrics) Call(service string, status int, d time.Duration) {
 	m.calls.WithLabelValues(service, strconv.Itoa(status)).Observe(d.Seconds())
 }
 
-// Link records what is believed of a link.
+// Link records the believed state of a link.
 func (m *Metrics) Link(to string, level int) { m.links.WithLabelValues(to).Set(float64(level)) }
 
-// Step records one input to the core.
+// Step records the time that the core took for one input.
 func (m *Metrics) Step(d time.Duration) { m.steps.Observe(d.Seconds()) }
 
 // Refused counts a write that the state service called malformed.
 func (m *Metrics) Refused(kind string) { m.refused.WithLabelValues(kind).Inc() }
 
-// Chains records how many jobs wait for others, and how many went on or were cancelled with one of
-// these since this controller began. Not for concurrent use.
+// Chains records how many jobs wait for others, and the totals since this controller started of jobs
+// that were released and of jobs that were cancelled together with a predecessor. It is not safe for
+// concurrent use.
 func (m *Metrics) Chains(waiting, released, cancelled int) {
 	m.waiting.Set(float64(waiting))
 	m.released.Add(float64(released - m.reported[0]))
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Counts of chains are told as totals and add up.
+// Chains takes totals, and the counters have the value of the last total.
 func TestChains(t *testing.T) {
 	m := New(func() float64 { return 0 })
 	m.Chains(3, 0, 0)
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -1,5 +1,5 @@
-// Package statestore speaks the state service's protocol: calls in, typed
-// replies out, held to this controller's share of the service's limits.
+// Package statestore is the client of the state service. It keeps to this controller's share of the
+// service's rate limits.
 package statestore
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Client is safe for concurrent use.
+// Client makes calls of the state service. It is safe for concurrent use.
 type Client struct {
 	base      string
 	http      *http.Client
 	calls     *sharedLimit
 	writes    *sharedLimit
-	deferred  *rate.Limiter // what LaneLater may take of writes
+	deferred  *rate.Limiter // what writes of LaneDeferred may use of the limit on changes
 	startedAt time.Time
 }
 
-// shared is our part of a limit that the controllers share, as a limiter.
+// sharedLimit limits the rate to this controller's part of a limit that all controllers share.
 type sharedLimit struct {
 	*rate.Limiter
 	mu    sync.Mutex
@@ -42,7 +42,7 @@
 	return &sharedLimit{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
 }
 
-// learn takes note of how the service answered n units.
+// record adapts the rate to how the service answered a call that uses n units of the limit.
 func (s *sharedLimit) record(status, n int, now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +60,8 @@
 	s.SetBurst(max(1, int(s.share.Rate())))
 }
 
-// New returns a client of the service at addr.
+// New returns a client of the service at addr, with the service's limits on requests and on changes
+// per second.
 func New(addr string, rps, writeRPS float64) *Client {
 	return &Client{
 		base:      "http://" + addr,
@@ -72,11 +73,12 @@
 	}
 }
 
+// errOwnLimit is returned for a call that would wait too long for this controller's own rate limits.
 var errOwnLimit = errors.New("own limit")
 
-// admit waits until the call is within our share of the service's limits. What
-// keeps entitlement alive never waits; what users wait for goes before progress,
-// which has a smaller share of its own.
+// waitForLimits waits until the call is within this controller's share of the service's limits.
+// Calls on which the authority to act depends never wait. Writes that users wait for go before
+// deferred writes, which have a smaller share of their own.
 func (c *Client) waitForLimits(ctx context.Context, call *core.StateCall) error {
 	n := len(call.Txn.Then)
 	if call.Op == core.OpExtend || call.Op == core.OpWatch || call.Op == core.OpCommit && n > 0 && call.Lane == core.LaneAuthority {
@@ -100,9 +102,9 @@
 	return nil
 }
 
-// Do performs one call. Status 0 means that no usable answer came. A write that
-// users wait for and that was refused for the limit, which controllers share
-// without asking each other, is tried again a few times.
+// Do performs one call. Status 0 means that no usable answer came. A write that users wait for is
+// repeated a few times if the service refused it for its rate limit, since the controllers share
+// that limit without coordination.
 func (c *Client) Do(ctx context.Context, call core.StateCall) core.StateReply {
 	awaited := call.Lane == core.LaneUser && len(call.Txn.Then) > 0
 	for tries := 0; ; tries++ {
@@ -112,8 +114,9 @@
 		rep := c.send(ctx, call)
 		if n := len(call.Txn.Then); n > 0 {
 			c.writes.record(rep.Status, n, time.Since(c.startedAt))
-			// Of what there is: of a limit that has fallen it would take all. The burst stays,
-			// since a write counts for no more than that.
+			// Deferred writes get a share of the rate that the service currently allows: of a limit
+			// that has fallen they would otherwise use everything. The burst stays, since no write
+			// counts for more than the burst.
 			c.deferred.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.DeferredWriteShare / tuning.StateWriteShare))
 		} else {
 			c.calls.record(rep.Status, 1, time.Since(c.startedAt))
@@ -129,7 +132,7 @@
 	}
 }
 
-// do sends the call once; the wait for our own limits is not in its time.
+// send sends the call once. Its timeout does not include the wait for this controller's own limits.
 func (c *Client) send(ctx context.Context, call core.StateCall) core.StateReply {
 	timeout := tuning.StateCallTimeout
 	if call.Op == core.OpWatch {
@@ -180,7 +183,7 @@
 			return core.StateReply{Err: "bad answer: " + err.Error()}
 		}
 	case call.Op == core.OpGet && status == http.StatusNotFound:
-		if err := wire.Unmarshal(raw, &list); err != nil { // carries the revision
+		if err := wire.Unmarshal(raw, &list); err != nil { // an absent key is answered with the revision
 			return core.StateReply{Err: "bad answer: " + err.Error()}
 		}
 	case status >= 400:
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -14,7 +14,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// scripted answers requests one after the other; a nil answer is none at all.
+// scripted is a server that gives the scripted answers in order. After the last one, and for a nil
+// answer, requests get no answer.
 type scripted struct {
 	mu      sync.Mutex
 	answers []func(w http.ResponseWriter, body []byte)
@@ -73,21 +74,21 @@
 			func(r core.StateReply) bool {
 				return len(r.Txn.Failed) == 1 && r.Txn.Failed[0] == "live/job/a" && r.Txn.Revision == 9
 			}},
-		{"a user's write over the limit is sent again", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, say(200, map[string]any{"epoch": 10})}, 200, 3,
+		{"a user's write over the limit is repeated", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, say(200, map[string]any{"epoch": 10})}, 200, 3,
 			func(r core.StateReply) bool { return r.Txn.Revision == 10 }},
-		{"but not for ever", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, tooMany, tooMany, tooMany}, 429, 4, nil},
-		{"progress over the limit is left to its writer", put(core.LaneDeferred), []func(http.ResponseWriter, []byte){tooMany, tooMany}, 429, 1, nil},
-		{"an outage is said at once", put(core.LaneUser), []func(http.ResponseWriter, []byte){say(503, map[string]any{"error": "trouble"})}, 503, 1,
+		{"a user's write is repeated a limited number of times", put(core.LaneUser), []func(http.ResponseWriter, []byte){tooMany, tooMany, tooMany, tooMany, tooMany}, 429, 4, nil},
+		{"progress over the limit is not repeated", put(core.LaneDeferred), []func(http.ResponseWriter, []byte){tooMany, tooMany}, 429, 1, nil},
+		{"an outage is reported at once", put(core.LaneUser), []func(http.ResponseWriter, []byte){say(503, map[string]any{"error": "trouble"})}, 503, 1,
 			func(r core.StateReply) bool { return r.Err == "trouble" }},
 		{"a missing key carries the revision", core.StateCall{Op: core.OpGet, Key: "final/job-1"}, []func(http.ResponseWriter, []byte){say(404, map[string]any{"epoch": 431})}, 404, 1,
 			func(r core.StateReply) bool { return r.List.Revision == 431 }},
-		{"a page tells that there is more", core.StateCall{Op: core.OpList, Key: "live/", After: "live/x"},
+		{"a page reports that there are more", core.StateCall{Op: core.OpList, Key: "live/", After: "live/x"},
 			[]func(http.ResponseWriter, []byte){say(200, map[string]any{"items": []any{map[string]any{"path": "live/y", "v": 1, "stamp": 3}}, "more": true, "epoch": 5})}, 200, 1,
 			func(r core.StateReply) bool {
 				return r.List.More && len(r.List.Items) == 1 && r.List.Items[0].Version == 3
 			}},
 		{"a watch that is too old", core.StateCall{Op: core.OpWatch, Key: "live/", Revision: 1}, []func(http.ResponseWriter, []byte){say(410, map[string]any{"error": "gone"})}, 410, 1, nil},
-		{"an answer that is no CBOR counts as none", core.StateCall{Op: core.OpGet, Key: "live/x"},
+		{"an answer that is not CBOR counts as no answer", core.StateCall{Op: core.OpGet, Key: "live/x"},
 			[]func(http.ResponseWriter, []byte){func(w http.ResponseWriter, _ []byte) { _, _ = w.Write([]byte("<html>")) }}, 0, 1, nil},
 		{"no answer", put(core.LaneUser), nil, 0, 1, nil},
 	} {
@@ -103,8 +104,8 @@
 	}
 }
 
-// Progress has a small share of the changes, and what users wait for does not
-// queue behind it; entitlement does not wait at all.
+// Progress gets a small share of the changes, and writes that users wait for do not queue behind it.
+// Writes on which the authority to act depends do not wait at all.
 func TestLanes(t *testing.T) {
 	ok := make([]func(http.ResponseWriter, []byte), 40)
 	for i := range ok {
@@ -120,11 +121,11 @@
 		t.Errorf("progress over its share: %+v", r)
 	}
 	if d := time.Since(began); d > 500*time.Millisecond {
-		t.Errorf("told only after %v", d)
+		t.Errorf("refused only after %v", d)
 	}
 	for range 5 {
 		if r := slow.Do(context.Background(), put(core.LaneAuthority)); r.Status != 200 {
-			t.Errorf("entitlement: %+v", r)
+			t.Errorf("a write of LaneAuthority: %+v", r)
 		}
 	}
 	if r := slow.Do(context.Background(), put(core.LaneUser)); r.Status != 200 {
@@ -132,19 +133,19 @@
 	}
 }
 
-// What can wait has its part of what the service really allows: of a limit that has fallen
-// unannounced it would otherwise take all.
+// Deferred writes get a share of the rate that the service currently allows: of a limit that has
+// fallen without notice they would otherwise use everything.
 func TestLaterFollowsTheLearnedShare(t *testing.T) {
 	refuse := say(http.StatusTooManyRequests, wire.Problem{Error: "too many writes"})
 	c, _ := client(t, refuse, refuse, refuse, refuse)
 	told := c.deferred.Limit()
 	for range 4 {
-		c.writes.share.Refused(-time.Hour) // as if each came long after the last
+		c.writes.share.Refused(-time.Hour) // as if each refusal came long after the previous one
 		if r := c.Do(context.Background(), put(core.LaneDeferred)); r.Status != http.StatusTooManyRequests {
 			t.Fatalf("status %d", r.Status)
 		}
 	}
 	if got := c.deferred.Limit(); float64(got) > float64(told)*0.5 {
-		t.Errorf("%v a second of %v after four refusals", got, told)
+		t.Errorf("%v changes per second after four refusals, %v before", got, told)
 	}
 }
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,5 @@
-// Package tomlfile reads operators' TOML files: no unknown keys, and what is wrong in one line.
+// Package tomlfile decodes operators' TOML files. It rejects unknown keys and describes an error in
+// one line.
 package tomlfile
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads a file's bytes into v. An error names file, line and key.
+// Decode decodes the content of a file into v. An error names the file, the line and the key.
 func Decode(file string, b []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(v)
 	var strict *toml.StrictMissingError
