--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/reach"
 	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/takeover"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -122,7 +122,7 @@
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(params.NodeZones), c.nodes)
 	c.holderState = newHolderState()
-	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
+	c.startLog, c.provisioning, c.progress = startlog.New(startlog.Limits{}), newProvisioning(), progress.New(tuning.DoneSpan)
 	c.indexes = newIndexes(params.Teams)
 	c.objectives = params.Objectives
 	c.callQueue = newCallQueue(params)
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -12,7 +12,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -67,13 +67,13 @@
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
 			// A third of the machines is one shard's.
-			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
-			var entries []starts.Entry
+			book, each := startlog.New(startlog.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
+			var entries []startlog.Entry
 			for k := range each {
-				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
+				entries = append(entries, startlog.Entry{Name: machineEntryPrefix + long(k)})
 			}
 			for k := range each { // services, and arrays of 250 small and 400 tasks
-				e := starts.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
+				e := startlog.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
 				if k%2 == 0 {
 					e.Start = wire.Start{Started: 4, On: []string{long(k), long(k + 1), long(k + 2), long(k + 3)}}
 				}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -9,7 +9,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/boot"
 	records "github.com/barrowbridge/barrowbridge/internal/mirror"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -32,7 +32,7 @@
 	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *tiers.Order
 	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
-	startLog     *starts.Book         // recorded starts of tasks
+	startLog     *startlog.Book       // recorded starts of tasks
 	progress     *progress.Book       // recorded done tasks
 	provisioning *boot.Book           // machines that are booting
 	biases       map[string]wire.Bias // by key: how far run-time estimates are off
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -6,14 +6,14 @@
 	"time"
 
 	"github.com/barrowbridge/barrowbridge/internal/boot"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
 // startWritten tells whether the state says that a job may have been started.
 func (w *world) startWritten(id string) bool {
 	for slot := 0; ; slot++ {
-		it, ok := w.store.Peek(starts.Key(0, slot))
+		it, ok := w.store.Peek(startlog.Key(0, slot))
 		if !ok {
 			return false
 		}
@@ -115,7 +115,7 @@
 		c.applyPut(key, raw, ver)
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1", Fresh: true}, {Name: "n-2", Fresh: true}}}, 60)
-	put(starts.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntryPrefix + "n-1": {N: 1}}}, 70)
+	put(startlog.Key(0, 0), wire.Starts{Entries: map[string]wire.Start{machineEntryPrefix + "n-1": {N: 1}}}, 70)
 	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100)
 	c.mirrorRevision = 100
 	c.startHoldingShards()
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -4,7 +4,7 @@
 	"strings"
 
 	"github.com/barrowbridge/barrowbridge/internal/limits"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -43,7 +43,7 @@
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
-	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.startLog.KeepTo(startlog.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
 	c.calendar.KeepTo(bounds.ValueBytes)
 }
@@ -114,12 +114,12 @@
 		if !c.holdsShard(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
 			continue
 		}
-		var entries []starts.Entry
+		var entries []startlog.Entry
 		for _, name := range sortedKeys(c.firstUseUnwritten) {
 			if m := c.machines[name]; m == nil || !m.fresh {
 				delete(c.firstUseUnwritten, name)
 			} else if m.shard == shard {
-				entries = append(entries, starts.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
+				entries = append(entries, startlog.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
 			}
 		}
 		jobsByID := map[string]*jobEntry{}
@@ -132,7 +132,7 @@
 				continue
 			}
 			jobsByID[e.record.ID] = e
-			entries = append(entries, starts.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
+			entries = append(entries, startlog.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
 		}
 		if c.writeLimits.Alone(c.now) && len(jobsByID) > 0 {
 			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
@@ -167,7 +167,7 @@
 }
 
 // writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
-func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
+func (c *Core) writeStarts(shard int, entries []startlog.Entry, jobsByID map[string]*jobEntry) {
 	plan := c.startLog.Plan(shard, entries, c.startEntryNeeded)
 	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Ver}}
 	var busy []*jobEntry
--- a/internal/starts/starts.go
+++ b/internal/startlog/startlog.go
@@ -1,4 +1,4 @@
-// Package starts keeps what is written of starts: which tasks of which jobs may have been
+// Package startlog keeps what is written of starts: which tasks of which jobs may have been
 // started, and where. Each start has to be written before it is made, and one change of
 // the state service for each was what a deployment waited for when it began, after an
 // outage and after a takeover. A record here holds the starts of many jobs, so one change
@@ -9,7 +9,7 @@
 // written. Package core argues what is compared with each write (docs/design.md).
 //
 // Pure: no clock, no I/O; not for concurrent use.
-package starts
+package startlog
 
 import (
 	"fmt"
--- a/internal/starts/starts_test.go
+++ b/internal/startlog/startlog_test.go
@@ -1,4 +1,4 @@
-package starts
+package startlog
 
 import (
 	"fmt"
