--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -3,13 +3,13 @@
 import (
 	"sort"
 
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -226,14 +226,14 @@
 }
 
 // demandPace bounds how often unmet demand is published and written.
-var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
+var demandPace = demand.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
 	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
 		return
 	}
-	var announcements []wants.Told
+	var announcements []demand.Told
 	for _, shard := range c.shardIDs() {
 		if !c.holdsShard(shard) {
 			continue
@@ -248,14 +248,14 @@
 				c.consolidate(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, demand.Shorter)
 		if c.demandPublishers[shard] == nil {
-			c.demandPublishers[shard] = wants.NewTeller(demandPace)
+			c.demandPublishers[shard] = demand.NewTeller(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
 		number, announce, writeRecord := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
-			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
+			announcements = append(announcements, demand.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
 		}
 		if writeRecord {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
@@ -17,7 +18,6 @@
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/internal/weights"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -124,7 +124,7 @@
 			for k := range tuning.NeedsMax {
 				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Dire: true, Rung: 7})
 			}
-			fit := limits.Fit(want, bytes, wants.Shorter)
+			fit := limits.Fit(want, bytes, demand.Shorter)
 			if len(fit.Needs) < 8 {
 				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -7,6 +7,7 @@
 
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/delivery"
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/health"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
@@ -14,7 +15,6 @@
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -31,9 +31,9 @@
 	writingJobs, writingProgress, writingImages bool // a write of that kind is in flight
 	lastAttemptNumber                           uint64
 
-	publishedDemand  map[int]wire.Want     // by held shard: the unmet demand last published
-	demandPublishers map[int]*wants.Teller // by held shard
-	peerDemand       *wants.Board          // unmet demand that other holders have published
+	publishedDemand  map[int]wire.Want      // by held shard: the unmet demand last published
+	demandPublishers map[int]*demand.Teller // by held shard
+	peerDemand       *demand.Board          // unmet demand that other holders have published
 
 	verifyingShard   bool         // a commit that verifies that a shard is still held is in flight
 	startsInFlight   map[int]bool // shards whose starts are being written
@@ -169,8 +169,8 @@
 		unreconciledShards: map[int]bool{},
 
 		publishedDemand:  map[int]wire.Want{},
-		demandPublishers: map[int]*wants.Teller{},
-		peerDemand:       wants.NewBoard(demandPace),
+		demandPublishers: map[int]*demand.Teller{},
+		peerDemand:       demand.NewBoard(demandPace),
 
 		urgentBlocks:            map[string]bool{},
 		shardHeldSince:          map[int]Time{},
--- a/internal/wants/wants.go
+++ b/internal/demand/demand.go
@@ -1,11 +1,11 @@
-// Package wants decides how a shard's holder tells what machines it lacks, and which of
+// Package demand decides how a shard's holder tells what machines it lacks, and which of
 // what was told counts. Wants change several times a second while work arrives; written
 // each time they took a fifth of the changes of the state service just when acceptances
 // and starts needed them. So they go by message, and the record follows at leisure: it is
 // what counts where messages do not get through.
 //
 // Pure: time comes in, nothing else does.
-package wants
+package demand
 
 import (
 	"time"
--- a/internal/wants/wants_test.go
+++ b/internal/demand/demand_test.go
@@ -1,4 +1,4 @@
-package wants
+package demand
 
 import (
 	"testing"
--- a/internal/supply/supply.go
+++ b/internal/supply/supply.go
@@ -10,8 +10,8 @@
 	"slices"
 	"sort"
 
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -110,7 +110,7 @@
 // one rental or a few of another shard's blocks would have held them all.
 func MergeNeed(needs []wire.Need, need wire.Need, maxNeeds int) []wire.Need {
 	for i := range needs {
-		if wants.SameKind(needs[i], need) {
+		if demand.SameKind(needs[i], need) {
 			needs[i].Tasks += need.Tasks
 			return needs
 		}
