--- a/internal/step/peer.go
+++ b/internal/step/peer.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/membership"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -45,7 +45,7 @@
 	// WorkerAddrs are, in a ping, the addresses of workers that have recently come up.
 	WorkerAddrs []WorkerAddr `msgpack:"addrs,omitempty"`
 	// Demand is the unmet demand of shards that the sender holds.
-	Demand []wants.Told `msgpack:"wants,omitempty"`
+	Demand []demand.Told `msgpack:"wants,omitempty"`
 }
 
 // WorkerAddr is the address of a machine's worker, as the worker reported it in a session.
