--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -41,7 +41,7 @@
 	} {
 		k := crew(func(k *wire.Crew) { k.Leaves, k.TimeZone, k.Rule = c.leaves, c.zone, c.rule })
 		got := ""
-		if n, ok := Next(k, at(c.after)); ok {
+		if n, ok := NextDeparture(k, at(c.after)); ok {
 			got = n.UTC().Format(time.RFC3339)
 		}
 		if got != c.want {
@@ -66,14 +66,14 @@
 		"must not be negative":        func(c *wire.Crew) { c.Expect.Tasks = -1 },
 		"tasks need seconds and cpus": func(c *wire.Crew) { c.Expect.Tasks = 5 },
 	} {
-		err := Check(crew(change), is("red"), is("viby"))
+		err := Validate(crew(change), is("red"), is("viby"))
 		if (err == nil) != (want == "") || err != nil && (!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
 }
 
-var margins = Margins{Clock: time.Second, Takeover: 10 * time.Second, Failures: 0.1, Press: 15 * time.Second, Rounds: 2}
+var margins = Margins{ClockError: time.Second, Takeover: 10 * time.Second, FailureShare: 0.1, PressLead: 15 * time.Second, Rounds: 2}
 
 // The next departure is one after the last change by operators and the last outcome, however
 // many there were before.
@@ -89,7 +89,7 @@
 		if c.past != "" {
 			k.Past = []wire.CrewOutcome{{LeavesMS: at(c.past).UnixMilli()}}
 		}
-		if n, ok := Next(k, Since(k)); !ok || !n.Equal(at(c.want)) {
+		if n, ok := NextDeparture(k, DeparturesCountFrom(k)); !ok || !n.Equal(at(c.want)) {
 			t.Errorf("changed %s, left %s: next %v, want %s", c.changed, c.past, n.UTC(), c.want)
 		}
 	}
@@ -100,7 +100,7 @@
 	now, leaves := at("2026-12-03T05:00:00Z"), at("2026-12-03T05:10:00Z")
 	jobs := func(n, tasks int, s time.Duration) (out []Job) {
 		for i := range n {
-			out = append(out, Job{ID: fmt.Sprint(i), Tasks: tasks, Seconds: s, CPUs: 1})
+			out = append(out, Job{ID: fmt.Sprint(i), Tasks: tasks, TaskDuration: s, CPUs: 1})
 		}
 		return out
 	}
@@ -119,7 +119,7 @@
 		{jobs(30, 10, 20*time.Second), 8, 11*time.Second + 825*time.Second, true, 6, "6 of 30 jobs will miss 05:10 by up to 2m30s: 8 CPUs are there and 12 needed"},
 		{jobs(2, 1, time.Second), 0, 1e6 * time.Second, true, 2, "no machines in viby"},
 	} {
-		p := Plan(crew(func(k *wire.Crew) { k.Zone = "viby" }), now, leaves, c.jobs, c.have, margins)
+		p := PlanDeparture(crew(func(k *wire.Crew) { k.Zone = "viby" }), now, leaves, c.jobs, c.have, margins)
 		start := leaves.Sub(time.UnixMilli(p.StartMS))
 		if c.have > 0 && start != c.start || p.Pressed != c.pressed || p.Miss != c.miss || !strings.Contains(p.Say, c.say) {
 			t.Errorf("%d jobs on %g: begins %v before, pressed %v, %d missed, %q", len(c.jobs), c.have, start, p.Pressed, p.Miss, p.Say)
@@ -135,18 +135,18 @@
 		leaves := now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "until")) * time.Second)
 		var jobs []Job
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			jobs = append(jobs, Job{ID: fmt.Sprint(i), Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"), Seconds: time.Duration(rapid.IntRange(1, 200).Draw(t, "s")) * time.Second, CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
+			jobs = append(jobs, Job{ID: fmt.Sprint(i), Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"), TaskDuration: time.Duration(rapid.IntRange(1, 200).Draw(t, "s")) * time.Second, CPUs: float64(rapid.IntRange(1, 4).Draw(t, "cpus"))})
 		}
 		have := float64(rapid.IntRange(1, 40).Draw(t, "have"))
 		c := crew(nil)
-		p := Plan(c, now, leaves, jobs, have, margins)
-		if q := Plan(c, now, leaves, jobs, have+4, margins); q.Miss > p.Miss || q.Pressed && !p.Pressed {
+		p := PlanDeparture(c, now, leaves, jobs, have, margins)
+		if q := PlanDeparture(c, now, leaves, jobs, have+4, margins); q.Miss > p.Miss || q.Pressed && !p.Pressed {
 			t.Fatalf("more machines: %+v, before %+v", q, p)
 		}
-		if q := Plan(c, now, leaves.Add(time.Minute), jobs, have, margins); q.Miss > p.Miss {
+		if q := PlanDeparture(c, now, leaves.Add(time.Minute), jobs, have, margins); q.Miss > p.Miss {
 			t.Fatalf("a later hour: %+v, before %+v", q, p)
 		}
-		if q := Plan(c, now.Add(5*time.Second), leaves, jobs, have, margins); p.Pressed && !q.Pressed || q.Miss < p.Miss {
+		if q := PlanDeparture(c, now.Add(5*time.Second), leaves, jobs, have, margins); p.Pressed && !q.Pressed || q.Miss < p.Miss {
 			t.Fatalf("later: %+v, before %+v", q, p)
 		}
 	})
@@ -170,12 +170,12 @@
 		{36, 100, 1, 1, 11*time.Second + 66*time.Second + 25*time.Second},
 		{40, 100, 1, 0, 0},
 	} {
-		n, from := Ahead(k, leaves, c.accepted, c.limit, 4, c.factor, 25*time.Second, margins)
+		n, from := MachinesAhead(k, leaves, c.accepted, c.limit, 4, c.factor, 25*time.Second, margins)
 		if n != c.machines || n > 0 && leaves.Sub(from) != c.before {
 			t.Errorf("%d accepted, limit %g, factor %g: %d machines %v before", c.accepted, c.limit, c.factor, n, leaves.Sub(from))
 		}
 	}
-	if a, b := Booking(k, 7, 0), Booking(k, 8, 0); a == b {
+	if a, b := BookingName(k, 7, 0), BookingName(k, 8, 0); a == b {
 		t.Error("two versions of a record make the same name")
 	}
 }
--- a/internal/calendar/departure.go
+++ b/internal/calendar/departure.go
@@ -11,32 +11,32 @@
 type Departure struct {
 	LeavesMS int64
 
-	jobs  map[string]bool // true: done
-	met   int
-	lateS float64
-	miss  int
+	jobDone map[string]bool // true: done
+	met     int
+	lateS   float64
+	misses  int
 }
 
 // NewDeparture begins to follow the departure at a time of day in milliseconds.
 func NewDeparture(leavesMS int64) *Departure {
-	return &Departure{LeavesMS: leavesMS, jobs: map[string]bool{}}
+	return &Departure{LeavesMS: leavesMS, jobDone: map[string]bool{}}
 }
 
 // Follow takes the jobs that are open at a time of day, and counts those that are no more: of
 // tells of a job whether it is live, and if not, whether it was done. One that is neither was
 // cancelled, and counts no more.
-func (d *Departure) Follow(now, leaves time.Time, open []string, of func(id string) (live, done bool)) {
+func (d *Departure) Update(now, leaves time.Time, open []string, of func(id string) (live, done bool)) {
 	for _, id := range open {
-		d.jobs[id] = false
+		d.jobDone[id] = false
 	}
-	for id, counted := range d.jobs {
+	for id, counted := range d.jobDone {
 		live, done := of(id)
 		switch {
 		case counted || live:
 		case !done:
-			delete(d.jobs, id)
+			delete(d.jobDone, id)
 		default:
-			d.jobs[id] = true
+			d.jobDone[id] = true
 			if late := now.Sub(leaves).Seconds(); late > 0 {
 				d.lateS = max(d.lateS, late)
 			} else {
@@ -47,16 +47,16 @@
 }
 
 // Misses takes how many jobs the plan gives up, and tells whether it is news that there are any.
-func (d *Departure) Misses(n int) bool {
-	news := (n > 0) != (d.miss > 0)
-	d.miss = n
+func (d *Departure) SetMisses(n int) bool {
+	news := (n > 0) != (d.misses > 0)
+	d.misses = n
 	return news
 }
 
 // Outcome is how it went, once it has left and nothing is open, or was not done for settle; why
 // says what kept the rest.
 func (d *Departure) Outcome(now, leaves time.Time, open int, settle time.Duration, why string) (o wire.CrewOutcome, over bool) {
-	o = wire.CrewOutcome{LeavesMS: d.LeavesMS, Jobs: len(d.jobs), Met: d.met, LateS: d.lateS}
+	o = wire.CrewOutcome{LeavesMS: d.LeavesMS, Jobs: len(d.jobDone), Met: d.met, LateS: d.lateS}
 	if open > 0 {
 		o.LateS, o.Why = max(o.LateS, now.Sub(leaves).Seconds()), why
 	}
@@ -74,13 +74,13 @@
 		want.Booked, want.Past, want.History = was.Booked, was.Past, append([]wire.CrewChange(nil), was.History...)
 	}
 	want.History = append(want.History, wire.CrewChange{AtMS: now.UnixMilli(), Node: node, What: what})
-	if err := Check(&want, team, zone); err != nil {
+	if err := Validate(&want, team, zone); err != nil {
 		return want, err
 	}
-	leaves, ok := Next(&want, now)
+	leaves, ok := NextDeparture(&want, now)
 	if !ok {
 		return want, fmt.Errorf("leaves: it never leaves from now on")
 	}
-	Clean(&want, leaves, keep)
+	Prune(&want, leaves, keep)
 	return want, nil
 }
--- a/internal/calendar/departure_test.go
+++ b/internal/calendar/departure_test.go
@@ -12,11 +12,11 @@
 	live, done := map[string]bool{"a": true, "b": true, "c": true}, map[string]bool{}
 	of := func(id string) (bool, bool) { return live[id], done[id] }
 	d := NewDeparture(leaves.UnixMilli())
-	d.Follow(leaves.Add(-time.Minute), leaves, []string{"a", "b", "c"}, of)
+	d.Update(leaves.Add(-time.Minute), leaves, []string{"a", "b", "c"}, of)
 	delete(live, "a")
 	done["a"] = true
 	delete(live, "c") // cancelled
-	d.Follow(leaves.Add(-time.Second), leaves, []string{"b"}, of)
+	d.Update(leaves.Add(-time.Second), leaves, []string{"b"}, of)
 	if _, over := d.Outcome(leaves.Add(-time.Second), leaves, 1, time.Minute, "why"); over {
 		t.Error("over before it left")
 	}
@@ -28,12 +28,12 @@
 	}
 	delete(live, "b")
 	done["b"] = true
-	d.Follow(leaves.Add(30*time.Second), leaves, nil, of)
-	d.Follow(leaves.Add(40*time.Second), leaves, nil, of) // counted once
+	d.Update(leaves.Add(30*time.Second), leaves, nil, of)
+	d.Update(leaves.Add(40*time.Second), leaves, nil, of) // counted once
 	if o, over := d.Outcome(leaves.Add(40*time.Second), leaves, 0, time.Minute, "why"); !over || o.Jobs != 2 || o.Met != 1 || o.LateS != 30 || o.Why != "" {
 		t.Errorf("%+v %v", o, over)
 	}
-	if d.Misses(0) || !d.Misses(2) || d.Misses(3) || !d.Misses(0) {
+	if d.SetMisses(0) || !d.SetMisses(2) || d.SetMisses(3) || !d.SetMisses(0) {
 		t.Error("that jobs are missed is news once, and that none is")
 	}
 }
--- a/internal/calendar/hours.go
+++ b/internal/calendar/hours.go
@@ -20,22 +20,22 @@
 
 // Hour is how a crew's departure is written; Second if it is to be told to the second.
 const (
-	Hour   = "2006-01-02T15:04"
-	Second = Hour + ":05"
+	MinuteLayout = "2006-01-02T15:04"
+	SecondLayout = MinuteLayout + ":05"
 )
 
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // first is a crew's first departure. An hour that a change of clocks leaves out is taken an
 // hour later, one that comes twice is, in a recurrence, the second of the two.
-func first(c *wire.Crew) (time.Time, error) {
+func firstDeparture(c *wire.Crew) (time.Time, error) {
 	at, err := time.LoadLocation(c.TimeZone)
 	if err != nil || c.TimeZone == "" || c.TimeZone == "Local" {
 		return time.Time{}, fmt.Errorf("time_zone: %q is not known; a name like Europe/Copenhagen", c.TimeZone)
 	}
-	t, err := time.ParseInLocation(Hour, c.Leaves, at)
+	t, err := time.ParseInLocation(MinuteLayout, c.Leaves, at)
 	if err != nil {
-		t, err = time.ParseInLocation(Second, c.Leaves, at)
+		t, err = time.ParseInLocation(SecondLayout, c.Leaves, at)
 	}
 	if err != nil {
 		return time.Time{}, fmt.Errorf("leaves: must be like 2026-12-03T06:30, got %q", c.Leaves)
@@ -44,15 +44,15 @@
 }
 
 // Next is a crew's first departure after a time; false: it leaves no more.
-func Next(c *wire.Crew, after time.Time) (time.Time, bool) {
-	start, err := first(c)
+func NextDeparture(c *wire.Crew, after time.Time) (time.Time, bool) {
+	start, err := firstDeparture(c)
 	if err != nil {
 		return time.Time{}, false
 	}
 	if c.Rule == "" {
 		return start, start.After(after)
 	}
-	r, err := rule(c, start)
+	r, err := recurrence(c, start)
 	if err != nil {
 		return time.Time{}, false
 	}
@@ -60,7 +60,7 @@
 	return t, !t.IsZero()
 }
 
-func rule(c *wire.Crew, start time.Time) (*rrule.RRule, error) {
+func recurrence(c *wire.Crew, start time.Time) (*rrule.RRule, error) {
 	o, err := rrule.StrToROptionInLocation(c.Rule, start.Location())
 	if err != nil {
 		return nil, err
@@ -70,9 +70,9 @@
 }
 
 // Check tells in one line what is wrong with what operators say of a crew.
-func Check(c *wire.Crew, team, zone func(string) bool) error {
+func Validate(c *wire.Crew, team, zone func(string) bool) error {
 	switch {
-	case !name.MatchString(c.Name):
+	case !namePattern.MatchString(c.Name):
 		return fmt.Errorf("name: must be 1 to 63 of a-z, 0-9 and -, got %q", c.Name)
 	case !team(c.Team):
 		return fmt.Errorf("team: %q is not known", c.Team)
@@ -81,7 +81,7 @@
 	case len(c.Classes) == 0 || len(c.Classes) > 32 || slices.Contains(c.Classes, ""):
 		return fmt.Errorf("classes: 1 to 32 names are needed")
 	}
-	start, err := first(c)
+	start, err := firstDeparture(c)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		return fmt.Errorf("rule: without DTSTART, at most 256 bytes")
 	}
 	if c.Rule != "" {
-		if r, err := rule(c, start); err != nil {
+		if r, err := recurrence(c, start); err != nil {
 			return fmt.Errorf("rule: not a recurrence of RFC 5545: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 		} else if a := r.After(start.Add(-time.Second), true); !a.IsZero() && r.After(a, false).Sub(a) < time.Minute && !r.After(a, false).IsZero() {
 			return fmt.Errorf("rule: departures less than a minute apart")
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -40,16 +40,16 @@
 	c.dependencies.Put(r.ID, r.Predecessors, c.demandOf(&r))
 	for _, p := range r.Predecessors {
 		if f, ok := c.finalStates[p]; ok {
-			c.dependencies.End(p, f.Status == wire.JobDone, f.By)
+			c.dependencies.RecordEnd(p, f.Status == wire.JobDone, f.By)
 		}
 	}
-	c.rankPredecessors(c.dependencies.Before(r.ID))
+	c.rankPredecessors(c.dependencies.Ancestors(r.ID))
 	c.recheckWaiting, c.placementDue = true, true
 }
 
 // removeWaitingJob is called when a job no longer waits.
 func (c *Core) removeWaitingJob(id string) {
-	before := c.dependencies.Before(id)
+	before := c.dependencies.Ancestors(id)
 	delete(c.waitingJobs, id)
 	c.dependencies.Remove(id)
 	c.rankPredecessors(before)
@@ -58,16 +58,16 @@
 
 // stageOf returns what a job's expected length depends on, and how many seconds the machines that it may
 // use take to boot.
-func (c *Core) stageOf(j *wire.Job) (s dependency.Stage, boot float64) {
+func (c *Core) stageOf(j *wire.Job) (s dependency.JobEstimate, boot float64) {
 	rate, boot := supply.FetchAndBootBounds(c.machineTypes, j.Types)
-	s = dependency.Stage{
-		Tasks:  j.Tasks,
-		Run:    c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
-		Spread: tuning.ChainSpread,
-		Begin:  tuning.ChainBegin.Seconds(),
+	s = dependency.JobEstimate{
+		Tasks:             j.Tasks,
+		TaskSeconds:       c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
+		LogSpread:         tuning.ChainSpread,
+		StartDelaySeconds: tuning.ChainBegin.Seconds(),
 	}
 	if rate > 0 {
-		s.Fetch = j.ImageGB / rate
+		s.FetchSeconds = j.ImageGB / rate
 	}
 	return s, boot
 }
@@ -87,7 +87,7 @@
 		lastStart = max(lastStart, a.runningSince)
 	}
 	stage, _ := c.stageOf(&e.record)
-	return stage.Left((c.now - lastStart).Seconds())
+	return stage.RemainingSeconds((c.now - lastStart).Seconds())
 }
 
 // startingSoon lists the waiting jobs of a shard that machines are requested for already: those that are
@@ -99,7 +99,7 @@
 		if c.shardOfTeam(job.Team) != shard {
 			continue
 		}
-		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.Fetch+stage.Begin, tuning.BootSlow) && c.dependencies.Begins(id, c.remainingSeconds) <= boot {
+		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.FetchSeconds+stage.StartDelaySeconds, tuning.BootSlow) && c.dependencies.StartDelay(id, c.remainingSeconds) <= boot {
 			list = append(list, job)
 		}
 	}
@@ -107,13 +107,13 @@
 }
 
 // demandOf returns what a job requires of its predecessors.
-func (c *Core) demandOf(j *wire.Job) dependency.Demand {
+func (c *Core) demandOf(j *wire.Job) dependency.Requirement {
 	stage, _ := c.stageOf(j)
-	return dependency.Demand{
-		Priority: wire.PriorityRank(j.Priority),
-		Rank:     c.tierOrder.Rank(j),
-		Due:      c.objectives.Due(objectiveWork(j)),
-		Length:   dependency.Length(stage),
+	return dependency.Requirement{
+		Priority:        wire.PriorityRank(j.Priority),
+		TierRank:        c.tierOrder.Rank(j),
+		Due:             c.objectives.Due(objectiveWork(j)),
+		DurationSeconds: dependency.ExpectedSeconds(stage),
 	}
 }
 
@@ -124,13 +124,13 @@
 	inherited := c.dependencies.Inherited(e.record.ID)
 	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
 	if inherited.Priority > e.priority {
-		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.Length) > tuning.ChainSlack.Seconds() {
+		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.DurationSeconds) > tuning.ChainSlack.Seconds() {
 			normal := e.record
 			normal.Priority = wire.PriorityName(normalRank)
-			inherited.Priority, inherited.Rank = min(inherited.Priority, normalRank), min(inherited.Rank, c.tierOrder.Rank(&normal))
+			inherited.Priority, inherited.TierRank = min(inherited.Priority, normalRank), min(inherited.TierRank, c.tierOrder.Rank(&normal))
 		}
 	}
-	e.priority, e.rank = max(e.priority, inherited.Priority), max(e.rank, inherited.Rank)
+	e.priority, e.rank = max(e.priority, inherited.Priority), max(e.rank, inherited.TierRank)
 	if e.run == nil {
 		return
 	}
@@ -161,7 +161,7 @@
 		c.dependencies.Put(id, r.Predecessors, c.demandOf(r))
 	}
 	for _, id := range c.dependencies.Waiting() {
-		c.rankPredecessors(c.dependencies.Before(id))
+		c.rankPredecessors(c.dependencies.Ancestors(id))
 	}
 }
 
@@ -194,13 +194,13 @@
 		if !c.holdsShard(c.shardOfTeam(c.waitingJobs[id].record.Team)) {
 			continue
 		}
-		switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
+		switch verdict := c.dependencies.Evaluate(id, c.isLive); verdict.Outcome {
 		case dependency.Ready:
 			ready = append(ready, id)
 		case dependency.Cancelled:
-			cancelled, cancelledBy[id] = append(cancelled, id), verdict.By
+			cancelled, cancelledBy[id] = append(cancelled, id), verdict.CancelledBy
 		case dependency.Unknown:
-			lookUp = append(lookUp, verdict.LookUp...)
+			lookUp = append(lookUp, verdict.MissingEnds...)
 		}
 	}
 	if len(ready) > 0 {
@@ -280,7 +280,7 @@
 	id := ids[0]
 	if final, known := c.finalStates[id]; known || c.isLive(id) {
 		if known {
-			c.dependencies.End(id, final.Status == wire.JobDone, final.By)
+			c.dependencies.RecordEnd(id, final.Status == wire.JobDone, final.By)
 		}
 		c.readOutcomes(ids[1:], done)
 		return
@@ -323,11 +323,11 @@
 		c.lookUpJob(id, done) // it was moved meanwhile
 		return
 	}
-	switch verdict := c.dependencies.Judge(id, c.isLive); verdict.Outcome {
+	switch verdict := c.dependencies.Evaluate(id, c.isLive); verdict.Outcome {
 	case dependency.Cancelled:
-		done(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: verdict.By}, ok: true})
+		done(jobLookup{final: &wire.Final{Status: wire.JobAborted, By: verdict.CancelledBy}, ok: true})
 	case dependency.Unknown:
-		c.readOutcomes(verdict.LookUp, func(ok bool) { c.evaluateWaiting(id, at, ok, done) })
+		c.readOutcomes(verdict.MissingEnds, func(ok bool) { c.evaluateWaiting(id, at, ok, done) })
 	default:
 		done(at)
 	}
--- a/internal/core/chains_admin.go
+++ b/internal/core/chains_admin.go
@@ -23,18 +23,18 @@
 			return
 		}
 		f := at.final
-		seen := map[string]dependency.Seen{v.ID: {Status: finalStatus(v.ID, *f), By: f.By}}
+		seen := map[string]dependency.JobState{v.ID: {Status: finalStatus(v.ID, *f), CancelledBy: f.By}}
 		c.answer(v.Req, 200, dependency.View(c.params.Node, v.ID, float64(c.wall.UnixMilli())/1000, seen))
 	})
 }
 
 // waitReason returns what a waiting job waits for, in words for its user.
 func (c *Core) waitReason(id string) []string {
-	if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
-		return []string{"cancelled with " + v.By}
+	if v := c.dependencies.Evaluate(id, c.isLive); v.Outcome == dependency.Cancelled {
+		return []string{"cancelled with " + v.CancelledBy}
 	}
 	var left []string
-	predecessors, _ := c.dependencies.Awaits(id)
+	predecessors, _ := c.dependencies.Predecessors(id)
 	for _, p := range predecessors {
 		if c.isLive(p) || c.isWaiting(p) {
 			left = append(left, p)
@@ -45,27 +45,27 @@
 
 // chainOf returns what this controller knows of a job, of all its predecessors and of all jobs that depend
 // on it, by job ID.
-func (c *Core) chainOf(id string) map[string]dependency.Seen {
-	seen, unvisited := map[string]dependency.Seen{}, append([]string{id}, c.dependencies.After(id)...)
+func (c *Core) chainOf(id string) map[string]dependency.JobState {
+	seen, unvisited := map[string]dependency.JobState{}, append([]string{id}, c.dependencies.Descendants(id)...)
 	for ; len(unvisited) > 0; unvisited = unvisited[1:] {
 		id := unvisited[0]
 		if _, is := seen[id]; is {
 			continue
 		}
-		e, view := c.jobs[id], dependency.Seen{}
+		e, view := c.jobs[id], dependency.JobState{}
 		if waiting := c.waitingJobs[id]; waiting != nil {
-			e, view.Waits, view.Status = waiting, true, c.jobStatus(&waiting.record)
-			if v := c.dependencies.Judge(id, c.isLive); v.Outcome == dependency.Cancelled {
-				view.Status.Status, view.By = wire.JobAborted, v.By
+			e, view.Waiting, view.Status = waiting, true, c.jobStatus(&waiting.record)
+			if v := c.dependencies.Evaluate(id, c.isLive); v.Outcome == dependency.Cancelled {
+				view.Status.Status, view.CancelledBy = wire.JobAborted, v.CancelledBy
 			}
 		} else if e != nil {
 			view.Status = c.jobStatus(&e.record)
 		} else if f, known := c.finalStates[id]; known {
-			view.Status, view.By = finalStatus(id, f), f.By
+			view.Status, view.CancelledBy = finalStatus(id, f), f.By
 		}
 		if e != nil {
 			own := c.demandOf(&e.record)
-			view.Job, view.Length, view.Due, view.Inherited = &e.record, own.Length, own.Due, c.dependencies.Inherited(id)
+			view.Job, view.DurationSeconds, view.Due, view.Inherited = &e.record, own.DurationSeconds, own.Due, c.dependencies.Inherited(id)
 			unvisited = append(unvisited, e.record.Predecessors...)
 		}
 		seen[id] = view
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -94,8 +94,8 @@
 	reservations      map[int]*reservation.Table[*machine] // by shard: machines reserved for tasks that fit on no machine
 	limitReservations map[string]reservation.Reservation   // by team: part of its limit reserved for a job that does not fit into the rest
 	runTimes          *forecast.Estimator
-	calendar          *calendar.Book // crews and the plans for their departures
-	weights           *weights.Book  // distribution of images that many machines need
+	calendar          *calendar.Planner // crews and the plans for their departures
+	weights           *weights.Planner  // distribution of images that many machines need
 	dependencyState
 	workerAddresses *takeover.AddressBook // addresses that workers listen on
 	listingMachines bool                  // a cloud list is being read to restore worker addresses
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -19,18 +19,18 @@
 // biasKey returns the key of a shard's record of estimate errors.
 func biasKey(shard int) string { return wire.PrefixBias + strconv.Itoa(shard) }
 
-func newCalendar() *calendar.Book {
-	return calendar.NewBook(calendar.Margins{
-		Clock:    tuning.CrewClock,
-		Takeover: tuning.CrewTakeover,
-		Failures: tuning.CrewFailures,
-		Press:    tuning.CrewPress,
-		Rounds:   tuning.CrewRounds,
+func newCalendar() *calendar.Planner {
+	return calendar.NewPlanner(calendar.Margins{
+		ClockError:   tuning.CrewClock,
+		Takeover:     tuning.CrewTakeover,
+		FailureShare: tuning.CrewFailures,
+		PressLead:    tuning.CrewPress,
+		Rounds:       tuning.CrewRounds,
 	}, calendar.Limits{
-		Most:   tuning.CrewsMost,
-		Keep:   tuning.CrewKeep,
-		Settle: tuning.CrewSettle,
-		Rent:   tuning.RentMax,
+		MaxCrews:           tuning.CrewsMost,
+		HistoryLength:      tuning.CrewKeep,
+		OutcomeDelay:       tuning.CrewSettle,
+		MaxBookingMachines: tuning.RentMax,
 	})
 }
 
@@ -49,7 +49,7 @@
 }
 
 // Left returns how many tasks of a live job are not done, and the expected run time of one.
-func (w crewWork) Left(job string) (int, time.Duration) {
+func (w crewWork) Remaining(job string) (int, time.Duration) {
 	e := w.c.jobs[job]
 	left := e.record.Tasks - w.c.knownDone(e).Count()
 	if e.run != nil {
@@ -70,13 +70,13 @@
 }
 
 // Ended returns whether a job is live, and its final status if it is known to be over.
-func (w crewWork) Ended(job string) (bool, string) {
+func (w crewWork) Outcome(job string) (bool, string) {
 	return w.c.jobs[job] != nil, w.c.finalStates[job].Status
 }
 
 // crewDue returns the time (Unix seconds) by which a departure needs a job done, or +Inf.
 func (c *Core) crewDue(job string) float64 {
-	if d, ok := c.calendar.Demand(job); ok {
+	if d, ok := c.calendar.Requirement(job); ok {
 		return d.Due
 	}
 	return inf
@@ -84,18 +84,18 @@
 
 // crewPressed reports whether a departure leaves a job no slack, so that it goes before other work of its
 // tier.
-func (c *Core) crewPressed(job string) bool { d, _ := c.calendar.Demand(job); return d.Pressed }
+func (c *Core) crewPressed(job string) bool { d, _ := c.calendar.Requirement(job); return d.Pressed }
 
 // planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
 // past departures.
 func (c *Core) planCrews() {
-	if c.calendar.Idle() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
+	if c.calendar.Empty() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
 		return
 	}
 	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
 	changed, events := c.calendar.Plan(c.wall, served, crewWork{c})
 	for _, event := range events {
-		name, shard, outcome := event.Crew.Rec.Name, c.shardOfTeam(event.Crew.Rec.Team), event.Outcome
+		name, shard, outcome := event.Crew.Record.Name, c.shardOfTeam(event.Crew.Record.Team), event.Outcome
 		if outcome == nil {
 			c.recordShardEvent(trail.CrewMiss, shard, wire.TrailEvent{Count: event.Plan.Miss, Why: name + ": " + event.Plan.Say})
 			c.log(1, "departure", "crew", name, "plan", event.Plan.Say)
@@ -105,7 +105,7 @@
 			Count: outcome.Met,
 			Why:   fmt.Sprintf("%s: %d of %d jobs done by the hour, the last %.0f s late", name, outcome.Met, outcome.Jobs, outcome.LateS),
 		})
-		c.putCrew(calendar.Entry{Rec: event.Rec, Ver: event.Crew.Ver}, c.shardUnchanged(shard), func(StateReply) {})
+		c.putCrew(calendar.Entry{Record: event.Record, Version: event.Crew.Version}, c.shardUnchanged(shard), func(StateReply) {})
 	}
 	for _, id := range changed {
 		if e := c.jobs[id]; e != nil {
@@ -117,10 +117,10 @@
 
 // putCrew writes a crew's record if the version that it replaces is unchanged.
 func (c *Core) putCrew(entry calendar.Entry, when wire.Condition, f func(StateReply)) {
-	key := wire.PrefixCrew + entry.Rec.Name
-	c.calendar.Write(entry.Rec.Name)
-	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Ver}}, []wire.Change{{Put: key, Value: entry.Rec}}, func(r StateReply) {
-		c.calendar.Written(entry.Rec.Name)
+	key := wire.PrefixCrew + entry.Record.Name
+	c.calendar.BeginWrite(entry.Record.Name)
+	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Version}}, []wire.Change{{Put: key, Value: entry.Record}}, func(r StateReply) {
+		c.calendar.EndWrite(entry.Record.Name)
 		f(r)
 	})
 }
@@ -133,14 +133,14 @@
 	}
 	leader := &c.leader
 	for _, name := range c.calendar.Names() {
-		entry, leaves, booked, ok := c.calendar.Expects(name, c.wall)
-		shard := c.shardOfTeam(entry.Rec.Team)
+		entry, leaves, booked, ok := c.calendar.ExpectedWork(name, c.wall)
+		shard := c.shardOfTeam(entry.Record.Team)
 		if !ok || shard < 0 {
 			continue
 		}
 		for _, booking := range booked {
 			key := (&supply.Offer{Type: booking.Type, Zone: booking.Zone, Spot: booking.Spot}).Key()
-			if c.calendar.Open(&booking) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
+			if c.calendar.NeedsRequest(&booking) && !leader.servingShards[shard] && c.now >= leader.offerRetryAt[key] && c.now >= leader.cloudRetryAt {
 				c.log(1, "renting ahead", "crew", name, "type", booking.Type, "zone", booking.Zone, "count", booking.Count, "booking", booking.Request)
 				leader.servingShards[shard] = true
 				c.sendRental(shard, key, wire.RentRequest{
@@ -160,9 +160,9 @@
 
 // planRentAhead writes the rentals for a departure into the crew's record once it is time to send them.
 func (c *Core) planRentAhead(entry *calendar.Entry, leaves time.Time, shard int) {
-	expected := entry.Rec.Expect
+	expected := entry.Record.Expect
 	need := wire.Need{
-		Zone:  entry.Rec.Zone,
+		Zone:  entry.Record.Zone,
 		Spot:  expected.Spot,
 		CPUs:  expected.CPUs,
 		MemGB: expected.MemoryGB,
@@ -173,27 +173,27 @@
 		return
 	}
 	factor := 1.0
-	for _, class := range entry.Rec.Classes {
+	for _, class := range entry.Record.Classes {
 		factor = max(factor, c.runTimes.Factor(class))
 	}
 	offer, machineType := &offers[0], c.machineTypes[offers[0].Type]
-	rec, due := c.calendar.Ahead(entry, c.wall, leaves, calendar.Accepted(entry, leaves, crewWork{c}), c.params.Teams[entry.Rec.Team].CPUsMax,
+	rec, due := c.calendar.BookAhead(entry, c.wall, leaves, calendar.AcceptedTasks(entry, leaves, crewWork{c}), c.params.Teams[entry.Record.Team].CPUsMax,
 		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
 	if due {
-		c.putCrew(calendar.Entry{Rec: rec, Ver: entry.Ver}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
+		c.putCrew(calendar.Entry{Record: rec, Version: entry.Version}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
 	}
 }
 
 // noteRentedAhead records in the crews' records that a rental was answered.
 func (c *Core) noteRentedAhead(request string) {
-	for _, entry := range c.calendar.Answered(request) {
-		c.putCrew(entry, c.leaderCondition(), func(StateReply) { c.calendar.Rented(request) })
+	for _, entry := range c.calendar.BookingAnswered(request) {
+		c.putCrew(entry, c.leaderCondition(), func(StateReply) { c.calendar.BookingWritten(request) })
 	}
 }
 
 // awaitsCrew reports whether machines of a shard were rented ahead of a departure that has not come yet.
 func (c *Core) awaitsCrew(shard int) bool {
-	return c.calendar.Awaits(c.wall, func(team string) bool { return c.shardOfTeam(team) == shard })
+	return c.calendar.HasUpcomingBooking(c.wall, func(team string) bool { return c.shardOfTeam(team) == shard })
 }
 
 // publishBias writes how far run time estimates are off, for the held shards where that has changed.
@@ -219,7 +219,7 @@
 	}
 	list := []wire.CrewView{}
 	for _, name := range c.calendar.Names() {
-		list = append(list, c.calendar.View(c.calendar.Of(name), c.wall, crewWork{c}))
+		list = append(list, c.calendar.View(c.calendar.Crew(name), c.wall, crewWork{c}))
 	}
 	c.answer(v.Req, 200, list)
 }
@@ -231,7 +231,7 @@
 		return
 	}
 	view := func(entry *calendar.Entry) any { return c.calendar.View(entry, c.wall, crewWork{c}) }
-	entry, key := c.calendar.Of(v.Name), wire.PrefixCrew+v.Name
+	entry, key := c.calendar.Crew(v.Name), wire.PrefixCrew+v.Name
 	if v.Patch == nil {
 		switch {
 		case entry == nil:
@@ -259,11 +259,11 @@
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 	case v.Patch.DryRun:
 		c.answer(v.Req, 200, view(&to))
-	case v.Patch.Version != to.Ver:
+	case v.Patch.Version != to.Version:
 		c.answer(v.Req, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	default:
-		c.commit(LaneUser, []wire.Condition{{Key: key, Version: to.Ver}}, []wire.Change{{Put: key, Value: to.Rec}}, func(r StateReply) {
-			c.answerAdminWrite(v.Req, r, func() any { return view(&calendar.Entry{Rec: to.Rec, Ver: r.Txn.Revision}) })
+		c.commit(LaneUser, []wire.Condition{{Key: key, Version: to.Version}}, []wire.Change{{Put: key, Value: to.Record}}, func(r StateReply) {
+			c.answerAdminWrite(v.Req, r, func() any { return view(&calendar.Entry{Record: to.Record, Version: r.Txn.Revision}) })
 		})
 	}
 }
--- a/internal/core/crews_test.go
+++ b/internal/core/crews_test.go
@@ -15,7 +15,7 @@
 }
 
 func crewOf(leaves time.Time) wire.Crew {
-	return wire.Crew{Team: "red", Classes: []string{"door"}, Leaves: leaves.Format(calendar.Hour), TimeZone: "UTC"}
+	return wire.Crew{Team: "red", Classes: []string{"door"}, Leaves: leaves.Format(calendar.MinuteLayout), TimeZone: "UTC"}
 }
 
 func (w *world) putCrew(node, name string, ver uint64, k wire.Crew) (status int) {
@@ -167,7 +167,7 @@
 		t.Errorf("plans %+v", p)
 	}
 	k, ver := w.crewRec("early")
-	k.Leaves = w.hourIn(30 * sec).Format(calendar.Hour)
+	k.Leaves = w.hourIn(30 * sec).Format(calendar.MinuteLayout)
 	w.at(time.Millisecond, func() { w.bounce(300*time.Millisecond, w.shardRec("red").Holder) })
 	statuses := map[int]int{}
 	for _, n := range sortedKeys(w.nodes) {
@@ -217,7 +217,7 @@
 		w.run(3 * sec)
 	}
 	c := w.nodes[w.shardRec("red").Holder].core
-	if d, ok := c.calendar.Demand("job-700001"); !ok || d.Pressed || d.Due == 0 {
+	if d, ok := c.calendar.Requirement("job-700001"); !ok || d.Pressed || d.Due == 0 {
 		t.Fatalf("the departure should be known and not press: %+v", d)
 	}
 	w.addMachine("n", false, sec) // room for one of them
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -226,14 +226,14 @@
 }
 
 // demandPace bounds how often unmet demand is published and written.
-var demandPace = demand.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
+var demandPace = demand.Pace{RepeatInterval: tuning.WantAgain, WriteInterval: tuning.WantWrite, MaxAge: tuning.WantKeep}
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
 	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
 		return
 	}
-	var announcements []demand.Told
+	var announcements []demand.Announcement
 	for _, shard := range c.shardIDs() {
 		if !c.holdsShard(shard) {
 			continue
@@ -248,14 +248,14 @@
 				c.consolidate(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.params.MaxValueBytes, demand.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, demand.DropLastNeed)
 		if c.demandPublishers[shard] == nil {
-			c.demandPublishers[shard] = demand.NewTeller(demandPace)
+			c.demandPublishers[shard] = demand.NewPublisher(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
 		number, announce, writeRecord := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
-			announcements = append(announcements, demand.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
+			announcements = append(announcements, demand.Announcement{Shard: shard, Token: c.shards[shard].version, Number: number, Want: unmet})
 		}
 		if writeRecord {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
@@ -280,5 +280,5 @@
 	case c.holdsShard(shard):
 		return c.publishedDemand[shard]
 	}
-	return c.peerDemand.Of(c.now, shard, entry.version, c.demands[shard])
+	return c.peerDemand.Current(c.now, shard, entry.version, c.demands[shard])
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -85,7 +85,7 @@
 				if _, err := book.Put(x.Key, ver, x.Record); err != nil {
 					t.Fatal(err)
 				}
-				entries = entries[x.Taken:]
+				entries = entries[x.Included:]
 			}
 
 			var infos []wire.MachineInfo
@@ -109,12 +109,12 @@
 				w.put(fmt.Sprintf("%s0.%d", wire.PrefixCache, k), x)
 			}
 
-			plans := newWeights(weights.Switches{HandOn: true}, weights.NewCaches(0))
+			plans := newWeights(weights.Switches{PeerTransfer: true}, weights.NewCacheIndex(0))
 			for k := range each {
 				m := weights.Machine{Name: long(k), Addr: long(k), Zone: fmt.Sprint("zone-of-a-long-name-", k)}
-				plans.Fetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
+				plans.PlanFetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
 			}
-			if rec, due := plans.Due(0, bytes-256); !due || len(rec.Images) == 0 {
+			if rec, due := plans.NextPlan(0, bytes-256); !due || len(rec.Images) == 0 {
 				t.Errorf("%d bytes: no plan, %v", bytes, due)
 			} else {
 				w.put(wire.PrefixWeights+"0", rec)
@@ -124,7 +124,7 @@
 			for k := range tuning.NeedsMax {
 				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Dire: true, Rung: 7})
 			}
-			fit := limits.Fit(want, bytes, demand.Shorter)
+			fit := limits.Fit(want, bytes, demand.DropLastNeed)
 			if len(fit.Needs) < 8 {
 				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
@@ -199,11 +199,11 @@
 		crew.Past = append(crew.Past, wire.CrewOutcome{LeavesMS: 1e12 + int64(k), Jobs: 20, Met: 19, LateS: 12.5, Why: "two jobs of 40 tasks will be 80 s late"})
 		crew.History = append(crew.History, wire.CrewChange{AtMS: 1e12, Node: "controller-of-a-long-name", What: "changed, was to leave 2026-12-03T06:30 Africa/Dakar FREQ=DAILY"})
 	}
-	w.put(wire.PrefixCrew+crew.Name, limits.Fit(crew, bytes, calendar.Shorter))
+	w.put(wire.PrefixCrew+crew.Name, limits.Fit(crew, bytes, calendar.DropOldestHistory))
 	for k := range (machines + tuning.RentMax - 1) / tuning.RentMax {
-		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.Booking(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.RentMax, Done: true})
+		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.BookingName(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.RentMax, Done: true})
 	}
-	crew = limits.Fit(crew, bytes, calendar.Fewer)
+	crew = limits.Fit(crew, bytes, calendar.DropHistoryOrBooking)
 	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewKeep-1 {
 		w.t.Errorf("%d bookings and %d departures are left", len(crew.Booked), len(crew.Past))
 	}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -31,9 +31,9 @@
 	writingJobs, writingProgress, writingImages bool // a write of that kind is in flight
 	lastAttemptNumber                           uint64
 
-	publishedDemand  map[int]wire.Want      // by held shard: the unmet demand last published
-	demandPublishers map[int]*demand.Teller // by held shard
-	peerDemand       *demand.Board          // unmet demand that other holders have published
+	publishedDemand  map[int]wire.Want         // by held shard: the unmet demand last published
+	demandPublishers map[int]*demand.Publisher // by held shard
+	peerDemand       *demand.Board             // unmet demand that other holders have published
 
 	verifyingShard   bool         // a commit that verifies that a shard is still held is in flight
 	startsInFlight   map[int]bool // shards whose starts are being written
@@ -169,7 +169,7 @@
 		unreconciledShards: map[int]bool{},
 
 		publishedDemand:  map[int]wire.Want{},
-		demandPublishers: map[int]*demand.Teller{},
+		demandPublishers: map[int]*demand.Publisher{},
 		peerDemand:       demand.NewBoard(demandPace),
 
 		urgentBlocks:            map[string]bool{},
@@ -198,7 +198,7 @@
 		e.run = &jobRun{waitingSince: c.now, active: map[int]*attempt{}, nextIndex: e.record.Started, done: c.knownDone(e).Clone()}
 		if e.record.Started > 0 {
 			e.run.inheritedBelow = e.record.Started
-			if starts, _ := c.startLog.Of(e.record.ID); starts.Bad && len(e.run.done) == 0 {
+			if starts, _ := c.startLog.Latest(e.record.ID); starts.Bad && len(e.run.done) == 0 {
 				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
 				c.taskHealth.Condemn(c.now, e.record.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.record.ID)
@@ -266,7 +266,7 @@
 		b.Remove(m)
 	}
 	c.taskHealth.ForgetMachine(m.name)
-	c.weights.Gone(m.name)
+	c.weights.RemoveMachine(m.name)
 	c.capacity.Remove(m)
 	c.callQueue.Remove(m)
 	c.pendingMachines.Remove(m)
@@ -378,7 +378,7 @@
 	delete(c.unreconciledShards, shard)
 	delete(c.demandPublishers, shard)
 	delete(c.reservations, shard)
-	c.weights.Left(shard)
+	c.weights.ReleaseShard(shard)
 	for _, m := range c.heldMachines() {
 		if m.shard == shard {
 			c.forgetMachine(m)
@@ -449,7 +449,7 @@
 				attempts:  map[attemptKey]*attempt{}, images: map[string]bool{},
 				idleSince: c.now, lastReport: c.now,
 			}
-			for _, image := range c.imageCaches.Of(blockMachine.Name) {
+			for _, image := range c.imageCaches.Images(blockMachine.Name) {
 				m.images[image] = true
 			}
 			c.machines[blockMachine.Name] = m
--- a/internal/core/idle.go
+++ b/internal/core/idle.go
@@ -174,7 +174,7 @@
 		case m.moving && len(m.attempts) == 0:
 			why = "moved off"
 		case !m.base && !busy && !c.awaitsCrew(shard) && m.reported && m.accounted && len(m.attempts) == 0 &&
-			c.now-m.idleSince > c.weights.Keep(m.images, seconds(c.settings.IdleReturnS)) &&
+			c.now-m.idleSince > c.weights.IdleTimeout(m.images, seconds(c.settings.IdleReturnS)) &&
 			(m.spot || c.hasSpareWithout(shard, m)):
 			why = "idle"
 		}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -19,8 +19,8 @@
 
 // mirror is this controller's copy of the live keys of the state service, updated in revision order.
 type mirror struct {
-	imageCaches  *weights.Caches   // images that machines have stored, as last written by the holders
-	versions     *records.Versions // version of each key
+	imageCaches  *weights.CacheIndex // images that machines have stored, as last written by the holders
+	versions     *records.Versions   // version of each key
 	jobs         map[string]*jobEntry
 	blocks       map[string]*blockEntry
 	shards       map[int]*shardEntry
@@ -32,7 +32,7 @@
 	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *tiers.Order
 	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
-	startLog     *startlog.Book       // recorded starts of tasks
+	startLog     *startlog.Log        // recorded starts of tasks
 	progress     *progress.Book       // recorded done tasks
 	provisioning *boot.Book           // machines that are booting
 	biases       map[string]wire.Bias // by key: how far run-time estimates are off
@@ -93,7 +93,7 @@
 		machineCounts:     map[int]map[string]int{},
 		blockRevisions:    map[int]uint64{},
 		teamShards:        map[string]int{},
-		imageCaches:       weights.NewCaches(tuning.CachesEvery),
+		imageCaches:       weights.NewCacheIndex(tuning.CachesEvery),
 	}
 }
 
@@ -171,7 +171,7 @@
 	if old != nil {
 		for _, blockMachine := range old.record.Machines {
 			if m.blockOfMachine[blockMachine.Name] == "" {
-				m.imageCaches.Gone(blockMachine.Name)
+				m.imageCaches.Remove(blockMachine.Name)
 			}
 		}
 	}
@@ -347,7 +347,7 @@
 		if read(&record) {
 			for _, name := range record.Names() {
 				if images, _ := record.Of(name); c.blockOfMachine[name] != "" {
-					c.imageCaches.Read(name, images)
+					c.imageCaches.Load(name, images)
 				}
 			}
 		}
@@ -356,7 +356,7 @@
 		if shard, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
 		} else if read(&record) {
-			c.weights.Read(c.now, shard, record, c.heldShards[shard])
+			c.weights.LoadPlan(c.now, shard, record, c.heldShards[shard])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		var record wire.Block
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -130,7 +130,7 @@
 		return
 	case message.Wants != nil:
 		for _, announcement := range message.Wants {
-			c.peerDemand.Hear(c.now, announcement)
+			c.peerDemand.Receive(c.now, announcement)
 		}
 		if c.loaded && c.isLeader() {
 			c.runLeader()
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -307,7 +307,7 @@
 		}
 		if found.Handle.images[j.Image] {
 			candidate.Preference = 1
-		} else if e.priority >= urgentRank && c.weights.Busy(found.Handle.name, j.Image) {
+		} else if e.priority >= urgentRank && c.weights.FetchesOtherImage(found.Handle.name, j.Image) {
 			candidate.Preference = -1 // fetches there would share its bandwidth
 		}
 		c.candidates = append(c.candidates, candidate)
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -218,8 +218,8 @@
 	for _, e := range c.waitingJobs {
 		if slices.Contains(e.record.Predecessors, id) {
 			p, r, d := c.plainInherited(e.record.ID)
-			own := c.dependencies.Own(e.record.ID)
-			prio, rank, due = max(prio, own.Priority, p), max(rank, own.Rank, r), min(due, min(own.Due, d)-own.Length)
+			own := c.dependencies.OwnRequirement(e.record.ID)
+			prio, rank, due = max(prio, own.Priority, p), max(rank, own.TierRank, r), min(due, min(own.Due, d)-own.DurationSeconds)
 		}
 	}
 	return prio, rank, due
@@ -238,7 +238,7 @@
 		much = little
 	}
 	late := tuning.ChainRank.Seconds() + 1
-	switch slack := due - c.demandOf(&e.record).Length - float64(c.wall.UnixMilli())/1000 - tuning.ChainSlack.Seconds(); {
+	switch slack := due - c.demandOf(&e.record).DurationSeconds - float64(c.wall.UnixMilli())/1000 - tuning.ChainSlack.Seconds(); {
 	case slack > late:
 		return much
 	case slack < -late:
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -312,7 +312,7 @@
 func (c *Core) noteImage(m *machine, job string) {
 	if e := c.jobs[job]; e != nil && !m.images[e.record.Image] {
 		m.images[e.record.Image] = true
-		c.imageCaches.Learned(m.shard)
+		c.imageCaches.MarkDirty(m.shard)
 	}
 }
 
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -43,14 +43,14 @@
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
-	c.startLog.KeepTo(startlog.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.startLog.SetLimits(startlog.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
 	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
-	c.calendar.KeepTo(bounds.ValueBytes)
+	c.calendar.SetRecordBytes(bounds.ValueBytes)
 }
 
 // overlayStarts updates a job's record with the starts that were recorded separately, in the start log.
 func (c *Core) overlayStarts(r *wire.Job) {
-	if s, ok := c.startLog.Of(r.ID); ok {
+	if s, ok := c.startLog.Latest(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
 		if s.On != nil {
 			r.On = s.On
@@ -78,7 +78,7 @@
 
 // useRecorded reports whether the start log records the first use of a machine.
 func (c *Core) useRecorded(machine string) bool {
-	_, ok := c.startLog.Of(machineEntryPrefix + machine)
+	_, ok := c.startLog.Latest(machineEntryPrefix + machine)
 	return ok
 }
 
@@ -162,16 +162,16 @@
 	if !c.taskHealth.Mistaken(e.record.ID) {
 		return false
 	}
-	s, _ := c.startLog.Of(e.record.ID)
+	s, _ := c.startLog.Latest(e.record.ID)
 	return !s.Bad
 }
 
 // writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
 func (c *Core) writeStarts(shard int, entries []startlog.Entry, jobsByID map[string]*jobEntry) {
 	plan := c.startLog.Plan(shard, entries, c.startEntryNeeded)
-	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Ver}}
+	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Version}}
 	var busy []*jobEntry
-	for _, x := range entries[:plan.Taken] {
+	for _, x := range entries[:plan.Included] {
 		if e := jobsByID[x.Name]; e != nil {
 			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.version})
 			e.run.writeInFlight = true
@@ -189,7 +189,7 @@
 		}
 		if r.Status != 200 {
 			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
-			c.log(2, "starts not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.log(2, "starts not written", "starts", plan.Included, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
 		c.runHolder()
--- a/internal/core/user_requests.go
+++ b/internal/core/user_requests.go
@@ -34,7 +34,7 @@
 	}
 	c.confirmation.JobOver(jobKey(id), revision)
 	c.finalStates[id] = final
-	c.dependencies.End(id, final.Status == wire.JobDone, final.By)
+	c.dependencies.RecordEnd(id, final.Status == wire.JobDone, final.By)
 	c.finalOrder = append(c.finalOrder, id)
 	if len(c.finalOrder) > tuning.FinalCache {
 		delete(c.finalStates, c.finalOrder[0])
--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -65,7 +65,7 @@
 	return w.now - began
 }
 
-var bothOn = weights.Switches{HandOn: true, Pace: true}
+var bothOn = weights.Switches{PeerTransfer: true, PaceFetches: true}
 
 // Twenty machines that all fetch 6 GB from a store of two machines' rate need a minute. Handed on, all have it
 // in little more than one of them alone would, which is 6 s.
@@ -105,7 +105,7 @@
 // little over half of the time, not all at the end.
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
-	pace := weights.Switches{Pace: true}
+	pace := weights.Switches{PaceFetches: true}
 	free := weighty(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
 	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
 		t.Errorf("own rates bind, and all are up after %v", took)
@@ -234,7 +234,7 @@
 func TestPlansAreFewChanges(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
-		s := weights.Switches{HandOn: on}
+		s := weights.Switches{PeerTransfer: on}
 		writes, named := 0, false
 		w := weighty(t, 2140, 40, s, func(w *world) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -6,48 +6,48 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func newWeights(switches weights.Switches, caches *weights.Caches) *weights.Book {
-	return weights.NewBook(switches, weights.Limits{
-		Many:    tuning.WeightsMany,
-		Degree:  tuning.HandDegree,
-		Sources: tuning.HandSources,
-		Roots:   tuning.HandRoots,
-		Fetches: tuning.StoreFetches,
-		Bound:   tuning.StoreBound,
-		Spare:   tuning.StoreSpare,
-		Least:   tuning.StoreLeast,
-		Memory:  tuning.StoreMemory,
-		Stale:   tuning.WeightsStale,
-		Keep:    tuning.WeightsKeep,
+func newWeights(switches weights.Switches, caches *weights.CacheIndex) *weights.Planner {
+	return weights.NewPlanner(switches, weights.Limits{
+		MinMachines:      tuning.WeightsMany,
+		MaxServed:        tuning.HandDegree,
+		MaxSources:       tuning.HandSources,
+		MaxZoneRoots:     tuning.HandRoots,
+		MinMeasurements:  tuning.StoreFetches,
+		StoreBoundShare:  tuning.StoreBound,
+		StoreFetchFactor: tuning.StoreSpare,
+		MinFetchDuration: tuning.StoreLeast,
+		MeasurementTTL:   tuning.StoreMemory,
+		PlanTTL:          tuning.WeightsStale,
+		IdleFactor:       tuning.WeightsKeep,
 	}, caches)
 }
 
 // fetchMachine returns a machine as package weights describes it.
 func (c *Core) fetchMachine(m *machine) weights.Machine {
 	return weights.Machine{
-		Name:  m.name,
-		Zone:  m.zone,
-		Addr:  m.addr,
-		Shard: m.shard,
-		Rate:  c.machineTypes[m.machineType].FetchGBps,
+		Name:      m.name,
+		Zone:      m.zone,
+		Addr:      m.addr,
+		Shard:     m.shard,
+		FetchGBps: c.machineTypes[m.machineType].FetchGBps,
 	}
 }
 
 // updateImageUse records which images the tasks on a machine need, and whether each is there already,
 // according to the machine's newest report.
 func (c *Core) updateImageUse(m *machine) {
-	var uses []weights.Use
+	var uses []weights.ImageUse
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
 		if e := c.jobs[a.job]; e != nil && a.startSent && a.status != wire.TaskEnded {
-			uses = append(uses, weights.Use{
-				Image: e.record.Image,
-				GB:    e.record.ImageGB,
-				There: a.status == wire.TaskRunning || a.status == wire.TaskSaving,
+			uses = append(uses, weights.ImageUse{
+				Image:   e.record.Image,
+				GB:      e.record.ImageGB,
+				Present: a.status == wire.TaskRunning || a.status == wire.TaskSaving,
 			})
 		}
 	}
-	c.weights.Seen(c.now, c.fetchMachine(m), uses)
+	c.weights.UpdateMachine(c.now, c.fetchMachine(m), uses)
 }
 
 // runCommand returns the command that starts a reserved attempt, with the machines that its image is
@@ -55,7 +55,7 @@
 func (c *Core) runCommand(a *attempt) (wire.Command, bool) {
 	cmd, e, startNow := wire.Command{Verb: wire.VerbRun, Task: a.key.task, Attempt: a.key.number}, c.jobs[a.job], true
 	if !a.machine.images[e.record.Image] && e.record.Shape != wire.ShapeGang { // the tasks of a gang start together, so their fetches do not wait
-		cmd.Sources, startNow = c.weights.Fetch(c.now, c.fetchMachine(a.machine), e.record.Image, e.record.ImageGB, e.record.Tasks)
+		cmd.Sources, startNow = c.weights.PlanFetch(c.now, c.fetchMachine(a.machine), e.record.Image, e.record.ImageGB, e.record.Tasks)
 	}
 	return cmd, startNow
 }
@@ -76,7 +76,7 @@
 	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
 		return
 	}
-	if write, due := c.weights.Next(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
+	if write, due := c.weights.NextWrite(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
 		c.writingImages = true
 		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.writingImages = false
@@ -89,7 +89,7 @@
 func (c *Core) onAdminWeights(v AdminWeights) {
 	view := c.weights.View(c.now, c.params.Node, v.Image)
 	for _, m := range c.heldMachines() {
-		view.Cached(c.fetchMachine(m).Copy(), sortedKeys(m.images), v.Image)
+		view.Cached(c.fetchMachine(m).View(), sortedKeys(m.images), v.Image)
 	}
 	c.answer(v.Req, 200, view)
 }
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -15,75 +15,75 @@
 
 // Told is a want on its way to the other controllers: of a shard held under a token, the
 // Nth under it.
-type Told struct {
-	Shard int       `msgpack:"shard"`
-	Token uint64    `msgpack:"token"`
-	N     uint64    `msgpack:"n"`
-	Want  wire.Want `msgpack:"want"`
+type Announcement struct {
+	Shard  int       `msgpack:"shard"`
+	Token  uint64    `msgpack:"token"`
+	Number uint64    `msgpack:"n"`
+	Want   wire.Want `msgpack:"want"`
 }
 
 // Pace bounds how often wants are told.
 type Pace struct {
-	Again time.Duration // a standing want is told again after this
-	Write time.Duration // between writes of a shard's record, while messages get through
-	Keep  time.Duration // a message counts for so long
+	RepeatInterval time.Duration // a standing want is told again after this
+	WriteInterval  time.Duration // between writes of a shard's record, while messages get through
+	MaxAge         time.Duration // a message counts for so long
 }
 
 // Teller is the holder's side of one shard.
-type Teller struct {
-	pace  Pace
-	n     uint64
-	told  wire.Want
-	at    time.Duration // when it was last told
-	wrote time.Duration
-	ever  bool // told before
-	has   bool // written before
+type Publisher struct {
+	pace         Pace
+	number       uint64
+	published    wire.Want
+	publishedAt  time.Duration // when it was last told
+	writtenAt    time.Duration
+	hasPublished bool // told before
+	hasWritten   bool // written before
 }
 
 // NewTeller returns the teller of a shard that has been told of nothing.
-func NewTeller(p Pace) *Teller { return &Teller{pace: p} }
+func NewPublisher(pace Pace) *Publisher { return &Publisher{pace: pace} }
 
 // Next says whether a want is to be told by message, with which number, and whether it is
 // to be written: record is what stands in the state, heard whether messages reach those
 // who act on wants.
-func (t *Teller) Next(now time.Duration, want, record wire.Want, heard bool) (n uint64, tell, write bool) {
-	stands := Same(want, record)
-	if !t.ever || !Same(want, t.told) || now-t.at >= t.pace.Again && (!stands || len(want.Needs) > 0) {
-		t.n++
-		t.told, t.at, t.ever, tell = want, now, true, true
+func (p *Publisher) Next(now time.Duration, want, record wire.Want, delivered bool) (number uint64, publish, write bool) {
+	recorded := Equal(want, record)
+	if !p.hasPublished || !Equal(want, p.published) || now-p.publishedAt >= p.pace.RepeatInterval && (!recorded || len(want.Needs) > 0) {
+		p.number++
+		p.published, p.publishedAt, p.hasPublished, publish = want, now, true, true
 	}
-	if !stands && (!heard || !t.has || now-t.wrote >= t.pace.Write) {
-		t.wrote, t.has, write = now, true, true
+	if !recorded && (!delivered || !p.hasWritten || now-p.writtenAt >= p.pace.WriteInterval) {
+		p.writtenAt, p.hasWritten, write = now, true, true
 	}
-	return t.n, tell, write
+	return p.number, publish, write
 }
 
 // Board is what a controller has heard of the wants of others.
 type Board struct {
-	pace  Pace
-	heard map[int]post
+	pace     Pace
+	received map[int]receivedAnnouncement
 }
 
-type post struct {
-	Told
-	at time.Duration
+type receivedAnnouncement struct {
+	Announcement
+	receivedAt time.Duration
 }
 
 // NewBoard returns an empty board.
-func NewBoard(p Pace) *Board { return &Board{pace: p, heard: map[int]post{}} }
+func NewBoard(pace Pace) *Board { return &Board{pace: pace, received: map[int]receivedAnnouncement{}} }
 
 // Hear takes a message. An older one of the same holder changes nothing.
-func (b *Board) Hear(now time.Duration, t Told) {
-	if old, ok := b.heard[t.Shard]; ok && (t.Token < old.Token || t.Token == old.Token && t.N <= old.N) {
+func (b *Board) Receive(now time.Duration, announcement Announcement) {
+	if old, ok := b.received[announcement.Shard]; ok && (announcement.Token < old.Token || announcement.Token == old.Token && announcement.Number <= old.Number) {
 		return
 	}
-	b.heard[t.Shard] = post{t, now}
+	b.received[announcement.Shard] = receivedAnnouncement{announcement, now}
 }
 
 // Of is the want of a shard held under token that counts now: the last message of that
 // holder, unless it has gone silent, and otherwise the record.
-func (b *Board) Of(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
-	if p, ok := b.heard[shard]; ok && p.Token == token && now-p.at < b.pace.Keep {
+func (b *Board) Current(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
+	if p, ok := b.received[shard]; ok && p.Token == token && now-p.receivedAt < b.pace.MaxAge {
 		return p.Want
 	}
 	return record
@@ -91,17 +91,17 @@
 
 // Shorter leaves out the last need, and tells whether there was one: those beyond what a
 // record holds are asked for once the first are served.
-func Shorter(w *wire.Want) bool {
-	if len(w.Needs) == 0 {
+func DropLastNeed(want *wire.Want) bool {
+	if len(want.Needs) == 0 {
 		return false
 	}
-	w.Needs = w.Needs[:len(w.Needs)-1]
+	want.Needs = want.Needs[:len(want.Needs)-1]
 	return true
 }
 
 // Same tells whether two wants ask for the same. Which blocks were known matters only
 // while something is asked for.
-func Same(x, y wire.Want) bool {
+func Equal(x, y wire.Want) bool {
 	if len(x.Needs) != len(y.Needs) || len(x.Needs) > 0 && x.Seen != y.Seen {
 		return false
 	}
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -7,7 +7,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var pace = Pace{Again: time.Second, Write: 3 * time.Second, Keep: 3 * time.Second}
+var pace = Pace{RepeatInterval: time.Second, WriteInterval: 3 * time.Second, MaxAge: 3 * time.Second}
 
 func want(tasks int, seen uint64) wire.Want {
 	if tasks == 0 {
@@ -20,7 +20,7 @@
 // four times; where messages do not get through each change is written.
 func TestWritesFollowAtLeisure(t *testing.T) {
 	for _, heard := range []bool{true, false} {
-		tell, wrote := NewTeller(pace), 0
+		tell, wrote := NewPublisher(pace), 0
 		told, record := 0, wire.Want{}
 		for i := range 100 {
 			now := time.Duration(i) * 100 * time.Millisecond
@@ -41,7 +41,7 @@
 
 // The record ends as the last want, also if nothing changes any more; then nothing is told.
 func TestTheRecordCatchesUp(t *testing.T) {
-	tell, record := NewTeller(pace), wire.Want{}
+	tell, record := NewPublisher(pace), wire.Want{}
 	last, messages := time.Duration(0), 0
 	for i := range 200 {
 		now := time.Duration(i) * 100 * time.Millisecond
@@ -54,7 +54,7 @@
 			messages++
 		}
 	}
-	if !Same(record, want(0, 0)) || last > 4*time.Second || messages != 0 {
+	if !Equal(record, want(0, 0)) || last > 4*time.Second || messages != 0 {
 		t.Errorf("record %+v written last at %v, %d messages afterwards", record, last, messages)
 	}
 }
@@ -62,19 +62,19 @@
 // A message counts while its sender holds the shard and is heard; late ones do not.
 func TestWhichWantCounts(t *testing.T) {
 	b, record := NewBoard(pace), want(7, 1)
-	b.Hear(0, Told{Shard: 1, Token: 4, N: 2, Want: want(3, 1)})
-	b.Hear(time.Second, Told{Shard: 1, Token: 4, N: 1, Want: want(9, 1)}) // overtaken
+	b.Receive(0, Announcement{Shard: 1, Token: 4, Number: 2, Want: want(3, 1)})
+	b.Receive(time.Second, Announcement{Shard: 1, Token: 4, Number: 1, Want: want(9, 1)}) // overtaken
 	for _, x := range []struct {
 		now   time.Duration
 		token uint64
 		want  int
 	}{{time.Second, 4, 3}, {time.Second, 5, 7}, {3 * time.Second, 4, 7}} {
-		if w := b.Of(x.now, 1, x.token, record); w.Needs[0].Tasks != x.want {
+		if w := b.Current(x.now, 1, x.token, record); w.Needs[0].Tasks != x.want {
 			t.Errorf("at %v under %d: %d tasks, want %d", x.now, x.token, w.Needs[0].Tasks, x.want)
 		}
 	}
-	b.Hear(4*time.Second, Told{Shard: 1, Token: 3, N: 9, Want: want(1, 1)}) // an earlier holder
-	if w := b.Of(4*time.Second, 1, 3, record); w.Needs[0].Tasks != 7 {
+	b.Receive(4*time.Second, Announcement{Shard: 1, Token: 3, Number: 9, Want: want(1, 1)}) // an earlier holder
+	if w := b.Current(4*time.Second, 1, 3, record); w.Needs[0].Tasks != 7 {
 		t.Error("an earlier holder's message counts")
 	}
 }
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -20,7 +20,7 @@
 
 const (
 	// Waits: a predecessor, or one before it, is not over.
-	Waits Outcome = iota
+	Waiting Outcome = iota
 	// Ready: all predecessors are done.
 	Ready
 	// Cancelled: a job before it was cancelled.
@@ -30,46 +30,46 @@
 )
 
 // Verdict is an outcome and what it rests on.
-type Verdict struct {
-	Outcome Outcome
-	By      string   // Cancelled: the job whose cancellation it follows from
-	LookUp  []string // Unknown: jobs that are over, and whose ends are to be read
+type Evaluation struct {
+	Outcome     Outcome
+	CancelledBy string   // Cancelled: the job whose cancellation it follows from
+	MissingEnds []string // Unknown: jobs that are over, and whose ends are to be read
 }
 
 // Demand is what a job asks of those before it.
-type Demand struct {
-	Priority int     // as package wire ranks them
-	Rank     int     // of its rung
-	Due      float64 // seconds of the day's time by when it should be done; +Inf: nobody has said
-	Length   float64 // seconds from its last predecessor's end to its own, as expected
+type Requirement struct {
+	Priority        int     // as package wire ranks them
+	TierRank        int     // of its rung
+	Due             float64 // seconds of the day's time by when it should be done; +Inf: nobody has said
+	DurationSeconds float64 // seconds from its last predecessor's end to its own, as expected
 }
 
 // end is how a job that others name is known to be over.
-type end struct {
-	done bool
-	by   string // whose cancellation
+type jobEnd struct {
+	done        bool
+	cancelledBy string // whose cancellation
 }
 
 type job struct {
 	predecessors []string
-	own          Demand
+	own          Requirement
 }
 
 // Graph holds the jobs that wait, and the ends of those before them.
 type Graph struct {
 	waiting    map[string]*job
 	dependents map[string]map[string]bool // job -> jobs that wait for it directly
-	ends       map[string]end             // of jobs that some waiting one names
-	memo       map[string]Demand          // what each job inherits; emptied by every change
+	ends       map[string]jobEnd          // of jobs that some waiting one names
+	inherited  map[string]Requirement     // what each job inherits; emptied by every change
 }
 
 // New returns an empty graph.
 func New() *Graph {
-	return &Graph{waiting: map[string]*job{}, dependents: map[string]map[string]bool{}, ends: map[string]end{}, memo: map[string]Demand{}}
+	return &Graph{waiting: map[string]*job{}, dependents: map[string]map[string]bool{}, ends: map[string]jobEnd{}, inherited: map[string]Requirement{}}
 }
 
 // Put adds a job that waits, or replaces what is known of it.
-func (g *Graph) Put(id string, predecessors []string, own Demand) {
+func (g *Graph) Put(id string, predecessors []string, own Requirement) {
 	if old := g.waiting[id]; old == nil || !slices.Equal(old.predecessors, predecessors) {
 		g.Remove(id)
 		for _, p := range predecessors {
@@ -80,7 +80,7 @@
 		}
 	}
 	g.waiting[id] = &job{predecessors, own}
-	clear(g.memo)
+	clear(g.inherited)
 }
 
 // Remove takes out a job that waits no longer. Ends that nobody names any more are forgotten.
@@ -90,7 +90,7 @@
 		return
 	}
 	delete(g.waiting, id)
-	clear(g.memo)
+	clear(g.inherited)
 	for _, p := range j.predecessors {
 		delete(g.dependents[p], id)
 		if len(g.dependents[p]) == 0 {
@@ -102,18 +102,18 @@
 
 // End notes how a job is over: done, or cancelled by a user's word on the job by, which may be
 // itself. It counts only while a waiting job names it, and never changes.
-func (g *Graph) End(id string, done bool, by string) {
+func (g *Graph) RecordEnd(id string, done bool, by string) {
 	if _, known := g.ends[id]; known || g.dependents[id] == nil {
 		return
 	}
 	if by == "" {
 		by = id
 	}
-	g.ends[id] = end{done, by}
+	g.ends[id] = jobEnd{done, by}
 }
 
 // Awaits tells whether a job waits, and for which.
-func (g *Graph) Awaits(id string) (predecessors []string, waits bool) {
+func (g *Graph) Predecessors(id string) (predecessors []string, waits bool) {
 	if j := g.waiting[id]; j != nil {
 		return j.predecessors, true
 	}
@@ -121,7 +121,7 @@
 }
 
 // Own is what a job that waits asks of those before it, as it was put.
-func (g *Graph) Own(id string) Demand { return g.waiting[id].own }
+func (g *Graph) OwnRequirement(id string) Requirement { return g.waiting[id].own }
 
 // Dependents lists the jobs that wait for one directly, in order.
 func (g *Graph) Dependents(id string) []string {
@@ -145,7 +145,7 @@
 
 // Judge says how a job that waits stands. live tells whether a job is known to be accepted and
 // neither waiting nor over. A job before it that is neither live nor waiting is over.
-func (g *Graph) Judge(id string, live func(string) bool) Verdict {
+func (g *Graph) Evaluate(id string, live func(string) bool) Evaluation {
 	seen := map[string]bool{}
 	var lookUp []string
 	by, waits := "", false
@@ -155,7 +155,7 @@
 			e, over := g.ends[p]
 			switch _, more := g.waiting[p]; {
 			case over && !e.done:
-				by = e.by
+				by = e.cancelledBy
 				return false
 			case over || seen[p]:
 			case more:
@@ -174,20 +174,20 @@
 	}
 	switch {
 	case g.waiting[id] == nil:
-		return Verdict{Outcome: Ready}
+		return Evaluation{Outcome: Ready}
 	case !visit(id):
-		return Verdict{Outcome: Cancelled, By: by}
+		return Evaluation{Outcome: Cancelled, CancelledBy: by}
 	case len(lookUp) > 0:
-		return Verdict{Outcome: Unknown, LookUp: lookUp}
+		return Evaluation{Outcome: Unknown, MissingEnds: lookUp}
 	case waits:
-		return Verdict{Outcome: Waits}
+		return Evaluation{Outcome: Waiting}
 	}
-	return Verdict{Outcome: Ready}
+	return Evaluation{Outcome: Ready}
 }
 
 // Begins is in how many seconds a job that waits can begin at the soonest: when the last of those that
 // it names ends, which ends tells of one that is live. +Inf: one is cancelled, or waits itself.
-func (g *Graph) Begins(id string, ends func(string) float64) float64 {
+func (g *Graph) StartDelay(id string, ends func(string) float64) float64 {
 	in := 0.0
 	for _, p := range g.waiting[id].predecessors {
 		e, over := g.ends[p]
@@ -204,22 +204,24 @@
 
 // Left is how many seconds of a stage of which all tasks are on machines are left, the last of them
 // since so many seconds.
-func (s Stage) Left(since float64) float64 { return max(0, s.Run*s.slowest()-since) }
+func (s JobEstimate) RemainingSeconds(since float64) float64 {
+	return max(0, s.TaskSeconds*s.slowestTaskFactor()-since)
+}
 
 // Before lists a job's predecessors and all before them, as far as those still wait, nearest first.
-func (g *Graph) Before(id string) []string { return g.reach(id, g.predecessors) }
+func (g *Graph) Ancestors(id string) []string { return g.transitive(id, g.predecessorsOf) }
 
 // After lists all jobs that wait for a job, directly or through others, nearest first.
-func (g *Graph) After(id string) []string { return g.reach(id, g.Dependents) }
+func (g *Graph) Descendants(id string) []string { return g.transitive(id, g.Dependents) }
 
-func (g *Graph) predecessors(id string) []string {
+func (g *Graph) predecessorsOf(id string) []string {
 	if j := g.waiting[id]; j != nil {
 		return j.predecessors
 	}
 	return nil
 }
 
-func (g *Graph) reach(id string, next func(string) []string) []string {
+func (g *Graph) transitive(id string, next func(string) []string) []string {
 	seen, list := map[string]bool{id: true}, []string{id}
 	for i := 0; i < len(list); i++ {
 		for _, n := range next(list[i]) {
@@ -233,45 +235,47 @@
 }
 
 // nothing is what a job inherits that nobody waits for.
-var nothing = Demand{Priority: -1, Rank: -1, Due: math.Inf(1)}
+var noRequirement = Requirement{Priority: -1, TierRank: -1, Due: math.Inf(1)}
 
 // Inherited is what a job is asked for by those after it: the highest priority and rung of any of
 // them, and by when it has to be done so that each can be in time: the deadline of each less what
 // the longest way there takes. Length is that of the longest way to the last of them.
-func (g *Graph) Inherited(id string) Demand {
-	if d, known := g.memo[id]; known {
+func (g *Graph) Inherited(id string) Requirement {
+	if d, known := g.inherited[id]; known {
 		return d
 	}
-	g.memo[id] = nothing // a graph that is no graph ends here
-	d := nothing
+	g.inherited[id] = noRequirement // a graph that is no graph ends here
+	d := noRequirement
 	for _, n := range g.Dependents(id) {
 		own, after := g.waiting[n].own, g.Inherited(n)
 		d.Priority = max(d.Priority, own.Priority, after.Priority)
-		d.Rank = max(d.Rank, own.Rank, after.Rank)
-		d.Due = min(d.Due, min(own.Due, after.Due)-own.Length)
-		d.Length = max(d.Length, own.Length+after.Length)
+		d.TierRank = max(d.TierRank, own.TierRank, after.TierRank)
+		d.Due = min(d.Due, min(own.Due, after.Due)-own.DurationSeconds)
+		d.DurationSeconds = max(d.DurationSeconds, own.DurationSeconds+after.DurationSeconds)
 	}
-	g.memo[id] = d
+	g.inherited[id] = d
 	return d
 }
 
 // Slack is how many seconds a job that takes so long from now on has to spare before those after
 // it are late; +Inf: none of them has to be done by any time.
-func (d Demand) Slack(now, length float64) float64 { return d.Due - length - now }
+func (d Requirement) Slack(now, length float64) float64 { return d.Due - length - now }
 
 // Stage is what the expected length of a job hangs on.
-type Stage struct {
-	Tasks  int
-	Run    float64 // seconds of a typical task
-	Spread float64 // of the logarithm of that, among the tasks of a job
-	Fetch  float64 // seconds of its image
-	Begin  float64 // seconds until its tasks have their machines
+type JobEstimate struct {
+	Tasks             int
+	TaskSeconds       float64 // seconds of a typical task
+	LogSpread         float64 // of the logarithm of that, among the tasks of a job
+	FetchSeconds      float64 // seconds of its image
+	StartDelaySeconds float64 // seconds until its tasks have their machines
 }
 
 // Length is how many seconds a job takes from when it could run to its end, if all of its tasks
 // find room at once: the slowest of many tasks takes longer than a typical one.
-func Length(s Stage) float64 { return s.Begin + s.Fetch + s.Run*s.slowest() }
+func ExpectedSeconds(s JobEstimate) float64 {
+	return s.StartDelaySeconds + s.FetchSeconds + s.TaskSeconds*s.slowestTaskFactor()
+}
 
-func (s Stage) slowest() float64 {
-	return math.Exp(s.Spread * math.Sqrt(2*math.Log(float64(max(1, s.Tasks)))))
+func (s JobEstimate) slowestTaskFactor() float64 {
+	return math.Exp(s.LogSpread * math.Sqrt(2*math.Log(float64(max(1, s.Tasks)))))
 }
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -29,7 +29,7 @@
 			state[i] = rapid.SampledFrom([]string{"live", "done", "aborted"}).Draw(t, "state")
 			if len(preds[i]) > 0 && rapid.IntRange(0, 3).Draw(t, "waits") > 0 {
 				state[i] = "waiting"
-				g.Put(name(i), preds[i], Demand{Due: math.Inf(1)})
+				g.Put(name(i), preds[i], Requirement{Due: math.Inf(1)})
 			}
 		}
 		at := func(id string) int { var i int; _, _ = fmt.Sscanf(id, "job-%03d", &i); return i }
@@ -44,7 +44,7 @@
 			if state[i] != "waiting" {
 				continue
 			}
-			want := Waits
+			want := Waiting
 			switch {
 			case cancelled(i):
 				want = Cancelled
@@ -52,24 +52,24 @@
 				want = Ready
 			}
 			for range n + 1 {
-				v := g.Judge(name(i), func(id string) bool { return state[at(id)] == "live" })
+				v := g.Evaluate(name(i), func(id string) bool { return state[at(id)] == "live" })
 				if v.Outcome == Unknown {
-					if len(v.LookUp) == 0 {
+					if len(v.MissingEnds) == 0 {
 						t.Fatal("asks for nothing")
 					}
-					for _, p := range v.LookUp {
+					for _, p := range v.MissingEnds {
 						if s := state[at(p)]; s == "live" || s == "waiting" {
 							t.Fatalf("asks for the end of %s, which is %s", p, s)
 						}
-						g.End(p, state[at(p)] == "done", "")
+						g.RecordEnd(p, state[at(p)] == "done", "")
 					}
 					continue
 				}
 				if v.Outcome != want {
 					t.Fatalf("%s: %v, want %v", name(i), v.Outcome, want)
 				}
-				if v.Outcome == Cancelled && state[at(v.By)] != "aborted" {
-					t.Fatalf("%s: by %s, which is %s", name(i), v.By, state[at(v.By)])
+				if v.Outcome == Cancelled && state[at(v.CancelledBy)] != "aborted" {
+					t.Fatalf("%s: by %s, which is %s", name(i), v.CancelledBy, state[at(v.CancelledBy)])
 				}
 				want = -1
 				break
@@ -84,24 +84,24 @@
 // The last job alone has a deadline and a priority; a diamond, and a way of thirty.
 func TestThoseBeforeInherit(t *testing.T) {
 	g := New()
-	none := Demand{Priority: 0, Rank: 1, Due: math.Inf(1)}
-	with := func(length float64) Demand { d := none; d.Length = length; return d }
+	none := Requirement{Priority: 0, TierRank: 1, Due: math.Inf(1)}
+	with := func(length float64) Requirement { d := none; d.DurationSeconds = length; return d }
 	g.Put("b", []string{"a"}, with(10))
 	g.Put("c", []string{"a"}, with(30))
-	last := Demand{Priority: 2, Rank: 3, Due: 1000, Length: 5}
+	last := Requirement{Priority: 2, TierRank: 3, Due: 1000, DurationSeconds: 5}
 	g.Put("d", []string{"b", "c"}, last)
 	for id, due := range map[string]float64{"d": math.Inf(1), "c": 995, "b": 995, "a": 965} {
-		if d := g.Inherited(id); d.Due != due || id != "d" && (d.Priority != 2 || d.Rank != 3) {
+		if d := g.Inherited(id); d.Due != due || id != "d" && (d.Priority != 2 || d.TierRank != 3) {
 			t.Errorf("%s inherits %+v, want due %v", id, d, due)
 		}
 	}
-	if d := g.Inherited("a"); d.Length != 35 {
-		t.Errorf("the longest way after a takes %v, want 35", d.Length)
+	if d := g.Inherited("a"); d.DurationSeconds != 35 {
+		t.Errorf("the longest way after a takes %v, want 35", d.DurationSeconds)
 	}
-	if got := g.After("a"); !slices.Equal(got, []string{"b", "c", "d"}) {
+	if got := g.Descendants("a"); !slices.Equal(got, []string{"b", "c", "d"}) {
 		t.Errorf("after a: %v", got)
 	}
-	if got := g.Before("d"); !slices.Equal(got, []string{"b", "c", "a"}) {
+	if got := g.Ancestors("d"); !slices.Equal(got, []string{"b", "c", "a"}) {
 		t.Errorf("before d: %v", got)
 	}
 	g.Remove("d")
@@ -113,7 +113,7 @@
 		way.Put(name(i), []string{name(i - 1)}, with(2))
 	}
 	way.Put(name(30), []string{name(29)}, last)
-	if d := way.Inherited(name(0)); d.Due != 1000-5-29*2 || d.Rank != 3 {
+	if d := way.Inherited(name(0)); d.Due != 1000-5-29*2 || d.TierRank != 3 {
 		t.Errorf("the first of thirty inherits %+v", d)
 	}
 	// Two layers of each width: as many ways as 2 to the 20th, each looked at once.
@@ -123,10 +123,10 @@
 		wide.Put(fmt.Sprintf("%da", i), p, with(1))
 		wide.Put(fmt.Sprintf("%db", i), p, with(1))
 	}
-	if d := wide.Inherited("0a"); d.Length != 20 {
-		t.Errorf("the longest way takes %v, want 20", d.Length)
+	if d := wide.Inherited("0a"); d.DurationSeconds != 20 {
+		t.Errorf("the longest way takes %v, want 20", d.DurationSeconds)
 	}
-	if v := wide.Judge("20a", func(string) bool { return true }); v.Outcome != Waits {
+	if v := wide.Evaluate("20a", func(string) bool { return true }); v.Outcome != Waiting {
 		t.Errorf("judged %v", v)
 	}
 }
@@ -134,15 +134,15 @@
 // Ends that nobody waits for are forgotten, and one that is known never changes.
 func TestEndsAreFinal(t *testing.T) {
 	g := New()
-	g.End("a", true, "")
-	g.Put("b", []string{"a", "x"}, Demand{})
+	g.RecordEnd("a", true, "")
+	g.Put("b", []string{"a", "x"}, Requirement{})
 	live := func(id string) bool { return id == "x" }
-	if v := g.Judge("b", live); v.Outcome != Unknown || !slices.Equal(v.LookUp, []string{"a"}) {
+	if v := g.Evaluate("b", live); v.Outcome != Unknown || !slices.Equal(v.MissingEnds, []string{"a"}) {
 		t.Fatalf("an end told before anybody waits: %+v", v)
 	}
-	g.End("a", false, "root")
-	g.End("a", true, "")
-	if v := g.Judge("b", live); v.Outcome != Cancelled || v.By != "root" {
+	g.RecordEnd("a", false, "root")
+	g.RecordEnd("a", true, "")
+	if v := g.Evaluate("b", live); v.Outcome != Cancelled || v.CancelledBy != "root" {
 		t.Fatalf("judged %+v", v)
 	}
 	g.Remove("b")
@@ -155,26 +155,26 @@
 // one is cancelled.
 func TestBegins(t *testing.T) {
 	g := New()
-	g.Put("c", []string{"a", "b"}, Demand{})
-	g.Put("d", []string{"c"}, Demand{})
+	g.Put("c", []string{"a", "b"}, Requirement{})
+	g.Put("d", []string{"c"}, Requirement{})
 	left := map[string]float64{"a": 7, "b": 3}
 	ends := func(id string) float64 { return left[id] }
-	if got := g.Begins("c", ends); got != 7 {
+	if got := g.StartDelay("c", ends); got != 7 {
 		t.Errorf("c begins in %v s, want 7", got)
 	}
-	if got := g.Begins("d", ends); !math.IsInf(got, 1) {
+	if got := g.StartDelay("d", ends); !math.IsInf(got, 1) {
 		t.Errorf("d awaits one that waits, and begins in %v s", got)
 	}
-	g.End("a", true, "")
-	if got := g.Begins("c", ends); got != 3 {
+	g.RecordEnd("a", true, "")
+	if got := g.StartDelay("c", ends); got != 3 {
 		t.Errorf("c begins in %v s, want 3", got)
 	}
-	g.End("b", false, "b")
-	if got := g.Begins("c", ends); !math.IsInf(got, 1) {
+	g.RecordEnd("b", false, "b")
+	if got := g.StartDelay("c", ends); !math.IsInf(got, 1) {
 		t.Errorf("c is cancelled, and begins in %v s", got)
 	}
-	s := Stage{Tasks: 1, Run: 20}
-	if a, b := s.Left(5), s.Left(50); a != 15 || b != 0 {
+	s := JobEstimate{Tasks: 1, TaskSeconds: 20}
+	if a, b := s.RemainingSeconds(5), s.RemainingSeconds(50); a != 15 || b != 0 {
 		t.Errorf("%v and %v s are left of 20 after 5 and 50", a, b)
 	}
 }
--- a/internal/dependency/view.go
+++ b/internal/dependency/view.go
@@ -8,33 +8,33 @@
 )
 
 // Seen is a job of a chain as one controller sees it. Of one that is over the record may be gone.
-type Seen struct {
-	Job       *wire.Job // nil: it is over
-	Waits     bool      // for others
-	Status    wire.JobStatus
-	By        string  // whose cancellation ended it
-	Length    float64 // seconds from when it can run to its end, as expected
-	Due       float64 // its own, seconds of the day's time; +Inf: none
-	Inherited Demand
+type JobState struct {
+	Job             *wire.Job // nil: it is over
+	Waiting         bool      // for others
+	Status          wire.JobStatus
+	CancelledBy     string  // whose cancellation ended it
+	DurationSeconds float64 // seconds from when it can run to its end, as expected
+	Due             float64 // its own, seconds of the day's time; +Inf: none
+	Inherited       Requirement
 }
 
 // times are when a job is expected to run, in seconds of the day's time.
-type times struct{ start, end float64 }
+type expectedTimes struct{ start, end float64 }
 
 // View draws the chain of a job: each job after those that it awaits, with when it is expected to
 // run, by when it has to be done, and which of them the end of the chain hangs on. now is in
 // seconds of the day's time.
-func View(node, id string, now float64, seen map[string]Seen) wire.Chain {
+func View(node, id string, now float64, seen map[string]JobState) wire.Chain {
 	v := wire.Chain{Job: id, Node: node}
-	when, before := map[string]times{}, map[string]string{} // before: the predecessor that ends last
+	when, before := map[string]expectedTimes{}, map[string]string{} // before: the predecessor that ends last
 	var add func(id string)
 	add = func(id string) {
 		if _, done := when[id]; done {
 			return
 		}
-		when[id] = times{now, now}
+		when[id] = expectedTimes{now, now}
 		x := seen[id]
-		t := times{start: now, end: now}
+		t := expectedTimes{start: now, end: now}
 		if x.Job != nil {
 			last := math.Inf(-1)
 			for _, p := range x.Job.Predecessors {
@@ -43,10 +43,10 @@
 				}
 			}
 			t.start = max(float64(x.Job.ReadySince())/1000, last)
-			t.end = max(now, t.start+x.Length)
+			t.end = max(now, t.start+x.DurationSeconds)
 		}
 		when[id] = t
-		v.Jobs = append(v.Jobs, row(id, x, t))
+		v.Jobs = append(v.Jobs, chainJob(id, x, t))
 	}
 	ids := make([]string, 0, len(seen))
 	for id := range seen {
@@ -70,8 +70,8 @@
 }
 
 // row tells of one job.
-func row(id string, x Seen, t times) wire.ChainJob {
-	r := wire.ChainJob{ID: id, Status: x.Status.Status, CancelledBy: x.By}
+func chainJob(id string, x JobState, t expectedTimes) wire.ChainJob {
+	r := wire.ChainJob{ID: id, Status: x.Status.Status, CancelledBy: x.CancelledBy}
 	if x.Status.Done != nil && x.Status.Running != nil {
 		r.Done, r.Running = *x.Status.Done, *x.Status.Running
 	}
@@ -89,7 +89,7 @@
 	if x.Inherited.Priority > wire.PriorityRank(j.Priority) {
 		r.InheritedPriority = wire.PriorityName(x.Inherited.Priority)
 	}
-	if x.Waits {
+	if x.Waiting {
 		r.WaitingSinceMS, r.ExpectedStartMS = j.AcceptedMS, ms(t.start)
 	}
 	if x.Status.Status == wire.JobAborted || j.Shape == wire.ShapeService {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -36,7 +36,7 @@
 		WorkerLease: seconds(cfg.Params.Workers.LeaseS), CancelTimeout: seconds(cfg.Params.Workers.CancelS),
 		ReportInterval: seconds(cfg.Params.Workers.ReportS), CloudListLag: seconds(cfg.Params.Cloud.ListLagS),
 		MaxTxnOps: state.TxnOps, MaxValueBytes: int(state.ValueKB * 1024),
-		Version: Version(), Features: rollout.Features(), Weights: weights.Switches{HandOn: cfg.Switches.Weights.HandOn, Pace: cfg.Switches.Weights.Pace},
+		Version: Version(), Features: rollout.Features(), Weights: weights.Switches{PeerTransfer: cfg.Switches.Weights.HandOn, PaceFetches: cfg.Switches.Weights.Pace},
 	}
 	for _, n := range cfg.Peers {
 		p.NodeZones[n.Node] = n.Zone
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -200,7 +200,7 @@
 // putCrews fills the calendar.
 func (r *rehearsal) putCrews(ctx context.Context) {
 	for _, c := range r.sc.Crews {
-		k := wire.Crew{Team: c.Team, Classes: c.Classes, TimeZone: "UTC", Leaves: time.Now().Add(seconds(c.LeavesS)).UTC().Format(calendar.Second),
+		k := wire.Crew{Team: c.Team, Classes: c.Classes, TimeZone: "UTC", Leaves: time.Now().Add(seconds(c.LeavesS)).UTC().Format(calendar.SecondLayout),
 			Expect: wire.CrewWork{Tasks: c.Tasks, Seconds: c.RunS, CPUs: c.CPUs}}
 		_, _, err := cborhttp.RoundTrip(ctx, r.http, http.MethodPut, fmt.Sprintf("http://%s/admin/v1/crews/%s", r.site.Direct(r.site.Names()[0]), c.Name), wire.CrewPatch{Crew: k})
 		if err != nil {
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -27,37 +27,37 @@
 }
 
 // Book is a copy of all slots of all shards.
-type Book struct {
+type Log struct {
 	limits Limits
-	slots  map[string]*slot // by key
-	latest map[string]where // entry -> its newest place
+	slots  map[string]*slot    // by key
+	latest map[string]location // entry -> its newest place
 }
 
 type slot struct {
 	shard, number int
-	ver           uint64
+	version       uint64
 	entries       map[string]wire.Start
 }
 
-type where struct {
+type location struct {
 	key   string
 	start wire.Start
 }
 
 // New returns an empty book.
-func New(l Limits) *Book {
-	return &Book{limits: l, slots: map[string]*slot{}, latest: map[string]where{}}
+func New(limits Limits) *Log {
+	return &Log{limits: limits, slots: map[string]*slot{}, latest: map[string]location{}}
 }
 
 // KeepTo has records that are planned from now on keep to other limits.
-func (b *Book) KeepTo(l Limits) { b.limits = l }
+func (l *Log) SetLimits(limits Limits) { l.limits = limits }
 
 // Key is where a slot stands in the state service.
 func Key(shard, number int) string {
 	return fmt.Sprintf("%s%d.%d", wire.PrefixStart, shard, number)
 }
 
-func parse(key string) (shard, number int, err error) {
+func parseKey(key string) (shard, number int, err error) {
 	a, b, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixStart), ".")
 	shard, err = strconv.Atoi(a)
 	if err == nil {
@@ -70,23 +70,23 @@
 }
 
 // Put takes a slot's new record, and returns the names whose entry has changed, in order.
-func (b *Book) Put(key string, ver uint64, r wire.Starts) ([]string, error) {
-	shard, number, err := parse(key)
+func (l *Log) Put(key string, ver uint64, r wire.Starts) ([]string, error) {
+	shard, number, err := parseKey(key)
 	if err != nil {
 		return nil, err
 	}
-	if old := b.slots[key]; old != nil { // what its holder has left out counts for nobody
+	if old := l.slots[key]; old != nil { // what its holder has left out counts for nobody
 		for name := range old.entries {
-			if _, kept := r.Entries[name]; !kept && b.latest[name].key == key {
-				delete(b.latest, name)
+			if _, kept := r.Entries[name]; !kept && l.latest[name].key == key {
+				delete(l.latest, name)
 			}
 		}
 	}
-	b.slots[key] = &slot{shard, number, ver, r.Entries}
+	l.slots[key] = &slot{shard, number, ver, r.Entries}
 	var changed []string
 	for name, s := range r.Entries {
-		if old, ok := b.latest[name]; !ok || s.N > old.start.N || old.key == key {
-			b.latest[name] = where{key, s}
+		if old, ok := l.latest[name]; !ok || s.N > old.start.N || old.key == key {
+			l.latest[name] = location{key, s}
 			if !ok || s.N != old.start.N {
 				changed = append(changed, name)
 			}
@@ -97,8 +97,8 @@
 }
 
 // Of is the newest entry of a name.
-func (b *Book) Of(name string) (wire.Start, bool) {
-	w, ok := b.latest[name]
+func (l *Log) Latest(name string) (wire.Start, bool) {
+	w, ok := l.latest[name]
 	return w.start, ok
 }
 
@@ -111,33 +111,33 @@
 // Write is one slot's record with new entries in it, to be put if the slot still has the
 // version Ver.
 type Write struct {
-	Key    string
-	Ver    uint64
-	Record wire.Starts
-	Taken  int // of the entries, from the first
+	Key      string
+	Version  uint64
+	Record   wire.Starts
+	Included int // of the entries, from the first
 }
 
 // Plan finds the slot of a shard for new entries, the emptiest, and its record with as
 // many of them as it holds, at least one. Entries of names that are no longer live, and
 // those superseded, are left out. Numbers of entries rise by one with each write of a name.
-func (b *Book) Plan(shard int, entries []Entry, live func(name string) bool) Write {
+func (l *Log) Plan(shard int, entries []Entry, live func(name string) bool) Write {
 	var best *slot
 	var kept map[string]wire.Start
 	next, size := 0, 0
-	for _, s := range b.slots {
+	for _, s := range l.slots {
 		if s.shard != shard {
 			continue
 		}
 		next = max(next, s.number+1)
-		k, n := b.keep(s, live), 0
+		k, n := l.liveEntries(s, live), 0
 		for name, x := range k {
-			n += sizeOf(name, x)
+			n += maxEntrySize(name, x)
 		}
 		// Full by its bytes as well: a first entry that made the value too large would be
 		// refused, and tried again, for ever. One that a controller with larger limits has
 		// filled is left as it is until enough in it has ended: what is new of its jobs goes
 		// to other slots, where it counts by its number.
-		if len(k)*4 > b.limits.Entries*3 || n*4 > b.limits.Bytes*3 || n+sizeOf(entries[0].Name, entries[0].Start) > b.limits.Bytes {
+		if len(k)*4 > l.limits.Entries*3 || n*4 > l.limits.Bytes*3 || n+maxEntrySize(entries[0].Name, entries[0].Start) > l.limits.Bytes {
 			continue
 		}
 		if best == nil || n < size || n == size && s.number < best.number {
@@ -147,35 +147,35 @@
 	if best == nil {
 		best, kept, size = &slot{shard: shard, number: next}, map[string]wire.Start{}, 0
 	}
-	w := Write{Key: Key(shard, best.number), Ver: best.ver, Record: wire.Starts{Entries: kept}}
+	w := Write{Key: Key(shard, best.number), Version: best.version, Record: wire.Starts{Entries: kept}}
 	for _, e := range entries {
 		_, again := kept[e.Name]
-		size += sizeOf(e.Name, e.Start)
-		if w.Taken > 0 && (size > b.limits.Bytes || len(kept) >= b.limits.Entries && !again) {
+		size += maxEntrySize(e.Name, e.Start)
+		if w.Included > 0 && (size > l.limits.Bytes || len(kept) >= l.limits.Entries && !again) {
 			break
 		}
 		s := e.Start
-		s.N = b.highest(e.Name) + 1
+		s.N = l.highestNumber(e.Name) + 1
 		kept[e.Name] = s
-		w.Taken++
+		w.Included++
 	}
 	return w
 }
 
 // highest is the largest number of a name's entries, in whichever slot.
-func (b *Book) highest(name string) (n uint64) {
-	for _, s := range b.slots {
+func (l *Log) highestNumber(name string) (n uint64) {
+	for _, s := range l.slots {
 		n = max(n, s.entries[name].N)
 	}
 	return n
 }
 
 // keep is what of a slot still counts.
-func (b *Book) keep(s *slot, live func(string) bool) map[string]wire.Start {
+func (l *Log) liveEntries(s *slot, live func(string) bool) map[string]wire.Start {
 	kept := make(map[string]wire.Start, len(s.entries)+8)
 	key := Key(s.shard, s.number)
 	for name, x := range s.entries {
-		if b.latest[name].key == key && live(name) {
+		if l.latest[name].key == key && live(name) {
 			kept[name] = x
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // sizeOf bounds an entry in JSON form.
-func sizeOf(name string, s wire.Start) int {
+func maxEntrySize(name string, s wire.Start) int {
 	n := len(name) + 48
 	for _, m := range s.On {
 		n += len(m) + 3
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -42,8 +42,8 @@
 				}
 			}
 			w := b.Plan(1, entries, live)
-			if w.Taken == 0 || len(w.Record.Entries) > limits.Entries {
-				t.Fatalf("took %d, record of %d", w.Taken, len(w.Record.Entries))
+			if w.Included == 0 || len(w.Record.Entries) > limits.Entries {
+				t.Fatalf("took %d, record of %d", w.Included, len(w.Record.Entries))
 			}
 			if raw, err := wire.Marshal(w.Record); err != nil || !wire.FitsIn(raw, limits.Bytes) {
 				t.Fatalf("record of %d entries is over %d bytes (%v)", len(w.Record.Entries), limits.Bytes, err)
@@ -51,7 +51,7 @@
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
 				continue // not written
 			}
-			for _, e := range entries[:w.Taken] {
+			for _, e := range entries[:w.Included] {
 				last[e.Name] = e.Start
 			}
 			stored[w.Key] = w.Record
@@ -66,7 +66,7 @@
 			}
 		}
 		for name, want := range last {
-			if got, _ := fresh.Of(name); want.Started > 0 && got.Started != want.Started {
+			if got, _ := fresh.Latest(name); want.Started > 0 && got.Started != want.Started {
 				t.Fatalf("%s: started %d, written %d", name, got.Started, want.Started)
 			}
 		}
@@ -101,7 +101,7 @@
 		if _, err := b.Put(w.Key, uint64(k+2), w.Record); err != nil {
 			t.Fatal(err)
 		}
-		if s, _ := b.Of(name(k)); s.Started != 2 || s.N != 8 {
+		if s, _ := b.Latest(name(k)); s.Started != 2 || s.N != 8 {
 			t.Fatalf("start %d: %+v counts", k, s)
 		}
 	}
@@ -112,7 +112,7 @@
 		}
 	}
 	for k := range jobs {
-		if s, _ := again.Of(name(k)); s.Started != 2 {
+		if s, _ := again.Latest(name(k)); s.Started != 2 {
 			t.Fatalf("%s is read as %+v", name(k), s)
 		}
 	}
--- a/internal/step/peer.go
+++ b/internal/step/peer.go
@@ -43,7 +43,7 @@
 	// Addrs are where workers listen that have lately come up, with a ping.
 	Addrs []WorkerAddr `msgpack:"addrs,omitempty"`
 	// Wants are of shards that the sender holds.
-	Wants []demand.Told `msgpack:"wants,omitempty"`
+	Wants []demand.Announcement `msgpack:"wants,omitempty"`
 }
 
 // WorkerAddr is where a machine's worker listens, as it said in a session.
--- a/internal/weights/cache.go
+++ b/internal/weights/cache.go
@@ -24,7 +24,7 @@
 	var rec *wire.Cache
 	index, left := map[string]int{}, 0
 	for _, m := range machines {
-		if rec != nil && left < cost(m, index) {
+		if rec != nil && left < maxMachineBytes(m, index) {
 			rec = nil
 		}
 		if rec == nil {
@@ -32,7 +32,7 @@
 			rec, left = &out[len(out)-1], bytes-64
 			clear(index)
 		}
-		c := cost(m, index)
+		c := maxMachineBytes(m, index)
 		if c > left {
 			continue // more images than a record holds: learned again from its tasks
 		}
@@ -56,7 +56,7 @@
 }
 
 // cost is the most that a machine adds to a record, in bytes.
-func cost(m MachineImages, index map[string]int) int {
+func maxMachineBytes(m MachineImages, index map[string]int) int {
 	n, images := len(m.Machine)+6, len(index)
 	for _, image := range m.Images {
 		if _, known := index[image]; !known {
@@ -69,60 +69,60 @@
 
 // Caches is which images machines have, by what holders write of it now and then: with a holder's memory it
 // was lost, and for minutes after a takeover services waited for images that other machines had.
-type Caches struct {
-	every time.Duration
-	read  map[string][]string   // machine -> images, as its holder last wrote
-	due   map[int]bool          // held shards of which there is more to write
-	part  map[int]int           // which record of a shard is to be written next
-	named map[int]int           // and which Next named last
-	next  map[int]time.Duration // and when
+type CacheIndex struct {
+	interval  time.Duration
+	images    map[string][]string   // machine -> images, as its holder last wrote
+	dirty     map[int]bool          // held shards of which there is more to write
+	nextPart  map[int]int           // which record of a shard is to be written next
+	lastPart  map[int]int           // and which Next named last
+	nextWrite map[int]time.Duration // and when
 }
 
 // NewCaches returns what is known before anything is; a shard's records are written anew after every at the
 // soonest.
-func NewCaches(every time.Duration) *Caches {
-	return &Caches{every: every, read: map[string][]string{}, due: map[int]bool{}, part: map[int]int{}, named: map[int]int{}, next: map[int]time.Duration{}}
+func NewCacheIndex(every time.Duration) *CacheIndex {
+	return &CacheIndex{interval: every, images: map[string][]string{}, dirty: map[int]bool{}, nextPart: map[int]int{}, lastPart: map[int]int{}, nextWrite: map[int]time.Duration{}}
 }
 
 // Read takes what a record says of a machine, Of is that, Gone forgets it.
-func (c *Caches) Read(machine string, images []string) { c.read[machine] = images }
-func (c *Caches) Of(machine string) []string           { return c.read[machine] }
-func (c *Caches) Gone(machine string)                  { delete(c.read, machine) }
+func (c *CacheIndex) Load(machine string, images []string) { c.images[machine] = images }
+func (c *CacheIndex) Images(machine string) []string       { return c.images[machine] }
+func (c *CacheIndex) Remove(machine string)                { delete(c.images, machine) }
 
 // Len counts the machines of which something has been read.
-func (c *Caches) Len() int { return len(c.read) }
+func (c *CacheIndex) Len() int { return len(c.images) }
 
 // Learned notes that a machine of a shard has an image that no record tells of.
-func (c *Caches) Learned(shard int) { c.due[shard] = true }
+func (c *CacheIndex) MarkDirty(shard int) { c.dirty[shard] = true }
 
 // Next is the record to write now, and its key: one at a time, in turn; the duty is done when the last is
 // written. mine tells whether a shard is held, of what its machines have.
-func (c *Caches) Next(now time.Duration, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (shard int, key string, rec *wire.Cache) {
-	for _, i := range slices.Sorted(maps.Keys(c.due)) {
+func (c *CacheIndex) NextWrite(now time.Duration, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (shard int, key string, rec *wire.Cache) {
+	for _, i := range slices.Sorted(maps.Keys(c.dirty)) {
 		if !mine(i) {
-			delete(c.due, i)
+			delete(c.dirty, i)
 			continue
 		}
-		if now < c.next[i] {
+		if now < c.nextWrite[i] {
 			continue
 		}
-		c.next[i] = now + c.every
+		c.nextWrite[i] = now + c.interval
 		parts := PackImages(of(i), bytes)
 		if len(parts) == 0 {
-			delete(c.due, i)
+			delete(c.dirty, i)
 			continue
 		}
-		k := c.part[i] % len(parts)
+		k := c.nextPart[i] % len(parts)
 		key = wire.PrefixCache + strconv.Itoa(i)
 		if k > 0 {
 			key += "." + strconv.Itoa(k)
 		}
-		c.part[i], c.named[i] = k+1, k
+		c.nextPart[i], c.lastPart[i] = k+1, k
 		if k+1 < len(parts) {
-			c.next[i] = now + c.every/time.Duration(len(parts))
+			c.nextWrite[i] = now + c.interval/time.Duration(len(parts))
 		} else {
-			c.part[i] = 0
-			delete(c.due, i)
+			c.nextPart[i] = 0
+			delete(c.dirty, i)
 		}
 		return i, key, &parts[k]
 	}
@@ -130,4 +130,6 @@
 }
 
 // Failed notes that the record that Next named last for a shard was not written.
-func (c *Caches) Failed(shard int) { c.due[shard], c.part[shard] = true, c.named[shard] }
+func (c *CacheIndex) WriteFailed(shard int) {
+	c.dirty[shard], c.nextPart[shard] = true, c.lastPart[shard]
+}
