--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -28,7 +28,7 @@
 }
 
 // A crew leaves at its place's hour, over changes of clocks too.
-func TestNext(t *testing.T) {
+func TestNextDeparture(t *testing.T) {
 	for _, c := range []struct{ leaves, zone, rule, after, want string }{
 		{"2026-12-03T06:30", "Europe/Copenhagen", "", "2026-12-02T00:00:00Z", "2026-12-03T05:30:00Z"},
 		{"2026-12-03T06:30", "Europe/Copenhagen", "", "2026-12-03T05:30:00Z", ""},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	is := func(want string) func(string) bool { return func(s string) bool { return s == want } }
 	for want, change := range map[string]func(*wire.Crew){
 		"":                            func(*wire.Crew) {},
@@ -77,7 +77,7 @@
 
 // The next departure is one after the last change by operators and the last outcome, however
 // many there were before.
-func TestSince(t *testing.T) {
+func TestDeparturesCountFrom(t *testing.T) {
 	k := crew(func(k *wire.Crew) { k.Rule = "FREQ=DAILY" })
 	for _, c := range []struct{ changed, past, want string }{
 		{"2026-12-03T05:00:00Z", "", "2026-12-03T05:30:00Z"},
@@ -96,7 +96,7 @@
 }
 
 // What is planned, and what is said at once of what cannot be done in time.
-func TestPlan(t *testing.T) {
+func TestPlanDeparture(t *testing.T) {
 	now, leaves := at("2026-12-03T05:00:00Z"), at("2026-12-03T05:10:00Z")
 	jobs := func(n, tasks int, s time.Duration) (out []Job) {
 		for i := range n {
@@ -154,7 +154,7 @@
 
 // Machines are rented ahead so that expected work is done in time, boots included, within
 // the team's limit; what has been accepted is not expected twice.
-func TestAhead(t *testing.T) {
+func TestMachinesAhead(t *testing.T) {
 	leaves := at("2026-12-03T05:30:00Z")
 	k := crew(func(k *wire.Crew) { k.Expect = wire.CrewWork{Tasks: 40, Seconds: 30, CPUs: 1} })
 	for _, c := range []struct {
--- a/internal/calendar/departure_test.go
+++ b/internal/calendar/departure_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestBookInParts(t *testing.T) {
+func TestBookingsAreSplit(t *testing.T) {
 	c := crew(func(c *wire.Crew) { c.Booked = nil })
 	AddBookings(c, 9, wire.CrewBooking{LeavesMS: 5, Count: 70}, 32)
 	n, names := 0, map[string]bool{}
--- a/internal/calendar/hours.go
+++ b/internal/calendar/hours.go
@@ -29,13 +29,13 @@
 // first is a crew's first departure. An hour that a change of clocks leaves out is taken an
 // hour later, one that comes twice is, in a recurrence, the second of the two.
 func firstDeparture(c *wire.Crew) (time.Time, error) {
-	at, err := time.LoadLocation(c.TimeZone)
+	location, err := time.LoadLocation(c.TimeZone)
 	if err != nil || c.TimeZone == "" || c.TimeZone == "Local" {
 		return time.Time{}, fmt.Errorf("time_zone: %q is not known; a name like Europe/Copenhagen", c.TimeZone)
 	}
-	t, err := time.ParseInLocation(MinuteLayout, c.Leaves, at)
+	t, err := time.ParseInLocation(MinuteLayout, c.Leaves, location)
 	if err != nil {
-		t, err = time.ParseInLocation(SecondLayout, c.Leaves, at)
+		t, err = time.ParseInLocation(SecondLayout, c.Leaves, location)
 	}
 	if err != nil {
 		return time.Time{}, fmt.Errorf("leaves: must be like 2026-12-03T06:30, got %q", c.Leaves)
@@ -61,22 +61,22 @@
 }
 
 func recurrence(c *wire.Crew, start time.Time) (*rrule.RRule, error) {
-	o, err := rrule.StrToROptionInLocation(c.Rule, start.Location())
+	options, err := rrule.StrToROptionInLocation(c.Rule, start.Location())
 	if err != nil {
 		return nil, err
 	}
-	o.Dtstart = start
-	return rrule.NewRRule(*o)
+	options.Dtstart = start
+	return rrule.NewRRule(*options)
 }
 
 // Check tells in one line what is wrong with what operators say of a crew.
-func Validate(c *wire.Crew, team, zone func(string) bool) error {
+func Validate(c *wire.Crew, teamKnown, zoneKnown func(string) bool) error {
 	switch {
 	case !namePattern.MatchString(c.Name):
 		return fmt.Errorf("name: must be 1 to 63 of a-z, 0-9 and -, got %q", c.Name)
-	case !team(c.Team):
+	case !teamKnown(c.Team):
 		return fmt.Errorf("team: %q is not known", c.Team)
-	case c.Zone != "" && !zone(c.Zone):
+	case c.Zone != "" && !zoneKnown(c.Zone):
 		return fmt.Errorf("zone: %q is not known", c.Zone)
 	case len(c.Classes) == 0 || len(c.Classes) > 32 || slices.Contains(c.Classes, ""):
 		return fmt.Errorf("classes: 1 to 32 names are needed")
@@ -89,17 +89,17 @@
 		return fmt.Errorf("rule: without DTSTART, at most 256 bytes")
 	}
 	if c.Rule != "" {
-		if r, err := recurrence(c, start); err != nil {
+		if recurrence, err := recurrence(c, start); err != nil {
 			return fmt.Errorf("rule: not a recurrence of RFC 5545: %s", strings.ReplaceAll(err.Error(), "\n", " "))
-		} else if a := r.After(start.Add(-time.Second), true); !a.IsZero() && r.After(a, false).Sub(a) < time.Minute && !r.After(a, false).IsZero() {
+		} else if firstOccurrence := recurrence.After(start.Add(-time.Second), true); !firstOccurrence.IsZero() && recurrence.After(firstOccurrence, false).Sub(firstOccurrence) < time.Minute && !recurrence.After(firstOccurrence, false).IsZero() {
 			return fmt.Errorf("rule: departures less than a minute apart")
 		}
 	}
-	e := c.Expect
-	if e.Jobs < 0 || e.Tasks < 0 || e.Tasks > wire.MaxTasks || !(e.Seconds >= 0 && e.Seconds <= 86400) || !(e.CPUs >= 0 && e.CPUs <= 1e6) || !(e.MemoryGB >= 0 && e.MemoryGB <= 1e6) {
+	expect := c.Expect
+	if expect.Jobs < 0 || expect.Tasks < 0 || expect.Tasks > wire.MaxTasks || !(expect.Seconds >= 0 && expect.Seconds <= 86400) || !(expect.CPUs >= 0 && expect.CPUs <= 1e6) || !(expect.MemoryGB >= 0 && expect.MemoryGB <= 1e6) {
 		return fmt.Errorf("expect: jobs, tasks, seconds, cpus and memory_gb must not be negative or beyond reason")
 	}
-	if (e.Tasks > 0) != (e.Seconds > 0 && e.CPUs > 0) {
+	if (expect.Tasks > 0) != (expect.Seconds > 0 && expect.CPUs > 0) {
 		return fmt.Errorf("expect: tasks need seconds and cpus, and these need tasks")
 	}
 	return nil
--- a/internal/calendar/planner.go
+++ b/internal/calendar/planner.go
@@ -76,7 +76,9 @@
 func (p *Planner) SetRecordBytes(bytes int) { p.limits.RecordBytes = bytes }
 
 // Put takes a version of a crew's record.
-func (p *Planner) Put(name string, rec wire.Crew, ver uint64) { p.crews[name] = &Entry{rec, ver} }
+func (p *Planner) Put(name string, record wire.Crew, version uint64) {
+	p.crews[name] = &Entry{record, version}
+}
 
 // Remove forgets a crew.
 func (p *Planner) Remove(name string) { delete(p.crews, name) }
@@ -92,8 +94,8 @@
 
 // Demand is what departures demand of a job; false: nothing.
 func (p *Planner) Requirement(job string) (Requirement, bool) {
-	d, ok := p.requirements[job]
-	return d, ok
+	requirement, ok := p.requirements[job]
+	return requirement, ok
 }
 
 // Write notes that a crew's record is being written, Written that this is over. Meanwhile
@@ -103,47 +105,47 @@
 
 // Plan plans the departures of the crews whose teams are served here. It lists the jobs of which
 // something else is demanded than before, and what is to be told.
-func (p *Planner) Plan(now time.Time, served func(team string) bool, w WorkSource) (changed []string, events []Event) {
-	demands := map[string]Requirement{}
+func (p *Planner) Plan(now time.Time, served func(team string) bool, source WorkSource) (changed []string, events []Event) {
+	requirements := map[string]Requirement{}
 	for _, name := range p.Names() {
-		x := p.crews[name]
-		leaves, ok := NextDeparture(&x.Record, DeparturesCountFrom(&x.Record))
-		if !ok || !served(x.Record.Team) {
+		entry := p.crews[name]
+		leaves, ok := NextDeparture(&entry.Record, DeparturesCountFrom(&entry.Record))
+		if !ok || !served(entry.Record.Team) {
 			delete(p.departures, name)
 			continue
 		}
-		plan := p.planDeparture(x, now, leaves, w)
+		plan := p.planDeparture(entry, now, leaves, source)
 		if now.Before(leaves) {
 			due := float64(Deadline(leaves, p.margins).UnixMilli()) / 1000
-			for j := range jobsOf(x, leaves, w) {
-				d, has := demands[j.ID]
+			for j := range jobsBefore(entry, leaves, source) {
+				requirement, has := requirements[j.ID]
 				if !has {
-					d.Due = due
+					requirement.Due = due
 				}
-				demands[j.ID] = Requirement{min(d.Due, due), plan.Pressed || d.Pressed}
+				requirements[j.ID] = Requirement{min(requirement.Due, due), plan.Pressed || requirement.Pressed}
 			}
 		}
-		events = append(events, p.trackDeparture(x, now, leaves, &plan, w)...)
+		events = append(events, p.trackDeparture(entry, now, leaves, &plan, source)...)
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.requirements)) {
-		if _, still := demands[id]; !still {
+		if _, still := requirements[id]; !still {
 			changed = append(changed, id)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(demands)) {
-		if p.requirements[id] != demands[id] {
+	for _, id := range slices.Sorted(maps.Keys(requirements)) {
+		if p.requirements[id] != requirements[id] {
 			changed = append(changed, id)
 		}
 	}
-	p.requirements = demands
+	p.requirements = requirements
 	return changed, events
 }
 
 // jobsOf are the live jobs that have to be done before a departure.
-func jobsOf(x *Entry, leaves time.Time, w WorkSource) iter.Seq[*wire.Job] {
+func jobsBefore(entry *Entry, leaves time.Time, source WorkSource) iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
-		for j := range w.Jobs() {
-			if RequiredBefore(&x.Record, j, leaves) && !yield(j) {
+		for j := range source.Jobs() {
+			if RequiredBefore(&entry.Record, j, leaves) && !yield(j) {
 				return
 			}
 		}
@@ -151,110 +153,110 @@
 }
 
 // Accepted counts the tasks of live jobs that have to be done before a departure.
-func AcceptedTasks(x *Entry, leaves time.Time, w WorkSource) (tasks int) {
-	for j := range jobsOf(x, leaves, w) {
+func AcceptedTasks(entry *Entry, leaves time.Time, source WorkSource) (tasks int) {
+	for j := range jobsBefore(entry, leaves, source) {
 		tasks += j.Tasks
 	}
 	return tasks
 }
 
 // plan plans a departure, as far as records and what is known of tasks tell.
-func (p *Planner) planDeparture(x *Entry, now, leaves time.Time, w WorkSource) wire.CrewPlan {
+func (p *Planner) planDeparture(entry *Entry, now, leaves time.Time, source WorkSource) wire.CrewPlan {
 	var jobs []Job
-	for j := range jobsOf(x, leaves, w) {
-		if left, each := w.Remaining(j.ID); left > 0 {
-			jobs = append(jobs, Job{ID: j.ID, Tasks: left, CPUs: j.CPUs, TaskDuration: each})
+	for j := range jobsBefore(entry, leaves, source) {
+		if remaining, taskDuration := source.Remaining(j.ID); remaining > 0 {
+			jobs = append(jobs, Job{ID: j.ID, Tasks: remaining, CPUs: j.CPUs, TaskDuration: taskDuration})
 		}
 	}
-	plan := PlanDeparture(&x.Record, now, leaves, jobs, w.CPUs(x.Record.Team, x.Record.Zone), p.margins)
-	plan.Version = x.Version
+	plan := PlanDeparture(&entry.Record, now, leaves, jobs, source.CPUs(entry.Record.Team, entry.Record.Zone), p.margins)
+	plan.Version = entry.Version
 	return plan
 }
 
 // follow counts what is done for a departure, tells once when some of it will be missed, and
 // how it went.
-func (p *Planner) trackDeparture(x *Entry, now, leaves time.Time, plan *wire.CrewPlan, w WorkSource) (events []Event) {
-	d := p.departures[x.Record.Name]
-	if d == nil || d.LeavesMS != plan.LeavesMS {
-		d = NewDeparture(plan.LeavesMS)
-		p.departures[x.Record.Name] = d
+func (p *Planner) trackDeparture(entry *Entry, now, leaves time.Time, plan *wire.CrewPlan, source WorkSource) (events []Event) {
+	departure := p.departures[entry.Record.Name]
+	if departure == nil || departure.LeavesMS != plan.LeavesMS {
+		departure = NewDeparture(plan.LeavesMS)
+		p.departures[entry.Record.Name] = departure
 	}
 	var open []string
-	for j := range jobsOf(x, leaves, w) {
+	for j := range jobsBefore(entry, leaves, source) {
 		open = append(open, j.ID)
 	}
-	d.Update(now, leaves, open, func(id string) (live, done bool) {
-		live, status := w.Outcome(id)
+	departure.Update(now, leaves, open, func(id string) (live, done bool) {
+		live, status := source.Outcome(id)
 		return live, status == wire.JobDone // what ends here is written here
 	})
-	if d.SetMisses(plan.Miss) {
-		events = append(events, Event{Crew: x, Plan: *plan})
+	if departure.SetMisses(plan.Miss) {
+		events = append(events, Event{Crew: entry, Plan: *plan})
 	}
-	o, over := d.Outcome(now, leaves, len(open), p.limits.OutcomeDelay, plan.Say)
-	if !over || p.writing[x.Record.Name] {
+	outcome, over := departure.Outcome(now, leaves, len(open), p.limits.OutcomeDelay, plan.Say)
+	if !over || p.writing[entry.Record.Name] {
 		return events
 	}
-	rec := x.Record
-	rec.Past = append(append([]wire.CrewOutcome(nil), rec.Past...), o)
-	Prune(&rec, time.Time{}, p.limits.HistoryLength)
-	return append(events, Event{Crew: x, Plan: *plan, Outcome: &o, Record: p.fit(rec, DropOldestHistory)})
+	record := entry.Record
+	record.Past = append(append([]wire.CrewOutcome(nil), record.Past...), outcome)
+	Prune(&record, time.Time{}, p.limits.HistoryLength)
+	return append(events, Event{Crew: entry, Plan: *plan, Outcome: &outcome, Record: p.fit(record, DropOldestHistory)})
 }
 
 // fit makes a record shorter until it has no more bytes than one may, if it can.
-func (p *Planner) fit(rec wire.Crew, shorter func(*wire.Crew) bool) wire.Crew {
-	return limits.Fit(rec, p.limits.RecordBytes, shorter)
+func (p *Planner) fit(record wire.Crew, shorter func(*wire.Crew) bool) wire.Crew {
+	return limits.Fit(record, p.limits.RecordBytes, shorter)
 }
 
 // Expects is a crew for whose next departure work is expected, and what is booked for that;
 // false: none is, its departure is over, or its record is being written.
-func (p *Planner) ExpectedWork(name string, now time.Time) (x *Entry, leaves time.Time, booked []wire.CrewBooking, ok bool) {
-	x = p.crews[name]
-	leaves, ok = NextDeparture(&x.Record, DeparturesCountFrom(&x.Record))
-	if !ok || x.Record.Expect.Tasks == 0 || p.writing[name] || !now.Before(leaves) {
-		return x, leaves, nil, false
+func (p *Planner) ExpectedWork(name string, now time.Time) (entry *Entry, leaves time.Time, booked []wire.CrewBooking, ok bool) {
+	entry = p.crews[name]
+	leaves, ok = NextDeparture(&entry.Record, DeparturesCountFrom(&entry.Record))
+	if !ok || entry.Record.Expect.Tasks == 0 || p.writing[name] || !now.Before(leaves) {
+		return entry, leaves, nil, false
 	}
-	for _, k := range x.Record.Booked {
-		if k.LeavesMS == leaves.UnixMilli() {
-			booked = append(booked, k)
+	for _, booking := range entry.Record.Booked {
+		if booking.LeavesMS == leaves.UnixMilli() {
+			booked = append(booked, booking)
 		}
 	}
-	return x, leaves, booked, true
+	return entry, leaves, booked, true
 }
 
 // Open tells whether a booking is still to be asked for.
-func (p *Planner) NeedsRequest(k *wire.CrewBooking) bool {
-	return !k.Done && !p.answeredBookings[k.Request]
+func (p *Planner) NeedsRequest(booking *wire.CrewBooking) bool {
+	return !booking.Done && !p.answeredBookings[booking.Request]
 }
 
 // Ahead is a crew's record with what is to be rented for a departure, each of a machine type with
 // so many CPUs that boots so long; factor is by how much estimates are off, limit that of the
 // team in CPUs. false: nothing, or it is not time yet.
-func (p *Planner) BookAhead(x *Entry, now, leaves time.Time, accepted int, limit float64, of wire.CrewBooking, cpus, factor float64, boot time.Duration) (wire.Crew, bool) {
-	count, from := MachinesAhead(&x.Record, leaves, accepted, limit, cpus, factor, boot, p.margins)
+func (p *Planner) BookAhead(entry *Entry, now, leaves time.Time, accepted int, maxCPUs float64, booking wire.CrewBooking, machineCPUs, estimateFactor float64, bootTime time.Duration) (wire.Crew, bool) {
+	count, from := MachinesAhead(&entry.Record, leaves, accepted, maxCPUs, machineCPUs, estimateFactor, bootTime, p.margins)
 	if count == 0 || now.Before(from) {
 		return wire.Crew{}, false
 	}
-	rec := x.Record
-	Prune(&rec, leaves, p.limits.HistoryLength)
-	of.LeavesMS, of.Count = leaves.UnixMilli(), count
-	AddBookings(&rec, x.Version, of, p.limits.MaxBookingMachines)
-	return p.fit(rec, DropHistoryOrBooking), true
+	record := entry.Record
+	Prune(&record, leaves, p.limits.HistoryLength)
+	booking.LeavesMS, booking.Count = leaves.UnixMilli(), count
+	AddBookings(&record, entry.Version, booking, p.limits.MaxBookingMachines)
+	return p.fit(record, DropHistoryOrBooking), true
 }
 
 // Answered notes that a booking has been answered, and returns the records that are to say so.
 // Until that is known to be written (Rented) it is not asked for again.
 func (p *Planner) BookingAnswered(request string) (list []Entry) {
 	for _, name := range p.Names() {
-		x := p.crews[name]
-		k := slices.IndexFunc(x.Record.Booked, func(k wire.CrewBooking) bool { return k.Request == request && !k.Done })
-		if k < 0 || p.writing[name] {
+		entry := p.crews[name]
+		index := slices.IndexFunc(entry.Record.Booked, func(index wire.CrewBooking) bool { return index.Request == request && !index.Done })
+		if index < 0 || p.writing[name] {
 			continue
 		}
-		rec := x.Record
-		rec.Booked = slices.Clone(rec.Booked)
-		rec.Booked[k].Done = true
+		record := entry.Record
+		record.Booked = slices.Clone(record.Booked)
+		record.Booked[index].Done = true
 		p.answeredBookings[request] = true
-		list = append(list, Entry{p.fit(rec, DropOldestHistory), x.Version})
+		list = append(list, Entry{p.fit(record, DropOldestHistory), entry.Version})
 	}
 	return list
 }
@@ -265,9 +267,9 @@
 // Awaits tells whether machines were rented ahead, for a team that is among those served, of a
 // departure that is to come.
 func (p *Planner) HasUpcomingBooking(now time.Time, served func(team string) bool) bool {
-	for _, x := range p.crews {
-		for _, k := range x.Record.Booked {
-			if served(x.Record.Team) && now.UnixMilli() < k.LeavesMS {
+	for _, entry := range p.crews {
+		for _, booking := range entry.Record.Booked {
+			if served(entry.Record.Team) && now.UnixMilli() < booking.LeavesMS {
 				return true
 			}
 		}
@@ -276,31 +278,31 @@
 }
 
 // View is a crew with what is planned for it.
-func (p *Planner) View(x *Entry, now time.Time, w WorkSource) wire.CrewView {
-	v := wire.CrewView{Version: x.Version, Crew: x.Record}
-	if leaves, ok := NextDeparture(&x.Record, DeparturesCountFrom(&x.Record)); ok {
-		v.Plan = p.planDeparture(x, now, leaves, w)
+func (p *Planner) View(entry *Entry, now time.Time, source WorkSource) wire.CrewView {
+	view := wire.CrewView{Version: entry.Version, Crew: entry.Record}
+	if leaves, ok := NextDeparture(&entry.Record, DeparturesCountFrom(&entry.Record)); ok {
+		view.Plan = p.planDeparture(entry, now, leaves, source)
 	} else {
-		v.Plan = wire.CrewPlan{Crew: x.Record.Name, Version: x.Version, Say: "it does not leave again"}
+		view.Plan = wire.CrewPlan{Crew: entry.Record.Name, Version: entry.Version, Say: "it does not leave again"}
 	}
-	return v
+	return view
 }
 
 // Revise is a crew's record as operators want it, changed at a controller now, and what is wrong
 // with that in one line. The version is that of the record it replaces, 0 if there is none.
-func (p *Planner) Revise(name string, to wire.Crew, now time.Time, node string, team, zone func(string) bool) (Entry, error) {
-	var was *wire.Crew
-	ver, x := uint64(0), p.crews[name]
-	if x != nil {
-		was, ver = &x.Record, x.Version
+func (p *Planner) Revise(name string, wanted wire.Crew, now time.Time, node string, teamKnown, zoneKnown func(string) bool) (Entry, error) {
+	var previous *wire.Crew
+	version, entry := uint64(0), p.crews[name]
+	if entry != nil {
+		previous, version = &entry.Record, entry.Version
 	}
-	rec, err := Revise(was, to, name, now, node, p.limits.HistoryLength, team, zone)
-	rec = p.fit(rec, DropOldestHistory)
-	if raw, e := wire.Marshal(rec); err == nil && (e != nil || !wire.FitsIn(raw, p.limits.RecordBytes)) {
+	record, err := Revise(previous, wanted, name, now, node, p.limits.HistoryLength, teamKnown, zoneKnown)
+	record = p.fit(record, DropOldestHistory)
+	if raw, e := wire.Marshal(record); err == nil && (e != nil || !wire.FitsIn(raw, p.limits.RecordBytes)) {
 		err = fmt.Errorf("crew: too large to keep")
 	}
-	if err == nil && x == nil && len(p.crews) >= p.limits.MaxCrews {
+	if err == nil && entry == nil && len(p.crews) >= p.limits.MaxCrews {
 		err = fmt.Errorf("crew: at most %d", p.limits.MaxCrews)
 	}
-	return Entry{rec, ver}, err
+	return Entry{record, version}, err
 }
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -83,8 +83,8 @@
 // Of is the want of a shard held under token that counts now: the last message of that
 // holder, unless it has gone silent, and otherwise the record.
 func (b *Board) Current(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
-	if p, ok := b.received[shard]; ok && p.Token == token && now-p.receivedAt < b.pace.MaxAge {
-		return p.Want
+	if last, ok := b.received[shard]; ok && last.Token == token && now-last.receivedAt < b.pace.MaxAge {
+		return last.Want
 	}
 	return record
 }
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -102,14 +102,14 @@
 
 // End notes how a job is over: done, or cancelled by a user's word on the job by, which may be
 // itself. It counts only while a waiting job names it, and never changes.
-func (g *Graph) RecordEnd(id string, done bool, by string) {
+func (g *Graph) RecordEnd(id string, done bool, cancelledBy string) {
 	if _, known := g.ends[id]; known || g.dependents[id] == nil {
 		return
 	}
-	if by == "" {
-		by = id
+	if cancelledBy == "" {
+		cancelledBy = id
 	}
-	g.ends[id] = jobEnd{done, by}
+	g.ends[id] = jobEnd{done, cancelledBy}
 }
 
 // Awaits tells whether a job waits, and for which.
@@ -147,18 +147,18 @@
 // neither waiting nor over. A job before it that is neither live nor waiting is over.
 func (g *Graph) Evaluate(id string, live func(string) bool) Evaluation {
 	seen := map[string]bool{}
-	var lookUp []string
-	by, waits := "", false
+	var missingEnds []string
+	cancelledBy, waits := "", false
 	var visit func(id string) bool // false: cancelled
 	visit = func(id string) bool {
 		for _, p := range g.waiting[id].predecessors {
 			e, over := g.ends[p]
-			switch _, more := g.waiting[p]; {
+			switch _, alsoWaits := g.waiting[p]; {
 			case over && !e.done:
-				by = e.cancelledBy
+				cancelledBy = e.cancelledBy
 				return false
 			case over || seen[p]:
-			case more:
+			case alsoWaits:
 				seen[p], waits = true, true
 				if !visit(p) {
 					return false
@@ -167,7 +167,7 @@
 				waits = true
 			default:
 				seen[p] = true
-				lookUp = append(lookUp, p)
+				missingEnds = append(missingEnds, p)
 			}
 		}
 		return true
@@ -176,9 +176,9 @@
 	case g.waiting[id] == nil:
 		return Evaluation{Outcome: Ready}
 	case !visit(id):
-		return Evaluation{Outcome: Cancelled, CancelledBy: by}
-	case len(lookUp) > 0:
-		return Evaluation{Outcome: Unknown, MissingEnds: lookUp}
+		return Evaluation{Outcome: Cancelled, CancelledBy: cancelledBy}
+	case len(missingEnds) > 0:
+		return Evaluation{Outcome: Unknown, MissingEnds: missingEnds}
 	case waits:
 		return Evaluation{Outcome: Waiting}
 	}
@@ -187,8 +187,8 @@
 
 // Begins is in how many seconds a job that waits can begin at the soonest: when the last of those that
 // it names ends, which ends tells of one that is live. +Inf: one is cancelled, or waits itself.
-func (g *Graph) StartDelay(id string, ends func(string) float64) float64 {
-	in := 0.0
+func (g *Graph) StartDelay(id string, remaining func(string) float64) float64 {
+	delay := 0.0
 	for _, p := range g.waiting[id].predecessors {
 		e, over := g.ends[p]
 		switch _, waits := g.waiting[p]; {
@@ -196,16 +196,16 @@
 		case over || waits:
 			return math.Inf(1)
 		default:
-			in = max(in, ends(p))
+			delay = max(delay, remaining(p))
 		}
 	}
-	return in
+	return delay
 }
 
 // Left is how many seconds of a stage of which all tasks are on machines are left, the last of them
 // since so many seconds.
-func (s JobEstimate) RemainingSeconds(since float64) float64 {
-	return max(0, s.TaskSeconds*s.slowestTaskFactor()-since)
+func (s JobEstimate) RemainingSeconds(sinceLastStart float64) float64 {
+	return max(0, s.TaskSeconds*s.slowestTaskFactor()-sinceLastStart)
 }
 
 // Before lists a job's predecessors and all before them, as far as those still wait, nearest first.
@@ -215,8 +215,8 @@
 func (g *Graph) Descendants(id string) []string { return g.transitive(id, g.Dependents) }
 
 func (g *Graph) predecessorsOf(id string) []string {
-	if j := g.waiting[id]; j != nil {
-		return j.predecessors
+	if waiting := g.waiting[id]; waiting != nil {
+		return waiting.predecessors
 	}
 	return nil
 }
@@ -224,10 +224,10 @@
 func (g *Graph) transitive(id string, next func(string) []string) []string {
 	seen, list := map[string]bool{id: true}, []string{id}
 	for i := 0; i < len(list); i++ {
-		for _, n := range next(list[i]) {
-			if !seen[n] {
-				seen[n] = true
-				list = append(list, n)
+		for _, neighbor := range next(list[i]) {
+			if !seen[neighbor] {
+				seen[neighbor] = true
+				list = append(list, neighbor)
 			}
 		}
 	}
@@ -241,20 +241,20 @@
 // them, and by when it has to be done so that each can be in time: the deadline of each less what
 // the longest way there takes. Length is that of the longest way to the last of them.
 func (g *Graph) Inherited(id string) Requirement {
-	if d, known := g.inherited[id]; known {
-		return d
+	if requirement, known := g.inherited[id]; known {
+		return requirement
 	}
 	g.inherited[id] = noRequirement // a graph that is no graph ends here
-	d := noRequirement
-	for _, n := range g.Dependents(id) {
-		own, after := g.waiting[n].own, g.Inherited(n)
-		d.Priority = max(d.Priority, own.Priority, after.Priority)
-		d.TierRank = max(d.TierRank, own.TierRank, after.TierRank)
-		d.Due = min(d.Due, min(own.Due, after.Due)-own.DurationSeconds)
-		d.DurationSeconds = max(d.DurationSeconds, own.DurationSeconds+after.DurationSeconds)
+	requirement := noRequirement
+	for _, dependent := range g.Dependents(id) {
+		own, inherited := g.waiting[dependent].own, g.Inherited(dependent)
+		requirement.Priority = max(requirement.Priority, own.Priority, inherited.Priority)
+		requirement.TierRank = max(requirement.TierRank, own.TierRank, inherited.TierRank)
+		requirement.Due = min(requirement.Due, min(own.Due, inherited.Due)-own.DurationSeconds)
+		requirement.DurationSeconds = max(requirement.DurationSeconds, own.DurationSeconds+inherited.DurationSeconds)
 	}
-	g.inherited[id] = d
-	return d
+	g.inherited[id] = requirement
+	return requirement
 }
 
 // Slack is how many seconds a job that takes so long from now on has to spare before those after
@@ -272,8 +272,8 @@
 
 // Length is how many seconds a job takes from when it could run to its end, if all of its tasks
 // find room at once: the slowest of many tasks takes longer than a typical one.
-func ExpectedSeconds(s JobEstimate) float64 {
-	return s.StartDelaySeconds + s.FetchSeconds + s.TaskSeconds*s.slowestTaskFactor()
+func ExpectedSeconds(estimate JobEstimate) float64 {
+	return estimate.StartDelaySeconds + estimate.FetchSeconds + estimate.TaskSeconds*estimate.slowestTaskFactor()
 }
 
 func (s JobEstimate) slowestTaskFactor() float64 {
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -14,7 +14,7 @@
 // A model that knows of every job how it stands: a waiting job is cancelled if any job before it
 // is, ready once all are done; the graph, told of ends in any order, says the same or asks for
 // ends that it lacks, and never more often than there are jobs.
-func TestVerdictsFollowFromEnds(t *testing.T) {
+func TestEvaluationsFollowFromEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "jobs")
 		preds := make([][]string, n)
@@ -52,12 +52,12 @@
 				want = Ready
 			}
 			for range n + 1 {
-				v := g.Evaluate(name(i), func(id string) bool { return state[at(id)] == "live" })
-				if v.Outcome == Unknown {
-					if len(v.MissingEnds) == 0 {
+				evaluation := g.Evaluate(name(i), func(id string) bool { return state[at(id)] == "live" })
+				if evaluation.Outcome == Unknown {
+					if len(evaluation.MissingEnds) == 0 {
 						t.Fatal("asks for nothing")
 					}
-					for _, p := range v.MissingEnds {
+					for _, p := range evaluation.MissingEnds {
 						if s := state[at(p)]; s == "live" || s == "waiting" {
 							t.Fatalf("asks for the end of %s, which is %s", p, s)
 						}
@@ -65,11 +65,11 @@
 					}
 					continue
 				}
-				if v.Outcome != want {
-					t.Fatalf("%s: %v, want %v", name(i), v.Outcome, want)
+				if evaluation.Outcome != want {
+					t.Fatalf("%s: %v, want %v", name(i), evaluation.Outcome, want)
 				}
-				if v.Outcome == Cancelled && state[at(v.CancelledBy)] != "aborted" {
-					t.Fatalf("%s: by %s, which is %s", name(i), v.CancelledBy, state[at(v.CancelledBy)])
+				if evaluation.Outcome == Cancelled && state[at(evaluation.CancelledBy)] != "aborted" {
+					t.Fatalf("%s: by %s, which is %s", name(i), evaluation.CancelledBy, state[at(evaluation.CancelledBy)])
 				}
 				want = -1
 				break
@@ -82,7 +82,7 @@
 }
 
 // The last job alone has a deadline and a priority; a diamond, and a way of thirty.
-func TestThoseBeforeInherit(t *testing.T) {
+func TestPredecessorsInherit(t *testing.T) {
 	g := New()
 	none := Requirement{Priority: 0, TierRank: 1, Due: math.Inf(1)}
 	with := func(length float64) Requirement { d := none; d.DurationSeconds = length; return d }
@@ -108,12 +108,12 @@
 	if d := g.Inherited("a"); !math.IsInf(d.Due, 1) || d.Priority != 0 {
 		t.Errorf("a inherits %+v of a job that is gone", d)
 	}
-	way := New()
+	path := New()
 	for i := 1; i < 30; i++ {
-		way.Put(name(i), []string{name(i - 1)}, with(2))
+		path.Put(name(i), []string{name(i - 1)}, with(2))
 	}
-	way.Put(name(30), []string{name(29)}, last)
-	if d := way.Inherited(name(0)); d.Due != 1000-5-29*2 || d.TierRank != 3 {
+	path.Put(name(30), []string{name(29)}, last)
+	if d := path.Inherited(name(0)); d.Due != 1000-5-29*2 || d.TierRank != 3 {
 		t.Errorf("the first of thirty inherits %+v", d)
 	}
 	// Two layers of each width: as many ways as 2 to the 20th, each looked at once.
@@ -153,24 +153,24 @@
 
 // A job begins when the last of those that it names ends; not as long as one of them waits itself, never if
 // one is cancelled.
-func TestBegins(t *testing.T) {
+func TestStartDelay(t *testing.T) {
 	g := New()
 	g.Put("c", []string{"a", "b"}, Requirement{})
 	g.Put("d", []string{"c"}, Requirement{})
 	left := map[string]float64{"a": 7, "b": 3}
-	ends := func(id string) float64 { return left[id] }
-	if got := g.StartDelay("c", ends); got != 7 {
+	remaining := func(id string) float64 { return left[id] }
+	if got := g.StartDelay("c", remaining); got != 7 {
 		t.Errorf("c begins in %v s, want 7", got)
 	}
-	if got := g.StartDelay("d", ends); !math.IsInf(got, 1) {
+	if got := g.StartDelay("d", remaining); !math.IsInf(got, 1) {
 		t.Errorf("d awaits one that waits, and begins in %v s", got)
 	}
 	g.RecordEnd("a", true, "")
-	if got := g.StartDelay("c", ends); got != 3 {
+	if got := g.StartDelay("c", remaining); got != 3 {
 		t.Errorf("c begins in %v s, want 3", got)
 	}
 	g.RecordEnd("b", false, "b")
-	if got := g.StartDelay("c", ends); !math.IsInf(got, 1) {
+	if got := g.StartDelay("c", remaining); !math.IsInf(got, 1) {
 		t.Errorf("c is cancelled, and begins in %v s", got)
 	}
 	s := JobEstimate{Tasks: 1, TaskSeconds: 20}
--- a/internal/dependency/view.go
+++ b/internal/dependency/view.go
@@ -24,81 +24,81 @@
 // View draws the chain of a job: each job after those that it awaits, with when it is expected to
 // run, by when it has to be done, and which of them the end of the chain hangs on. now is in
 // seconds of the day's time.
-func View(node, id string, now float64, seen map[string]JobState) wire.Chain {
-	v := wire.Chain{Job: id, Node: node}
-	when, before := map[string]expectedTimes{}, map[string]string{} // before: the predecessor that ends last
+func View(node, id string, now float64, states map[string]JobState) wire.Chain {
+	chain := wire.Chain{Job: id, Node: node}
+	times, lastPredecessor := map[string]expectedTimes{}, map[string]string{} // before: the predecessor that ends last
 	var add func(id string)
 	add = func(id string) {
-		if _, done := when[id]; done {
+		if _, done := times[id]; done {
 			return
 		}
-		when[id] = expectedTimes{now, now}
-		x := seen[id]
+		times[id] = expectedTimes{now, now}
+		state := states[id]
 		t := expectedTimes{start: now, end: now}
-		if x.Job != nil {
+		if state.Job != nil {
 			last := math.Inf(-1)
-			for _, p := range x.Job.Predecessors {
-				if add(p); seen[p].Job != nil && when[p].end > last {
-					last, before[id] = when[p].end, p
+			for _, p := range state.Job.Predecessors {
+				if add(p); states[p].Job != nil && times[p].end > last {
+					last, lastPredecessor[id] = times[p].end, p
 				}
 			}
-			t.start = max(float64(x.Job.ReadySince())/1000, last)
-			t.end = max(now, t.start+x.DurationSeconds)
+			t.start = max(float64(state.Job.ReadySince())/1000, last)
+			t.end = max(now, t.start+state.DurationSeconds)
 		}
-		when[id] = t
-		v.Jobs = append(v.Jobs, chainJob(id, x, t))
+		times[id] = t
+		chain.Jobs = append(chain.Jobs, chainJob(id, state, t))
 	}
-	ids := make([]string, 0, len(seen))
-	for id := range seen {
+	ids := make([]string, 0, len(states))
+	for id := range states {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	last := ""
 	for _, id := range ids {
-		if add(id); seen[id].Job != nil && (last == "" || when[id].end > when[last].end) {
+		if add(id); states[id].Job != nil && (last == "" || times[id].end > times[last].end) {
 			last = id
 		}
 	}
 	critical := map[string]bool{}
-	for id := last; id != ""; id = before[id] {
+	for id := last; id != ""; id = lastPredecessor[id] {
 		critical[id] = true
 	}
-	for i := range v.Jobs {
-		v.Jobs[i].Critical = critical[v.Jobs[i].ID]
+	for i := range chain.Jobs {
+		chain.Jobs[i].Critical = critical[chain.Jobs[i].ID]
 	}
-	return v
+	return chain
 }
 
 // row tells of one job.
-func chainJob(id string, x JobState, t expectedTimes) wire.ChainJob {
-	r := wire.ChainJob{ID: id, Status: x.Status.Status, CancelledBy: x.CancelledBy}
-	if x.Status.Done != nil && x.Status.Running != nil {
-		r.Done, r.Running = *x.Status.Done, *x.Status.Running
+func chainJob(id string, state JobState, times expectedTimes) wire.ChainJob {
+	row := wire.ChainJob{ID: id, Status: state.Status.Status, CancelledBy: state.CancelledBy}
+	if state.Status.Done != nil && state.Status.Running != nil {
+		row.Done, row.Running = *state.Status.Done, *state.Status.Running
 	}
-	j := x.Job
-	if j == nil {
-		return r
+	job := state.Job
+	if job == nil {
+		return row
 	}
-	ms := func(s float64) int64 {
-		if math.IsInf(s, 0) {
+	ms := func(seconds float64) int64 {
+		if math.IsInf(seconds, 0) {
 			return 0
 		}
-		return int64(s * 1000)
+		return int64(seconds * 1000)
 	}
-	r.Class, r.Team, r.Awaits, r.Tasks, r.Priority, r.ReadyMS = j.Class, j.Team, j.Predecessors, j.Tasks, j.Priority, j.ReadyMS
-	if x.Inherited.Priority > wire.PriorityRank(j.Priority) {
-		r.InheritedPriority = wire.PriorityName(x.Inherited.Priority)
+	row.Class, row.Team, row.Awaits, row.Tasks, row.Priority, row.ReadyMS = job.Class, job.Team, job.Predecessors, job.Tasks, job.Priority, job.ReadyMS
+	if state.Inherited.Priority > wire.PriorityRank(job.Priority) {
+		row.InheritedPriority = wire.PriorityName(state.Inherited.Priority)
 	}
-	if x.Waiting {
-		r.WaitingSinceMS, r.ExpectedStartMS = j.AcceptedMS, ms(t.start)
+	if state.Waiting {
+		row.WaitingSinceMS, row.ExpectedStartMS = job.AcceptedMS, ms(times.start)
 	}
-	if x.Status.Status == wire.JobAborted || j.Shape == wire.ShapeService {
-		return r // it has no end to be foreseen
+	if state.Status.Status == wire.JobAborted || job.Shape == wire.ShapeService {
+		return row // it has no end to be foreseen
 	}
-	r.ExpectedEndMS, r.DueMS, r.InheritedDueMS = ms(t.end), ms(x.Due), ms(x.Inherited.Due)
-	if due := min(x.Due, x.Inherited.Due); !math.IsInf(due, 1) {
-		slack := due - t.end
-		r.SlackS = &slack
+	row.ExpectedEndMS, row.DueMS, row.InheritedDueMS = ms(times.end), ms(state.Due), ms(state.Inherited.Due)
+	if due := min(state.Due, state.Inherited.Due); !math.IsInf(due, 1) {
+		slack := due - times.end
+		row.SlackS = &slack
 	}
-	return r
+	return row
 }
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -58,10 +58,10 @@
 }
 
 func parseKey(key string) (shard, number int, err error) {
-	a, b, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixStart), ".")
-	shard, err = strconv.Atoi(a)
+	shardText, numberText, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixStart), ".")
+	shard, err = strconv.Atoi(shardText)
 	if err == nil {
-		number, err = strconv.Atoi(b)
+		number, err = strconv.Atoi(numberText)
 	}
 	if !ok || err != nil {
 		return 0, 0, fmt.Errorf("no slot of starts: %q", key)
@@ -70,24 +70,24 @@
 }
 
 // Put takes a slot's new record, and returns the names whose entry has changed, in order.
-func (l *Log) Put(key string, ver uint64, r wire.Starts) ([]string, error) {
+func (l *Log) Put(key string, version uint64, record wire.Starts) ([]string, error) {
 	shard, number, err := parseKey(key)
 	if err != nil {
 		return nil, err
 	}
 	if old := l.slots[key]; old != nil { // what its holder has left out counts for nobody
 		for name := range old.entries {
-			if _, kept := r.Entries[name]; !kept && l.latest[name].key == key {
+			if _, kept := record.Entries[name]; !kept && l.latest[name].key == key {
 				delete(l.latest, name)
 			}
 		}
 	}
-	l.slots[key] = &slot{shard, number, ver, r.Entries}
+	l.slots[key] = &slot{shard, number, version, record.Entries}
 	var changed []string
-	for name, s := range r.Entries {
-		if old, ok := l.latest[name]; !ok || s.N > old.start.N || old.key == key {
-			l.latest[name] = location{key, s}
-			if !ok || s.N != old.start.N {
+	for name, start := range record.Entries {
+		if old, ok := l.latest[name]; !ok || start.N > old.start.N || old.key == key {
+			l.latest[name] = location{key, start}
+			if !ok || start.N != old.start.N {
 				changed = append(changed, name)
 			}
 		}
@@ -98,8 +98,8 @@
 
 // Of is the newest entry of a name.
 func (l *Log) Latest(name string) (wire.Start, bool) {
-	w, ok := l.latest[name]
-	return w.start, ok
+	newest, ok := l.latest[name]
+	return newest.start, ok
 }
 
 // Entry is a start to be written.
@@ -123,70 +123,70 @@
 func (l *Log) Plan(shard int, entries []Entry, live func(name string) bool) Write {
 	var best *slot
 	var kept map[string]wire.Start
-	next, size := 0, 0
+	nextNumber, size := 0, 0
 	for _, s := range l.slots {
 		if s.shard != shard {
 			continue
 		}
-		next = max(next, s.number+1)
-		k, n := l.liveEntries(s, live), 0
-		for name, x := range k {
-			n += maxEntrySize(name, x)
+		nextNumber = max(nextNumber, s.number+1)
+		entriesKept, bytes := l.liveEntries(s, live), 0
+		for name, start := range entriesKept {
+			bytes += maxEntrySize(name, start)
 		}
 		// Full by its bytes as well: a first entry that made the value too large would be
 		// refused, and tried again, for ever. One that a controller with larger limits has
 		// filled is left as it is until enough in it has ended: what is new of its jobs goes
 		// to other slots, where it counts by its number.
-		if len(k)*4 > l.limits.Entries*3 || n*4 > l.limits.Bytes*3 || n+maxEntrySize(entries[0].Name, entries[0].Start) > l.limits.Bytes {
+		if len(entriesKept)*4 > l.limits.Entries*3 || bytes*4 > l.limits.Bytes*3 || bytes+maxEntrySize(entries[0].Name, entries[0].Start) > l.limits.Bytes {
 			continue
 		}
-		if best == nil || n < size || n == size && s.number < best.number {
-			best, kept, size = s, k, n
+		if best == nil || bytes < size || bytes == size && s.number < best.number {
+			best, kept, size = s, entriesKept, bytes
 		}
 	}
 	if best == nil {
-		best, kept, size = &slot{shard: shard, number: next}, map[string]wire.Start{}, 0
+		best, kept, size = &slot{shard: shard, number: nextNumber}, map[string]wire.Start{}, 0
 	}
-	w := Write{Key: Key(shard, best.number), Version: best.version, Record: wire.Starts{Entries: kept}}
+	write := Write{Key: Key(shard, best.number), Version: best.version, Record: wire.Starts{Entries: kept}}
 	for _, e := range entries {
 		_, again := kept[e.Name]
 		size += maxEntrySize(e.Name, e.Start)
-		if w.Included > 0 && (size > l.limits.Bytes || len(kept) >= l.limits.Entries && !again) {
+		if write.Included > 0 && (size > l.limits.Bytes || len(kept) >= l.limits.Entries && !again) {
 			break
 		}
 		s := e.Start
 		s.N = l.highestNumber(e.Name) + 1
 		kept[e.Name] = s
-		w.Included++
+		write.Included++
 	}
-	return w
+	return write
 }
 
 // highest is the largest number of a name's entries, in whichever slot.
-func (l *Log) highestNumber(name string) (n uint64) {
+func (l *Log) highestNumber(name string) (highest uint64) {
 	for _, s := range l.slots {
-		n = max(n, s.entries[name].N)
+		highest = max(highest, s.entries[name].N)
 	}
-	return n
+	return highest
 }
 
 // keep is what of a slot still counts.
 func (l *Log) liveEntries(s *slot, live func(string) bool) map[string]wire.Start {
 	kept := make(map[string]wire.Start, len(s.entries)+8)
 	key := Key(s.shard, s.number)
-	for name, x := range s.entries {
+	for name, start := range s.entries {
 		if l.latest[name].key == key && live(name) {
-			kept[name] = x
+			kept[name] = start
 		}
 	}
 	return kept
 }
 
 // sizeOf bounds an entry in JSON form.
-func maxEntrySize(name string, s wire.Start) int {
-	n := len(name) + 48
-	for _, m := range s.On {
-		n += len(m) + 3
+func maxEntrySize(name string, start wire.Start) int {
+	bytes := len(name) + 48
+	for _, machine := range start.On {
+		bytes += len(machine) + 3
 	}
-	return n
+	return bytes
 }
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -16,7 +16,7 @@
 func TestNothingLiveIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Entries: 6, Bytes: rapid.SampledFrom([]int{160, 220, 1 << 12}).Draw(t, "bytes")}
-		b := New(limits)
+		log := New(limits)
 		stored := map[string]wire.Starts{}
 		last := map[string]wire.Start{} // by live job
 		live := func(name string) bool { _, ok := last[name]; return ok }
@@ -41,7 +41,7 @@
 					last[e.Name] = wire.Start{}
 				}
 			}
-			w := b.Plan(1, entries, live)
+			w := log.Plan(1, entries, live)
 			if w.Included == 0 || len(w.Record.Entries) > limits.Entries {
 				t.Fatalf("took %d, record of %d", w.Included, len(w.Record.Entries))
 			}
@@ -55,7 +55,7 @@
 				last[e.Name] = e.Start
 			}
 			stored[w.Key] = w.Record
-			if _, err := b.Put(w.Key, uint64(step+1), w.Record); err != nil {
+			if _, err := log.Put(w.Key, uint64(step+1), w.Record); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -77,31 +77,31 @@
 
 // A slot that a version with larger limits has filled is read, and not written again while
 // it is too large: a start of a job that stands in it goes to another slot, and counts there.
-func TestLargeSlotIsLeft(t *testing.T) {
+func TestOversizedSlotIsNotRewritten(t *testing.T) {
 	const jobs = 90
-	b := New(Limits{Entries: 96, Bytes: 2048 * 7 / 8})
+	log := New(Limits{Entries: 96, Bytes: 2048 * 7 / 8})
 	old := wire.Starts{Entries: map[string]wire.Start{}}
 	name := func(k int) string { return fmt.Sprintf("job-%06d", k) }
 	for k := range jobs {
 		old.Entries[name(k)] = wire.Start{N: 7, Started: 1, On: []string{fmt.Sprintf("n-%06d", k), "n-000001", "n-000002", "n-000003"}}
 	}
 	stored := map[string]wire.Starts{Key(1, 0): old}
-	if _, err := b.Put(Key(1, 0), 1, old); err != nil {
+	if _, err := log.Put(Key(1, 0), 1, old); err != nil {
 		t.Fatal(err)
 	}
-	over := map[string]bool{}
-	live := func(n string) bool { return !over[n] }
+	ended := map[string]bool{}
+	live := func(n string) bool { return !ended[n] }
 	for k := range jobs {
-		w := b.Plan(1, []Entry{{name(k), wire.Start{Started: 2, On: []string{"n-000009"}}}}, live)
+		w := log.Plan(1, []Entry{{name(k), wire.Start{Started: 2, On: []string{"n-000009"}}}}, live)
 		raw, err := wire.Marshal(w.Record)
 		if err != nil || !wire.FitsIn(raw, 2048) {
 			t.Fatalf("start %d: %s would have %d entries, more than 2 KiB (%v)", k, w.Key, len(w.Record.Entries), err)
 		}
 		stored[w.Key] = w.Record
-		if _, err := b.Put(w.Key, uint64(k+2), w.Record); err != nil {
+		if _, err := log.Put(w.Key, uint64(k+2), w.Record); err != nil {
 			t.Fatal(err)
 		}
-		if s, _ := b.Latest(name(k)); s.Started != 2 || s.N != 8 {
+		if s, _ := log.Latest(name(k)); s.Started != 2 || s.N != 8 {
 			t.Fatalf("start %d: %+v counts", k, s)
 		}
 	}
@@ -118,16 +118,16 @@
 	}
 	// Once what stood in it has ended the slot is used again.
 	for k := range jobs {
-		over[name(k)] = true
+		ended[name(k)] = true
 	}
-	if w := b.Plan(1, []Entry{{"job-000500", wire.Start{Started: 1}}}, live); w.Key != Key(1, 0) || len(w.Record.Entries) != 1 {
+	if w := log.Plan(1, []Entry{{"job-000500", wire.Start{Started: 1}}}, live); w.Key != Key(1, 0) || len(w.Record.Entries) != 1 {
 		t.Fatalf("written to %s with %d entries", w.Key, len(w.Record.Entries))
 	}
 }
 
 // A slot that is not full yet may still be too full for one long entry.
 func TestLongEntry(t *testing.T) {
-	b := New(Limits{Entries: 96, Bytes: 1024 * 7 / 8})
+	log := New(Limits{Entries: 96, Bytes: 1024 * 7 / 8})
 	part := wire.Starts{Entries: map[string]wire.Start{}}
 	machine := func(k int) string {
 		return fmt.Sprintf("machine-of-a-very-long-name-in-a-zone-of-a-long-name-as-well-and-of-a-type-of-a-long-name-%09d", k)
@@ -135,14 +135,14 @@
 	for k := range 4 {
 		part.Entries[fmt.Sprintf("job-%06d", k)] = wire.Start{N: 100, Started: 100, On: []string{machine(k)}}
 	}
-	if _, err := b.Put(Key(1, 0), 1, part); err != nil {
+	if _, err := log.Put(Key(1, 0), 1, part); err != nil {
 		t.Fatal(err)
 	}
 	long := wire.Start{Started: 4}
 	for k := range 4 {
 		long.On = append(long.On, machine(k))
 	}
-	w := b.Plan(1, []Entry{{"job-000500", long}}, func(string) bool { return true })
+	w := log.Plan(1, []Entry{{"job-000500", long}}, func(string) bool { return true })
 	if raw, err := wire.Marshal(w.Record); err != nil || !wire.FitsIn(raw, 1024*7/8) {
 		n, _ := wire.JSONSize(raw)
 		t.Fatalf("%s: %d bytes (%v)", w.Key, n, err)
--- a/internal/weights/cache.go
+++ b/internal/weights/cache.go
@@ -20,51 +20,51 @@
 // record lists its images once, and a machine has a bit for each. The order of
 // machines decides which of them share a record.
 func PackImages(machines []MachineImages, bytes int) []wire.Cache {
-	var out []wire.Cache
-	var rec *wire.Cache
-	index, left := map[string]int{}, 0
-	for _, m := range machines {
-		if rec != nil && left < maxMachineBytes(m, index) {
-			rec = nil
+	var records []wire.Cache
+	var record *wire.Cache
+	index, bytesLeft := map[string]int{}, 0
+	for _, machine := range machines {
+		if record != nil && bytesLeft < maxMachineBytes(machine, index) {
+			record = nil
 		}
-		if rec == nil {
-			out = append(out, wire.Cache{Images: []string{}, Sets: map[string][]uint32{}})
-			rec, left = &out[len(out)-1], bytes-64
+		if record == nil {
+			records = append(records, wire.Cache{Images: []string{}, Sets: map[string][]uint32{}})
+			record, bytesLeft = &records[len(records)-1], bytes-64
 			clear(index)
 		}
-		c := maxMachineBytes(m, index)
-		if c > left {
+		needed := maxMachineBytes(machine, index)
+		if needed > bytesLeft {
 			continue // more images than a record holds: learned again from its tasks
 		}
-		left -= c
-		var words []uint32
-		for _, image := range m.Images {
+		bytesLeft -= needed
+		var bits []uint32
+		for _, image := range machine.Images {
 			k, known := index[image]
 			if !known {
-				k = len(rec.Images)
+				k = len(record.Images)
 				index[image] = k
-				rec.Images = append(rec.Images, image)
+				record.Images = append(record.Images, image)
 			}
-			for len(words) <= k/32 {
-				words = append(words, 0)
+			for len(bits) <= k/32 {
+				bits = append(bits, 0)
 			}
-			words[k/32] |= 1 << (k % 32)
+			bits[k/32] |= 1 << (k % 32)
 		}
-		rec.Sets[m.Machine] = words
+		record.Sets[machine.Machine] = bits
 	}
-	return out
+	return records
 }
 
 // cost is the most that a machine adds to a record, in bytes.
-func maxMachineBytes(m MachineImages, index map[string]int) int {
-	n, images := len(m.Machine)+6, len(index)
-	for _, image := range m.Images {
+func maxMachineBytes(machine MachineImages, index map[string]int) int {
+	bytes, images := len(machine.Machine)+6, len(index)
+	for _, image := range machine.Images {
 		if _, known := index[image]; !known {
-			n += len(image) + 3
+			bytes += len(image) + 3
 			images++
 		}
 	}
-	return n + 11*(images/32+1)
+	return bytes + 11*(images/32+1)
 }
 
 // Caches is which images machines have, by what holders write of it now and then: with a holder's memory it
@@ -97,34 +97,34 @@
 
 // Next is the record to write now, and its key: one at a time, in turn; the duty is done when the last is
 // written. mine tells whether a shard is held, of what its machines have.
-func (c *CacheIndex) NextWrite(now time.Duration, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (shard int, key string, rec *wire.Cache) {
-	for _, i := range slices.Sorted(maps.Keys(c.dirty)) {
-		if !mine(i) {
-			delete(c.dirty, i)
+func (c *CacheIndex) NextWrite(now time.Duration, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (shard int, key string, record *wire.Cache) {
+	for _, candidate := range slices.Sorted(maps.Keys(c.dirty)) {
+		if !holdsShard(candidate) {
+			delete(c.dirty, candidate)
 			continue
 		}
-		if now < c.nextWrite[i] {
+		if now < c.nextWrite[candidate] {
 			continue
 		}
-		c.nextWrite[i] = now + c.interval
-		parts := PackImages(of(i), bytes)
+		c.nextWrite[candidate] = now + c.interval
+		parts := PackImages(imagesOf(candidate), bytes)
 		if len(parts) == 0 {
-			delete(c.dirty, i)
+			delete(c.dirty, candidate)
 			continue
 		}
-		k := c.nextPart[i] % len(parts)
-		key = wire.PrefixCache + strconv.Itoa(i)
-		if k > 0 {
-			key += "." + strconv.Itoa(k)
+		part := c.nextPart[candidate] % len(parts)
+		key = wire.PrefixCache + strconv.Itoa(candidate)
+		if part > 0 {
+			key += "." + strconv.Itoa(part)
 		}
-		c.nextPart[i], c.lastPart[i] = k+1, k
-		if k+1 < len(parts) {
-			c.nextWrite[i] = now + c.interval/time.Duration(len(parts))
+		c.nextPart[candidate], c.lastPart[candidate] = part+1, part
+		if part+1 < len(parts) {
+			c.nextWrite[candidate] = now + c.interval/time.Duration(len(parts))
 		} else {
-			c.nextPart[i] = 0
-			delete(c.dirty, i)
+			c.nextPart[candidate] = 0
+			delete(c.dirty, candidate)
 		}
-		return i, key, &parts[k]
+		return candidate, key, &parts[part]
 	}
 	return 0, "", nil
 }
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -24,17 +24,17 @@
 }
 
 // roots counts the fetches from the store that a plan names.
-func (p *shardPlan) storeFetches() (n int) {
-	for _, x := range p.stored.Images {
-		n += len(x.Roots)
+func (p *shardPlan) storeFetches() (count int) {
+	for _, planned := range p.stored.Images {
+		count += len(planned.Roots)
 	}
-	return n
+	return count
 }
 
 // Read takes a shard's plan as the state has it; own: this controller holds the shard. A successor goes
 // on with it: fetches that no report has shown yet count as under way.
-func (p *Planner) LoadPlan(now time.Duration, shard int, rec wire.Weights, own bool) {
-	p.shards[shard] = &shardPlan{held: own, stored: rec, storedAt: now}
+func (p *Planner) LoadPlan(now time.Duration, shard int, record wire.Weights, held bool) {
+	p.shards[shard] = &shardPlan{held: held, stored: record, storedAt: now}
 }
 
 // Write is a record to be written by a shard's holder, while it holds it. Done tells how that went.
@@ -46,19 +46,19 @@
 }
 
 // Next is what to write now, one record at a time: which images machines have, or what is planned.
-func (p *Planner) NextWrite(now time.Duration, held []int, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (Write, bool) {
-	if i, key, rec := p.caches.NextWrite(now, mine, of, bytes); rec != nil {
-		return Write{i, key, *rec, func(_ time.Duration, ok bool) {
+func (p *Planner) NextWrite(now time.Duration, held []int, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (Write, bool) {
+	if i, key, record := p.caches.NextWrite(now, holdsShard, imagesOf, bytes); record != nil {
+		return Write{i, key, *record, func(_ time.Duration, ok bool) {
 			if !ok {
 				p.caches.WriteFailed(i)
 			}
 		}}, true
 	}
 	for _, i := range held {
-		if rec, due := p.NextPlan(i, bytes); due {
-			return Write{i, wire.PrefixWeights + strconv.Itoa(i), rec, func(now time.Duration, ok bool) {
+		if record, due := p.NextPlan(i, bytes); due {
+			return Write{i, wire.PrefixWeights + strconv.Itoa(i), record, func(now time.Duration, ok bool) {
 				if ok {
-					p.LoadPlan(now, i, rec, true)
+					p.LoadPlan(now, i, record, true)
 				}
 			}}, true
 		}
@@ -70,9 +70,9 @@
 // has got to another stage, or others fetch it from the store. Only images on their way to several machines
 // are named, the most wanted first, as many as fit into so many bytes.
 func (p *Planner) NextPlan(shard, bytes int) (wire.Weights, bool) {
-	var rec wire.Weights
+	var record wire.Weights
 	if !p.switches.Enabled() {
-		return rec, false
+		return record, false
 	}
 	plan := p.shards[shard]
 	if plan == nil {
@@ -81,12 +81,12 @@
 	}
 	plan.held = true
 	for _, image := range slices.Sorted(maps.Keys(p.copies)) {
-		if x, ok := p.plannedImage(shard, image); ok {
-			rec.Images = append(rec.Images, x)
+		if planned, ok := p.plannedImage(shard, image); ok {
+			record.Images = append(record.Images, planned)
 		}
 	}
-	slices.SortStableFunc(rec.Images, func(x, y wire.WeightsImage) int { return len(y.Roots) - len(x.Roots) })
-	rec = limits.Fit(rec, bytes, func(r *wire.Weights) bool {
+	slices.SortStableFunc(record.Images, func(planned, y wire.WeightsImage) int { return len(y.Roots) - len(planned.Roots) })
+	record = limits.Fit(record, bytes, func(r *wire.Weights) bool {
 		if len(r.Images) == 0 {
 			return false
 		}
@@ -96,30 +96,30 @@
 		}
 		return true
 	})
-	return rec, !wire.Same(rec, plan.stored)
+	return record, !wire.Same(record, plan.stored)
 }
 
 // planned is what is written of an image on the machines of a shard, if many fetch it. Rates change all
 // the time and are not written.
 func (p *Planner) plannedImage(shard int, image string) (wire.WeightsImage, bool) {
-	x, fetches, there := wire.WeightsImage{Image: image, Stage: StageFirst}, 0, 0
-	for _, n := range slices.Sorted(maps.Keys(p.copies[image])) {
-		c := p.copies[image][n]
+	planned, fetches, present := wire.WeightsImage{Image: image, Stage: StageFirst}, 0, 0
+	for _, machine := range slices.Sorted(maps.Keys(p.copies[image])) {
+		copied := p.copies[image][machine]
 		switch {
-		case c.Shard != shard:
+		case copied.Shard != shard:
 			continue
-		case c.present:
-			there++
-			x.Stage = StageTree
+		case copied.present:
+			present++
+			planned.Stage = StageTree
 		default:
 			fetches++
-			if len(c.sources) == 0 {
-				x.Roots = append(x.Roots, n)
+			if len(copied.sources) == 0 {
+				planned.Roots = append(planned.Roots, machine)
 			}
 		}
-		x.GB = max(x.GB, c.gb)
+		planned.GB = max(planned.GB, copied.gb)
 	}
-	return x, fetches > 0 && fetches+there >= p.limits.MinMachines
+	return planned, fetches > 0 && fetches+present >= p.limits.MinMachines
 }
 
 // Left notes that a shard is held by another from now on.
--- a/internal/weights/store.go
+++ b/internal/weights/store.go
@@ -22,43 +22,43 @@
 const historyWeight = 0.8
 
 // pass lets time pass with so many fetches under way.
-func (s *storeRateEstimate) advance(now time.Duration, fetches int) {
-	s.fetchSeconds += float64(fetches) * (now - s.countedUntil).Seconds()
-	s.countedUntil = now
+func (e *storeRateEstimate) advance(now time.Duration, fetches int) {
+	e.fetchSeconds += float64(fetches) * (now - e.countedUntil).Seconds()
+	e.countedUntil = now
 }
 
 // fetched takes the end of a fetch from the store, of a machine that fetched nothing else.
-func (s *storeRateEstimate) recordFetch(now time.Duration, c *imageCopy) {
-	took := now - c.since
-	if took < s.limits.MinFetchDuration || c.FetchGBps <= 0 {
+func (e *storeRateEstimate) recordFetch(now time.Duration, copied *imageCopy) {
+	took := now - copied.since
+	if took < e.limits.MinFetchDuration || copied.FetchGBps <= 0 {
 		return
 	}
-	if now-s.lastMeasured > s.limits.MeasurementTTL {
-		s.measurements = 0 // what it was like then is not known to be so now
+	if now-e.lastMeasured > e.limits.MeasurementTTL {
+		e.measurements = 0 // what it was like then is not known to be so now
 	}
-	rate, at := c.gb/took.Seconds(), max(1, (s.fetchSeconds-c.fetchSecondsAtStart)/took.Seconds())
-	share, total := rate/c.FetchGBps, rate*at
-	if most := s.maxFetches(now); most > 0 && share >= s.limits.StoreBoundShare && at <= 1.5*float64(most) {
+	rate, concurrent := copied.gb/took.Seconds(), max(1, (e.fetchSeconds-copied.fetchSecondsAtStart)/took.Seconds())
+	share, total := rate/copied.FetchGBps, rate*concurrent
+	if allowed := e.maxFetches(now); allowed > 0 && share >= e.limits.StoreBoundShare && concurrent <= 1.5*float64(allowed) {
 		return // as many as we let at a time get their own rate: that is what holding back is for
 	}
-	if s.measurements == 0 {
-		s.machineGBps, s.rateShare, s.totalGBps = c.FetchGBps, share, total
+	if e.measurements == 0 {
+		e.machineGBps, e.rateShare, e.totalGBps = copied.FetchGBps, share, total
 	}
-	s.machineGBps, s.rateShare, s.totalGBps = historyWeight*s.machineGBps+(1-historyWeight)*c.FetchGBps, historyWeight*s.rateShare+(1-historyWeight)*share, historyWeight*s.totalGBps+(1-historyWeight)*total
-	s.measurements, s.lastMeasured = s.measurements+1, now
+	e.machineGBps, e.rateShare, e.totalGBps = historyWeight*e.machineGBps+(1-historyWeight)*copied.FetchGBps, historyWeight*e.rateShare+(1-historyWeight)*share, historyWeight*e.totalGBps+(1-historyWeight)*total
+	e.measurements, e.lastMeasured = e.measurements+1, now
 }
 
 // rate is what all fetches at once get from the store, GB/s, if it binds; 0: a machine's own rate does,
 // or too little is known.
-func (s *storeRateEstimate) gbps(now time.Duration) float64 {
-	if s.measurements < s.limits.MinMeasurements || now-s.lastMeasured > s.limits.MeasurementTTL || s.rateShare >= s.limits.StoreBoundShare {
+func (e *storeRateEstimate) gbps(now time.Duration) float64 {
+	if e.measurements < e.limits.MinMeasurements || now-e.lastMeasured > e.limits.MeasurementTTL || e.rateShare >= e.limits.StoreBoundShare {
 		return 0
 	}
-	return s.totalGBps
+	return e.totalGBps
 }
 
 // most is how many fetches at a time use all that the store gives; more bring no more. 0: no limit is
 // known.
-func (s *storeRateEstimate) maxFetches(now time.Duration) int {
-	return int(math.Ceil(s.limits.StoreFetchFactor * s.gbps(now) / max(s.machineGBps, 1e-9)))
+func (e *storeRateEstimate) maxFetches(now time.Duration) int {
+	return int(math.Ceil(e.limits.StoreFetchFactor * e.gbps(now) / max(e.machineGBps, 1e-9)))
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -82,38 +82,38 @@
 }
 
 // Seen takes what the tasks on a machine want and have, by its newest report.
-func (p *Planner) UpdateMachine(now time.Duration, m Machine, uses []ImageUse) {
-	had := p.machineImages[m.Name]
-	if len(had) == 0 && len(uses) == 0 {
+func (p *Planner) UpdateMachine(now time.Duration, machine Machine, uses []ImageUse) {
+	before := p.machineImages[machine.Name]
+	if len(before) == 0 && len(uses) == 0 {
 		return
 	}
 	p.storeRate.advance(now, p.storeFetchCount(now))
-	in := map[string]bool{}
-	for _, u := range uses {
-		in[u.Image] = true
-		c := p.copies[u.Image][m.Name]
-		if c == nil {
-			c = p.addCopy(now, m, u.Image, u.GB)
+	inUse := map[string]bool{}
+	for _, use := range uses {
+		inUse[use.Image] = true
+		copied := p.copies[use.Image][machine.Name]
+		if copied == nil {
+			copied = p.addCopy(now, machine, use.Image, use.GB)
 		}
-		if u.Present && !c.present {
-			if len(c.sources) == 0 && len(uses) == 1 {
-				p.storeRate.recordFetch(now, c)
+		if use.Present && !copied.present {
+			if len(copied.sources) == 0 && len(uses) == 1 {
+				p.storeRate.recordFetch(now, copied)
 			}
-			if len(c.sources) == 0 {
+			if len(copied.sources) == 0 {
 				p.storeFetches--
 			}
-			c.present, c.sources, c.depth, c.since = true, nil, 0, now
+			copied.present, copied.sources, copied.depth, copied.since = true, nil, 0, now
 		}
-		c.Addr, c.Shard = m.Addr, m.Shard
+		copied.Addr, copied.Shard = machine.Addr, machine.Shard
 	}
-	for image := range had {
-		if !in[image] {
-			p.removeCopy(m.Name, image)
+	for image := range before {
+		if !inUse[image] {
+			p.removeCopy(machine.Name, image)
 		}
 	}
-	p.machineImages[m.Name] = in
-	if len(in) == 0 {
-		delete(p.machineImages, m.Name)
+	p.machineImages[machine.Name] = inUse
+	if len(inUse) == 0 {
+		delete(p.machineImages, machine.Name)
 	}
 }
 
@@ -125,22 +125,22 @@
 	delete(p.machineImages, machine)
 }
 
-func (p *Planner) addCopy(now time.Duration, m Machine, image string, gb float64) *imageCopy {
-	c := &imageCopy{Machine: m, gb: gb, since: now, fetchSecondsAtStart: p.storeRate.fetchSeconds}
+func (p *Planner) addCopy(now time.Duration, machine Machine, image string, gb float64) *imageCopy {
+	copied := &imageCopy{Machine: machine, gb: gb, since: now, fetchSecondsAtStart: p.storeRate.fetchSeconds}
 	if p.copies[image] == nil {
 		p.copies[image] = map[string]*imageCopy{}
 	}
-	p.copies[image][m.Name] = c
+	p.copies[image][machine.Name] = copied
 	p.storeFetches++
-	if p.machineImages[m.Name] == nil {
-		p.machineImages[m.Name] = map[string]bool{}
+	if p.machineImages[machine.Name] == nil {
+		p.machineImages[machine.Name] = map[string]bool{}
 	}
-	p.machineImages[m.Name][image] = true
-	return c
+	p.machineImages[machine.Name][image] = true
+	return copied
 }
 
 func (p *Planner) removeCopy(machine, image string) {
-	if c := p.copies[image][machine]; c != nil && !c.present && len(c.sources) == 0 {
+	if copied := p.copies[image][machine]; copied != nil && !copied.present && len(copied.sources) == 0 {
 		p.storeFetches--
 	}
 	delete(p.copies[image], machine)
@@ -150,44 +150,44 @@
 }
 
 // fetching counts the fetches from the store that are under way, of all shards.
-func (p *Planner) storeFetchCount(now time.Duration) (n int) {
-	n = p.storeFetches
+func (p *Planner) storeFetchCount(now time.Duration) (count int) {
+	count = p.storeFetches
 	for _, plan := range p.shards {
 		if !plan.held && now-plan.storedAt < p.limits.PlanTTL {
-			n += plan.storeFetches()
+			count += plan.storeFetches()
 		}
 	}
-	return n
+	return count
 }
 
 // Fetch tells whether a machine may be told now to start a task with an image that it lacks, of a job of so many,
 // and names the addresses of machines that hand the image on to it; none: the store does. A fetch waits
 // where measurement has shown that more at once bring no more, and as many as that are under way; one that
 // others hand on does not. First copies come from the store, one to a zone before any zone has two.
-func (p *Planner) PlanFetch(now time.Duration, m Machine, image string, gb float64, tasks int) (sources []string, ok bool) {
-	if p.copies[image][m.Name] != nil || !p.switches.Enabled() {
+func (p *Planner) PlanFetch(now time.Duration, machine Machine, image string, gb float64, tasks int) (sources []string, ok bool) {
+	if p.copies[image][machine.Name] != nil || !p.switches.Enabled() {
 		return nil, true
 	}
 	p.storeRate.advance(now, p.storeFetchCount(now))
-	sources = p.assignSources(now, m, image, gb, tasks)
-	if most := p.storeRate.maxFetches(now); p.switches.PaceFetches && len(sources) == 0 && most > 0 && p.storeFetchCount(now) > most {
-		p.removeCopy(m.Name, image)
-		delete(p.machineImages[m.Name], image)
+	sources = p.assignSources(now, machine, image, gb, tasks)
+	if allowed := p.storeRate.maxFetches(now); p.switches.PaceFetches && len(sources) == 0 && allowed > 0 && p.storeFetchCount(now) > allowed {
+		p.removeCopy(machine.Name, image)
+		delete(p.machineImages[machine.Name], image)
 		return nil, false
 	}
 	return sources, true
 }
 
 // sources adds a copy on its way, and names those that hand it on.
-func (p *Planner) assignSources(now time.Duration, m Machine, image string, gb float64, tasks int) (addrs []string) {
-	c := p.addCopy(now, m, image, gb)
-	if !p.switches.PeerTransfer || tasks < p.limits.MinMachines || p.fetchFromStore(now, image, m.Zone) {
+func (p *Planner) assignSources(now time.Duration, machine Machine, image string, gb float64, tasks int) (addrs []string) {
+	copied := p.addCopy(now, machine, image, gb)
+	if !p.switches.PeerTransfer || tasks < p.limits.MinMachines || p.fetchFromStore(now, image, machine.Zone) {
 		return nil
 	}
-	for _, s := range p.availableSources(image, m) {
+	for _, source := range p.availableSources(image, machine) {
 		if len(addrs) < p.limits.MaxSources {
-			c.sources, addrs = append(c.sources, s.Name), append(addrs, s.Addr)
-			c.depth = max(c.depth, s.depth+1)
+			copied.sources, addrs = append(copied.sources, source.Name), append(addrs, source.Addr)
+			copied.depth = max(copied.depth, source.depth+1)
 		}
 	}
 	if len(addrs) > 0 {
@@ -198,24 +198,24 @@
 
 // root tells whether the next copy of an image in a zone is to come from the store.
 func (p *Planner) fetchFromStore(now time.Duration, image, zone string) bool {
-	here := 0
-	for _, c := range p.copies[image] {
-		if c.Zone == zone && (c.present || len(c.sources) == 0) {
-			here++
+	independent := 0
+	for _, copied := range p.copies[image] {
+		if copied.Zone == zone && (copied.present || len(copied.sources) == 0) {
+			independent++
 		}
 	}
-	if here <= 1 { // itself: the zone has no copy that needs nobody
+	if independent <= 1 { // itself: the zone has no copy that needs nobody
 		return true
 	}
-	if most := p.storeRate.maxFetches(now); most > 0 {
-		return p.storeFetchCount(now) <= most && here <= p.limits.MaxZoneRoots
+	if allowed := p.storeRate.maxFetches(now); allowed > 0 {
+		return p.storeFetchCount(now) <= allowed && independent <= p.limits.MaxZoneRoots
 	}
-	return here <= p.limits.MaxZoneRoots
+	return independent <= p.limits.MaxZoneRoots
 }
 
 // able lists the copies that may be handed on to a machine: in its zone first, then those that need
 // the fewest others, then those that serve the fewest.
-func (p *Planner) availableSources(image string, m Machine) (list []*imageCopy) {
+func (p *Planner) availableSources(image string, machine Machine) (list []*imageCopy) {
 	serving := map[string]int{}
 	for _, c := range p.copies[image] {
 		for _, s := range c.sources {
@@ -223,18 +223,18 @@
 		}
 	}
 	for _, c := range p.copies[image] {
-		if c.Name != m.Name && c.Addr != "" && serving[c.Name] < p.limits.MaxServed {
+		if c.Name != machine.Name && c.Addr != "" && serving[c.Name] < p.limits.MaxServed {
 			list = append(list, c)
 		}
 	}
-	far := func(c *imageCopy) int {
-		if c.Zone == m.Zone {
+	distance := func(c *imageCopy) int {
+		if c.Zone == machine.Zone {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(list, func(x, y *imageCopy) int {
-		return cmp.Or(cmp.Compare(far(x), far(y)), cmp.Compare(x.depth, y.depth), cmp.Compare(serving[x.Name], serving[y.Name]), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(distance(x), distance(y)), cmp.Compare(x.depth, y.depth), cmp.Compare(serving[x.Name], serving[y.Name]), cmp.Compare(x.Name, y.Name))
 	})
 	return list
 }
@@ -246,7 +246,7 @@
 		return false
 	}
 	for other := range p.machineImages[machine] {
-		if c := p.copies[other][machine]; other != image && c != nil && !c.present && len(p.copies[other]) >= p.limits.MinMachines {
+		if copied := p.copies[other][machine]; other != image && copied != nil && !copied.present && len(p.copies[other]) >= p.limits.MinMachines {
 			return true
 		}
 	}
@@ -255,46 +255,46 @@
 
 // View is what is known of one image, or of all that are in use.
 func (p *Planner) View(now time.Duration, node, image string) wire.WeightsView {
-	v := wire.WeightsView{Node: node, HandOn: p.switches.PeerTransfer, Pace: p.switches.PaceFetches, StoreGBps: p.storeRate.gbps(now), Most: p.storeRate.maxFetches(now), Images: []wire.WeightsImageView{}}
+	view := wire.WeightsView{Node: node, HandOn: p.switches.PeerTransfer, Pace: p.switches.PaceFetches, StoreGBps: p.storeRate.gbps(now), Most: p.storeRate.maxFetches(now), Images: []wire.WeightsImageView{}}
 	for _, name := range slices.Sorted(maps.Keys(p.copies)) {
 		if image != "" && name != image {
 			continue
 		}
-		x := wire.WeightsImageView{Image: name, Holders: []wire.WeightsCopy{}, Fetches: []wire.WeightsCopy{}}
-		for _, n := range slices.Sorted(maps.Keys(p.copies[name])) {
-			c := p.copies[name][n]
-			x.GB = max(x.GB, c.gb)
-			w := wire.WeightsCopy{Machine: n, Zone: c.Zone, Shard: c.Shard, ForS: (now - c.since).Seconds(), Sources: c.sources}
-			if c.present {
-				x.Holders = append(x.Holders, w)
+		imageView := wire.WeightsImageView{Image: name, Holders: []wire.WeightsCopy{}, Fetches: []wire.WeightsCopy{}}
+		for _, machine := range slices.Sorted(maps.Keys(p.copies[name])) {
+			copied := p.copies[name][machine]
+			imageView.GB = max(imageView.GB, copied.gb)
+			copyView := wire.WeightsCopy{Machine: machine, Zone: copied.Zone, Shard: copied.Shard, ForS: (now - copied.since).Seconds(), Sources: copied.sources}
+			if copied.present {
+				imageView.Holders = append(imageView.Holders, copyView)
 				continue
 			}
-			if c.FetchGBps > 0 {
-				w.LeftS = max(0, p.expectedFetchSeconds(now, c)-w.ForS)
+			if copied.FetchGBps > 0 {
+				copyView.LeftS = max(0, p.expectedFetchSeconds(now, copied)-copyView.ForS)
 			}
-			x.Fetches = append(x.Fetches, w)
+			imageView.Fetches = append(imageView.Fetches, copyView)
 		}
-		v.Images = append(v.Images, x)
+		view.Images = append(view.Images, imageView)
 	}
-	for _, i := range slices.Sorted(maps.Keys(p.shards)) {
-		if plan := p.shards[i]; !plan.held {
-			for _, x := range plan.stored.Images {
-				if image == "" || x.Image == image {
-					v.Others = append(v.Others, wire.WeightsOther{Shard: i, WeightsImage: x})
+	for _, shard := range slices.Sorted(maps.Keys(p.shards)) {
+		if plan := p.shards[shard]; !plan.held {
+			for _, imageView := range plan.stored.Images {
+				if image == "" || imageView.Image == image {
+					view.Others = append(view.Others, wire.WeightsOther{Shard: shard, WeightsImage: imageView})
 				}
 			}
 		}
 	}
-	return v
+	return view
 }
 
 // expected is how long a fetch takes, in seconds: from the store with as many others as now.
-func (p *Planner) expectedFetchSeconds(now time.Duration, c *imageCopy) float64 {
-	rate := c.FetchGBps
-	if s := p.storeRate.gbps(now); s > 0 && len(c.sources) == 0 {
-		rate = min(rate, s/float64(max(1, p.storeFetchCount(now))))
+func (p *Planner) expectedFetchSeconds(now time.Duration, copied *imageCopy) float64 {
+	rate := copied.FetchGBps
+	if storeGBps := p.storeRate.gbps(now); storeGBps > 0 && len(copied.sources) == 0 {
+		rate = min(rate, storeGBps/float64(max(1, p.storeFetchCount(now))))
 	}
-	return c.gb / rate
+	return copied.gb / rate
 }
 
 // Keep is for how long a machine that runs nothing is kept with these images, which would be for so long
