--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,10 +1,11 @@
-// Package demand decides how a shard's holder tells what machines it lacks, and which of
-// what was told counts. Wants change several times a second while work arrives; written
-// each time they took a fifth of the changes of the state service just when acceptances
-// and starts needed them. So they go by message, and the record follows at leisure: it is
-// what counts where messages do not get through.
+// Package demand decides when the holder of a shard publishes its unmet demand for machines, and
+// which published demand counts. Unmet demand changes several times a second while work arrives.
+// When each change was written, these writes took a fifth of the state service's changes, just when
+// acceptances and starts needed them. Unmet demand is therefore sent to the other controllers as
+// messages, and the stored record follows at a lower rate. The record counts where messages do not
+// get through.
 //
-// Pure: time comes in, nothing else does.
+// The package has no clock and no I/O. Times are those of the caller's monotonic clock.
 package demand
 
 import (
@@ -13,8 +14,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Told is a want on its way to the other controllers: of a shard held under a token, the
-// Nth under it.
+// Announcement is a message about the unmet demand of a shard. Token is the token under which its
+// holder holds the shard, Number the number of the message under that token.
 type Announcement struct {
 	Shard  int       `msgpack:"shard"`
 	Token  uint64    `msgpack:"token"`
@@ -22,30 +23,30 @@
 	Want   wire.Want `msgpack:"want"`
 }
 
-// Pace bounds how often wants are told.
+// Pace bounds how often unmet demand is published.
 type Pace struct {
-	RepeatInterval time.Duration // a standing want is told again after this
-	WriteInterval  time.Duration // between writes of a shard's record, while messages get through
-	MaxAge         time.Duration // a message counts for so long
+	RepeatInterval time.Duration // unchanged demand is published again after this
+	WriteInterval  time.Duration // least time between writes of a shard's record while messages get through
+	MaxAge         time.Duration // time for which a message counts
 }
 
-// Teller is the holder's side of one shard.
+// Publisher decides when the holder of one shard publishes and writes its unmet demand.
 type Publisher struct {
 	pace         Pace
 	number       uint64
-	published    wire.Want
-	publishedAt  time.Duration // when it was last told
+	published    wire.Want // unmet demand last published
+	publishedAt  time.Duration
 	writtenAt    time.Duration
-	hasPublished bool // told before
-	hasWritten   bool // written before
+	hasPublished bool
+	hasWritten   bool
 }
 
-// NewTeller returns the teller of a shard that has been told of nothing.
+// NewPublisher returns a publisher of a shard whose demand has not been published yet.
 func NewPublisher(pace Pace) *Publisher { return &Publisher{pace: pace} }
 
-// Next says whether a want is to be told by message, with which number, and whether it is
-// to be written: record is what stands in the state, heard whether messages reach those
-// who act on wants.
+// Next reports whether unmet demand is to be published now, and with which number, and whether it
+// is to be written. record is the demand stored in the state service. delivered reports whether
+// messages reach the controllers that act on unmet demand.
 func (p *Publisher) Next(now time.Duration, want, record wire.Want, delivered bool) (number uint64, publish, write bool) {
 	recorded := Equal(want, record)
 	if !p.hasPublished || !Equal(want, p.published) || now-p.publishedAt >= p.pace.RepeatInterval && (!recorded || len(want.Needs) > 0) {
@@ -58,7 +59,7 @@
 	return p.number, publish, write
 }
 
-// Board is what a controller has heard of the wants of others.
+// Board holds the unmet demand that a controller has received from others, by shard.
 type Board struct {
 	pace     Pace
 	received map[int]receivedAnnouncement
@@ -72,7 +73,8 @@
 // NewBoard returns an empty board.
 func NewBoard(pace Pace) *Board { return &Board{pace: pace, received: map[int]receivedAnnouncement{}} }
 
-// Hear takes a message. An older one of the same holder changes nothing.
+// Receive stores an announcement. It ignores announcements that are older than the stored one:
+// those with a lower token, or with the same token and a number that is not higher.
 func (b *Board) Receive(now time.Duration, announcement Announcement) {
 	if old, ok := b.received[announcement.Shard]; ok && (announcement.Token < old.Token || announcement.Token == old.Token && announcement.Number <= old.Number) {
 		return
@@ -80,8 +82,8 @@
 	b.received[announcement.Shard] = receivedAnnouncement{announcement, now}
 }
 
-// Of is the want of a shard held under token that counts now: the last message of that
-// holder, unless it has gone silent, and otherwise the record.
+// Current returns the unmet demand that counts now for a shard held under token: the last
+// announcement of that holder unless it is too old, otherwise the stored record.
 func (b *Board) Current(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
 	if last, ok := b.received[shard]; ok && last.Token == token && now-last.receivedAt < b.pace.MaxAge {
 		return last.Want
@@ -89,8 +91,8 @@
 	return record
 }
 
-// Shorter leaves out the last need, and tells whether there was one: those beyond what a
-// record holds are asked for once the first are served.
+// DropLastNeed removes the last need of a record that is too large, and reports whether there was
+// one. Needs beyond what a record can hold are requested once the first ones are met.
 func DropLastNeed(want *wire.Want) bool {
 	if len(want.Needs) == 0 {
 		return false
@@ -99,8 +101,8 @@
 	return true
 }
 
-// Same tells whether two wants ask for the same. Which blocks were known matters only
-// while something is asked for.
+// Equal reports whether two records ask for the same machines. The blocks that were known (Seen)
+// matter only while there are needs.
 func Equal(x, y wire.Want) bool {
 	if len(x.Needs) != len(y.Needs) || len(x.Needs) > 0 && x.Seen != y.Seen {
 		return false
@@ -113,7 +115,7 @@
 	return true
 }
 
-// SameKind tells whether two needs differ by the number of tasks at most.
+// SameKind reports whether two needs differ at most in their number of tasks.
 func SameKind(x, y wire.Need) bool {
 	if len(x.Types) != len(y.Types) || x.Zone != y.Zone || x.Spot != y.Spot || x.CPUs != y.CPUs || x.GPUs != y.GPUs || x.MemGB != y.MemGB ||
 		x.Dire != y.Dire || x.Booting != y.Booting || x.Rung != y.Rung {
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -16,8 +16,8 @@
 	return wire.Want{Seen: seen, Needs: []wire.Need{{CPUs: 1, MemGB: 2, Tasks: tasks}}}
 }
 
-// A want that changes ten times a second for ten seconds is told each time and written
-// four times; where messages do not get through each change is written.
+// Unmet demand that changes ten times a second for ten seconds is published each time and written
+// four times. Where messages do not get through, each change is written.
 func TestDemandIsWrittenLessOftenThanPublished(t *testing.T) {
 	for _, delivered := range []bool{true, false} {
 		publisher, written := NewPublisher(pace), 0
@@ -34,12 +34,13 @@
 			}
 		}
 		if published != 100 || delivered && written != 4 || !delivered && written != 100 {
-			t.Errorf("heard %v: told %d times, written %d times", delivered, published, written)
+			t.Errorf("delivered %v: published %d times, written %d times", delivered, published, written)
 		}
 	}
 }
 
-// The record ends as the last want, also if nothing changes any more; then nothing is told.
+// The record ends up equal to the last unmet demand even if nothing changes any more. Nothing is
+// published after that.
 func TestRecordFollowsLastDemand(t *testing.T) {
 	publisher, record := NewPublisher(pace), wire.Want{}
 	last, messages := time.Duration(0), 0
@@ -59,7 +60,8 @@
 	}
 }
 
-// A message counts while its sender holds the shard and is heard; late ones do not.
+// An announcement counts while its sender holds the shard and its messages arrive. Late
+// announcements do not count.
 func TestCurrentDemand(t *testing.T) {
 	board, record := NewBoard(pace), want(7, 1)
 	board.Receive(0, Announcement{Shard: 1, Token: 4, Number: 2, Want: want(3, 1)})
@@ -75,6 +77,6 @@
 	}
 	board.Receive(4*time.Second, Announcement{Shard: 1, Token: 3, Number: 9, Want: want(1, 1)}) // an earlier holder
 	if w := board.Current(4*time.Second, 1, 3, record); w.Needs[0].Tasks != 7 {
-		t.Error("an earlier holder's message counts")
+		t.Error("an announcement of an earlier holder counts")
 	}
 }
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -1,14 +1,15 @@
-// Package startlog keeps what is written of starts: which tasks of which jobs may have been
-// started, and where. Each start has to be written before it is made, and one change of
-// the state service for each was what a deployment waited for when it began, after an
-// outage and after a takeover. A record here holds the starts of many jobs, so one change
-// writes all that have come together.
+// Package startlog keeps the stored records of task starts: which tasks of which jobs may have been
+// started, and on which machines. Each start must be written before it is made. With one write to
+// the state service per start, deployments were limited by these writes when they began, after an
+// outage and after a takeover. A record therefore holds the starts of many jobs, and one write
+// covers all starts that are pending.
 //
-// Records are slots of a shard. An entry stands in the slot where it was last written;
-// older ones of the same job elsewhere are superseded, and go when their slot is next
-// written. Package core argues what is compared with each write (docs/design.md).
+// The records are the slots of a shard. The entry of a job that counts is in the slot where it was
+// last written. Older entries of the same job in other slots are superseded, and are removed when
+// their slot is next written. Package core explains which conditions each write has
+// (docs/design.md).
 //
-// Pure: no clock, no I/O; not for concurrent use.
+// The package has no clock and no I/O, and is not safe for concurrent use.
 package startlog
 
 import (
@@ -23,40 +24,43 @@
 // Limits bound one record.
 type Limits struct {
 	Entries int
-	Bytes   int // in JSON form
+	Bytes   int // size in JSON form
 }
 
-// Book is a copy of all slots of all shards.
+// Log is a copy of all slots of all shards.
 type Log struct {
 	limits Limits
 	slots  map[string]*slot    // by key
-	latest map[string]location // entry -> its newest place
+	latest map[string]location // newest entry of each name, and its slot
 }
 
+// slot is the stored record of one slot.
 type slot struct {
 	shard, number int
 	version       uint64
 	entries       map[string]wire.Start
 }
 
+// location is an entry and the key of the slot that contains it.
 type location struct {
 	key   string
 	start wire.Start
 }
 
-// New returns an empty book.
+// New returns an empty log.
 func New(limits Limits) *Log {
 	return &Log{limits: limits, slots: map[string]*slot{}, latest: map[string]location{}}
 }
 
-// KeepTo has records that are planned from now on keep to other limits.
+// SetLimits sets the limits of records that are planned from now on.
 func (l *Log) SetLimits(limits Limits) { l.limits = limits }
 
-// Key is where a slot stands in the state service.
+// Key returns the key of a slot in the state service.
 func Key(shard, number int) string {
 	return fmt.Sprintf("%s%d.%d", wire.PrefixStart, shard, number)
 }
 
+// parseKey returns the shard and number of the slot with a key.
 func parseKey(key string) (shard, number int, err error) {
 	shardText, numberText, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixStart), ".")
 	shard, err = strconv.Atoi(shardText)
@@ -64,18 +68,18 @@
 		number, err = strconv.Atoi(numberText)
 	}
 	if !ok || err != nil {
-		return 0, 0, fmt.Errorf("no slot of starts: %q", key)
+		return 0, 0, fmt.Errorf("not the key of a start log slot: %q", key)
 	}
 	return shard, number, nil
 }
 
-// Put takes a slot's new record, and returns the names whose entry has changed, in order.
+// Put stores a new record of a slot and returns the names whose newest entry has changed, sorted.
 func (l *Log) Put(key string, version uint64, record wire.Starts) ([]string, error) {
 	shard, number, err := parseKey(key)
 	if err != nil {
 		return nil, err
 	}
-	if old := l.slots[key]; old != nil { // what its holder has left out counts for nobody
+	if old := l.slots[key]; old != nil { // entries that the shard's holder has removed no longer count
 		for name := range old.entries {
 			if _, kept := record.Entries[name]; !kept && l.latest[name].key == key {
 				delete(l.latest, name)
@@ -96,7 +100,7 @@
 	return changed, nil
 }
 
-// Of is the newest entry of a name.
+// Latest returns the newest entry of a name.
 func (l *Log) Latest(name string) (wire.Start, bool) {
 	newest, ok := l.latest[name]
 	return newest.start, ok
@@ -108,18 +112,18 @@
 	Start wire.Start
 }
 
-// Write is one slot's record with new entries in it, to be put if the slot still has the
-// version Ver.
+// Write is the record of one slot with new entries in it. It may be stored only if the slot still
+// has the version Version.
 type Write struct {
 	Key      string
 	Version  uint64
 	Record   wire.Starts
-	Included int // of the entries, from the first
+	Included int // number of the planned entries, counted from the first, that are in the record
 }
 
-// Plan finds the slot of a shard for new entries, the emptiest, and its record with as
-// many of them as it holds, at least one. Entries of names that are no longer live, and
-// those superseded, are left out. Numbers of entries rise by one with each write of a name.
+// Plan chooses the emptiest slot of a shard for new entries and returns its record with as many of
+// them as fit, but at least one. Superseded entries and entries of names that are no longer live
+// are left out. The number of a name's entry rises by one with each write.
 func (l *Log) Plan(shard int, entries []Entry, live func(name string) bool) Write {
 	var best *slot
 	var kept map[string]wire.Start
@@ -133,10 +137,10 @@
 		for name, start := range entriesKept {
 			bytes += maxEntrySize(name, start)
 		}
-		// Full by its bytes as well: a first entry that made the value too large would be
-		// refused, and tried again, for ever. One that a controller with larger limits has
-		// filled is left as it is until enough in it has ended: what is new of its jobs goes
-		// to other slots, where it counts by its number.
+		// A slot counts as full by its size too. A first entry that made the value too large
+		// would be refused and retried forever. A slot that a controller with larger limits
+		// has filled is not rewritten until enough of its jobs have ended. New entries of its
+		// jobs go to other slots, where they count because of their higher numbers.
 		if len(entriesKept)*4 > l.limits.Entries*3 || bytes*4 > l.limits.Bytes*3 || bytes+maxEntrySize(entries[0].Name, entries[0].Start) > l.limits.Bytes {
 			continue
 		}
@@ -162,7 +166,8 @@
 	return write
 }
 
-// highest is the largest number of a name's entries, in whichever slot.
+// highestNumber returns the highest number among a name's entries in all slots, superseded entries
+// included.
 func (l *Log) highestNumber(name string) (highest uint64) {
 	for _, s := range l.slots {
 		highest = max(highest, s.entries[name].N)
@@ -170,7 +175,7 @@
 	return highest
 }
 
-// keep is what of a slot still counts.
+// liveEntries returns the entries of a slot that are live and not superseded.
 func (l *Log) liveEntries(s *slot, live func(string) bool) map[string]wire.Start {
 	kept := make(map[string]wire.Start, len(s.entries)+8)
 	key := Key(s.shard, s.number)
@@ -182,7 +187,7 @@
 	return kept
 }
 
-// sizeOf bounds an entry in JSON form.
+// maxEntrySize returns an upper bound of an entry's size in JSON form, in bytes.
 func maxEntrySize(name string, start wire.Start) int {
 	bytes := len(name) + 48
 	for _, machine := range start.On {
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -11,8 +11,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Whatever is written, superseded, ended and pruned: a book that reads the slots from the
-// beginning knows the last start of every live job, and no record grows beyond its limits.
+// Whichever entries are written, superseded, ended and pruned, a log that reads all slots from
+// scratch knows the last start of every live job, and no record exceeds its limits.
 func TestNothingLiveIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Entries: 6, Bytes: rapid.SampledFrom([]int{160, 220, 1 << 12}).Draw(t, "bytes")}
@@ -43,7 +43,7 @@
 			}
 			w := log.Plan(1, entries, live)
 			if w.Included == 0 || len(w.Record.Entries) > limits.Entries {
-				t.Fatalf("took %d, record of %d", w.Included, len(w.Record.Entries))
+				t.Fatalf("%d entries taken, record of %d", w.Included, len(w.Record.Entries))
 			}
 			if raw, err := wire.Marshal(w.Record); err != nil || !wire.FitsIn(raw, limits.Bytes) {
 				t.Fatalf("record of %d entries is over %d bytes (%v)", len(w.Record.Entries), limits.Bytes, err)
@@ -75,8 +75,8 @@
 
 func keysOf[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// A slot that a version with larger limits has filled is read, and not written again while
-// it is too large: a start of a job that stands in it goes to another slot, and counts there.
+// A slot filled by a version with larger limits is read, but not rewritten while it is too large. A
+// new start of a job that is in it goes to another slot and counts there.
 func TestOversizedSlotIsNotRewritten(t *testing.T) {
 	const jobs = 90
 	log := New(Limits{Entries: 96, Bytes: 2048 * 7 / 8})
@@ -102,10 +102,10 @@
 			t.Fatal(err)
 		}
 		if s, _ := log.Latest(name(k)); s.Started != 2 || s.N != 8 {
-			t.Fatalf("start %d: %+v counts", k, s)
+			t.Fatalf("start %d: latest is %+v", k, s)
 		}
 	}
-	again := New(Limits{Entries: 96, Bytes: 14 << 10}) // one with larger limits reads the same
+	again := New(Limits{Entries: 96, Bytes: 14 << 10}) // a log with larger limits reads the same starts
 	for _, key := range keysOf(stored) {
 		if _, err := again.Put(key, 1, stored[key]); err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 			t.Fatalf("%s is read as %+v", name(k), s)
 		}
 	}
-	// Once what stood in it has ended the slot is used again.
+	// Once the jobs in it have ended, the slot is used again.
 	for k := range jobs {
 		ended[name(k)] = true
 	}
@@ -125,7 +125,7 @@
 	}
 }
 
-// A slot that is not full yet may still be too full for one long entry.
+// A slot that has few entries may still be too full for one long entry.
 func TestLongEntry(t *testing.T) {
 	log := New(Limits{Entries: 96, Bytes: 1024 * 7 / 8})
 	part := wire.Starts{Entries: map[string]wire.Start{}}
@@ -151,6 +151,6 @@
 
 func TestBadKey(t *testing.T) {
 	if _, err := New(Limits{}).Put(wire.PrefixStart+"1", 1, wire.Starts{}); err == nil {
-		t.Fatal("a key without a slot is taken")
+		t.Fatal("a key without a slot number is accepted")
 	}
 }
