--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -25,9 +25,9 @@
 
 // Pace bounds how often unmet demand is published.
 type Pace struct {
-	RepeatInterval time.Duration // unchanged demand is published again after this
+	RepeatInterval time.Duration // unchanged demand is published again after this, until it is met and recorded
 	WriteInterval  time.Duration // least time between writes of a shard's record while messages get through
-	MaxAge         time.Duration // time for which a message counts
+	MaxAge         time.Duration // an announcement counts for this long after it was received
 }
 
 // Publisher decides when the holder of one shard publishes and writes its unmet demand.
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -1,13 +1,13 @@
-// Package dependency decides about jobs that wait for others: whether one still waits, is ready,
-// or is cancelled because a job before it was; and what those before it inherit of its priority
-// and its deadline.
+// Package dependency evaluates jobs that depend on others: whether a job still waits, is ready, or
+// is cancelled because a predecessor was. It also computes the priority and the deadline that
+// predecessors inherit from the jobs that depend on them.
 //
-// Nothing is written for a cancellation beyond the one end of the job that was cancelled. That a
-// job after it is cancelled too follows from that end: ends never change, and no task of a job
-// starts before all of its predecessors are durably done. So everybody who can read the ends
-// comes to the same answer, however many jobs depend on the cancelled one.
+// A cancellation writes only the end of the cancelled job itself. That the jobs depending on it are
+// cancelled too follows from this end: ends never change, and no task of a job starts before all of
+// its predecessors are durably done. Every controller that can read the ends therefore reaches the
+// same result, however many jobs depend on the cancelled one.
 //
-// A plain structure: no clock, no I/O, not for concurrent use.
+// The package has no clock and no I/O, and its structures are not safe for concurrent use.
 package dependency
 
 import (
@@ -15,52 +15,53 @@
 	"slices"
 )
 
-// Outcome is what is known of a job that waits.
+// Outcome is the result of evaluating a job that may wait for predecessors.
 type Outcome int
 
 const (
-	// Waits: a predecessor, or one before it, is not over.
+	// Waiting means that a direct or indirect predecessor is not over.
 	Waiting Outcome = iota
-	// Ready: all predecessors are done.
+	// Ready means that all predecessors are done.
 	Ready
-	// Cancelled: a job before it was cancelled.
+	// Cancelled means that a direct or indirect predecessor was cancelled.
 	Cancelled
-	// Unknown: ends have to be looked up first.
+	// Unknown means that the ends of some predecessors must be read first.
 	Unknown
 )
 
-// Verdict is an outcome and what it rests on.
+// Evaluation is an outcome and what it is based on.
 type Evaluation struct {
 	Outcome     Outcome
-	CancelledBy string   // Cancelled: the job whose cancellation it follows from
-	MissingEnds []string // Unknown: jobs that are over, and whose ends are to be read
+	CancelledBy string   // with Cancelled: the job whose cancellation causes it
+	MissingEnds []string // with Unknown: jobs that are over and whose ends must be read
 }
 
-// Demand is what a job asks of those before it.
+// Requirement is what a job requires of its predecessors.
 type Requirement struct {
-	Priority        int     // as package wire ranks them
-	TierRank        int     // of its rung
-	Due             float64 // seconds of the day's time by when it should be done; +Inf: nobody has said
-	DurationSeconds float64 // seconds from its last predecessor's end to its own, as expected
+	Priority        int     // rank of the priority, as in package wire
+	TierRank        int     // rank of the tier
+	Due             float64 // time (Unix seconds) by which the job should be done; +Inf if there is none
+	DurationSeconds float64 // expected time from the end of the job's last predecessor to its own end
 }
 
-// end is how a job that others name is known to be over.
+// jobEnd is how a predecessor ended.
 type jobEnd struct {
 	done        bool
-	cancelledBy string // whose cancellation
+	cancelledBy string // job whose cancellation ended it, if it is not done
 }
 
+// job is a waiting job.
 type job struct {
 	predecessors []string
 	own          Requirement
 }
 
-// Graph holds the jobs that wait, and the ends of those before them.
+// Graph holds the waiting jobs and the known ends of their predecessors.
 type Graph struct {
 	waiting    map[string]*job
-	dependents map[string]map[string]bool // job -> jobs that wait for it directly
-	ends       map[string]jobEnd          // of jobs that some waiting one names
-	inherited  map[string]Requirement     // what each job inherits; emptied by every change
+	dependents map[string]map[string]bool // job -> jobs that name it as a predecessor
+	ends       map[string]jobEnd          // of jobs that some waiting job names as predecessors
+	inherited  map[string]Requirement     // cache of what each job inherits; cleared by every change
 }
 
 // New returns an empty graph.
@@ -68,7 +69,7 @@
 	return &Graph{waiting: map[string]*job{}, dependents: map[string]map[string]bool{}, ends: map[string]jobEnd{}, inherited: map[string]Requirement{}}
 }
 
-// Put adds a job that waits, or replaces what is known of it.
+// Put adds a waiting job or replaces its predecessors and its own requirement.
 func (g *Graph) Put(id string, predecessors []string, own Requirement) {
 	if old := g.waiting[id]; old == nil || !slices.Equal(old.predecessors, predecessors) {
 		g.Remove(id)
@@ -83,7 +84,8 @@
 	clear(g.inherited)
 }
 
-// Remove takes out a job that waits no longer. Ends that nobody names any more are forgotten.
+// Remove removes a job that no longer waits. Ends of jobs that no waiting job names any more are
+// removed too.
 func (g *Graph) Remove(id string) {
 	j := g.waiting[id]
 	if j == nil {
@@ -100,8 +102,9 @@
 	}
 }
 
-// End notes how a job is over: done, or cancelled by a user's word on the job by, which may be
-// itself. It counts only while a waiting job names it, and never changes.
+// RecordEnd records how a job ended: done, or cancelled because a user cancelled the job
+// cancelledBy, which may be the job itself (also if it is empty). Ends of jobs that no waiting job
+// names are ignored, and a recorded end never changes.
 func (g *Graph) RecordEnd(id string, done bool, cancelledBy string) {
 	if _, known := g.ends[id]; known || g.dependents[id] == nil {
 		return
@@ -112,7 +115,7 @@
 	g.ends[id] = jobEnd{done, cancelledBy}
 }
 
-// Awaits tells whether a job waits, and for which.
+// Predecessors returns the predecessors of a job, and whether it waits.
 func (g *Graph) Predecessors(id string) (predecessors []string, waits bool) {
 	if j := g.waiting[id]; j != nil {
 		return j.predecessors, true
@@ -120,10 +123,11 @@
 	return nil, false
 }
 
-// Own is what a job that waits asks of those before it, as it was put.
+// OwnRequirement returns the requirement with which a waiting job was last put. The job must be
+// waiting.
 func (g *Graph) OwnRequirement(id string) Requirement { return g.waiting[id].own }
 
-// Dependents lists the jobs that wait for one directly, in order.
+// Dependents lists the jobs that directly depend on a job, sorted.
 func (g *Graph) Dependents(id string) []string {
 	list := make([]string, 0, len(g.dependents[id]))
 	for d := range g.dependents[id] {
@@ -133,7 +137,7 @@
 	return list
 }
 
-// Waiting lists all that wait, in order.
+// Waiting lists all waiting jobs, sorted.
 func (g *Graph) Waiting() []string {
 	list := make([]string, 0, len(g.waiting))
 	for id := range g.waiting {
@@ -143,13 +147,14 @@
 	return list
 }
 
-// Judge says how a job that waits stands. live tells whether a job is known to be accepted and
-// neither waiting nor over. A job before it that is neither live nor waiting is over.
+// Evaluate returns whether a job still waits, is ready or is cancelled. live reports whether a job
+// is known to be accepted and neither waiting nor over; a predecessor that is neither live nor
+// waiting is over.
 func (g *Graph) Evaluate(id string, live func(string) bool) Evaluation {
 	seen := map[string]bool{}
 	var missingEnds []string
 	cancelledBy, waits := "", false
-	var visit func(id string) bool // false: cancelled
+	var visit func(id string) bool // reports false if a predecessor was cancelled
 	visit = func(id string) bool {
 		for _, p := range g.waiting[id].predecessors {
 			e, over := g.ends[p]
@@ -185,8 +190,9 @@
 	return Evaluation{Outcome: Ready}
 }
 
-// Begins is in how many seconds a job that waits can begin at the soonest: when the last of those that
-// it names ends, which ends tells of one that is live. +Inf: one is cancelled, or waits itself.
+// StartDelay returns the number of seconds until a waiting job can start at the earliest, which is
+// when the last of its predecessors ends. remaining returns the seconds until a live job ends. The
+// result is +Inf if a predecessor was cancelled or waits itself.
 func (g *Graph) StartDelay(id string, remaining func(string) float64) float64 {
 	delay := 0.0
 	for _, p := range g.waiting[id].predecessors {
@@ -202,16 +208,17 @@
 	return delay
 }
 
-// Left is how many seconds of a stage of which all tasks are on machines are left, the last of them
-// since so many seconds.
+// RemainingSeconds returns how many seconds remain of a job whose tasks are all on machines, given
+// the seconds since the last of them started.
 func (s JobEstimate) RemainingSeconds(sinceLastStart float64) float64 {
 	return max(0, s.TaskSeconds*s.slowestTaskFactor()-sinceLastStart)
 }
 
-// Before lists a job's predecessors and all before them, as far as those still wait, nearest first.
+// Ancestors lists the direct and indirect predecessors of a job, nearest first. Only waiting jobs
+// are followed to their own predecessors.
 func (g *Graph) Ancestors(id string) []string { return g.transitive(id, g.predecessorsOf) }
 
-// After lists all jobs that wait for a job, directly or through others, nearest first.
+// Descendants lists all jobs that depend on a job, directly or indirectly, nearest first.
 func (g *Graph) Descendants(id string) []string { return g.transitive(id, g.Dependents) }
 
 func (g *Graph) predecessorsOf(id string) []string {
@@ -221,6 +228,8 @@
 	return nil
 }
 
+// transitive lists the jobs reachable from a job through next, without the job itself, in
+// breadth-first order.
 func (g *Graph) transitive(id string, next func(string) []string) []string {
 	seen, list := map[string]bool{id: true}, []string{id}
 	for i := 0; i < len(list); i++ {
@@ -234,17 +243,18 @@
 	return list[1:]
 }
 
-// nothing is what a job inherits that nobody waits for.
+// noRequirement is what a job inherits that no other job depends on.
 var noRequirement = Requirement{Priority: -1, TierRank: -1, Due: math.Inf(1)}
 
-// Inherited is what a job is asked for by those after it: the highest priority and rung of any of
-// them, and by when it has to be done so that each can be in time: the deadline of each less what
-// the longest way there takes. Length is that of the longest way to the last of them.
+// Inherited returns what the jobs that depend on a job require of it: the highest priority and tier
+// rank of any of them, and the time by which it must be done so that each of them can meet its
+// deadline. That time is the earliest of their deadlines, each less the duration of the longest
+// path to that job's end. DurationSeconds is the duration of the longest path of dependent jobs.
 func (g *Graph) Inherited(id string) Requirement {
 	if requirement, known := g.inherited[id]; known {
 		return requirement
 	}
-	g.inherited[id] = noRequirement // a graph that is no graph ends here
+	g.inherited[id] = noRequirement // ends the recursion if the dependencies contain a cycle
 	requirement := noRequirement
 	for _, dependent := range g.Dependents(id) {
 		own, inherited := g.waiting[dependent].own, g.Inherited(dependent)
@@ -257,25 +267,28 @@
 	return requirement
 }
 
-// Slack is how many seconds a job that takes so long from now on has to spare before those after
-// it are late; +Inf: none of them has to be done by any time.
+// Slack returns how many seconds later than now a job that takes length seconds may start before
+// the jobs that depend on it are late. It is +Inf if none of them has a deadline.
 func (d Requirement) Slack(now, length float64) float64 { return d.Due - length - now }
 
-// Stage is what the expected length of a job hangs on.
+// JobEstimate is what the expected duration of a job is computed from.
 type JobEstimate struct {
 	Tasks             int
-	TaskSeconds       float64 // seconds of a typical task
-	LogSpread         float64 // of the logarithm of that, among the tasks of a job
-	FetchSeconds      float64 // seconds of its image
-	StartDelaySeconds float64 // seconds until its tasks have their machines
+	TaskSeconds       float64 // run time of a typical task
+	LogSpread         float64 // standard deviation of the logarithm of the run times of a job's tasks
+	FetchSeconds      float64 // time to fetch the image
+	StartDelaySeconds float64 // time until the tasks have their machines
 }
 
-// Length is how many seconds a job takes from when it could run to its end, if all of its tasks
-// find room at once: the slowest of many tasks takes longer than a typical one.
+// ExpectedSeconds returns how long a job takes from when it becomes ready to its end, if all of its
+// tasks find free capacity at once. It accounts for the slowest of many tasks taking longer than a
+// typical one.
 func ExpectedSeconds(estimate JobEstimate) float64 {
 	return estimate.StartDelaySeconds + estimate.FetchSeconds + estimate.TaskSeconds*estimate.slowestTaskFactor()
 }
 
+// slowestTaskFactor returns how many times as long as a typical task the slowest task is expected
+// to run.
 func (s JobEstimate) slowestTaskFactor() float64 {
 	return math.Exp(s.LogSpread * math.Sqrt(2*math.Log(float64(max(1, s.Tasks)))))
 }
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -11,9 +11,10 @@
 
 func name(i int) string { return fmt.Sprintf("job-%03d", i) }
 
-// A model that knows of every job how it stands: a waiting job is cancelled if any job before it
-// is, ready once all are done; the graph, told of ends in any order, says the same or asks for
-// ends that it lacks, and never more often than there are jobs.
+// Compares the graph with a model that knows the state of every job: a waiting job is cancelled if
+// any of its direct or indirect predecessors is, and ready once all are done. The graph, given the
+// ends in any order, returns the same or asks for ends that it does not know, at most once for each
+// job.
 func TestEvaluationsFollowFromEnds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "jobs")
@@ -55,7 +56,7 @@
 				evaluation := g.Evaluate(name(i), func(id string) bool { return state[at(id)] == "live" })
 				if evaluation.Outcome == Unknown {
 					if len(evaluation.MissingEnds) == 0 {
-						t.Fatal("asks for nothing")
+						t.Fatal("the outcome is unknown, but no ends are missing")
 					}
 					for _, p := range evaluation.MissingEnds {
 						if s := state[at(p)]; s == "live" || s == "waiting" {
@@ -69,19 +70,20 @@
 					t.Fatalf("%s: %v, want %v", name(i), evaluation.Outcome, want)
 				}
 				if evaluation.Outcome == Cancelled && state[at(evaluation.CancelledBy)] != "aborted" {
-					t.Fatalf("%s: by %s, which is %s", name(i), evaluation.CancelledBy, state[at(evaluation.CancelledBy)])
+					t.Fatalf("%s: cancelled by %s, which is %s", name(i), evaluation.CancelledBy, state[at(evaluation.CancelledBy)])
 				}
 				want = -1
 				break
 			}
 			if want != -1 {
-				t.Fatalf("%s: no verdict", name(i))
+				t.Fatalf("%s: no final outcome", name(i))
 			}
 		}
 	})
 }
 
-// The last job alone has a deadline and a priority; a diamond, and a way of thirty.
+// Only the last job has a deadline and a priority. Its predecessors inherit them in a diamond and
+// along a path of thirty jobs.
 func TestPredecessorsInherit(t *testing.T) {
 	g := New()
 	none := Requirement{Priority: 0, TierRank: 1, Due: math.Inf(1)}
@@ -96,7 +98,7 @@
 		}
 	}
 	if d := g.Inherited("a"); d.DurationSeconds != 35 {
-		t.Errorf("the longest way after a takes %v, want 35", d.DurationSeconds)
+		t.Errorf("the longest path after a takes %v, want 35", d.DurationSeconds)
 	}
 	if got := g.Descendants("a"); !slices.Equal(got, []string{"b", "c", "d"}) {
 		t.Errorf("after a: %v", got)
@@ -106,7 +108,7 @@
 	}
 	g.Remove("d")
 	if d := g.Inherited("a"); !math.IsInf(d.Due, 1) || d.Priority != 0 {
-		t.Errorf("a inherits %+v of a job that is gone", d)
+		t.Errorf("a inherits %+v from a removed job", d)
 	}
 	path := New()
 	for i := 1; i < 30; i++ {
@@ -116,7 +118,7 @@
 	if d := path.Inherited(name(0)); d.Due != 1000-5-29*2 || d.TierRank != 3 {
 		t.Errorf("the first of thirty inherits %+v", d)
 	}
-	// Two layers of each width: as many ways as 2 to the 20th, each looked at once.
+	// Twenty layers of two jobs: 2 to the 20th paths, but each job is evaluated once.
 	wide := New()
 	for i := 1; i <= 20; i++ {
 		p := []string{fmt.Sprintf("%da", i-1), fmt.Sprintf("%db", i-1)}
@@ -124,35 +126,35 @@
 		wide.Put(fmt.Sprintf("%db", i), p, with(1))
 	}
 	if d := wide.Inherited("0a"); d.DurationSeconds != 20 {
-		t.Errorf("the longest way takes %v, want 20", d.DurationSeconds)
+		t.Errorf("the longest path takes %v, want 20", d.DurationSeconds)
 	}
 	if v := wide.Evaluate("20a", func(string) bool { return true }); v.Outcome != Waiting {
-		t.Errorf("judged %v", v)
+		t.Errorf("evaluated as %v", v)
 	}
 }
 
-// Ends that nobody waits for are forgotten, and one that is known never changes.
+// Ends of jobs that no waiting job names are removed, and a recorded end never changes.
 func TestEndsAreFinal(t *testing.T) {
 	g := New()
 	g.RecordEnd("a", true, "")
 	g.Put("b", []string{"a", "x"}, Requirement{})
 	live := func(id string) bool { return id == "x" }
 	if v := g.Evaluate("b", live); v.Outcome != Unknown || !slices.Equal(v.MissingEnds, []string{"a"}) {
-		t.Fatalf("an end told before anybody waits: %+v", v)
+		t.Fatalf("an end recorded before any job waits for it: %+v", v)
 	}
 	g.RecordEnd("a", false, "root")
 	g.RecordEnd("a", true, "")
 	if v := g.Evaluate("b", live); v.Outcome != Cancelled || v.CancelledBy != "root" {
-		t.Fatalf("judged %+v", v)
+		t.Fatalf("evaluated as %+v", v)
 	}
 	g.Remove("b")
 	if len(g.ends)+len(g.dependents) > 0 {
-		t.Fatalf("kept: %v %v", g.ends, g.dependents)
+		t.Fatalf("not removed: %v %v", g.ends, g.dependents)
 	}
 }
 
-// A job begins when the last of those that it names ends; not as long as one of them waits itself, never if
-// one is cancelled.
+// A job can start when the last of its predecessors ends, but not while one of them waits itself,
+// and never if one is cancelled.
 func TestStartDelay(t *testing.T) {
 	g := New()
 	g.Put("c", []string{"a", "b"}, Requirement{})
@@ -160,21 +162,21 @@
 	left := map[string]float64{"a": 7, "b": 3}
 	remaining := func(id string) float64 { return left[id] }
 	if got := g.StartDelay("c", remaining); got != 7 {
-		t.Errorf("c begins in %v s, want 7", got)
+		t.Errorf("c starts in %v s, want 7", got)
 	}
 	if got := g.StartDelay("d", remaining); !math.IsInf(got, 1) {
-		t.Errorf("d awaits one that waits, and begins in %v s", got)
+		t.Errorf("d has a waiting predecessor, but starts in %v s", got)
 	}
 	g.RecordEnd("a", true, "")
 	if got := g.StartDelay("c", remaining); got != 3 {
-		t.Errorf("c begins in %v s, want 3", got)
+		t.Errorf("c starts in %v s, want 3", got)
 	}
 	g.RecordEnd("b", false, "b")
 	if got := g.StartDelay("c", remaining); !math.IsInf(got, 1) {
-		t.Errorf("c is cancelled, and begins in %v s", got)
+		t.Errorf("c is cancelled, but starts in %v s", got)
 	}
 	s := JobEstimate{Tasks: 1, TaskSeconds: 20}
 	if a, b := s.RemainingSeconds(5), s.RemainingSeconds(50); a != 15 || b != 0 {
-		t.Errorf("%v and %v s are left of 20 after 5 and 50", a, b)
+		t.Errorf("%v and %v s remain of 20 after 5 and 50", a, b)
 	}
 }
--- a/internal/dependency/view.go
+++ b/internal/dependency/view.go
@@ -7,26 +7,27 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Seen is a job of a chain as one controller sees it. Of one that is over the record may be gone.
+// JobState is a job of a chain as one controller knows it. The record of a job that is over may
+// have been deleted.
 type JobState struct {
-	Job             *wire.Job // nil: it is over
-	Waiting         bool      // for others
+	Job             *wire.Job // nil if the job is over
+	Waiting         bool      // for predecessors
 	Status          wire.JobStatus
-	CancelledBy     string  // whose cancellation ended it
-	DurationSeconds float64 // seconds from when it can run to its end, as expected
-	Due             float64 // its own, seconds of the day's time; +Inf: none
+	CancelledBy     string  // job whose cancellation ended it
+	DurationSeconds float64 // expected time from when it can run to its end
+	Due             float64 // its own deadline (Unix seconds); +Inf if it has none
 	Inherited       Requirement
 }
 
-// times are when a job is expected to run, in seconds of the day's time.
+// expectedTimes is when a job is expected to run, in Unix seconds.
 type expectedTimes struct{ start, end float64 }
 
-// View draws the chain of a job: each job after those that it awaits, with when it is expected to
-// run, by when it has to be done, and which of them the end of the chain hangs on. now is in
-// seconds of the day's time.
+// View returns the chain of a job: each job after its predecessors, with its expected start and end
+// and its deadline, and whether it is on the critical path, which determines when the chain ends.
+// now is in Unix seconds.
 func View(node, id string, now float64, states map[string]JobState) wire.Chain {
 	chain := wire.Chain{Job: id, Node: node}
-	times, lastPredecessor := map[string]expectedTimes{}, map[string]string{} // before: the predecessor that ends last
+	times, lastPredecessor := map[string]expectedTimes{}, map[string]string{} // lastPredecessor: the predecessor that ends last
 	var add func(id string)
 	add = func(id string) {
 		if _, done := times[id]; done {
@@ -69,7 +70,7 @@
 	return chain
 }
 
-// row tells of one job.
+// chainJob returns a job of a chain as it is shown to operators.
 func chainJob(id string, state JobState, times expectedTimes) wire.ChainJob {
 	row := wire.ChainJob{ID: id, Status: state.Status.Status, CancelledBy: state.CancelledBy}
 	if state.Status.Done != nil && state.Status.Running != nil {
@@ -93,7 +94,7 @@
 		row.WaitingSinceMS, row.ExpectedStartMS = job.AcceptedMS, ms(times.start)
 	}
 	if state.Status.Status == wire.JobAborted || job.Shape == wire.ShapeService {
-		return row // it has no end to be foreseen
+		return row // its end cannot be predicted
 	}
 	row.ExpectedEndMS, row.DueMS, row.InheritedDueMS = ms(times.end), ms(state.Due), ms(state.Inherited.Due)
 	if due := min(state.Due, state.Inherited.Due); !math.IsInf(due, 1) {
