--- a/internal/weights/cache.go
+++ b/internal/weights/cache.go
@@ -9,16 +9,16 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// MachineImages names the images that a machine has.
+// MachineImages lists the images that a machine has.
 type MachineImages struct {
 	Machine string
 	Images  []string
 }
 
-// PackImages writes down which images machines have, in records of at most so many
-// bytes each, as the protocol counts them (JSON). A machine costs some 20 bytes: each
-// record lists its images once, and a machine has a bit for each. The order of
-// machines decides which of them share a record.
+// PackImages returns records of the images that machines have, each of at most the given number of
+// bytes as the protocol counts them (JSON). A machine takes about 20 bytes: each record lists its
+// images once, and a machine has a bit for each. The order of the machines determines which of them
+// share a record.
 func PackImages(machines []MachineImages, bytes int) []wire.Cache {
 	var records []wire.Cache
 	var record *wire.Cache
@@ -34,7 +34,7 @@
 		}
 		needed := maxMachineBytes(machine, index)
 		if needed > bytesLeft {
-			continue // more images than a record holds: learned again from its tasks
+			continue // its images exceed a record; they are learned again from its tasks
 		}
 		bytesLeft -= needed
 		var bits []uint32
@@ -55,7 +55,7 @@
 	return records
 }
 
-// cost is the most that a machine adds to a record, in bytes.
+// maxMachineBytes returns the most bytes that a machine adds to a record.
 func maxMachineBytes(machine MachineImages, index map[string]int) int {
 	bytes, images := len(machine.Machine)+6, len(index)
 	for _, image := range machine.Images {
@@ -67,36 +67,43 @@
 	return bytes + 11*(images/32+1)
 }
 
-// Caches is which images machines have, by what holders write of it now and then: with a holder's memory it
-// was lost, and for minutes after a takeover services waited for images that other machines had.
+// CacheIndex holds the images that machines have, as their holders write them from time to time.
+// Without these records the information was lost with a holder's memory: for minutes after a
+// takeover, services waited for images that other machines had.
 type CacheIndex struct {
 	interval  time.Duration
-	images    map[string][]string   // machine -> images, as its holder last wrote
-	dirty     map[int]bool          // held shards of which there is more to write
-	nextPart  map[int]int           // which record of a shard is to be written next
-	lastPart  map[int]int           // and which Next named last
-	nextWrite map[int]time.Duration // and when
+	images    map[string][]string   // machine -> images, as last written by its holder
+	dirty     map[int]bool          // held shards that have records to write
+	nextPart  map[int]int           // shard -> which of its records is written next
+	lastPart  map[int]int           // shard -> which of its records NextWrite returned last
+	nextWrite map[int]time.Duration // shard -> earliest time of its next write
 }
 
-// NewCaches returns what is known before anything is; a shard's records are written anew after every at the
-// soonest.
+// NewCacheIndex returns an empty index. After its last record, the records of a shard are not
+// written again before interval has passed.
 func NewCacheIndex(every time.Duration) *CacheIndex {
 	return &CacheIndex{interval: every, images: map[string][]string{}, dirty: map[int]bool{}, nextPart: map[int]int{}, lastPart: map[int]int{}, nextWrite: map[int]time.Duration{}}
 }
 
-// Read takes what a record says of a machine, Of is that, Gone forgets it.
+// Load stores the images of a machine as read from a record.
 func (c *CacheIndex) Load(machine string, images []string) { c.images[machine] = images }
-func (c *CacheIndex) Images(machine string) []string       { return c.images[machine] }
-func (c *CacheIndex) Remove(machine string)                { delete(c.images, machine) }
 
-// Len counts the machines of which something has been read.
+// Images returns the stored images of a machine.
+func (c *CacheIndex) Images(machine string) []string { return c.images[machine] }
+
+// Remove removes a machine.
+func (c *CacheIndex) Remove(machine string) { delete(c.images, machine) }
+
+// Len returns the number of machines with stored images.
 func (c *CacheIndex) Len() int { return len(c.images) }
 
-// Learned notes that a machine of a shard has an image that no record tells of.
+// MarkDirty records that a machine of a shard has an image that is in no record.
 func (c *CacheIndex) MarkDirty(shard int) { c.dirty[shard] = true }
 
-// Next is the record to write now, and its key: one at a time, in turn; the duty is done when the last is
-// written. mine tells whether a shard is held, of what its machines have.
+// NextWrite returns the next record to write and its key, or nil if none is due. The records of a
+// shard are written one at a time, in turn; the shard is no longer dirty once the last one is
+// returned. holdsShard reports whether a shard is held, imagesOf returns the images of its
+// machines.
 func (c *CacheIndex) NextWrite(now time.Duration, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (shard int, key string, record *wire.Cache) {
 	for _, candidate := range slices.Sorted(maps.Keys(c.dirty)) {
 		if !holdsShard(candidate) {
@@ -129,7 +136,7 @@
 	return 0, "", nil
 }
 
-// Failed notes that the record that Next named last for a shard was not written.
+// WriteFailed records that the record which NextWrite returned last for a shard was not written.
 func (c *CacheIndex) WriteFailed(shard int) {
 	c.dirty[shard], c.nextPart[shard] = true, c.lastPart[shard]
 }
--- a/internal/weights/cache_test.go
+++ b/internal/weights/cache_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever machines have is read back as it was, and no record exceeds its limit.
+// The images of all machines are read back as they were, and no record exceeds its limit.
 func TestImagesArePackedWithinTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ms []MachineImages
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -10,20 +10,20 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Stages of an image's way to the machines of a shard.
+// Stages of the distribution of an image to the machines of a shard.
 const (
-	StageFirst = 1 // copies are on their way from the store, none is there
-	StageTree  = 2 // copies are there, and are handed on
+	StageFirst = 1 // copies are being fetched from the store, none is complete
+	StageTree  = 2 // some copies are complete and serve as sources
 )
 
-// shardPlan is what is written of a shard's images.
+// shardPlan is the plan for the images of one shard.
 type shardPlan struct {
-	held     bool
-	stored   wire.Weights  // as the state has it
-	storedAt time.Duration // read then
+	held     bool          // this controller holds the shard
+	stored   wire.Weights  // as stored in the state service
+	storedAt time.Duration // when it was read or written
 }
 
-// roots counts the fetches from the store that a plan names.
+// storeFetches returns the number of fetches from the store in the stored plan.
 func (p *shardPlan) storeFetches() (count int) {
 	for _, planned := range p.stored.Images {
 		count += len(planned.Roots)
@@ -31,13 +31,15 @@
 	return count
 }
 
-// Read takes a shard's plan as the state has it; own: this controller holds the shard. A successor goes
-// on with it: fetches that no report has shown yet count as under way.
+// LoadPlan stores a shard's plan as it is in the state service; held reports whether this
+// controller holds the shard. A new holder continues with the plan: fetches that no report has
+// shown yet count as in progress.
 func (p *Planner) LoadPlan(now time.Duration, shard int, record wire.Weights, held bool) {
 	p.shards[shard] = &shardPlan{held: held, stored: record, storedAt: now}
 }
 
-// Write is a record to be written by a shard's holder, while it holds it. Done tells how that went.
+// Write is a record that the holder of a shard writes on the condition that it still holds the
+// shard. Done must be called with the result.
 type Write struct {
 	Shard int
 	Key   string
@@ -45,7 +47,8 @@
 	Done  func(now time.Duration, ok bool)
 }
 
-// Next is what to write now, one record at a time: which images machines have, or what is planned.
+// NextWrite returns the next record to write, if any: the images that machines have, or the plan of
+// a shard. Only one record is written at a time.
 func (p *Planner) NextWrite(now time.Duration, held []int, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (Write, bool) {
 	if i, key, record := p.caches.NextWrite(now, holdsShard, imagesOf, bytes); record != nil {
 		return Write{i, key, *record, func(_ time.Duration, ok bool) {
@@ -66,9 +69,10 @@
 	return Write{}, false
 }
 
-// Due is the record of a held shard's images if it says something else than the one that stands: an image
-// has got to another stage, or others fetch it from the store. Only images on their way to several machines
-// are named, the most wanted first, as many as fit into so many bytes.
+// NextPlan returns the plan of a held shard, and whether it differs from the stored one: an image
+// has reached another stage, or other machines fetch it from the store. The plan names only images
+// that are being fetched by several machines, those with the most fetches from the store first, as
+// many as fit into the given number of bytes.
 func (p *Planner) NextPlan(shard, bytes int) (wire.Weights, bool) {
 	var record wire.Weights
 	if !p.switches.Enabled() {
@@ -85,7 +89,7 @@
 			record.Images = append(record.Images, planned)
 		}
 	}
-	slices.SortStableFunc(record.Images, func(planned, y wire.WeightsImage) int { return len(y.Roots) - len(planned.Roots) })
+	slices.SortStableFunc(record.Images, func(x, y wire.WeightsImage) int { return len(y.Roots) - len(x.Roots) })
 	record = limits.Fit(record, bytes, func(r *wire.Weights) bool {
 		if len(r.Images) == 0 {
 			return false
@@ -99,8 +103,8 @@
 	return record, !wire.Same(record, plan.stored)
 }
 
-// planned is what is written of an image on the machines of a shard, if many fetch it. Rates change all
-// the time and are not written.
+// plannedImage returns the plan for an image on the machines of a shard, and whether enough
+// machines need it. Rates change constantly and are not written.
 func (p *Planner) plannedImage(shard int, image string) (wire.WeightsImage, bool) {
 	planned, fetches, present := wire.WeightsImage{Image: image, Stage: StageFirst}, 0, 0
 	for _, machine := range slices.Sorted(maps.Keys(p.copies[image])) {
@@ -122,7 +126,7 @@
 	return planned, fetches > 0 && fetches+present >= p.limits.MinMachines
 }
 
-// Left notes that a shard is held by another from now on.
+// ReleaseShard records that this controller no longer holds a shard.
 func (p *Planner) ReleaseShard(shard int) {
 	if plan := p.shards[shard]; plan != nil {
 		plan.held = false
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,9 +1,10 @@
-// Package weights plans how an image that many machines want at once reaches them: how many fetch
-// it from the store at a time, and which have it from others that have it or fetch it. To the
-// protocol a model's weights are an image, its replicas tasks.
+// Package weights plans how an image that many machines need at once is distributed: how many
+// machines fetch it from the store at a time, and which fetch it from other machines that have it
+// or are fetching it. In terms of the protocol, the weights of a model are an image and its
+// replicas are tasks.
 //
-// A pure state machine: what workers report goes in, answers come out. Nothing rests on it but
-// speed: an image that a source does not hand on is fetched from the store.
+// The package is a pure state machine: it is given what workers report and returns plans. Only
+// speed depends on it: an image that a source does not serve is fetched from the store.
 package weights
 
 import (
@@ -15,73 +16,76 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Switches are what is switched on.
+// Switches are the features that are enabled.
 type Switches struct {
-	PeerTransfer bool // workers are told of others that have the image
-	PaceFetches  bool // fetches are held back where more at once brings no more
+	PeerTransfer bool // workers are given other machines to fetch an image from
+	PaceFetches  bool // fetches from the store wait while more of them would not increase the total rate
 }
 
-// On tells whether anything is.
+// Enabled reports whether any feature is enabled.
 func (s Switches) Enabled() bool { return s.PeerTransfer || s.PaceFetches }
 
-// Limits are the numbers that a plan is made by.
+// Limits are the parameters of the plans.
 type Limits struct {
-	MinMachines      int           // machines that want an image at a time before others hand it on
-	MaxServed        int           // machines that one hands an image on to at a time
-	MaxSources       int           // that one machine is named
-	MaxZoneRoots     int           // machines of a zone that fetch from the store while its rate is not known
-	MinMeasurements  int           // that a measure of the store rests on
-	StoreBoundShare  float64       // share of their own rates below which fetches show that the store binds
-	StoreFetchFactor float64       // so many times the machines that would use up the store fetch from it
-	MinFetchDuration time.Duration // a fetch shorter than this is not measured: reports tell of its end too late
-	MeasurementTTL   time.Duration // a measure counts for so long
-	PlanTTL          time.Duration // what other holders have written of fetches counts for so long
-	IdleFactor       int           // times as long a machine is kept idle that has an image which many use
+	MinMachines      int           // least number of machines using an image at a time for which it is fetched from other machines
+	MaxServed        int           // most machines that fetch an image from one machine at a time
+	MaxSources       int           // most sources that a machine is given
+	MaxZoneRoots     int           // most machines of a zone that fetch an image from the store while the store's rate is unknown
+	MinMeasurements  int           // fewest measured fetches on which an estimate of the store's rate is based
+	StoreBoundShare  float64       // the store limits fetches that get less than this share of their machines' own rates
+	StoreFetchFactor float64       // fetches from the store that are allowed at a time, as a multiple of those that use up its rate
+	MinFetchDuration time.Duration // shorter fetches are not measured, because reports show their ends too late
+	MeasurementTTL   time.Duration // a measurement counts for this long
+	PlanTTL          time.Duration // fetches in the plans of other holders count for this long
+	IdleFactor       int           // a machine that has an image which many machines use is kept idle this many times as long
 }
 
-// Machine is one that this controller holds. Rate is what its type fetches, GB/s.
+// Machine is a machine of a shard that this controller holds. FetchGBps is the fetch rate of its
+// type in GB/s.
 type Machine struct {
 	Name, Zone, Addr string
 	Shard            int
 	FetchGBps        float64
 }
 
-// Use is an image that tasks on a machine want: they wait for it, or run with it.
+// ImageUse is an image that tasks on a machine wait for or, if it is present, run with.
 type ImageUse struct {
 	Image   string
 	GB      float64
 	Present bool
 }
 
-// copied is an image on a machine, whole or on its way there.
+// imageCopy is an image on a machine, complete or being fetched.
 type imageCopy struct {
 	Machine
 	gb                  float64
-	since               time.Duration
+	since               time.Duration // when it became complete, or else when its fetch began
 	present             bool
-	sources             []string // machines that hand it on; none: the store does
-	depth               int      // of the longest way from a copy that needs nobody
-	fetchSecondsAtStart float64  // the store's fetches so far, in fetch seconds, when it began
+	sources             []string // machines that it is fetched from; if there are none, from the store
+	depth               int      // length of the longest path of sources to a copy that depends on no other
+	fetchSecondsAtStart float64  // the store's fetchSeconds when the fetch began
 }
 
-// Book is what one controller knows of images, and its plans for them.
+// Planner holds what one controller knows of the images on machines, and plans their fetches.
 type Planner struct {
 	limits        Limits
 	switches      Switches
 	copies        map[string]map[string]*imageCopy // image -> machine
 	machineImages map[string]map[string]bool       // machine -> images in use
-	storeFetches  int                              // fetches from the store that are under way here
+	storeFetches  int                              // fetches from the store that are in progress in held shards
 	storeRate     storeRateEstimate
 	shards        map[int]*shardPlan
 	caches        *CacheIndex
 }
 
-// NewBook returns a book of no machines. What it has to write includes which images machines have.
+// NewPlanner returns a planner without machines. caches holds the images that machines have; the
+// planner writes its records along with the plans.
 func NewPlanner(switches Switches, limits Limits, caches *CacheIndex) *Planner {
 	return &Planner{limits: limits, switches: switches, copies: map[string]map[string]*imageCopy{}, machineImages: map[string]map[string]bool{}, storeRate: storeRateEstimate{limits: limits}, shards: map[int]*shardPlan{}, caches: caches}
 }
 
-// Seen takes what the tasks on a machine want and have, by its newest report.
+// UpdateMachine records which images the tasks on a machine need and have, according to its newest
+// report.
 func (p *Planner) UpdateMachine(now time.Duration, machine Machine, uses []ImageUse) {
 	before := p.machineImages[machine.Name]
 	if len(before) == 0 && len(uses) == 0 {
@@ -117,7 +121,7 @@
 	}
 }
 
-// Gone forgets a machine. Those that it hands images on to fetch them elsewhere.
+// RemoveMachine removes a machine. Machines that it is a source of fetch their images elsewhere.
 func (p *Planner) RemoveMachine(machine string) {
 	for image := range p.machineImages[machine] {
 		p.removeCopy(machine, image)
@@ -125,6 +129,7 @@
 	delete(p.machineImages, machine)
 }
 
+// addCopy adds a copy that is being fetched from the store.
 func (p *Planner) addCopy(now time.Duration, machine Machine, image string, gb float64) *imageCopy {
 	copied := &imageCopy{Machine: machine, gb: gb, since: now, fetchSecondsAtStart: p.storeRate.fetchSeconds}
 	if p.copies[image] == nil {
@@ -139,6 +144,7 @@
 	return copied
 }
 
+// removeCopy removes the copy of an image on a machine.
 func (p *Planner) removeCopy(machine, image string) {
 	if copied := p.copies[image][machine]; copied != nil && !copied.present && len(copied.sources) == 0 {
 		p.storeFetches--
@@ -149,7 +155,7 @@
 	}
 }
 
-// fetching counts the fetches from the store that are under way, of all shards.
+// storeFetchCount returns how many fetches from the store are in progress in all shards.
 func (p *Planner) storeFetchCount(now time.Duration) (count int) {
 	count = p.storeFetches
 	for _, plan := range p.shards {
@@ -160,10 +166,13 @@
 	return count
 }
 
-// Fetch tells whether a machine may be told now to start a task with an image that it lacks, of a job of so many,
-// and names the addresses of machines that hand the image on to it; none: the store does. A fetch waits
-// where measurement has shown that more at once bring no more, and as many as that are under way; one that
-// others hand on does not. First copies come from the store, one to a zone before any zone has two.
+// PlanFetch reports whether a machine may now be given a task whose image it lacks, and returns the
+// addresses of the machines to fetch the image from. If there are none, it is fetched from the
+// store. tasks is the number of tasks of the job.
+//
+// A fetch from the store waits if measurements have shown that more concurrent fetches do not
+// increase the total rate and that many are in progress. A fetch from other machines does not wait.
+// The first copies come from the store, one in each zone before any zone has two.
 func (p *Planner) PlanFetch(now time.Duration, machine Machine, image string, gb float64, tasks int) (sources []string, ok bool) {
 	if p.copies[image][machine.Name] != nil || !p.switches.Enabled() {
 		return nil, true
@@ -178,7 +187,7 @@
 	return sources, true
 }
 
-// sources adds a copy on its way, and names those that hand it on.
+// assignSources adds a copy that is being fetched and returns the addresses of its sources.
 func (p *Planner) assignSources(now time.Duration, machine Machine, image string, gb float64, tasks int) (addrs []string) {
 	copied := p.addCopy(now, machine, image, gb)
 	if !p.switches.PeerTransfer || tasks < p.limits.MinMachines || p.fetchFromStore(now, image, machine.Zone) {
@@ -196,7 +205,8 @@
 	return addrs
 }
 
-// root tells whether the next copy of an image in a zone is to come from the store.
+// fetchFromStore reports whether the newest copy of an image in a zone, which has no sources yet,
+// is to be fetched from the store.
 func (p *Planner) fetchFromStore(now time.Duration, image, zone string) bool {
 	independent := 0
 	for _, copied := range p.copies[image] {
@@ -204,7 +214,7 @@
 			independent++
 		}
 	}
-	if independent <= 1 { // itself: the zone has no copy that needs nobody
+	if independent <= 1 { // only the new copy itself: the zone has no other copy that is complete or comes from the store
 		return true
 	}
 	if allowed := p.storeRate.maxFetches(now); allowed > 0 {
@@ -213,8 +223,8 @@
 	return independent <= p.limits.MaxZoneRoots
 }
 
-// able lists the copies that may be handed on to a machine: in its zone first, then those that need
-// the fewest others, then those that serve the fewest.
+// availableSources lists the copies that a machine may fetch an image from: those in its zone
+// first, then those that depend on the fewest others, then those that serve the fewest machines.
 func (p *Planner) availableSources(image string, machine Machine) (list []*imageCopy) {
 	serving := map[string]int{}
 	for _, c := range p.copies[image] {
@@ -239,8 +249,8 @@
 	return list
 }
 
-// Busy tells whether a machine fetches an image that many want, other than this one: a task that waits for its
-// own would share the rate.
+// FetchesOtherImage reports whether a machine is fetching an image that many machines need, other
+// than this one. A task that waits for this image would share the fetch rate.
 func (p *Planner) FetchesOtherImage(machine, image string) bool {
 	if !p.switches.Enabled() {
 		return false
@@ -253,7 +263,7 @@
 	return false
 }
 
-// View is what is known of one image, or of all that are in use.
+// View returns what is known of one image, or of all images in use if image is empty.
 func (p *Planner) View(now time.Duration, node, image string) wire.WeightsView {
 	view := wire.WeightsView{Node: node, HandOn: p.switches.PeerTransfer, Pace: p.switches.PaceFetches, StoreGBps: p.storeRate.gbps(now), Most: p.storeRate.maxFetches(now), Images: []wire.WeightsImageView{}}
 	for _, name := range slices.Sorted(maps.Keys(p.copies)) {
@@ -288,7 +298,8 @@
 	return view
 }
 
-// expected is how long a fetch takes, in seconds: from the store with as many others as now.
+// expectedFetchSeconds returns how long a whole fetch takes in seconds. A fetch from the store is
+// assumed to share its rate with the fetches that are in progress now.
 func (p *Planner) expectedFetchSeconds(now time.Duration, copied *imageCopy) float64 {
 	rate := copied.FetchGBps
 	if storeGBps := p.storeRate.gbps(now); storeGBps > 0 && len(copied.sources) == 0 {
@@ -297,8 +308,9 @@
 	return copied.gb / rate
 }
 
-// Keep is for how long a machine that runs nothing is kept with these images, which would be for so long
-// without them: longer if many machines run with one of them now, for then the next replica does not fetch it.
+// IdleTimeout returns how long a machine with these images is kept while it runs nothing. It is the
+// given time, or IdleFactor times that if many machines use one of the images now, so that the next
+// replica need not fetch it.
 func (p *Planner) IdleTimeout(images map[string]bool, idle time.Duration) time.Duration {
 	if p.switches.Enabled() {
 		for image := range images {
@@ -310,7 +322,7 @@
 	return idle
 }
 
-// Copy is a machine as operators are shown it.
+// View returns a machine as it is shown to operators.
 func (m Machine) View() wire.WeightsCopy {
 	return wire.WeightsCopy{Machine: m.Name, Zone: m.Zone, Shard: m.Shard}
 }
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -23,8 +23,9 @@
 	return NewPlanner(s, testLimits, NewCacheIndex(time.Minute))
 }
 
-// First copies come from the store, one to a zone before any zone has two; all others from machines of their own
-// zone, each of which serves at most Degree, and nobody from itself or from one that needs it.
+// The first copies come from the store, one in each zone before any zone has two. All others come
+// from machines of the same zone, each of which serves at most MaxServed, and never from the
+// machine itself or from one that depends on it.
 func TestAssignedSources(t *testing.T) {
 	planner := newTestPlanner(Switches{PeerTransfer: true})
 	from, serves := map[string][]string{}, map[string]int{}
@@ -40,7 +41,7 @@
 		for _, s := range sources {
 			var k int
 			if _, err := fmt.Sscanf(s, "n-%02d:1", &k); err != nil || k >= i || k%2 != i%2 {
-				t.Errorf("%d of zone %s has it from %s", i, m.Zone, s)
+				t.Errorf("%d of zone %s fetches it from %s", i, m.Zone, s)
 			}
 			if serves[s]++; serves[s] > testLimits.MaxServed {
 				t.Errorf("%s serves %d", s, serves[s])
@@ -49,24 +50,24 @@
 		from[m.Name] = sources
 	}
 	for n, c := range planner.copies["w"] {
-		if c.depth > 10 { // a tree of two, not a chain
-			t.Errorf("%s is %d from a copy that needs nobody", n, c.depth)
+		if c.depth > 10 { // a binary tree, not a chain
+			t.Errorf("%s is %d steps from a copy that depends on no other", n, c.depth)
 		}
 	}
 	if again, ok := planner.PlanFetch(0, machineAt(9, "s"), "w", 6, 40); again != nil || !ok {
-		t.Errorf("a second task of a machine that fetches it already: %v, %v", again, ok)
+		t.Errorf("a second task on a machine that fetches it already: %v, %v", again, ok)
 	}
 	if few, _ := planner.PlanFetch(0, machineAt(50, "n"), "other", 6, 3); few != nil {
-		t.Errorf("of a job of three: from %v", few)
+		t.Errorf("job of three tasks: from %v", few)
 	}
 }
 
-// A zone's first copy comes from the store however little that gives.
+// The first copy in a zone comes from the store however low its rate is.
 func TestFirstCopyOfAZone(t *testing.T) {
 	planner := newTestPlanner(Switches{PeerTransfer: true})
 	now := fetchAll(planner, 0, 8, 6, 0.5)
 	if planner.storeRate.maxFetches(now) != 1 {
-		t.Fatalf("not the meeting: %d may fetch at a time", planner.storeRate.maxFetches(now))
+		t.Fatalf("precondition: %d may fetch at a time, want 1", planner.storeRate.maxFetches(now))
 	}
 	for i, first := range []bool{true, false, true, false} {
 		sources, _ := planner.PlanFetch(now, machineAt(i, []string{"n", "s"}[i/2]), "w", 6, 40)
@@ -76,8 +77,8 @@
 	}
 }
 
-// Whatever is seen, told and forgotten, in whatever order: the fetches from the store that are counted are those
-// that are under way.
+// Whichever machines are updated, planned for and removed, in any order, the counted fetches from
+// the store are those in progress.
 func TestFetchesAreCounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := newTestPlanner(Switches{PeerTransfer: rapid.Bool().Draw(t, "hand on"), PaceFetches: rapid.Bool().Draw(t, "pace")})
@@ -102,13 +103,13 @@
 				}
 			}
 			if planner.storeFetches != n {
-				t.Fatalf("%d are counted, %d under way", planner.storeFetches, n)
+				t.Fatalf("%d are counted, %d in progress", planner.storeFetches, n)
 			}
 		}
 	})
 }
 
-// What is gone is no source: a machine that left, an image that no task uses, a fetch given up.
+// A removed machine, an image that no task uses and an abandoned fetch are no sources.
 func TestRemovedSources(t *testing.T) {
 	planner := newTestPlanner(Switches{PeerTransfer: true})
 	names := func() (list []string) {
@@ -129,23 +130,23 @@
 	planner.UpdateMachine(sec(8), machineAt(3, "n"), nil)
 	for _, n := range names() {
 		if n == "n-02" || n == "n-03" {
-			t.Errorf("%s is gone, and named", n)
+			t.Errorf("%s is removed, but listed as a source", n)
 		}
 	}
 	if len(names()) == 0 {
-		t.Error("nobody is left")
+		t.Error("no sources remain")
 	}
 	planner.RemoveMachine("n-00")
 	planner.RemoveMachine("n-01")
 	if len(planner.copies) != 0 || len(planner.machineImages) != 0 {
-		t.Errorf("left: %v %v", planner.copies, planner.machineImages)
+		t.Errorf("not removed: %v %v", planner.copies, planner.machineImages)
 	}
 }
 
 func sec(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// fetchAll has so many machines fetch an image at once, each at this rate, or the part of the store's that is
-// theirs.
+// fetchAll has n machines fetch an image at once, each at its own rate or at its share of the
+// store's rate, and returns when they end.
 func fetchAll(planner *Planner, at time.Duration, n int, gb, store float64) time.Duration {
 	rate := 1.0
 	if store > 0 {
@@ -164,12 +165,13 @@
 	return end
 }
 
-// Nothing is held back where a machine's own rate binds, where little is known, or after long.
+// No fetch waits where a machine's own rate is the bottleneck, where too little is known, or once
+// the measurements are too old.
 func TestStoreRateEstimate(t *testing.T) {
 	planner := newTestPlanner(Switches{PaceFetches: true})
 	now := fetchAll(planner, 0, 30, 6, 0)
 	if planner.storeRate.gbps(now) != 0 || planner.storeRate.maxFetches(now) != 0 {
-		t.Errorf("own rates bind: %v, %d", planner.storeRate.gbps(now), planner.storeRate.maxFetches(now))
+		t.Errorf("own rates are the bottleneck: %v, %d", planner.storeRate.gbps(now), planner.storeRate.maxFetches(now))
 	}
 	planner = newTestPlanner(Switches{PaceFetches: true})
 	if now = fetchAll(planner, 0, 3, 6, 0.5); planner.storeRate.maxFetches(now) != 0 {
@@ -182,7 +184,7 @@
 	now = fetchAll(planner, now, 20, 6, 4)
 	allowed := planner.storeRate.maxFetches(now)
 	if allowed < 4 || allowed > 6 {
-		t.Errorf("four fetches use the store up, and %d are let", allowed)
+		t.Errorf("four fetches use up the store, but %d are allowed", allowed)
 	}
 	started := 0
 	for i := range 20 {
@@ -191,28 +193,29 @@
 		}
 	}
 	if started != allowed {
-		t.Errorf("%d of %d are told to fetch at once", started, allowed)
+		t.Errorf("%d fetches are started at once, %d are allowed", started, allowed)
 	}
-	for i := range started { // as many as are let get their own rate: that is no reason to let more
+	for i := range started { // the allowed fetches get their own rate, which is no reason to allow more
 		planner.UpdateMachine(now+sec(6), machineAt(i, "n"), []ImageUse{{Image: "next", GB: 6, Present: true}})
 	}
 	if got := planner.storeRate.maxFetches(now + sec(6)); got != allowed {
-		t.Errorf("held back, %d are let", got)
+		t.Errorf("while paced, %d are allowed", got)
 	}
 	if got := planner.storeRate.maxFetches(now + testLimits.MeasurementTTL + sec(7)); got != 0 {
-		t.Errorf("long after: %d", got)
+		t.Errorf("after the measurements expired: %d are allowed", got)
 	}
 }
 
-// Fetches that other holders have written count for a while, and a plan fits into its record whatever it names.
+// Fetches in the plans of other holders count for a while, and a plan fits into its record whatever
+// it names.
 func TestPlans(t *testing.T) {
 	planner := newTestPlanner(Switches{PeerTransfer: true, PaceFetches: true})
 	planner.LoadPlan(0, 2, wire.Weights{Images: []wire.WeightsImage{{Image: "w", Roots: []string{"x", "y"}}}}, false)
 	if n := planner.storeFetchCount(sec(1)); n != 2 {
-		t.Errorf("%d under way by others", n)
+		t.Errorf("%d in progress in other shards", n)
 	}
 	if n := planner.storeFetchCount(testLimits.PlanTTL + sec(1)); n != 0 {
-		t.Errorf("%d under way by who has not been heard of since", n)
+		t.Errorf("%d in progress according to an expired plan", n)
 	}
 	for k := range 40 {
 		for i := range 6 {
@@ -229,20 +232,21 @@
 	rec, _ := planner.NextPlan(1, 8000)
 	planner.LoadPlan(sec(1), 1, rec, true)
 	if _, due := planner.NextPlan(1, 8000); due {
-		t.Error("it stands")
+		t.Error("an unchanged plan is due")
 	}
 	planner.UpdateMachine(sec(6), machineAt(0, "n"), []ImageUse{{Image: "image-00", GB: 6, Present: true}})
 	if next, due := planner.NextPlan(1, 8000); !due || next.Images[slices.IndexFunc(next.Images, func(x wire.WeightsImage) bool { return x.Image == "image-00" })].Stage != StageTree {
-		t.Error("another stage")
+		t.Error("the new stage is not due")
 	}
 	off := newTestPlanner(Switches{})
 	off.UpdateMachine(0, machineAt(0, "n"), []ImageUse{{Image: "w", GB: 6}})
 	if _, due := off.NextPlan(1, 8000); due {
-		t.Error("nothing is switched on")
+		t.Error("a plan is due although no feature is enabled")
 	}
 }
 
-// Records of what machines have come in turn, and one that was not written comes again.
+// The records of a shard's images are written in turn, and one that was not written is returned
+// again.
 func TestCacheRecordsAreWrittenInTurn(t *testing.T) {
 	caches := NewCacheIndex(time.Minute)
 	caches.MarkDirty(3)
@@ -269,8 +273,8 @@
 	}
 }
 
-// A machine is busy with what many want alone, and not for a task of that; one that has it is kept for longer.
-// Nothing of that with nothing switched on.
+// Only an image that many machines need makes its machines busy, and not for tasks of this image. A
+// machine that has such an image is kept idle for longer. Neither applies if no feature is enabled.
 func TestFetchesOtherImageAndIdleTimeout(t *testing.T) {
 	for _, on := range []bool{true, false} {
 		planner := newTestPlanner(Switches{PaceFetches: on})
@@ -286,7 +290,7 @@
 			t.Errorf("on %v: kept for %v", on, got)
 		}
 		if got := planner.IdleTimeout(map[string]bool{"rare": true}, 20*time.Second); got != 20*time.Second {
-			t.Errorf("on %v: with what one has, kept for %v", on, got)
+			t.Errorf("on %v: with an image of one machine, kept for %v", on, got)
 		}
 	}
 }
