--- a/internal/calendar/calendar_test.go
+++ b/internal/calendar/calendar_test.go
@@ -27,7 +27,7 @@
 	return t
 }
 
-// A crew leaves at its place's hour, over changes of clocks too.
+// A crew departs at the local time of its place, also across changes to and from summer time.
 func TestNextDeparture(t *testing.T) {
 	for _, c := range []struct{ leaves, zone, rule, after, want string }{
 		{"2026-12-03T06:30", "Europe/Copenhagen", "", "2026-12-02T00:00:00Z", "2026-12-03T05:30:00Z"},
@@ -35,8 +35,8 @@
 		{"2026-12-03T06:30", "Africa/Dakar", "", "2026-12-02T00:00:00Z", "2026-12-03T06:30:00Z"},
 		{"2026-12-03T06:30", "Europe/Copenhagen", "FREQ=WEEKLY;BYDAY=MO,WE", "2026-12-03T00:00:00Z", "2026-12-07T05:30:00Z"},
 		{"2027-03-26T06:30", "Europe/Copenhagen", "FREQ=DAILY", "2027-03-27T12:00:00Z", "2027-03-28T04:30:00Z"}, // summer time has begun
-		{"2027-03-27T02:30", "Europe/Copenhagen", "FREQ=DAILY", "2027-03-27T12:00:00Z", "2027-03-28T01:30:00Z"}, // an hour that is not there: 3:30
-		{"2026-10-24T02:30", "Europe/Copenhagen", "FREQ=DAILY", "2026-10-24T12:00:00Z", "2026-10-25T01:30:00Z"}, // one that comes twice: the second
+		{"2027-03-27T02:30", "Europe/Copenhagen", "FREQ=DAILY", "2027-03-27T12:00:00Z", "2027-03-28T01:30:00Z"}, // a time that does not exist: 3:30 instead
+		{"2026-10-24T02:30", "Europe/Copenhagen", "FREQ=DAILY", "2026-10-24T12:00:00Z", "2026-10-25T01:30:00Z"}, // a time that occurs twice: the second one
 		{"2026-12-03T06:30", "UTC", "FREQ=DAILY;COUNT=2", "2026-12-04T07:00:00Z", ""},
 	} {
 		k := crew(func(k *wire.Crew) { k.Leaves, k.TimeZone, k.Rule = c.leaves, c.zone, c.rule })
@@ -75,8 +75,8 @@
 
 var margins = Margins{ClockError: time.Second, Takeover: 10 * time.Second, FailureShare: 0.1, PressLead: 15 * time.Second, Rounds: 2}
 
-// The next departure is one after the last change by operators and the last outcome, however
-// many there were before.
+// The next departure is after the last change by operators and after the last outcome, however many
+// departures there were before.
 func TestDeparturesCountFrom(t *testing.T) {
 	k := crew(func(k *wire.Crew) { k.Rule = "FREQ=DAILY" })
 	for _, c := range []struct{ changed, past, want string }{
@@ -95,7 +95,7 @@
 	}
 }
 
-// What is planned, and what is said at once of what cannot be done in time.
+// Checks the plan and the sentence about jobs that cannot be done in time.
 func TestPlanDeparture(t *testing.T) {
 	now, leaves := at("2026-12-03T05:00:00Z"), at("2026-12-03T05:10:00Z")
 	jobs := func(n, tasks int, s time.Duration) (out []Job) {
@@ -107,14 +107,14 @@
 	for _, c := range []struct {
 		jobs    []Job
 		have    float64
-		start   time.Duration // before the hour
+		start   time.Duration // before the departure
 		pressed bool
 		miss    int
 		say     string
 	}{
 		{nil, 8, 11 * time.Second, false, 0, "nothing is left"},
 		{jobs(4, 10, 20*time.Second), 8, 11*time.Second + 110*time.Second, false, 0, "4 jobs will be done"},
-		{jobs(1, 1, 300*time.Second), 100, 311 * time.Second, false, 0, "1 jobs will be done"}, // a task is not divided
+		{jobs(1, 1, 300*time.Second), 100, 311 * time.Second, false, 0, "1 jobs will be done"}, // a task is not split
 		{jobs(23, 10, 20*time.Second), 8, 11*time.Second + 632500*time.Millisecond, true, 0, "23 jobs will be done"},
 		{jobs(30, 10, 20*time.Second), 8, 11*time.Second + 825*time.Second, true, 6, "6 of 30 jobs will miss 05:10 by up to 2m30s: 8 CPUs are there and 12 needed"},
 		{jobs(2, 1, time.Second), 0, 1e6 * time.Second, true, 2, "no machines in viby"},
@@ -122,13 +122,13 @@
 		p := PlanDeparture(crew(func(k *wire.Crew) { k.Zone = "viby" }), now, leaves, c.jobs, c.have, margins)
 		start := leaves.Sub(time.UnixMilli(p.StartMS))
 		if c.have > 0 && start != c.start || p.Pressed != c.pressed || p.Miss != c.miss || !strings.Contains(p.Say, c.say) {
-			t.Errorf("%d jobs on %g: begins %v before, pressed %v, %d missed, %q", len(c.jobs), c.have, start, p.Pressed, p.Miss, p.Say)
+			t.Errorf("%d jobs on %g CPUs: starts %v before, pressed %v, %d missed, %q", len(c.jobs), c.have, start, p.Pressed, p.Miss, p.Say)
 		}
 	}
 }
 
-// More machines never make more work late, a later hour neither; what is pressed stays so as
-// time goes on with nothing done.
+// More machines never make more jobs late, nor does a later departure. Pressed work stays pressed
+// as time passes without progress.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := at("2026-12-03T05:00:00Z")
@@ -144,7 +144,7 @@
 			t.Fatalf("more machines: %+v, before %+v", q, p)
 		}
 		if q := PlanDeparture(c, now, leaves.Add(time.Minute), jobs, have, margins); q.Miss > p.Miss {
-			t.Fatalf("a later hour: %+v, before %+v", q, p)
+			t.Fatalf("a later departure: %+v, before %+v", q, p)
 		}
 		if q := PlanDeparture(c, now.Add(5*time.Second), leaves, jobs, have, margins); p.Pressed && !q.Pressed || q.Miss < p.Miss {
 			t.Fatalf("later: %+v, before %+v", q, p)
@@ -152,8 +152,8 @@
 	})
 }
 
-// Machines are rented ahead so that expected work is done in time, boots included, within
-// the team's limit; what has been accepted is not expected twice.
+// Machines are rented ahead so that expected work is done in time, including their boot time,
+// within the team's limit. Accepted work is no longer expected.
 func TestMachinesAhead(t *testing.T) {
 	leaves := at("2026-12-03T05:30:00Z")
 	k := crew(func(k *wire.Crew) { k.Expect = wire.CrewWork{Tasks: 40, Seconds: 30, CPUs: 1} })
@@ -164,7 +164,7 @@
 		machines int
 		before   time.Duration
 	}{
-		{0, 100, 1, 5, 11*time.Second + 66*time.Second + 25*time.Second}, // 20 places, two rounds
+		{0, 100, 1, 5, 11*time.Second + 66*time.Second + 25*time.Second}, // 20 slots, two rounds
 		{0, 8, 1, 2, 11*time.Second + 165*time.Second + 25*time.Second},  // the limit: five rounds
 		{0, 100, 3, 5, 11*time.Second + 198*time.Second + 25*time.Second},
 		{36, 100, 1, 1, 11*time.Second + 66*time.Second + 25*time.Second},
@@ -176,6 +176,6 @@
 		}
 	}
 	if a, b := BookingName(k, 7, 0), BookingName(k, 8, 0); a == b {
-		t.Error("two versions of a record make the same name")
+		t.Error("two versions of a record give the same name")
 	}
 }
--- a/internal/calendar/departure.go
+++ b/internal/calendar/departure.go
@@ -7,24 +7,24 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Departure is what has been seen of one: the jobs that had to be done before it.
+// Departure tracks one departure: the jobs that must be done before it, and how they ended.
 type Departure struct {
 	LeavesMS int64
 
-	jobDone map[string]bool // true: done
-	met     int
-	lateS   float64
-	misses  int
+	jobDone map[string]bool // job -> whether it is done
+	met     int             // jobs done in time
+	lateS   float64         // seconds by which the latest job that is done was late
+	misses  int             // jobs that will miss the departure, according to the last plan
 }
 
-// NewDeparture begins to follow the departure at a time of day in milliseconds.
+// NewDeparture returns a tracker of the departure at a time in Unix milliseconds.
 func NewDeparture(leavesMS int64) *Departure {
 	return &Departure{LeavesMS: leavesMS, jobDone: map[string]bool{}}
 }
 
-// Follow takes the jobs that are open at a time of day, and counts those that are no more: of
-// tells of a job whether it is live, and if not, whether it was done. One that is neither was
-// cancelled, and counts no more.
+// Update adds the jobs that are open now and counts those that have ended. stateOf reports whether
+// a job is live and, if it is not, whether it was done. A job that is neither was cancelled and no
+// longer counts.
 func (d *Departure) Update(now, leaves time.Time, openJobs []string, stateOf func(id string) (live, done bool)) {
 	for _, id := range openJobs {
 		d.jobDone[id] = false
@@ -46,15 +46,17 @@
 	}
 }
 
-// Misses takes how many jobs the plan gives up, and tells whether it is news that there are any.
+// SetMisses stores how many jobs will miss the departure according to the plan, and reports whether
+// this number has become zero or is no longer zero.
 func (d *Departure) SetMisses(misses int) bool {
 	changed := (misses > 0) != (d.misses > 0)
 	d.misses = misses
 	return changed
 }
 
-// Outcome is how it went, once it has left and nothing is open, or was not done for settle; why
-// says what kept the rest.
+// Outcome returns the outcome of the departure. It is final (over) once the departure has passed
+// and no job is open, or once the departure was delay ago. why is the reason for the jobs that are
+// still open.
 func (d *Departure) Outcome(now, leaves time.Time, open int, delay time.Duration, why string) (outcome wire.CrewOutcome, over bool) {
 	outcome = wire.CrewOutcome{LeavesMS: d.LeavesMS, Jobs: len(d.jobDone), Met: d.met, LateS: d.lateS}
 	if open > 0 {
@@ -63,9 +65,10 @@
 	return outcome, !now.Before(leaves) && (open == 0 || now.Sub(leaves) >= delay)
 }
 
-// Revise makes a crew's new record of the one that stands, nil if there is none, and of what an
-// operator wants, changed now at a controller. Of outcomes and changes the last keep stay, and
-// bookings for a departure that is no longer meant go. The error names the field that is wrong.
+// Revise returns a crew's new record, made from the stored one (nil if there is none) and from what
+// an operator wants, as changed now at the controller node. The last historyLength outcomes and
+// changes are kept, and bookings for other departures than the next are removed. The error names
+// the invalid field.
 func Revise(previous *wire.Crew, wanted wire.Crew, name string, now time.Time, node string, historyLength int, teamKnown, zoneKnown func(string) bool) (wire.Crew, error) {
 	what := "added"
 	wanted.Name, wanted.Booked, wanted.Past, wanted.History = name, nil, nil, nil
--- a/internal/calendar/departure_test.go
+++ b/internal/calendar/departure_test.go
@@ -18,13 +18,13 @@
 	delete(live, "c") // cancelled
 	d.Update(leaves.Add(-time.Second), leaves, []string{"b"}, of)
 	if _, over := d.Outcome(leaves.Add(-time.Second), leaves, 1, time.Minute, "why"); over {
-		t.Error("over before it left")
+		t.Error("over before the departure")
 	}
 	if _, over := d.Outcome(leaves.Add(time.Second), leaves, 1, time.Minute, "why"); over {
-		t.Error("over while one is open")
+		t.Error("over while a job is open")
 	}
 	if o, over := d.Outcome(leaves.Add(time.Minute), leaves, 1, time.Minute, "why"); !over || o.LateS != 60 || o.Why != "why" {
-		t.Errorf("waited for long: %+v %v", o, over)
+		t.Errorf("after the delay: %+v %v", o, over)
 	}
 	delete(live, "b")
 	done["b"] = true
@@ -34,7 +34,7 @@
 		t.Errorf("%+v %v", o, over)
 	}
 	if d.SetMisses(0) || !d.SetMisses(2) || d.SetMisses(3) || !d.SetMisses(0) {
-		t.Error("that jobs are missed is news once, and that none is")
+		t.Error("SetMisses must report each change to and from zero once")
 	}
 }
 
@@ -53,7 +53,7 @@
 	}
 	want.Team = "nobody"
 	if _, err := Revise(nil, *want, want.Name, now, "c0", 3, func(string) bool { return false }, yes); err == nil {
-		t.Error("an unknown team is taken")
+		t.Error("an unknown team is accepted")
 	}
 }
 
--- a/internal/calendar/hours.go
+++ b/internal/calendar/hours.go
@@ -1,8 +1,10 @@
-// Package calendar plans work to be finished before crews leave: when a crew leaves next, by
-// when its work has to begin, what is rented ahead for it, and what cannot be done in time.
-// All of it follows from records, so whoever takes over plans the same.
+// Package calendar plans work that must be finished before crews depart: when a crew departs next,
+// when its work has to begin, which machines are rented ahead for it, and what cannot be done in
+// time. All of this follows from stored records, so a controller that takes over computes the same
+// plans.
 //
-// Pure. Times are those of the day, to within the bound of the controllers' clocks.
+// The package has no clock and no I/O. Times are wall-clock times, accurate to within the bound of
+// the controllers' clocks.
 package calendar
 
 import (
@@ -11,14 +13,15 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // machines may have none
+	_ "time/tzdata" // machines may have no time zone database
 
 	"github.com/teambition/rrule-go"
 
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Hour is how a crew's departure is written; Second if it is to be told to the second.
+// MinuteLayout is the format of a crew's departure, SecondLayout the one for departures that are
+// given to the second.
 const (
 	MinuteLayout = "2006-01-02T15:04"
 	SecondLayout = MinuteLayout + ":05"
@@ -26,8 +29,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// first is a crew's first departure. An hour that a change of clocks leaves out is taken an
-// hour later, one that comes twice is, in a recurrence, the second of the two.
+// firstDeparture returns a crew's first departure. A time that a change to summer time skips is
+// taken one hour later. In a recurrence, of a time that occurs twice the second one is taken.
 func firstDeparture(c *wire.Crew) (time.Time, error) {
 	location, err := time.LoadLocation(c.TimeZone)
 	if err != nil || c.TimeZone == "" || c.TimeZone == "Local" {
@@ -43,7 +46,7 @@
 	return t, nil
 }
 
-// Next is a crew's first departure after a time; false: it leaves no more.
+// NextDeparture returns a crew's first departure after a time, or false if there is none.
 func NextDeparture(c *wire.Crew, after time.Time) (time.Time, bool) {
 	start, err := firstDeparture(c)
 	if err != nil {
@@ -60,6 +63,7 @@
 	return t, !t.IsZero()
 }
 
+// recurrence returns the recurrence of a crew's departures, which begins at start.
 func recurrence(c *wire.Crew, start time.Time) (*rrule.RRule, error) {
 	options, err := rrule.StrToROptionInLocation(c.Rule, start.Location())
 	if err != nil {
@@ -69,7 +73,8 @@
 	return rrule.NewRRule(*options)
 }
 
-// Check tells in one line what is wrong with what operators say of a crew.
+// Validate returns an error of one line that names the first invalid field of an operator's
+// description of a crew. teamKnown and zoneKnown report whether a team or zone exists.
 func Validate(c *wire.Crew, teamKnown, zoneKnown func(string) bool) error {
 	switch {
 	case !namePattern.MatchString(c.Name):
--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -10,33 +10,35 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Margins keep work from ending in the last moment.
+// Margins are safety margins, so that work does not end at the last moment.
 type Margins struct {
-	ClockError   time.Duration // bound of the controllers' times of day
-	Takeover     time.Duration // one change of hands
-	FailureShare float64       // share of the work that is done again
-	PressLead    time.Duration // so long before the latest start work goes ahead of other routine work
-	Rounds       float64       // of expected tasks on one place, for which machines are rented ahead
+	ClockError   time.Duration // bound of the error of the controllers' clocks
+	Takeover     time.Duration // duration of one takeover
+	FailureShare float64       // share of the work that is expected to be repeated
+	PressLead    time.Duration // work goes ahead of other routine work from this long before its latest start
+	Rounds       float64       // expected tasks that run one after the other in one slot of a machine rented ahead
 }
 
-// Job is one that has to be done before a departure, as records have it.
+// Job is a job that must be done before a departure, as its records describe it.
 type Job struct {
 	ID           string
-	Tasks        int           // not done
-	TaskDuration time.Duration // of a task, its estimate corrected for its class
-	CPUs         float64       // of a task
-	Due          time.Time     // its own; zero: none
+	Tasks        int           // tasks that are not done
+	TaskDuration time.Duration // estimated run time of a task, corrected for its class
+	CPUs         float64       // CPUs of a task
+	Due          time.Time     // its own deadline; zero if it has none
 }
 
+// cpuSeconds returns the CPU time that the remaining tasks need, in seconds.
 func (j *Job) cpuSeconds() float64 { return float64(j.Tasks) * j.TaskDuration.Seconds() * j.CPUs }
 
-// Of tells whether a job has to be done before a crew leaves.
+// RequiredBefore reports whether a job must be done before a crew departs.
 func RequiredBefore(c *wire.Crew, j *wire.Job, leaves time.Time) bool {
 	return j.Team == c.Team && slices.Contains(c.Classes, j.Class) && (c.Zone == "" || j.Zone == "" || j.Zone == c.Zone) &&
 		j.Shape != wire.ShapeService && j.AcceptedMS < leaves.UnixMilli()
 }
 
-// Plan plans the departure at leaves, with so many CPUs for the crew's team.
+// PlanDeparture plans the departure at leaves, with the given number of CPUs available to the
+// crew's team.
 func PlanDeparture(c *wire.Crew, now, leaves time.Time, jobs []Job, availableCPUs float64, margins Margins) wire.CrewPlan {
 	plan := wire.CrewPlan{Crew: c.Name, LeavesMS: leaves.UnixMilli(), Leaves: leaves.Format("Mon 2006-01-02 15:04 MST"), Jobs: len(jobs), Have: availableCPUs}
 	for _, b := range c.Booked {
@@ -69,13 +71,15 @@
 	return plan
 }
 
-// Due is by when work should be done so that it surely is before the hour.
+// Deadline returns the time by which work should be done so that it is certain to be done before
+// the departure.
 func Deadline(leaves time.Time, margins Margins) time.Time {
 	return leaves.Add(-margins.ClockError - margins.Takeover)
 }
 
-// misses counts the jobs that cannot be done in time if as many as possible are (the least
-// work first), and by how many seconds the last of them ends too late.
+// missedJobs returns how many jobs cannot be done in time if as many as possible are, which is the
+// case when those with the least work run first, and by how many seconds the last of them ends too
+// late.
 func missedJobs(jobs []Job, now, leaves time.Time, availableCPUs float64) (count int, lateSeconds float64) {
 	sorted := slices.Clone(jobs)
 	slices.SortFunc(sorted, func(a, b Job) int {
@@ -91,6 +95,7 @@
 	return count, min(lateSeconds, 1e6)
 }
 
+// summarize returns a sentence about a plan for operators.
 func summarize(c *wire.Crew, plan *wire.CrewPlan, leaves time.Time) string {
 	hour := leaves.Format("15:04")
 	switch {
@@ -108,9 +113,10 @@
 	return fmt.Sprintf("%d of %d jobs will miss %s by up to %s: %s", plan.Miss, plan.Jobs, hour, (time.Duration(math.Ceil(plan.MissS)) * time.Second).String(), why)
 }
 
-// Ahead is how many machines, each of so many CPUs, to rent for expected work of which so
-// many tasks have been accepted already, and from when on: as if it came when it may come
-// last, boot before that. 0: none is expected.
+// MachinesAhead returns how many machines, each with the given number of CPUs, to rent for expected
+// work of which some tasks have been accepted already, and from when on. It assumes that the work
+// arrives as late as it may, and allows for the machines' boot time before that. The result is 0 if
+// no work is expected.
 func MachinesAhead(c *wire.Crew, leaves time.Time, accepted int, maxCPUs, machineCPUs float64, estimateFactor float64, bootTime time.Duration, margins Margins) (machines int, from time.Time) {
 	expect := c.Expect
 	tasks := float64(expect.Tasks - accepted)
@@ -128,14 +134,16 @@
 	return int(math.Ceil(slots / slotsPerMachine)), Deadline(leaves, margins).Add(-duration - bootTime)
 }
 
-// Booking names a rental ahead. ver is the version of the crew's record that the write of the
-// name compares, so no two writes make the same one.
+// BookingName returns the name of a booking of machines rented ahead. version is the version of the
+// crew's record on which the write of the name is conditional, so no two writes create the same
+// name.
 func BookingName(c *wire.Crew, version uint64, index int) string {
 	return fmt.Sprintf("crew-%s-%d-%d", c.Name, version, index)
 }
 
-// AddBookings adds bookings for so many machines in all, none of more than most, to the record that
-// stands at ver. Their names follow from that, so whoever books them asks for the same.
+// AddBookings adds bookings for a total number of machines to the record that is stored at version,
+// none for more than maxMachines. Their names follow from the record and its version, so every
+// controller that requests them makes the same requests.
 func AddBookings(c *wire.Crew, version uint64, total wire.CrewBooking, maxMachines int) {
 	for index, remaining := 0, total.Count; remaining > 0; index++ {
 		total.Request, total.Count = BookingName(c, version, index), min(remaining, maxMachines)
@@ -144,8 +152,8 @@
 	}
 }
 
-// Since is from when on the next departure counts: the latest change by operators, or the
-// last departure that has an outcome.
+// DeparturesCountFrom returns the time after which the next departure is searched: that of the
+// latest change by operators or of the last departure that has an outcome, whichever is later.
 func DeparturesCountFrom(c *wire.Crew) time.Time {
 	unixMS := int64(0)
 	if n := len(c.History); n > 0 {
@@ -157,11 +165,11 @@
 	return time.UnixMilli(unixMS)
 }
 
-// Shorter leaves the oldest of what is kept of the past out of a record, and tells whether
-// there was any.
+// DropOldestHistory removes the oldest outcome or change from a record, and reports whether there
+// was one that could be removed.
 func DropOldestHistory(c *wire.Crew) bool {
 	switch {
-	case len(c.Past) > 1 && len(c.Past) >= len(c.History): // the last tells what is over
+	case len(c.Past) > 1 && len(c.Past) >= len(c.History): // the last outcome shows which departure is over
 		c.Past = c.Past[1:]
 	case len(c.History) > 0:
 		c.History = c.History[1:]
@@ -173,8 +181,9 @@
 	return true
 }
 
-// Fewer makes a record shorter whose bookings have not been asked for yet, by the past first,
-// and tells whether it could: what is not booked ahead is rented once the work is there.
+// DropHistoryOrBooking shortens a record whose bookings have not been requested yet: it removes
+// history first, then bookings. It reports whether the record may become shorter still. Machines
+// that are not booked ahead are rented once the work has arrived.
 func DropHistoryOrBooking(c *wire.Crew) bool {
 	if DropOldestHistory(c) {
 		return true
@@ -184,7 +193,8 @@
 	return n > 1
 }
 
-// Clean leaves out of a record what concerns departures that are over.
+// Prune removes from a record the bookings for departures other than the one at leaves, and all but
+// the last historyLength outcomes and changes.
 func Prune(c *wire.Crew, leaves time.Time, historyLength int) {
 	c.Booked = slices.DeleteFunc(slices.Clone(c.Booked), func(b wire.CrewBooking) bool { return b.LeavesMS != leaves.UnixMilli() })
 	c.Past = c.Past[max(0, len(c.Past)-historyLength):]
--- a/internal/calendar/planner.go
+++ b/internal/calendar/planner.go
@@ -13,98 +13,103 @@
 
 // Limits bound the records of crews.
 type Limits struct {
-	MaxCrews           int           // crews
+	MaxCrews           int
 	HistoryLength      int           // outcomes and changes that a record keeps
-	RecordBytes        int           // of a stored record
-	OutcomeDelay       time.Duration // an outcome is written so long after a departure, or once its jobs are over
+	RecordBytes        int           // size of a stored record
+	OutcomeDelay       time.Duration // an outcome is written this long after a departure, or earlier once its jobs are over
 	MaxBookingMachines int           // machines in one booking
 }
 
-// Entry is a crew's record and its version in the state.
+// Entry is a crew's record and its version in the state service.
 type Entry struct {
 	Record  wire.Crew
 	Version uint64
 }
 
-// Demand is what departures demand of a job.
+// Requirement is what departures require of a job. Pressed means that the job has no slack left and
+// goes ahead of other routine work.
 type Requirement struct {
-	Due     float64 // seconds of the day's time
+	Due     float64 // Unix seconds
 	Pressed bool
 }
 
-// Work is what a book asks of its owner: what the live jobs still need, and what there is.
+// WorkSource gives a planner the remaining work of the live jobs and the available capacity.
 type WorkSource interface {
-	// Jobs are the live ones, the oldest first.
+	// Jobs returns the live jobs, the oldest first.
 	Jobs() iter.Seq[*wire.Job]
-	// Left is how many tasks of a live job are not done, and how long each runs.
+	// Remaining returns how many tasks of a live job are not done, and the run time of each.
 	Remaining(job string) (tasks int, each time.Duration)
-	// CPUs are those that serve a team, in a zone if one is named, up to the team's limit.
+	// CPUs returns the CPUs that a team may use in a zone, or in all zones if it is empty, up to
+	// the team's limit.
 	CPUs(team, zone string) float64
-	// Ended tells how a job stands: live, over and how (a state of wire), or "" if that is
-	// not known.
+	// Outcome returns whether a job is live and, if it is over, its final status as in package
+	// wire, or "" if that is not known.
 	Outcome(job string) (live bool, status string)
 }
 
-// Event is something to be told of a crew: that jobs will miss a departure or will no more, or
-// how a departure went, which is to be written.
+// Event is a change about a crew to be reported: whether jobs will miss a departure has changed, or
+// a departure is over and its outcome is to be written.
 type Event struct {
 	Crew    *Entry
 	Plan    wire.CrewPlan
-	Outcome *wire.CrewOutcome // nil: the number of jobs that miss it has become zero or is so no more
-	Record  wire.Crew         // with the outcome
+	Outcome *wire.CrewOutcome // nil if the number of jobs that miss it has become zero or is no longer zero
+	Record  wire.Crew         // the crew's record with the outcome
 }
 
-// Book is what one controller knows of the crews and plans for those it serves. All but the
-// counts of jobs that are done can be made again from records.
+// Planner holds what one controller knows of the crews, and plans the departures of those in the
+// shards that it holds. Everything but the counts of jobs that are done can be rebuilt from
+// records.
 type Planner struct {
 	margins          Margins
 	limits           Limits
 	crews            map[string]*Entry
 	requirements     map[string]Requirement // by job
-	departures       map[string]*Departure
-	answeredBookings map[string]bool // bookings whose end is being written
-	writing          map[string]bool // crews whose record is being written
+	departures       map[string]*Departure  // by crew
+	answeredBookings map[string]bool        // answered bookings whose record is being written, by request
+	writing          map[string]bool        // crews whose record is being written
 }
 
-// NewBook returns a book without crews.
+// NewPlanner returns a planner without crews.
 func NewPlanner(margins Margins, limits Limits) *Planner {
 	return &Planner{margins: margins, limits: limits, crews: map[string]*Entry{}, requirements: map[string]Requirement{}, departures: map[string]*Departure{},
 		answeredBookings: map[string]bool{}, writing: map[string]bool{}}
 }
 
-// KeepTo has records that are made from now on keep to so many bytes.
+// SetRecordBytes sets the largest size of records that are made from now on, in bytes.
 func (p *Planner) SetRecordBytes(bytes int) { p.limits.RecordBytes = bytes }
 
-// Put takes a version of a crew's record.
+// Put stores a version of a crew's record.
 func (p *Planner) Put(name string, record wire.Crew, version uint64) {
 	p.crews[name] = &Entry{record, version}
 }
 
-// Remove forgets a crew.
+// Remove removes a crew.
 func (p *Planner) Remove(name string) { delete(p.crews, name) }
 
-// Of is a crew, nil if there is none of this name.
+// Crew returns a crew, or nil if there is none of this name.
 func (p *Planner) Crew(name string) *Entry { return p.crews[name] }
 
-// Names lists the crews, sorted.
+// Names lists the names of the crews, sorted.
 func (p *Planner) Names() []string { return slices.Sorted(maps.Keys(p.crews)) }
 
-// Idle tells that there is nothing to plan and nothing planned.
+// Empty reports whether there is neither a crew nor a requirement left from an earlier plan.
 func (p *Planner) Empty() bool { return len(p.crews)+len(p.requirements) == 0 }
 
-// Demand is what departures demand of a job; false: nothing.
+// Requirement returns what departures require of a job, or false if they require nothing.
 func (p *Planner) Requirement(job string) (Requirement, bool) {
 	requirement, ok := p.requirements[job]
 	return requirement, ok
 }
 
-// Write notes that a crew's record is being written, Written that this is over. Meanwhile
-// nothing else of it is.
+// BeginWrite records that a crew's record is being written. Until EndWrite, no other write of this
+// record is made.
 func (p *Planner) BeginWrite(name string) { p.writing[name] = true }
-func (p *Planner) EndWrite(name string)   { delete(p.writing, name) }
 
-// Plan plans the departures of the crews whose teams are served here. It lists the jobs of which
-// something else is demanded than before, and what is to be told.
+// EndWrite records that the write of a crew's record has ended.
+func (p *Planner) EndWrite(name string) { delete(p.writing, name) }
+
+// Plan plans the departures of the crews whose teams are served here. It returns the jobs whose
+// requirements have changed, and the events to report.
 func (p *Planner) Plan(now time.Time, served func(team string) bool, source WorkSource) (changed []string, events []Event) {
 	requirements := map[string]Requirement{}
 	for _, name := range p.Names() {
@@ -141,7 +146,7 @@
 	return changed, events
 }
 
-// jobsOf are the live jobs that have to be done before a departure.
+// jobsBefore returns the live jobs that must be done before a departure.
 func jobsBefore(entry *Entry, leaves time.Time, source WorkSource) iter.Seq[*wire.Job] {
 	return func(yield func(*wire.Job) bool) {
 		for j := range source.Jobs() {
@@ -152,7 +157,7 @@
 	}
 }
 
-// Accepted counts the tasks of live jobs that have to be done before a departure.
+// AcceptedTasks returns the number of tasks of the live jobs that must be done before a departure.
 func AcceptedTasks(entry *Entry, leaves time.Time, source WorkSource) (tasks int) {
 	for j := range jobsBefore(entry, leaves, source) {
 		tasks += j.Tasks
@@ -160,7 +165,7 @@
 	return tasks
 }
 
-// plan plans a departure, as far as records and what is known of tasks tell.
+// planDeparture plans a departure from the records and the known progress of tasks.
 func (p *Planner) planDeparture(entry *Entry, now, leaves time.Time, source WorkSource) wire.CrewPlan {
 	var jobs []Job
 	for j := range jobsBefore(entry, leaves, source) {
@@ -173,8 +178,8 @@
 	return plan
 }
 
-// follow counts what is done for a departure, tells once when some of it will be missed, and
-// how it went.
+// trackDeparture counts the jobs done for a departure. It returns an event when jobs will miss the
+// departure or no longer will, and one with the outcome when the departure is over.
 func (p *Planner) trackDeparture(entry *Entry, now, leaves time.Time, plan *wire.CrewPlan, source WorkSource) (events []Event) {
 	departure := p.departures[entry.Record.Name]
 	if departure == nil || departure.LeavesMS != plan.LeavesMS {
@@ -187,7 +192,7 @@
 	}
 	departure.Update(now, leaves, open, func(id string) (live, done bool) {
 		live, status := source.Outcome(id)
-		return live, status == wire.JobDone // what ends here is written here
+		return live, status == wire.JobDone // the end of a job of this shard is written by this controller, so it is known here
 	})
 	if departure.SetMisses(plan.Miss) {
 		events = append(events, Event{Crew: entry, Plan: *plan})
@@ -202,13 +207,14 @@
 	return append(events, Event{Crew: entry, Plan: *plan, Outcome: &outcome, Record: p.fit(record, DropOldestHistory)})
 }
 
-// fit makes a record shorter until it has no more bytes than one may, if it can.
+// fit shortens a record until it is no larger than RecordBytes, if it can.
 func (p *Planner) fit(record wire.Crew, shorter func(*wire.Crew) bool) wire.Crew {
 	return limits.Fit(record, p.limits.RecordBytes, shorter)
 }
 
-// Expects is a crew for whose next departure work is expected, and what is booked for that;
-// false: none is, its departure is over, or its record is being written.
+// ExpectedWork returns a crew for whose next departure work is expected, and the bookings for it.
+// It returns false if no work is expected, the departure is over, or the crew's record is being
+// written.
 func (p *Planner) ExpectedWork(name string, now time.Time) (entry *Entry, leaves time.Time, booked []wire.CrewBooking, ok bool) {
 	entry = p.crews[name]
 	leaves, ok = NextDeparture(&entry.Record, DeparturesCountFrom(&entry.Record))
@@ -223,14 +229,15 @@
 	return entry, leaves, booked, true
 }
 
-// Open tells whether a booking is still to be asked for.
+// NeedsRequest reports whether a booking still has to be requested.
 func (p *Planner) NeedsRequest(booking *wire.CrewBooking) bool {
 	return !booking.Done && !p.answeredBookings[booking.Request]
 }
 
-// Ahead is a crew's record with what is to be rented for a departure, each of a machine type with
-// so many CPUs that boots so long; factor is by how much estimates are off, limit that of the
-// team in CPUs. false: nothing, or it is not time yet.
+// BookAhead returns a crew's record with bookings of the machines to rent for a departure, or false
+// if none are needed or it is too early. accepted is the number of tasks accepted so far, maxCPUs
+// the team's limit. Each machine has machineCPUs CPUs and boots within bootTime. estimateFactor is
+// the ratio of actual to estimated run times.
 func (p *Planner) BookAhead(entry *Entry, now, leaves time.Time, accepted int, maxCPUs float64, booking wire.CrewBooking, machineCPUs, estimateFactor float64, bootTime time.Duration) (wire.Crew, bool) {
 	count, from := MachinesAhead(&entry.Record, leaves, accepted, maxCPUs, machineCPUs, estimateFactor, bootTime, p.margins)
 	if count == 0 || now.Before(from) {
@@ -243,8 +250,9 @@
 	return p.fit(record, DropHistoryOrBooking), true
 }
 
-// Answered notes that a booking has been answered, and returns the records that are to say so.
-// Until that is known to be written (Rented) it is not asked for again.
+// BookingAnswered records that the request of a booking has been answered, and returns the records
+// to write with the booking marked as done. The booking is not requested again until BookingWritten
+// is called.
 func (p *Planner) BookingAnswered(request string) (list []Entry) {
 	for _, name := range p.Names() {
 		entry := p.crews[name]
@@ -261,11 +269,11 @@
 	return list
 }
 
-// Rented notes that the end of a booking has been written, or has failed to be.
+// BookingWritten records that the write of an answered booking has ended, successfully or not.
 func (p *Planner) BookingWritten(request string) { delete(p.answeredBookings, request) }
 
-// Awaits tells whether machines were rented ahead, for a team that is among those served, of a
-// departure that is to come.
+// HasUpcomingBooking reports whether machines were rented ahead of a coming departure for a team
+// that served accepts.
 func (p *Planner) HasUpcomingBooking(now time.Time, served func(team string) bool) bool {
 	for _, entry := range p.crews {
 		for _, booking := range entry.Record.Booked {
@@ -277,7 +285,7 @@
 	return false
 }
 
-// View is a crew with what is planned for it.
+// View returns a crew with the plan for its next departure.
 func (p *Planner) View(entry *Entry, now time.Time, source WorkSource) wire.CrewView {
 	view := wire.CrewView{Version: entry.Version, Crew: entry.Record}
 	if leaves, ok := NextDeparture(&entry.Record, DeparturesCountFrom(&entry.Record)); ok {
@@ -288,8 +296,8 @@
 	return view
 }
 
-// Revise is a crew's record as operators want it, changed at a controller now, and what is wrong
-// with that in one line. The version is that of the record it replaces, 0 if there is none.
+// Revise returns a crew's record as an operator wants it, changed now at the controller node, or an
+// error of one line. The returned version is that of the record to replace, or 0 if there is none.
 func (p *Planner) Revise(name string, wanted wire.Crew, now time.Time, node string, teamKnown, zoneKnown func(string) bool) (Entry, error) {
 	var previous *wire.Crew
 	version, entry := uint64(0), p.crews[name]
--- a/internal/calendar/planner_test.go
+++ b/internal/calendar/planner_test.go
@@ -9,7 +9,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// day is what a book asks of its owner: jobs of one task each, of which some are over.
+// fakeWork is a WorkSource with jobs of one task each, some of which are over.
 type fakeWork struct {
 	live []*wire.Job
 	over map[string]string
@@ -59,8 +59,8 @@
 	return planner, d
 }
 
-// A departure's jobs are counted while they are live and after; what is cancelled counts for
-// nothing, and an outcome is written once, when all are over or some time after the hour.
+// A departure's jobs are counted while they are live and after they have ended. Cancelled jobs do
+// not count. An outcome is returned once, when all jobs are over or some time after the departure.
 func TestPlannerTracksDeparture(t *testing.T) {
 	planner, d := newTestPlanner(t, "")
 	changed, events := planner.Plan(begin, anyName, d)
@@ -68,43 +68,43 @@
 		t.Fatalf("%v %v %+v", changed, events, q)
 	}
 	if changed, _ = planner.Plan(begin, anyName, d); len(changed) != 0 {
-		t.Errorf("nothing is new, and %v", changed)
+		t.Errorf("nothing has changed, but Plan returns %v", changed)
 	}
-	// Three minutes of work in two: one job misses it, said once; the jobs press.
+	// Three minutes of work in two: one job will miss the departure, which is reported once, and the jobs are pressed.
 	late := begin.Add(28 * time.Minute)
 	changed, events = planner.Plan(late, anyName, d)
 	if q, _ := planner.Requirement("c"); len(changed) != 3 || len(events) != 1 || events[0].Plan.Miss != 1 || events[0].Outcome != nil || !q.Pressed {
 		t.Fatalf("%v %+v", changed, events)
 	}
 	if _, events = planner.Plan(late, anyName, d); len(events) != 0 {
-		t.Errorf("said twice: %+v", events)
+		t.Errorf("reported twice: %+v", events)
 	}
 	d.endFirst(wire.JobDone)
 	d.endFirst(wire.JobAborted)
 	_, _ = planner.Plan(late, anyName, d)
 	hour := begin.Add(30 * time.Minute)
 	if changed, events = planner.Plan(hour, anyName, d); len(changed) != 1 || len(events) != 0 && events[len(events)-1].Outcome != nil {
-		t.Errorf("at the hour, with a job open: %v %+v", changed, events)
+		t.Errorf("at the departure, with a job open: %v %+v", changed, events)
 	}
 	_, events = planner.Plan(hour.Add(10*time.Second), anyName, d)
 	if n := len(events); n == 0 || events[n-1].Outcome == nil || events[n-1].Outcome.Jobs != 2 || events[n-1].Outcome.Met != 1 || events[n-1].Outcome.LateS != 10 {
 		t.Fatalf("%+v", events)
 	}
-	planner.BeginWrite("early") // under way: not written again
+	planner.BeginWrite("early") // a write is in progress, so none is returned
 	if _, events = planner.Plan(hour.Add(11*time.Second), anyName, d); len(events) != 0 {
 		t.Errorf("written twice: %+v", events)
 	}
 	_, _ = planner.Plan(begin, func(string) bool { return false }, d)
 	if planner.Empty() {
-		t.Error("a book with a crew is not idle")
+		t.Error("a planner with a crew is not empty")
 	}
 	if _, ok := planner.Requirement("c"); ok {
-		t.Error("who does not serve the team demands nothing")
+		t.Error("a requirement for a team that is not served here")
 	}
 }
 
-// A booking is asked for until it is answered, the crew's record is not written twice at a time,
-// and none of it outlives the departure.
+// A booking is requested until it is answered, a crew's record is not written twice at a time, and
+// no booking outlives its departure.
 func TestBookings(t *testing.T) {
 	planner, _ := newTestPlanner(t, "")
 	x := planner.Crew("early")
@@ -136,7 +136,7 @@
 	}
 	planner.BookingWritten(booked[0].Request)
 	if !planner.NeedsRequest(&booked[0]) {
-		t.Error("its end was not written: it is asked for again")
+		t.Error("a booking whose end was not written is not requested again")
 	}
 	if _, _, _, ok = planner.ExpectedWork("early", leaves); ok {
 		t.Error("the departure is over")
@@ -153,15 +153,15 @@
 	over := good
 	over.Leaves = "2026-12-01T06:30"
 	if _, err := planner.Revise("early", over, begin, "c1", anyName, anyName); err == nil {
-		t.Error("it never leaves")
+		t.Error("a departure in the past is accepted")
 	}
 	planner.Put("late", good, 9)
 	if _, err := planner.Revise("third", good, begin, "c1", anyName, anyName); err == nil {
-		t.Error("one too many")
+		t.Error("a crew beyond the limit is accepted")
 	}
 }
 
-// What is written from now on keeps to a limit that has fallen: the past goes first, then
+// Records written after their size limit was lowered fit into it: history is removed first, then
 // bookings, and what is still too large is refused.
 func TestRecordsFitLoweredLimit(t *testing.T) {
 	planner, d := newTestPlanner(t, "")
@@ -211,6 +211,6 @@
 	}
 	planner.SetRecordBytes(64)
 	if _, err := planner.Revise("early", want, begin, "c1", anyName, anyName); err == nil {
-		t.Error("too large, and taken")
+		t.Error("a record that is too large is accepted")
 	}
 }
