--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -32,16 +32,22 @@
 func (j *Job) cpuSeconds() float64 { return float64(j.Tasks) * j.TaskDuration.Seconds() * j.CPUs }
 
 // RequiredBefore reports whether a job must be done before a crew departs.
-func RequiredBefore(c *wire.Crew, j *wire.Job, leaves time.Time) bool {
-	return j.Team == c.Team && slices.Contains(c.Classes, j.Class) && (c.Zone == "" || j.Zone == "" || j.Zone == c.Zone) &&
-		j.Shape != wire.ShapeService && j.AcceptedMS < leaves.UnixMilli()
+func RequiredBefore(crew *wire.Crew, job *wire.Job, leaves time.Time) bool {
+	return job.Team == crew.Team && slices.Contains(crew.Classes, job.Class) && (crew.Zone == "" || job.Zone == "" || job.Zone == crew.Zone) &&
+		job.Shape != wire.ShapeService && job.AcceptedMS < leaves.UnixMilli()
 }
 
 // PlanDeparture plans the departure at leaves, with the given number of CPUs available to the
 // crew's team.
-func PlanDeparture(c *wire.Crew, now, leaves time.Time, jobs []Job, availableCPUs float64, margins Margins) wire.CrewPlan {
-	plan := wire.CrewPlan{Crew: c.Name, LeavesMS: leaves.UnixMilli(), Leaves: leaves.Format("Mon 2006-01-02 15:04 MST"), Jobs: len(jobs), Have: availableCPUs}
-	for _, b := range c.Booked {
+func PlanDeparture(crew *wire.Crew, now, leaves time.Time, jobs []Job, availableCPUs float64, margins Margins) wire.CrewPlan {
+	plan := wire.CrewPlan{
+		Crew:     crew.Name,
+		LeavesMS: leaves.UnixMilli(),
+		Leaves:   leaves.Format("Mon 2006-01-02 15:04 MST"),
+		Jobs:     len(jobs),
+		Have:     availableCPUs,
+	}
+	for _, b := range crew.Booked {
 		if b.LeavesMS == plan.LeavesMS {
 			plan.Ahead += b.Count
 		}
@@ -67,7 +73,7 @@
 	}
 	plan.Pressed = len(jobs) > 0 && !now.Before(start.Add(-margins.PressLead))
 	plan.Miss, plan.MissS = missedJobs(jobs, now, leaves, availableCPUs)
-	plan.Say = summarize(c, &plan, leaves)
+	plan.Say = summarize(crew, &plan, leaves)
 	return plan
 }
 
@@ -96,7 +102,7 @@
 }
 
 // summarize returns a sentence about a plan for operators.
-func summarize(c *wire.Crew, plan *wire.CrewPlan, leaves time.Time) string {
+func summarize(crew *wire.Crew, plan *wire.CrewPlan, leaves time.Time) string {
 	hour := leaves.Format("15:04")
 	switch {
 	case plan.Jobs == 0:
@@ -106,8 +112,8 @@
 	}
 	why := fmt.Sprintf("%.0f CPUs are there and %.0f needed", plan.Have, plan.CPUs)
 	if plan.Have == 0 {
-		if why = "no machines"; c.Zone != "" {
-			why += " in " + c.Zone
+		if why = "no machines"; crew.Zone != "" {
+			why += " in " + crew.Zone
 		}
 	}
 	return fmt.Sprintf("%d of %d jobs will miss %s by up to %s: %s", plan.Miss, plan.Jobs, hour, (time.Duration(math.Ceil(plan.MissS)) * time.Second).String(), why)
@@ -117,8 +123,8 @@
 // work of which some tasks have been accepted already, and from when on. It assumes that the work
 // arrives as late as it may, and allows for the machines' boot time before that. The result is 0 if
 // no work is expected.
-func MachinesAhead(c *wire.Crew, leaves time.Time, accepted int, maxCPUs, machineCPUs float64, estimateFactor float64, bootTime time.Duration, margins Margins) (machines int, from time.Time) {
-	expect := c.Expect
+func MachinesAhead(crew *wire.Crew, leaves time.Time, accepted int, maxCPUs, machineCPUs float64, estimateFactor float64, bootTime time.Duration, margins Margins) (machines int, from time.Time) {
+	expect := crew.Expect
 	tasks := float64(expect.Tasks - accepted)
 	if tasks <= 0 || machineCPUs <= 0 || maxCPUs <= 0 {
 		return 0, time.Time{}
@@ -137,66 +143,67 @@
 // BookingName returns the name of a booking of machines rented ahead. version is the version of the
 // crew's record on which the write of the name is conditional, so no two writes create the same
 // name.
-func BookingName(c *wire.Crew, version uint64, index int) string {
-	return fmt.Sprintf("crew-%s-%d-%d", c.Name, version, index)
+func BookingName(crew *wire.Crew, version uint64, index int) string {
+	return fmt.Sprintf("crew-%s-%d-%d", crew.Name, version, index)
 }
 
 // AddBookings adds bookings for a total number of machines to the record that is stored at version,
 // none for more than maxMachines. Their names follow from the record and its version, so every
 // controller that requests them makes the same requests.
-func AddBookings(c *wire.Crew, version uint64, total wire.CrewBooking, maxMachines int) {
+func AddBookings(crew *wire.Crew, version uint64, total wire.CrewBooking, maxMachines int) {
 	for index, remaining := 0, total.Count; remaining > 0; index++ {
-		total.Request, total.Count = BookingName(c, version, index), min(remaining, maxMachines)
-		c.Booked = append(c.Booked, total)
+		total.Request, total.Count = BookingName(crew, version, index), min(remaining, maxMachines)
+		crew.Booked = append(crew.Booked, total)
 		remaining -= total.Count
 	}
 }
 
 // DeparturesCountFrom returns the time after which the next departure is searched: that of the
 // latest change by operators or of the last departure that has an outcome, whichever is later.
-func DeparturesCountFrom(c *wire.Crew) time.Time {
+func DeparturesCountFrom(crew *wire.Crew) time.Time {
 	unixMS := int64(0)
-	if n := len(c.History); n > 0 {
-		unixMS = c.History[n-1].AtMS
+	if n := len(crew.History); n > 0 {
+		unixMS = crew.History[n-1].AtMS
 	}
-	if n := len(c.Past); n > 0 {
-		unixMS = max(unixMS, c.Past[n-1].LeavesMS)
+	if n := len(crew.Past); n > 0 {
+		unixMS = max(unixMS, crew.Past[n-1].LeavesMS)
 	}
 	return time.UnixMilli(unixMS)
 }
 
 // DropOldestHistory removes the oldest outcome or change from a record, and reports whether there
 // was one that could be removed.
-func DropOldestHistory(c *wire.Crew) bool {
+func DropOldestHistory(crew *wire.Crew) bool {
 	switch {
-	case len(c.Past) > 1 && len(c.Past) >= len(c.History): // the last outcome shows which departure is over
-		c.Past = c.Past[1:]
-	case len(c.History) > 0:
-		c.History = c.History[1:]
-	case len(c.Past) > 1:
-		c.Past = c.Past[1:]
+	case len(crew.Past) > 1 && len(crew.Past) >= len(crew.History): // the last outcome shows which departure is over
+		crew.Past = crew.Past[1:]
+	case len(crew.History) > 0:
+		crew.History = crew.History[1:]
+	case len(crew.Past) > 1:
+		crew.Past = crew.Past[1:]
 	default:
 		return false
 	}
 	return true
 }
 
-// DropHistoryOrBooking shortens a record whose bookings have not been requested yet: it removes
-// history first, then bookings. It reports whether the record may become shorter still. Machines
-// that are not booked ahead are rented once the work has arrived.
-func DropHistoryOrBooking(c *wire.Crew) bool {
-	if DropOldestHistory(c) {
+// DropHistoryOrBooking shortens a record whose bookings have not been requested yet: it removes the
+// oldest history first, then the last booking. It reports whether it removed history or a booking
+// that was not the only one. Machines that are not booked ahead are rented once the work has
+// arrived.
+func DropHistoryOrBooking(crew *wire.Crew) bool {
+	if DropOldestHistory(crew) {
 		return true
 	}
-	n := len(c.Booked)
-	c.Booked = c.Booked[:max(0, n-1)]
+	n := len(crew.Booked)
+	crew.Booked = crew.Booked[:max(0, n-1)]
 	return n > 1
 }
 
 // Prune removes from a record the bookings for departures other than the one at leaves, and all but
 // the last historyLength outcomes and changes.
-func Prune(c *wire.Crew, leaves time.Time, historyLength int) {
-	c.Booked = slices.DeleteFunc(slices.Clone(c.Booked), func(b wire.CrewBooking) bool { return b.LeavesMS != leaves.UnixMilli() })
-	c.Past = c.Past[max(0, len(c.Past)-historyLength):]
-	c.History = c.History[max(0, len(c.History)-historyLength):]
+func Prune(crew *wire.Crew, leaves time.Time, historyLength int) {
+	crew.Booked = slices.DeleteFunc(slices.Clone(crew.Booked), func(b wire.CrewBooking) bool { return b.LeavesMS != leaves.UnixMilli() })
+	crew.Past = crew.Past[max(0, len(crew.Past)-historyLength):]
+	crew.History = crew.History[max(0, len(crew.History)-historyLength):]
 }
--- a/internal/calendar/planner.go
+++ b/internal/calendar/planner.go
@@ -71,8 +71,15 @@
 
 // NewPlanner returns a planner without crews.
 func NewPlanner(margins Margins, limits Limits) *Planner {
-	return &Planner{margins: margins, limits: limits, crews: map[string]*Entry{}, requirements: map[string]Requirement{}, departures: map[string]*Departure{},
-		answeredBookings: map[string]bool{}, writing: map[string]bool{}}
+	return &Planner{
+		margins:          margins,
+		limits:           limits,
+		crews:            map[string]*Entry{},
+		requirements:     map[string]Requirement{},
+		departures:       map[string]*Departure{},
+		answeredBookings: map[string]bool{},
+		writing:          map[string]bool{},
+	}
 }
 
 // SetRecordBytes sets the largest size of records that are made from now on, in bytes.
@@ -186,18 +193,18 @@
 		departure = NewDeparture(plan.LeavesMS)
 		p.departures[entry.Record.Name] = departure
 	}
-	var open []string
+	var openJobs []string
 	for j := range jobsBefore(entry, leaves, source) {
-		open = append(open, j.ID)
+		openJobs = append(openJobs, j.ID)
 	}
-	departure.Update(now, leaves, open, func(id string) (live, done bool) {
+	departure.Update(now, leaves, openJobs, func(id string) (live, done bool) {
 		live, status := source.Outcome(id)
 		return live, status == wire.JobDone // the end of a job of this shard is written by this controller, so it is known here
 	})
 	if departure.SetMisses(plan.Miss) {
 		events = append(events, Event{Crew: entry, Plan: *plan})
 	}
-	outcome, over := departure.Outcome(now, leaves, len(open), p.limits.OutcomeDelay, plan.Say)
+	outcome, over := departure.Outcome(now, leaves, len(openJobs), p.limits.OutcomeDelay, plan.Say)
 	if !over || p.writing[entry.Record.Name] {
 		return events
 	}
@@ -256,7 +263,7 @@
 func (p *Planner) BookingAnswered(request string) (list []Entry) {
 	for _, name := range p.Names() {
 		entry := p.crews[name]
-		index := slices.IndexFunc(entry.Record.Booked, func(index wire.CrewBooking) bool { return index.Request == request && !index.Done })
+		index := slices.IndexFunc(entry.Record.Booked, func(booking wire.CrewBooking) bool { return booking.Request == request && !booking.Done })
 		if index < 0 || p.writing[name] {
 			continue
 		}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -66,7 +66,12 @@
 
 // New returns an empty graph.
 func New() *Graph {
-	return &Graph{waiting: map[string]*job{}, dependents: map[string]map[string]bool{}, ends: map[string]jobEnd{}, inherited: map[string]Requirement{}}
+	return &Graph{
+		waiting:    map[string]*job{},
+		dependents: map[string]map[string]bool{},
+		ends:       map[string]jobEnd{},
+		inherited:  map[string]Requirement{},
+	}
 }
 
 // Put adds a waiting job or replaces its predecessors and its own requirement.
@@ -87,13 +92,13 @@
 // Remove removes a job that no longer waits. Ends of jobs that no waiting job names any more are
 // removed too.
 func (g *Graph) Remove(id string) {
-	j := g.waiting[id]
-	if j == nil {
+	waiting := g.waiting[id]
+	if waiting == nil {
 		return
 	}
 	delete(g.waiting, id)
 	clear(g.inherited)
-	for _, p := range j.predecessors {
+	for _, p := range waiting.predecessors {
 		delete(g.dependents[p], id)
 		if len(g.dependents[p]) == 0 {
 			delete(g.dependents, p)
@@ -157,10 +162,10 @@
 	var visit func(id string) bool // reports false if a predecessor was cancelled
 	visit = func(id string) bool {
 		for _, p := range g.waiting[id].predecessors {
-			e, over := g.ends[p]
+			end, over := g.ends[p]
 			switch _, alsoWaits := g.waiting[p]; {
-			case over && !e.done:
-				cancelledBy = e.cancelledBy
+			case over && !end.done:
+				cancelledBy = end.cancelledBy
 				return false
 			case over || seen[p]:
 			case alsoWaits:
@@ -196,9 +201,9 @@
 func (g *Graph) StartDelay(id string, remaining func(string) float64) float64 {
 	delay := 0.0
 	for _, p := range g.waiting[id].predecessors {
-		e, over := g.ends[p]
+		end, over := g.ends[p]
 		switch _, waits := g.waiting[p]; {
-		case over && e.done:
+		case over && end.done:
 		case over || waits:
 			return math.Inf(1)
 		default:
@@ -210,8 +215,8 @@
 
 // RemainingSeconds returns how many seconds remain of a job whose tasks are all on machines, given
 // the seconds since the last of them started.
-func (s JobEstimate) RemainingSeconds(sinceLastStart float64) float64 {
-	return max(0, s.TaskSeconds*s.slowestTaskFactor()-sinceLastStart)
+func (e JobEstimate) RemainingSeconds(sinceLastStart float64) float64 {
+	return max(0, e.TaskSeconds*e.slowestTaskFactor()-sinceLastStart)
 }
 
 // Ancestors lists the direct and indirect predecessors of a job, nearest first. Only waiting jobs
@@ -267,9 +272,11 @@
 	return requirement
 }
 
-// Slack returns how many seconds later than now a job that takes length seconds may start before
+// Slack returns how many seconds later than now a job that takes durationSeconds may start before
 // the jobs that depend on it are late. It is +Inf if none of them has a deadline.
-func (d Requirement) Slack(now, length float64) float64 { return d.Due - length - now }
+func (r Requirement) Slack(now, durationSeconds float64) float64 {
+	return r.Due - durationSeconds - now
+}
 
 // JobEstimate is what the expected duration of a job is computed from.
 type JobEstimate struct {
@@ -289,6 +296,6 @@
 
 // slowestTaskFactor returns how many times as long as a typical task the slowest task is expected
 // to run.
-func (s JobEstimate) slowestTaskFactor() float64 {
-	return math.Exp(s.LogSpread * math.Sqrt(2*math.Log(float64(max(1, s.Tasks)))))
+func (e JobEstimate) slowestTaskFactor() float64 {
+	return math.Exp(e.LogSpread * math.Sqrt(2*math.Log(float64(max(1, e.Tasks)))))
 }
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -128,12 +128,12 @@
 	var best *slot
 	var kept map[string]wire.Start
 	nextNumber, size := 0, 0
-	for _, s := range l.slots {
-		if s.shard != shard {
+	for _, candidate := range l.slots {
+		if candidate.shard != shard {
 			continue
 		}
-		nextNumber = max(nextNumber, s.number+1)
-		entriesKept, bytes := l.liveEntries(s, live), 0
+		nextNumber = max(nextNumber, candidate.number+1)
+		entriesKept, bytes := l.liveEntries(candidate, live), 0
 		for name, start := range entriesKept {
 			bytes += maxEntrySize(name, start)
 		}
@@ -144,23 +144,23 @@
 		if len(entriesKept)*4 > l.limits.Entries*3 || bytes*4 > l.limits.Bytes*3 || bytes+maxEntrySize(entries[0].Name, entries[0].Start) > l.limits.Bytes {
 			continue
 		}
-		if best == nil || bytes < size || bytes == size && s.number < best.number {
-			best, kept, size = s, entriesKept, bytes
+		if best == nil || bytes < size || bytes == size && candidate.number < best.number {
+			best, kept, size = candidate, entriesKept, bytes
 		}
 	}
 	if best == nil {
 		best, kept, size = &slot{shard: shard, number: nextNumber}, map[string]wire.Start{}, 0
 	}
 	write := Write{Key: Key(shard, best.number), Version: best.version, Record: wire.Starts{Entries: kept}}
-	for _, e := range entries {
-		_, again := kept[e.Name]
-		size += maxEntrySize(e.Name, e.Start)
+	for _, entry := range entries {
+		_, again := kept[entry.Name]
+		size += maxEntrySize(entry.Name, entry.Start)
 		if write.Included > 0 && (size > l.limits.Bytes || len(kept) >= l.limits.Entries && !again) {
 			break
 		}
-		s := e.Start
-		s.N = l.highestNumber(e.Name) + 1
-		kept[e.Name] = s
+		candidate := entry.Start
+		candidate.N = l.highestNumber(entry.Name) + 1
+		kept[entry.Name] = candidate
 		write.Included++
 	}
 	return write
--- a/internal/weights/cache.go
+++ b/internal/weights/cache.go
@@ -39,16 +39,16 @@
 		bytesLeft -= needed
 		var bits []uint32
 		for _, image := range machine.Images {
-			k, known := index[image]
+			position, known := index[image]
 			if !known {
-				k = len(record.Images)
-				index[image] = k
+				position = len(record.Images)
+				index[image] = position
 				record.Images = append(record.Images, image)
 			}
-			for len(bits) <= k/32 {
+			for len(bits) <= position/32 {
 				bits = append(bits, 0)
 			}
-			bits[k/32] |= 1 << (k % 32)
+			bits[position/32] |= 1 << (position % 32)
 		}
 		record.Sets[machine.Machine] = bits
 	}
@@ -81,8 +81,15 @@
 
 // NewCacheIndex returns an empty index. After its last record, the records of a shard are not
 // written again before interval has passed.
-func NewCacheIndex(every time.Duration) *CacheIndex {
-	return &CacheIndex{interval: every, images: map[string][]string{}, dirty: map[int]bool{}, nextPart: map[int]int{}, lastPart: map[int]int{}, nextWrite: map[int]time.Duration{}}
+func NewCacheIndex(interval time.Duration) *CacheIndex {
+	return &CacheIndex{
+		interval:  interval,
+		images:    map[string][]string{},
+		dirty:     map[int]bool{},
+		nextPart:  map[int]int{},
+		lastPart:  map[int]int{},
+		nextWrite: map[int]time.Duration{},
+	}
 }
 
 // Load stores the images of a machine as read from a record.
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -50,18 +50,18 @@
 // NextWrite returns the next record to write, if any: the images that machines have, or the plan of
 // a shard. Only one record is written at a time.
 func (p *Planner) NextWrite(now time.Duration, held []int, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (Write, bool) {
-	if i, key, record := p.caches.NextWrite(now, holdsShard, imagesOf, bytes); record != nil {
-		return Write{i, key, *record, func(_ time.Duration, ok bool) {
+	if shard, key, record := p.caches.NextWrite(now, holdsShard, imagesOf, bytes); record != nil {
+		return Write{shard, key, *record, func(_ time.Duration, ok bool) {
 			if !ok {
-				p.caches.WriteFailed(i)
+				p.caches.WriteFailed(shard)
 			}
 		}}, true
 	}
-	for _, i := range held {
-		if record, due := p.NextPlan(i, bytes); due {
-			return Write{i, wire.PrefixWeights + strconv.Itoa(i), record, func(now time.Duration, ok bool) {
+	for _, shard := range held {
+		if record, due := p.NextPlan(shard, bytes); due {
+			return Write{shard, wire.PrefixWeights + strconv.Itoa(shard), record, func(now time.Duration, ok bool) {
 				if ok {
-					p.LoadPlan(now, i, record, true)
+					p.LoadPlan(now, shard, record, true)
 				}
 			}}, true
 		}
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -81,7 +81,15 @@
 // NewPlanner returns a planner without machines. caches holds the images that machines have; the
 // planner writes its records along with the plans.
 func NewPlanner(switches Switches, limits Limits, caches *CacheIndex) *Planner {
-	return &Planner{limits: limits, switches: switches, copies: map[string]map[string]*imageCopy{}, machineImages: map[string]map[string]bool{}, storeRate: storeRateEstimate{limits: limits}, shards: map[int]*shardPlan{}, caches: caches}
+	return &Planner{
+		limits:        limits,
+		switches:      switches,
+		copies:        map[string]map[string]*imageCopy{},
+		machineImages: map[string]map[string]bool{},
+		storeRate:     storeRateEstimate{limits: limits},
+		shards:        map[int]*shardPlan{},
+		caches:        caches,
+	}
 }
 
 // UpdateMachine records which images the tasks on a machine need and have, according to its newest
@@ -131,7 +139,12 @@
 
 // addCopy adds a copy that is being fetched from the store.
 func (p *Planner) addCopy(now time.Duration, machine Machine, image string, gb float64) *imageCopy {
-	copied := &imageCopy{Machine: machine, gb: gb, since: now, fetchSecondsAtStart: p.storeRate.fetchSeconds}
+	copied := &imageCopy{
+		Machine:             machine,
+		gb:                  gb,
+		since:               now,
+		fetchSecondsAtStart: p.storeRate.fetchSeconds,
+	}
 	if p.copies[image] == nil {
 		p.copies[image] = map[string]*imageCopy{}
 	}
@@ -265,7 +278,14 @@
 
 // View returns what is known of one image, or of all images in use if image is empty.
 func (p *Planner) View(now time.Duration, node, image string) wire.WeightsView {
-	view := wire.WeightsView{Node: node, HandOn: p.switches.PeerTransfer, Pace: p.switches.PaceFetches, StoreGBps: p.storeRate.gbps(now), Most: p.storeRate.maxFetches(now), Images: []wire.WeightsImageView{}}
+	view := wire.WeightsView{
+		Node:      node,
+		HandOn:    p.switches.PeerTransfer,
+		Pace:      p.switches.PaceFetches,
+		StoreGBps: p.storeRate.gbps(now),
+		Most:      p.storeRate.maxFetches(now),
+		Images:    []wire.WeightsImageView{},
+	}
 	for _, name := range slices.Sorted(maps.Keys(p.copies)) {
 		if image != "" && name != image {
 			continue
@@ -274,7 +294,13 @@
 		for _, machine := range slices.Sorted(maps.Keys(p.copies[name])) {
 			copied := p.copies[name][machine]
 			imageView.GB = max(imageView.GB, copied.gb)
-			copyView := wire.WeightsCopy{Machine: machine, Zone: copied.Zone, Shard: copied.Shard, ForS: (now - copied.since).Seconds(), Sources: copied.sources}
+			copyView := wire.WeightsCopy{
+				Machine: machine,
+				Zone:    copied.Zone,
+				Shard:   copied.Shard,
+				ForS:    (now - copied.since).Seconds(),
+				Sources: copied.sources,
+			}
 			if copied.present {
 				imageView.Holders = append(imageView.Holders, copyView)
 				continue
