--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -47,11 +47,11 @@
 // Next reports whether unmet demand is to be published now, and with which number, and whether it
 // is to be written. record is the demand stored in the state service. delivered reports whether
 // messages reach the controllers that act on unmet demand.
-func (p *Publisher) Next(now time.Duration, want, record wire.Want, delivered bool) (number uint64, publish, write bool) {
-	recorded := Equal(want, record)
-	if !p.hasPublished || !Equal(want, p.published) || now-p.publishedAt >= p.pace.RepeatInterval && (!recorded || len(want.Needs) > 0) {
+func (p *Publisher) Next(now time.Duration, unmet, record wire.Want, delivered bool) (number uint64, publish, write bool) {
+	recorded := Equal(unmet, record)
+	if !p.hasPublished || !Equal(unmet, p.published) || now-p.publishedAt >= p.pace.RepeatInterval && (!recorded || len(unmet.Needs) > 0) {
 		p.number++
-		p.published, p.publishedAt, p.hasPublished, publish = want, now, true, true
+		p.published, p.publishedAt, p.hasPublished, publish = unmet, now, true, true
 	}
 	if !recorded && (!delivered || !p.hasWritten || now-p.writtenAt >= p.pace.WriteInterval) {
 		p.writtenAt, p.hasWritten, write = now, true, true
@@ -93,11 +93,11 @@
 
 // DropLastNeed removes the last need of a record that is too large, and reports whether there was
 // one. Needs beyond what a record can hold are requested once the first ones are met.
-func DropLastNeed(want *wire.Want) bool {
-	if len(want.Needs) == 0 {
+func DropLastNeed(record *wire.Want) bool {
+	if len(record.Needs) == 0 {
 		return false
 	}
-	want.Needs = want.Needs[:len(want.Needs)-1]
+	record.Needs = record.Needs[:len(record.Needs)-1]
 	return true
 }
 
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -9,7 +9,7 @@
 
 var pace = Pace{RepeatInterval: time.Second, WriteInterval: 3 * time.Second, MaxAge: 3 * time.Second}
 
-func want(tasks int, seen uint64) wire.Want {
+func demandFor(tasks int, seen uint64) wire.Want {
 	if tasks == 0 {
 		return wire.Want{Seen: seen}
 	}
@@ -24,7 +24,7 @@
 		published, record := 0, wire.Want{}
 		for i := range 100 {
 			now := time.Duration(i) * 100 * time.Millisecond
-			unmet := want(1+i, 5)
+			unmet := demandFor(1+i, 5)
 			_, publish, write := publisher.Next(now, unmet, record, delivered)
 			if publish {
 				published++
@@ -46,7 +46,7 @@
 	last, messages := time.Duration(0), 0
 	for i := range 200 {
 		now := time.Duration(i) * 100 * time.Millisecond
-		unmet := want(max(0, 10-i), 0)
+		unmet := demandFor(max(0, 10-i), 0)
 		_, publish, write := publisher.Next(now, unmet, record, true)
 		if write {
 			record, last = unmet, now
@@ -55,7 +55,7 @@
 			messages++
 		}
 	}
-	if !Equal(record, want(0, 0)) || last > 4*time.Second || messages != 0 {
+	if !Equal(record, demandFor(0, 0)) || last > 4*time.Second || messages != 0 {
 		t.Errorf("record %+v written last at %v, %d messages afterwards", record, last, messages)
 	}
 }
@@ -63,9 +63,9 @@
 // An announcement counts while its sender holds the shard and its messages arrive. Late
 // announcements do not count.
 func TestCurrentDemand(t *testing.T) {
-	board, record := NewBoard(pace), want(7, 1)
-	board.Receive(0, Announcement{Shard: 1, Token: 4, Number: 2, Want: want(3, 1)})
-	board.Receive(time.Second, Announcement{Shard: 1, Token: 4, Number: 1, Want: want(9, 1)}) // overtaken
+	board, record := NewBoard(pace), demandFor(7, 1)
+	board.Receive(0, Announcement{Shard: 1, Token: 4, Number: 2, Want: demandFor(3, 1)})
+	board.Receive(time.Second, Announcement{Shard: 1, Token: 4, Number: 1, Want: demandFor(9, 1)}) // overtaken
 	for _, x := range []struct {
 		now   time.Duration
 		token uint64
@@ -75,7 +75,7 @@
 			t.Errorf("at %v under %d: %d tasks, want %d", x.now, x.token, w.Needs[0].Tasks, x.want)
 		}
 	}
-	board.Receive(4*time.Second, Announcement{Shard: 1, Token: 3, Number: 9, Want: want(1, 1)}) // an earlier holder
+	board.Receive(4*time.Second, Announcement{Shard: 1, Token: 3, Number: 9, Want: demandFor(1, 1)}) // an earlier holder
 	if w := board.Current(4*time.Second, 1, 3, record); w.Needs[0].Tasks != 7 {
 		t.Error("an announcement of an earlier holder counts")
 	}
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -76,7 +76,7 @@
 
 // Put adds a waiting job or replaces its predecessors and its own requirement.
 func (g *Graph) Put(id string, predecessors []string, own Requirement) {
-	if old := g.waiting[id]; old == nil || !slices.Equal(old.predecessors, predecessors) {
+	if previous := g.waiting[id]; previous == nil || !slices.Equal(previous.predecessors, predecessors) {
 		g.Remove(id)
 		for _, p := range predecessors {
 			if g.dependents[p] == nil {
