--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -53,7 +53,7 @@
 		{`state = "10.2.0.1:2379"`, `state = "10.2.0.1:99999"`, "outside.state"},
 		{`lease_s = 10.0`, `lease_s = nan`, "params.workers.lease_s"},
 		{`lease_s = 10.0`, `lease_s = "ten"`, "lease_s"},
-		{`cancel_s = 40.0`, `cancel_s = 12.0`, "params.workers.cancel_s"}, // leases could not run out in it
+		{`cancel_s = 40.0`, `cancel_s = 12.0`, "params.workers.cancel_s"}, // leases could not expire within it
 		{`cancel_s = 40.0`, `cancel_s = 9.0`, "params.workers.cancel_s"},
 		{`cpus_max = 16.0`, `cpus_max = 4.0`, "params.teams[0].cpus_max"},
 		{`txn_ops = 16`, `txn_ops = 0`, "params.state.txn_ops"},
@@ -66,7 +66,7 @@
 	}
 }
 
-// A guest team's settings say 0 for everything: no guarantee and no limit.
+// A guest team has 0 for all its settings, which means no guarantee and no limit.
 func TestNoLimit(t *testing.T) {
 	for _, x := range []struct{ team, cpus, gpus string }{
 		{"cpus = 0.0\ncpus_max = 0.0", "+Inf", "+Inf"},
@@ -77,13 +77,13 @@
 		if err != nil {
 			t.Fatalf("%q: %v", x.team, err)
 		}
-		if cpus, gpus := c.Params.Teams[0].Most(); fmt.Sprint(cpus) != x.cpus || fmt.Sprint(gpus) != x.gpus {
+		if cpus, gpus := c.Params.Teams[0].MaxUsage(); fmt.Sprint(cpus) != x.cpus || fmt.Sprint(gpus) != x.gpus {
 			t.Errorf("%q: at most %v cpus, %v gpus", x.team, cpus, gpus)
 		}
 	}
 }
 
-// What the state service will have from some moment on is kept to from the first write.
+// Limits that the state service will have later apply from the start.
 func TestNextLimits(t *testing.T) {
 	next := func(lines string) string {
 		return strings.Replace(good, "[params.cloud]", "[params.state.next]\n"+lines+"\n[params.cloud]", 1)
@@ -92,21 +92,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l != c.Params.State {
+	if l := c.Params.State.Strictest(); l != c.Params.State {
 		t.Fatalf("without next limits: %+v", l)
 	}
 	c, err = Parse([]byte(next("write_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\nlater = 1")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l.RPS != 80 || l.WriteRPS != 15 || l.ValueKB != 2 || l.TxnOps != 5 {
+	if l := c.Params.State.Strictest(); l.RPS != 80 || l.WriteRPS != 15 || l.ValueKB != 2 || l.TxnOps != 5 {
 		t.Fatalf("least: %+v", l)
 	}
 	c, err = Parse([]byte(next("write_rps = 30.0\ntxn_ops = 4")))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if l := c.Params.State.Least(); l.WriteRPS != 20 || l.ValueKB != 16 || l.TxnOps != 4 {
+	if l := c.Params.State.Strictest(); l.WriteRPS != 20 || l.ValueKB != 16 || l.TxnOps != 4 {
 		t.Fatalf("one larger, one absent: %+v", l)
 	}
 	for _, bad := range []struct{ lines, field string }{
--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -12,7 +12,7 @@
 
 // defaultSettings returns the settings that apply as long as an operator has not changed them.
 func defaultSettings() wire.Settings {
-	return wire.Settings{IdleReturnS: tuning.IdleReturn.Seconds(), SilentDropS: tuning.SilentDrop.Seconds(), Spot: true}
+	return wire.Settings{IdleReturnS: tuning.IdleReturnAfter.Seconds(), SilentDropS: tuning.SilentMachineDeleteAfter.Seconds(), Spot: true}
 }
 
 // settingsView returns the current settings and the version of their record.
@@ -57,7 +57,7 @@
 	case 409:
 		c.answer(request, 409, wire.Problem{Error: "changed meanwhile, read again"})
 	case 400:
-		c.answer(request, 422, wire.NotTaken(reply.Err))
+		c.answer(request, 422, wire.RecordRefused(reply.Err))
 	default:
 		c.answer(request, 503, unavailable("state service not reached"))
 	}
--- a/internal/core/chains.go
+++ b/internal/core/chains.go
@@ -17,7 +17,7 @@
 	recheckWaiting  bool                 // something changed that the outcome of a waiting job may depend on
 	movingWaiting   bool                 // a write that moves waiting jobs is in progress
 	readingOutcomes bool                 // a read of the outcomes of predecessors is in progress
-	announcedChains ChainsSeen           // the counts that were last reported as an effect
+	announcedChains ChainCounts          // the counts that were last reported as an effect
 	oneJobPerWrite  bool                 // the last write that moved jobs met a conflict: move one job at a time
 }
 
@@ -63,8 +63,8 @@
 	s = dependency.JobEstimate{
 		Tasks:             j.Tasks,
 		TaskSeconds:       c.runTimes.Typical(j.Class, j.EstimateS).Seconds(),
-		LogSpread:         tuning.ChainSpread,
-		StartDelaySeconds: tuning.ChainBegin.Seconds(),
+		LogSpread:         tuning.ChainRunTimeSpread,
+		StartDelaySeconds: tuning.ChainStartDelay.Seconds(),
 	}
 	if rate > 0 {
 		s.FetchSeconds = j.ImageGB / rate
@@ -99,7 +99,7 @@
 		if c.shardOfTeam(job.Team) != shard {
 			continue
 		}
-		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.FetchSeconds+stage.StartDelaySeconds, tuning.BootSlow) && c.dependencies.StartDelay(id, c.remainingSeconds) <= boot {
+		if stage, boot := c.stageOf(job); c.objectives.RequestAhead(job.Class, boot, stage.FetchSeconds+stage.StartDelaySeconds, tuning.SlowBootFactor) && c.dependencies.StartDelay(id, c.remainingSeconds) <= boot {
 			list = append(list, job)
 		}
 	}
@@ -122,9 +122,9 @@
 // as normal work, which is ordered by due times and does not preempt other normal work.
 func (c *Core) rankJob(e *jobEntry) {
 	inherited := c.dependencies.Inherited(e.record.ID)
-	e.priority, e.rank, e.due = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
+	e.priority, e.rank, e.inheritedDue = wire.PriorityRank(e.record.Priority), c.tierOrder.Rank(&e.record), inherited.Due
 	if inherited.Priority > e.priority {
-		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.DurationSeconds) > tuning.ChainSlack.Seconds() {
+		if own := c.demandOf(&e.record); inherited.Slack(float64(c.wall.UnixMilli())/1000, own.DurationSeconds) > tuning.MinChainSlack.Seconds() {
 			normal := e.record
 			normal.Priority = wire.PriorityName(normalRank)
 			inherited.Priority, inherited.TierRank = min(inherited.Priority, normalRank), min(inherited.TierRank, c.tierOrder.Rank(&normal))
@@ -176,7 +176,7 @@
 // are cancelled end. A cancellation already follows from the stored end of another job, so it is written
 // at low priority.
 func (c *Core) processWaitingJobs() {
-	if c.dueEvery("rankWaiting", tuning.ChainRank) {
+	if c.dueEvery("rankWaiting", tuning.ChainEstimateInterval) {
 		c.rankWaitingJobs()
 	}
 	if c.announcedChains.Waiting != len(c.waitingJobs) {
@@ -224,7 +224,7 @@
 func (c *Core) moveWaitingJobs(ids []string, cancelledBy map[string]string) {
 	b, finals, lane := c.newBatch(), map[string]wire.Final{}, LaneUser
 	if cancelledBy != nil {
-		lane = LaneLater
+		lane = LaneDeferred
 	}
 	var keys []string
 	for _, id := range ids {
@@ -260,7 +260,7 @@
 			c.recordDependentsMoved(ids[:len(keys)], cancelledBy)
 		}
 		if r.Status != 200 {
-			c.notBefore["chains"] = c.now + tuning.RetryAfter/2
+			c.notBefore["chains"] = c.now + tuning.BackgroundRetryDelay/2
 			for _, k := range keys {
 				c.rereadKey(k)
 			}
@@ -287,7 +287,7 @@
 	}
 	c.lookUpKeys(id, []string{finalKey(id)}, func(at jobLookup) {
 		if at.final == nil {
-			c.notBefore["chains"] = c.now + tuning.RetryAfter
+			c.notBefore["chains"] = c.now + tuning.BackgroundRetryDelay
 			done(false)
 			return
 		}
--- a/internal/core/crews.go
+++ b/internal/core/crews.go
@@ -21,16 +21,16 @@
 
 func newCalendar() *calendar.Planner {
 	return calendar.NewPlanner(calendar.Margins{
-		ClockError:   tuning.CrewClock,
-		Takeover:     tuning.CrewTakeover,
-		FailureShare: tuning.CrewFailures,
-		PressLead:    tuning.CrewPress,
-		Rounds:       tuning.CrewRounds,
+		ClockError:   tuning.CrewClockMargin,
+		Takeover:     tuning.CrewTakeoverMargin,
+		FailureShare: tuning.CrewFailureShare,
+		PressLead:    tuning.CrewUrgentBefore,
+		Rounds:       tuning.CrewTaskRounds,
 	}, calendar.Limits{
-		MaxCrews:           tuning.CrewsMost,
-		HistoryLength:      tuning.CrewKeep,
-		OutcomeDelay:       tuning.CrewSettle,
-		MaxBookingMachines: tuning.RentMax,
+		MaxCrews:           tuning.MaxCrews,
+		HistoryLength:      tuning.CrewHistoryEntries,
+		OutcomeDelay:       tuning.CrewMissedAfter,
+		MaxBookingMachines: tuning.MaxRentMachines,
 	})
 }
 
@@ -89,7 +89,7 @@
 // planCrews plans the departures of the crews whose teams are in held shards, and writes the outcomes of
 // past departures.
 func (c *Core) planCrews() {
-	if c.calendar.Empty() || !c.authorized() || !c.dueEvery("crews", tuning.CrewEvery) {
+	if c.calendar.Empty() || !c.authorized() || !c.dueEvery("crews", tuning.CrewPlanInterval) {
 		return
 	}
 	served := func(team string) bool { i := c.shardOfTeam(team); return i >= 0 && c.holdsShard(i) }
@@ -119,7 +119,7 @@
 func (c *Core) putCrew(entry calendar.Entry, when wire.Condition, f func(StateReply)) {
 	key := wire.PrefixCrew + entry.Record.Name
 	c.calendar.BeginWrite(entry.Record.Name)
-	c.commit(LaneLater, []wire.Condition{when, {Key: key, Version: entry.Version}}, []wire.Change{{Put: key, Value: entry.Record}}, func(r StateReply) {
+	c.commit(LaneDeferred, []wire.Condition{when, {Key: key, Version: entry.Version}}, []wire.Change{{Put: key, Value: entry.Record}}, func(r StateReply) {
 		c.calendar.EndWrite(entry.Record.Name)
 		f(r)
 	})
@@ -128,7 +128,7 @@
 // rentAhead has the leader rent machines for work that crews expect. The request names are stored in the
 // crew's record before any request is sent, so every leader sends the same requests and no more.
 func (c *Core) rentAhead() {
-	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewEvery) {
+	if len(c.calendar.Names()) == 0 || len(c.machineTypes) == 0 || !c.dueEvery("ahead", tuning.CrewPlanInterval) {
 		return
 	}
 	leader := &c.leader
@@ -178,7 +178,7 @@
 	}
 	offer, machineType := &offers[0], c.machineTypes[offers[0].Type]
 	rec, due := c.calendar.BookAhead(entry, c.wall, leaves, calendar.AcceptedTasks(entry, leaves, crewWork{c}), c.params.Teams[entry.Record.Team].CPUsMax,
-		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizon))
+		wire.CrewBooking{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot}, machineType.CPUs, factor, seconds(machineType.BootS*tuning.BootHorizonFactor))
 	if due {
 		c.putCrew(calendar.Entry{Record: rec, Version: entry.Version}, c.leaderCondition(), func(StateReply) { c.mirrorChanged() })
 	}
@@ -198,14 +198,14 @@
 
 // publishBias writes how far run time estimates are off, for the held shards where that has changed.
 func (c *Core) publishBias() {
-	if !c.dueEvery("bias", tuning.BiasEvery) {
+	if !c.dueEvery("bias", tuning.BiasWriteInterval) {
 		return
 	}
 	for _, i := range c.shardIDs() {
-		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.BiasLeast, tuning.BiasMoved) {
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
+		if stored := c.biases[biasKey(i)]; c.holdsShard(i) && c.runTimes.Changed(stored.Classes, tuning.MinBiasTasks, tuning.MinBiasChange) {
+			c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(i)}, []wire.Change{{
 				Put:   biasKey(i),
-				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.BiasLeast)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
+				Value: limits.Fit(wire.Bias{Classes: c.runTimes.Export(tuning.MinBiasTasks)}, c.params.MaxValueBytes, forecast.DropLeastKnownClass),
 			}}, func(StateReply) {})
 		}
 	}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -31,7 +31,7 @@
 	writingJobs, writingProgress, writingImages bool // a write of that kind is in flight
 	lastAttemptNumber                           uint64
 
-	publishedDemand  map[int]wire.Want         // by held shard: the unmet demand last published
+	publishedDemand  map[int]wire.Demand       // by held shard: the unmet demand last published
 	demandPublishers map[int]*demand.Publisher // by held shard
 	peerDemand       *demand.Board             // unmet demand that other holders have published
 
@@ -168,7 +168,7 @@
 		grantedShards:      map[int]bool{},
 		unreconciledShards: map[int]bool{},
 
-		publishedDemand:  map[int]wire.Want{},
+		publishedDemand:  map[int]wire.Demand{},
 		demandPublishers: map[int]*demand.Publisher{},
 		peerDemand:       demand.NewBoard(demandPace),
 
@@ -179,8 +179,8 @@
 		idleMarkVersions:        map[string]uint64{},
 		starvedSince:            map[int]Time{},
 		urgentReserve: supply.NewReserve(supply.ReserveLimits{
-			Retention: tuning.UrgentMemory,
-			Window:    tuning.ArrivalWindow,
+			Retention: tuning.UrgentSizeMemory,
+			Window:    tuning.UrgentArrivalWindow,
 		}),
 	}
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -30,14 +30,14 @@
 		}
 	}
 	return peerState{
-		confirmation:  membership.NewPeerConfirmation(others, tuning.PeerPings, tuning.PeerNews),
+		confirmation:  membership.NewPeerConfirmation(others, tuning.MaxOpenPings, tuning.MaxPeerUpdates),
 		yieldedTo:     map[int]string{},
 		peerJobCounts: map[string]JobCount{},
 		relays: relay.NewTracker(relay.Limits{
 			Lease:            params.WorkerLease,
-			RedirectInterval: tuning.RelayFor,
-			MaxReports:       tuning.RelayReports,
-			AnswerTimeout:    tuning.RelayWait,
+			RedirectInterval: tuning.RelayTime,
+			MaxReports:       tuning.MaxRelayedReports,
+			AnswerTimeout:    tuning.RelayTimeout,
 		}),
 	}
 }
@@ -48,21 +48,21 @@
 // sendToPeer sends a message to a peer, after it has filled in the fields that describe the sender.
 func (c *Core) sendToPeer(to string, message PeerMessage) {
 	message.From, message.Boot, message.Revision, message.UpMS = c.params.Node, c.presence.Boot(), c.newestRevision, c.now.Milliseconds()
-	message.Way = c.stateRoutes.OfferFor(c.now, to)
+	message.RouteHops = c.stateRoutes.OfferFor(c.now, to)
 	c.effects = append(c.effects, PeerSend{To: to, Msg: message})
 }
 
 // pingPeers pings every other controller. A ping carries the shards that this controller holds, the progress
 // of their jobs, its reachability report and new addresses of workers.
 func (c *Core) pingPeers() {
-	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerEvery) {
+	if c.presence.Boot() == 0 || len(c.params.NodeZones) < 2 || !c.dueEvery("peers", tuning.PeerPingInterval) {
 		return
 	}
 	c.pingNonce++
 	c.confirmation.PingSent(c.now, c.pingNonce)
 	var jobs []JobCount
 	for _, id := range sortedKeys(c.jobs) {
-		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.PeerJobs {
+		if entry := c.jobs[id]; entry.run != nil && len(jobs) < tuning.MaxPeerJobCounts {
 			running, done := entry.run.taskCounts()
 			jobs = append(jobs, JobCount{ID: id, Running: running, Done: done})
 		}
@@ -76,12 +76,12 @@
 	for _, node := range sortedKeys(c.params.NodeZones) {
 		if node != c.params.Node {
 			c.sendToPeer(node, PeerMessage{
-				Nonce:  c.pingNonce,
-				Mirror: c.mirrorRevision,
-				Jobs:   jobs,
-				Holds:  holds,
-				Word:   &ownReach,
-				Addrs:  addresses,
+				Nonce:        c.pingNonce,
+				Mirror:       c.mirrorRevision,
+				Jobs:         jobs,
+				HeldShards:   holds,
+				Reachability: &ownReach,
+				WorkerAddrs:  addresses,
 			})
 		}
 	}
@@ -90,7 +90,7 @@
 // recentWorkerAddresses lists the addresses of held workers that have come up recently. Each is repeated in
 // several pings.
 func (c *Core) recentWorkerAddresses() (recent []WorkerAddr) {
-	for _, name := range c.workerAddresses.RecentlyUp(c.now, tuning.AddrsFor, tuning.AddrsMost) {
+	for _, name := range c.workerAddresses.RecentlyUp(c.now, tuning.WorkerAddrAnnounceTime, tuning.MaxWorkerAddrs) {
 		if m := c.machines[name]; m != nil {
 			recent = append(recent, WorkerAddr{Machine: m.name, Addr: m.addr, Session: m.session})
 		}
@@ -112,15 +112,15 @@
 		c.log(1, "message from an unknown controller", "from", message.From)
 		return
 	}
-	c.stateRoutes.OfferReceived(c.now, message.From, message.Way)
+	c.stateRoutes.OfferReceived(c.now, message.From, message.RouteHops)
 	switch {
-	case message.Order != nil:
-		order := *message.Order
-		order.For = message.From
+	case message.WorkerCall != nil:
+		order := *message.WorkerCall
+		order.RequestedBy = message.From
 		c.effects = append(c.effects, order)
 		return
-	case message.Ordered != nil:
-		c.onOrderDone(*message.Ordered)
+	case message.WorkerCallDone != nil:
+		c.onOrderDone(*message.WorkerCallDone)
 		return
 	case message.Call != nil:
 		c.onPeerCall(message.From, message.Call)
@@ -128,8 +128,8 @@
 	case message.Result != nil:
 		c.onPeerResult(message.From, message.Result)
 		return
-	case message.Wants != nil:
-		for _, announcement := range message.Wants {
+	case message.Demand != nil:
+		for _, announcement := range message.Demand {
 			c.peerDemand.Receive(c.now, announcement)
 		}
 		if c.loaded && c.isLeader() {
@@ -156,11 +156,11 @@
 		return // a message of a kind that this version does not know: pings have a number
 	}
 	c.yieldShards(message)
-	for _, address := range message.Addrs {
+	for _, address := range message.WorkerAddrs {
 		c.workerAddresses.Learn(address.Machine, address.Addr, address.Session)
 	}
-	if message.Word != nil {
-		c.assignments.ReportReceived(c.now, message.From, *message.Word)
+	if message.Reachability != nil {
+		c.assignments.ReportReceived(c.now, message.From, *message.Reachability)
 	}
 	if !message.Reply {
 		for _, counts := range message.Jobs {
@@ -176,7 +176,7 @@
 		return // not an answer to a ping of this controller, or to one too old to count
 	}
 	c.assignments.PingAnswered(c.now, message.From)
-	uptime := time.Duration(float64(message.UpMS)*(1-tuning.Drift)) * time.Millisecond
+	uptime := time.Duration(float64(message.UpMS)*(1-tuning.ClockDrift)) * time.Millisecond
 	peer := membership.Peer{
 		Name:      message.From,
 		StartedAt: c.now - uptime,
@@ -218,7 +218,7 @@
 
 // yieldShards stops serving shards that a peer holds under a later fencing token.
 func (c *Core) yieldShards(message PeerMessage) {
-	for _, held := range message.Holds {
+	for _, held := range message.HeldShards {
 		// A peer that holds a shard of this controller under a later token has read the assignment in the
 		// state service, and this controller cannot or has not yet. If it went on answering the workers,
 		// they would not switch to the peer for as long as this controller may act unconfirmed.
@@ -235,7 +235,7 @@
 // reach it. It returns false if the report was not relayed. token is the shard's fencing token: a worker
 // that reports an earlier one has not been in contact with the holder yet.
 func (c *Core) relayReport(request uint64, report *wire.Report, holder string, token uint64) bool {
-	if !c.peerResponsive(holder) || !c.relays.ShouldRelay(c.now, report.Machine, report.Token < token, c.reachOf(holder).Lacks) {
+	if !c.peerResponsive(holder) || !c.relays.ShouldRelay(c.now, report.Machine, report.Token < token, c.reachOf(holder).NoWorkers) {
 		return false
 	}
 	c.lastID++
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -94,8 +94,8 @@
 // over, and copies of the last reports of a dead machine would otherwise postpone it again and again.
 func (c *Core) answerUnproven(req uint64, m *machine, r *wire.Report, token uint64) {
 	m.session, m.seq, m.addr = r.Session, r.Seq, r.Addr
-	exhausted := m.unprovenAnswers >= tuning.TrustReports || m.unprovenAnswers > 0 &&
-		(c.now-m.unprovenAnsweredAt > tuning.TrustAgain || c.pendingMachines.FailedCalls(m) > 1)
+	exhausted := m.unprovenAnswers >= tuning.UnprovenReportAnswers || m.unprovenAnswers > 0 &&
+		(c.now-m.unprovenAnsweredAt > tuning.UnprovenReportWindow || c.pendingMachines.FailedCalls(m) > 1)
 	if exhausted && m.inherited && !m.accounted {
 		c.answer(req, 503, unavailable("report proves nothing"))
 		return
@@ -109,7 +109,7 @@
 // a worker that timed out waiting for an answer.
 func (c *Core) testDelivery(m *machine, relayed bool) {
 	gap := c.now - m.lastReport
-	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.DeafGap, c.params.ReportInterval*5/4+time.Second))
+	suspicious := m.reported && c.now-m.lastAnswered < c.params.WorkerLease && (relayed || gap > max(tuning.UnansweredReportGap, c.params.ReportInterval*5/4+time.Second))
 	if m.delivery.StartTest(c.now, suspicious, c.params.WorkerLease/2) {
 		m.raisedToken = max(m.raisedToken, c.mirrorRevision)
 	}
@@ -120,7 +120,7 @@
 	lapsed := m.session > 0 && r.Session > m.session && c.now-m.lastAnswered < c.params.WorkerLease && m.reported && !m.leaseOver
 	verdictChanged := m.delivery.ObserveReport(r, via, lapsed)
 	if m.delivery.Suspected() && r.Addr != "" && !c.workerReach.LacksWorkers(c.now) {
-		c.effects = append(c.effects, Order{Machine: m.name, Addr: r.Addr, Look: true})
+		c.effects = append(c.effects, WorkerCall{Machine: m.name, Addr: r.Addr, ProbeOnly: true})
 	}
 	if verdictChanged {
 		c.deliveryChanged(m)
@@ -225,14 +225,14 @@
 // none at all or not those of this shard.
 func (c *Core) holderUnreachable(holder string, shard int) bool {
 	w := c.reachOf(holder)
-	return w.Lacks || slices.Contains(w.Seeks, shard)
+	return w.NoWorkers || slices.Contains(w.SilentShards, shard)
 }
 
 // redirectToRelay redirects a worker to a controller that can relay its reports to a holder
 // that neither the worker nor this controller can reach, if there is one.
 func (c *Core) redirectToRelay(req uint64, holder string) {
 	for _, node := range sortedKeys(c.nodes) {
-		if node != c.params.Node && node != holder && !c.reachOf(node).Lacks && !slices.Contains(c.reachOf(node).Apart, holder) {
+		if node != c.params.Node && node != holder && !c.reachOf(node).NoWorkers && !slices.Contains(c.reachOf(node).UnreachableNodes, holder) {
 			c.answer(req, 421, wire.Redirect{Holder: node})
 			return
 		}
@@ -354,7 +354,7 @@
 		return
 	}
 	e.run.failures++
-	e.run.notBefore = c.now + min(tuning.ErrorBackoff<<min(e.run.failures-1, 10), tuning.ErrorBackoffMax)
+	e.run.notBefore = c.now + min(tuning.TaskErrorBackoff<<min(e.run.failures-1, 10), tuning.TaskErrorBackoffMax)
 }
 
 // commands returns the commands for a machine, in answer to its report.
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -34,11 +34,11 @@
 		Version:  c.params.Version,
 		Features: c.params.Features,
 	})
-	if !due || !c.presence.Registered() || !c.dueEvery("version", tuning.RetryAfter) {
+	if !due || !c.presence.Registered() || !c.dueEvery("version", tuning.BackgroundRetryDelay) {
 		return
 	}
 	nodeKey, versionKey := wire.PrefixNode+node, wire.PrefixVersion+node
-	c.commit(LaneLater,
+	c.commit(LaneDeferred,
 		[]wire.Condition{
 			{Key: nodeKey, Version: c.versions.Of(nodeKey)},
 			{Key: versionKey, Version: c.versions.Of(versionKey)},
--- a/internal/core/weights.go
+++ b/internal/core/weights.go
@@ -8,17 +8,17 @@
 
 func newWeights(switches weights.Switches, caches *weights.CacheIndex) *weights.Planner {
 	return weights.NewPlanner(switches, weights.Limits{
-		MinMachines:      tuning.WeightsMany,
-		MaxServed:        tuning.HandDegree,
-		MaxSources:       tuning.HandSources,
-		MaxZoneRoots:     tuning.HandRoots,
-		MinMeasurements:  tuning.StoreFetches,
-		StoreBoundShare:  tuning.StoreBound,
-		StoreFetchFactor: tuning.StoreSpare,
-		MinFetchDuration: tuning.StoreLeast,
-		MeasurementTTL:   tuning.StoreMemory,
-		PlanTTL:          tuning.WeightsStale,
-		IdleFactor:       tuning.WeightsKeep,
+		MinMachines:      tuning.MinSharedImageMachines,
+		MaxServed:        tuning.HandOnDegree,
+		MaxSources:       tuning.HandOnSources,
+		MaxZoneRoots:     tuning.HandOnRoots,
+		MinMeasurements:  tuning.MinStoreSampleFetches,
+		StoreBoundShare:  tuning.StoreBoundShare,
+		StoreFetchFactor: tuning.StoreFetchFactor,
+		MinFetchDuration: tuning.MinStoreSampleDuration,
+		MeasurementTTL:   tuning.StoreSampleTTL,
+		PlanTTL:          tuning.FetchRecordTTL,
+		IdleFactor:       tuning.SharedImageIdleFactor,
 	}, caches)
 }
 
@@ -73,12 +73,12 @@
 // publishImages periodically writes which images the machines of a held shard have, and the plans for
 // images that many machines fetch.
 func (c *Core) publishImages() {
-	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.WeightsEvery) {
+	if c.writingImages || !c.authorized() || !c.dueEvery("images", tuning.ImagePlanInterval) {
 		return
 	}
 	if write, due := c.weights.NextWrite(c.now, sortedIntKeys(c.heldShards), c.holdsShard, c.shardImages, c.params.MaxValueBytes-256); due {
 		c.writingImages = true
-		c.commit(LaneLater, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
+		c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(write.Shard)}, []wire.Change{{Put: write.Key, Value: write.Value}}, func(r StateReply) {
 			c.writingImages = false
 			write.Done(c.now, r.Status == 200)
 		})
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -17,10 +17,10 @@
 // Announcement is a message about the unmet demand of a shard. Token is the token under which its
 // holder holds the shard, Number the number of the message under that token.
 type Announcement struct {
-	Shard  int       `msgpack:"shard"`
-	Token  uint64    `msgpack:"token"`
-	Number uint64    `msgpack:"n"`
-	Want   wire.Want `msgpack:"want"`
+	Shard  int         `msgpack:"shard"`
+	Token  uint64      `msgpack:"token"`
+	Number uint64      `msgpack:"n"`
+	Want   wire.Demand `msgpack:"want"`
 }
 
 // Pace bounds how often unmet demand is published.
@@ -34,7 +34,7 @@
 type Publisher struct {
 	pace         Pace
 	number       uint64
-	published    wire.Want // unmet demand last published
+	published    wire.Demand // unmet demand last published
 	publishedAt  time.Duration
 	writtenAt    time.Duration
 	hasPublished bool
@@ -47,7 +47,7 @@
 // Next reports whether unmet demand is to be published now, and with which number, and whether it
 // is to be written. record is the demand stored in the state service. delivered reports whether
 // messages reach the controllers that act on unmet demand.
-func (p *Publisher) Next(now time.Duration, unmet, record wire.Want, delivered bool) (number uint64, publish, write bool) {
+func (p *Publisher) Next(now time.Duration, unmet, record wire.Demand, delivered bool) (number uint64, publish, write bool) {
 	recorded := Equal(unmet, record)
 	if !p.hasPublished || !Equal(unmet, p.published) || now-p.publishedAt >= p.pace.RepeatInterval && (!recorded || len(unmet.Needs) > 0) {
 		p.number++
@@ -84,7 +84,7 @@
 
 // Current returns the unmet demand that counts now for a shard held under token: the last
 // announcement of that holder unless it is too old, otherwise the stored record.
-func (b *Board) Current(now time.Duration, shard int, token uint64, record wire.Want) wire.Want {
+func (b *Board) Current(now time.Duration, shard int, token uint64, record wire.Demand) wire.Demand {
 	if last, ok := b.received[shard]; ok && last.Token == token && now-last.receivedAt < b.pace.MaxAge {
 		return last.Want
 	}
@@ -93,7 +93,7 @@
 
 // DropLastNeed removes the last need of a record that is too large, and reports whether there was
 // one. Needs beyond what a record can hold are requested once the first ones are met.
-func DropLastNeed(record *wire.Want) bool {
+func DropLastNeed(record *wire.Demand) bool {
 	if len(record.Needs) == 0 {
 		return false
 	}
@@ -103,7 +103,7 @@
 
 // Equal reports whether two records ask for the same machines. The blocks that were known (Seen)
 // matter only while there are needs.
-func Equal(x, y wire.Want) bool {
+func Equal(x, y wire.Demand) bool {
 	if len(x.Needs) != len(y.Needs) || len(x.Needs) > 0 && x.Seen != y.Seen {
 		return false
 	}
@@ -118,7 +118,7 @@
 // SameKind reports whether two needs differ at most in their number of tasks.
 func SameKind(x, y wire.Need) bool {
 	if len(x.Types) != len(y.Types) || x.Zone != y.Zone || x.Spot != y.Spot || x.CPUs != y.CPUs || x.GPUs != y.GPUs || x.MemGB != y.MemGB ||
-		x.Dire != y.Dire || x.Booting != y.Booting || x.Rung != y.Rung {
+		x.Starved != y.Starved || x.Booting != y.Booting || x.Tier != y.Tier {
 		return false
 	}
 	for i := range x.Types {
--- a/internal/demand/demand_test.go
+++ b/internal/demand/demand_test.go
@@ -9,11 +9,11 @@
 
 var pace = Pace{RepeatInterval: time.Second, WriteInterval: 3 * time.Second, MaxAge: 3 * time.Second}
 
-func demandFor(tasks int, seen uint64) wire.Want {
+func demandFor(tasks int, seen uint64) wire.Demand {
 	if tasks == 0 {
-		return wire.Want{Seen: seen}
+		return wire.Demand{Seen: seen}
 	}
-	return wire.Want{Seen: seen, Needs: []wire.Need{{CPUs: 1, MemGB: 2, Tasks: tasks}}}
+	return wire.Demand{Seen: seen, Needs: []wire.Need{{CPUs: 1, MemGB: 2, Tasks: tasks}}}
 }
 
 // Unmet demand that changes ten times a second for ten seconds is published each time and written
@@ -21,7 +21,7 @@
 func TestDemandIsWrittenLessOftenThanPublished(t *testing.T) {
 	for _, delivered := range []bool{true, false} {
 		publisher, written := NewPublisher(pace), 0
-		published, record := 0, wire.Want{}
+		published, record := 0, wire.Demand{}
 		for i := range 100 {
 			now := time.Duration(i) * 100 * time.Millisecond
 			unmet := demandFor(1+i, 5)
@@ -42,7 +42,7 @@
 // The record ends up equal to the last unmet demand even if nothing changes any more. Nothing is
 // published after that.
 func TestRecordFollowsLastDemand(t *testing.T) {
-	publisher, record := NewPublisher(pace), wire.Want{}
+	publisher, record := NewPublisher(pace), wire.Demand{}
 	last, messages := time.Duration(0), 0
 	for i := range 200 {
 		now := time.Duration(i) * 100 * time.Millisecond
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs one controller: it feeds the core's single queue and
-// carries out what the core returns.
+// Package node runs one controller: it passes inputs to the core one at a time and executes the
+// effects that the core returns.
 package node
 
 import (
@@ -27,22 +27,32 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Params turns settings into what the core needs.
+// Params returns the core's parameters for the settings.
 func Params(cfg *config.Config) core.Params {
-	state := cfg.Params.State.Least()
+	state := cfg.Params.State.Strictest()
 	p := core.Params{
-		Node: cfg.Node, Zone: cfg.Zone,
-		NodeZones: map[string]string{cfg.Node: cfg.Zone}, Teams: map[string]core.Team{},
-		WorkerLease: seconds(cfg.Params.Workers.LeaseS), CancelTimeout: seconds(cfg.Params.Workers.CancelS),
-		ReportInterval: seconds(cfg.Params.Workers.ReportS), CloudListLag: seconds(cfg.Params.Cloud.ListLagS),
-		MaxTxnOps: state.TxnOps, MaxValueBytes: int(state.ValueKB * 1024),
-		Version: Version(), Features: rollout.Features(), Weights: weights.Switches{PeerTransfer: cfg.Switches.Weights.HandOn, PaceFetches: cfg.Switches.Weights.Pace},
+		Node:           cfg.Node,
+		Zone:           cfg.Zone,
+		NodeZones:      map[string]string{cfg.Node: cfg.Zone},
+		Teams:          map[string]core.Team{},
+		WorkerLease:    seconds(cfg.Params.Workers.LeaseS),
+		CancelTimeout:  seconds(cfg.Params.Workers.CancelS),
+		ReportInterval: seconds(cfg.Params.Workers.ReportS),
+		CloudListLag:   seconds(cfg.Params.Cloud.ListLagS),
+		MaxTxnOps:      state.TxnOps,
+		MaxValueBytes:  int(state.ValueKB * 1024),
+		Version:        Version(),
+		Features:       rollout.Features(),
+		Weights: weights.Switches{
+			PeerTransfer: cfg.Switches.Weights.HandOn,
+			PaceFetches:  cfg.Switches.Weights.Pace,
+		},
 	}
 	for _, n := range cfg.Peers {
 		p.NodeZones[n.Node] = n.Zone
 	}
 	for _, t := range cfg.Params.Teams {
-		cpus, gpus := t.Most()
+		cpus, gpus := t.MaxUsage()
 		p.Teams[t.Name] = core.Team{CPUs: t.CPUs, CPUsMax: cpus, GPUs: t.GPUs, GPUsMax: gpus}
 	}
 	p.Objectives.CompleteWithinS, p.Objectives.StartWithinS = map[string]float64{}, map[string]float64{}
@@ -60,35 +70,35 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 type request struct {
-	ctx   context.Context // over once nobody waits for the answer any more
-	in    func(id uint64) any
+	ctx   context.Context // done when the caller no longer waits for the answer
+	input func(id uint64) any
 	reply chan httpapi.Reply
 }
 
 type node struct {
-	first   chan any // what entitlement hangs on: never behind anything else
-	inbox   chan any
-	workers chan request // served first
-	users   chan request
-	log     *slog.Logger
-	state   *statestore.Client
-	cloud   *cloud.Client
-	peers   *peer.Links
-	orders  *workers.Client
-	metrics *metrics.Metrics
-	waiting map[uint64]chan httpapi.Reply
-	nextReq uint64
+	authority   chan any // results on which the authority to act depends; served before anything else
+	inbox       chan any
+	workers     chan request // served before users' requests
+	users       chan request
+	log         *slog.Logger
+	state       *statestore.Client
+	cloud       *cloud.Client
+	peers       *peer.Links
+	workerCalls *workers.Client
+	metrics     *metrics.Metrics
+	waiting     map[uint64]chan httpapi.Reply
+	nextReq     uint64
 }
 
 // Run serves until the context ends or a listener fails.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger) error {
 	if mb := cfg.Params.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.6 * 1024 * 1024)) // the runtime's own share stays below the kill limit
+		debug.SetMemoryLimit(int64(mb * 0.6 * 1024 * 1024)) // leaves a margin below the limit at which the process is killed
 	}
-	limits := cfg.Params.State.Least()
+	limits := cfg.Params.State.Strictest()
 	n := &node{
-		first: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
-		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueue),
+		authority: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
+		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
 		state:   statestore.New(cfg.Services.State, limits.RPS, limits.WriteRPS),
 		cloud:   cloud.New(cfg.Services.Cloud, cfg.Params.Cloud.RPS),
 		waiting: map[uint64]chan httpapi.Reply{},
@@ -107,13 +117,13 @@
 	}
 	n.peers = peer.Dial(ctx, addrs, log)
 	n.metrics = metrics.New(func() float64 { return float64(len(n.inbox) + len(n.workers) + len(n.users)) })
-	n.orders = workers.New(ctx, log, func(status int, took time.Duration) { n.metrics.Call("worker", status, took) })
+	n.workerCalls = workers.New(ctx, log, func(status int, took time.Duration) { n.metrics.Call("worker", status, took) })
 	srv := httpapi.New(n.ask, n.metrics, log)
 	fail := make(chan error, 2)
-	go func() { fail <- peer.Serve(netutil.LimitListener(pln, 4*len(addrs)+4), n.fromPeer, log) }()
+	go func() { fail <- peer.Serve(netutil.LimitListener(pln, 4*len(addrs)+4), n.receivePeerMessage, log) }()
 	go func() { fail <- srv.Serve(ln, cfg.Params.Limits.MaxSockets) }()
 	log.Info("serving", "node", cfg.Node, "zone", cfg.Zone, "listen", cfg.Listen)
-	go n.loop(ctx, core.New(Params(cfg)))
+	go n.run(ctx, core.New(Params(cfg)))
 	select {
 	case <-ctx.Done():
 		return nil
@@ -122,13 +132,13 @@
 	}
 }
 
-// ask puts a request to the core and waits for its answer. A full queue sheds
-// the request at once; users' queue is the short one, so that they hear early
-// that they must come back.
+// ask passes a request to the core and waits for its answer. If the queue is full, the request is
+// refused at once with status 503. The queue of users' requests is the shorter one, so that users
+// are soon told to retry.
 func (n *node) ask(ctx context.Context, class httpapi.Class, in func(id uint64) any, timeout time.Duration) httpapi.Reply {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	r := request{ctx: ctx, in: in, reply: make(chan httpapi.Reply, 1)}
+	r := request{ctx: ctx, input: in, reply: make(chan httpapi.Reply, 1)}
 	queue := n.users
 	if class == httpapi.Worker {
 		queue = n.workers
@@ -136,22 +146,23 @@
 	select {
 	case queue <- r:
 	default:
-		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.RetryHint}
+		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.UnavailableRetryAfter}
 	}
 	select {
 	case rep := <-r.reply:
 		return rep
 	case <-ctx.Done():
-		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.RetryHint}
+		return httpapi.Reply{Status: http.StatusServiceUnavailable, RetryAfter: tuning.UnavailableRetryAfter}
 	}
 }
 
-// next is the next input: answers of services, ticks and workers' reports before
-// users' requests. Requests that nobody waits for any more are passed over.
+// next returns the next input for the core, and false once the context has ended. Answers of
+// services, ticks and workers' reports come before users' requests. Requests whose caller no
+// longer waits are skipped.
 func (n *node) next(ctx context.Context, tick <-chan time.Time) (any, bool) {
 	for {
-		select { // a loop that is late renews first, and ticks: a grant ends in seconds
-		case in := <-n.first:
+		select { // when the loop is behind, renewals and ticks come first: a state lease expires in seconds
+		case in := <-n.authority:
 			return in, true
 		case <-tick:
 			return core.Tick{}, true
@@ -159,13 +170,13 @@
 		}
 		users := n.users
 		if len(n.inbox)+len(n.workers)+len(tick) > 0 {
-			users = nil // their turn comes when nothing else waits
+			users = nil // users' requests are served when nothing else waits
 		}
 		var r request
 		select {
 		case <-ctx.Done():
 			return nil, false
-		case in := <-n.first:
+		case in := <-n.authority:
 			return in, true
 		case in := <-n.inbox:
 			return in, true
@@ -179,28 +190,29 @@
 		}
 		n.nextReq++
 		n.waiting[n.nextReq] = r.reply
-		return r.in(n.nextReq), true
+		return r.input(n.nextReq), true
 	}
 }
 
-// fromPeer queues a peer's message; a full queue drops it.
-func (n *node) fromPeer(m core.PeerMessage) {
+// receivePeerMessage queues a message from a peer; if the queue is full, the message is dropped.
+func (n *node) receivePeerMessage(m core.PeerMessage) {
 	select {
 	case n.inbox <- core.Peer{Msg: m}:
 	default:
 	}
 }
 
-func (n *node) loop(ctx context.Context, c *core.Core) {
+// run passes inputs to the core and executes the effects until the context ends.
+func (n *node) run(ctx context.Context, c *core.Core) {
 	start := time.Now()
-	tick := time.NewTicker(tuning.Tick)
+	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
 	step := func(in any) {
 		now := time.Now()
 		effects := c.Step(now.Sub(start), now, in)
 		n.metrics.Step(time.Since(now))
 		for _, e := range effects {
-			n.carryOut(ctx, e)
+			n.execute(ctx, e)
 		}
 	}
 	step(core.Tick{})
@@ -213,9 +225,12 @@
 	}
 }
 
+// levels are the slog levels of core.Log's levels.
 var levels = [4]slog.Level{slog.LevelError, slog.LevelInfo, slog.LevelDebug, slog.LevelWarn}
 
-func (n *node) carryOut(ctx context.Context, e any) {
+// execute carries out one effect of the core. Calls run in goroutines of their own and return their
+// outcome as an input.
+func (n *node) execute(ctx context.Context, e any) {
 	switch v := e.(type) {
 	case core.Answer:
 		if ch := n.waiting[v.Req]; ch != nil {
@@ -226,11 +241,11 @@
 		go func() {
 			began := time.Now()
 			rep := n.state.Do(ctx, v)
-			if v.Op != core.OpWatch { // a watch is meant to take long
+			if v.Op != core.OpWatch { // a watch takes long by design
 				n.metrics.Call("state", rep.Status, time.Since(began))
 			}
-			if v.Lane == core.LaneFirst && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
-				n.first <- core.StateDone{ID: v.ID, Reply: rep}
+			if v.Lane == core.LaneAuthority && v.Op == core.OpCommit && len(v.Txn.Then) > 0 || v.Op == core.OpGrant || v.Op == core.OpExtend {
+				n.authority <- core.StateDone{ID: v.ID, Reply: rep}
 			} else {
 				n.inbox <- core.StateDone{ID: v.ID, Reply: rep}
 			}
@@ -242,25 +257,25 @@
 			n.metrics.Call("cloud", rep.Status, time.Since(began))
 			n.inbox <- core.CloudDone{ID: v.ID, Reply: rep}
 		}()
-	case core.Order:
+	case core.WorkerCall:
 		var answer func(int, wire.Report)
-		if v.Roll || v.Look {
+		if v.ReturnOutcome || v.ProbeOnly {
 			answer = func(status int, r wire.Report) {
-				n.inbox <- core.OrderDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, Look: v.Look, For: v.For, Status: status, Report: r}
+				n.inbox <- core.WorkerCallDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, ProbeOnly: v.ProbeOnly, RequestedBy: v.RequestedBy, Status: status, Report: r}
 			}
 		}
-		if v.Look {
-			n.orders.Inspect(v.Addr, answer)
+		if v.ProbeOnly {
+			n.workerCalls.Inspect(v.Addr, answer)
 		} else {
-			n.orders.Send(v.Addr, v.Orders, answer)
+			n.workerCalls.Send(v.Addr, v.Orders, answer)
 		}
 	case core.PeerSend:
 		n.peers.Send(v.To, v.Msg)
 	case core.WriteRefused:
 		n.metrics.Refused(v.Kind)
-	case core.ChainsSeen:
+	case core.ChainCounts:
 		n.metrics.Chains(v.Waiting, v.Released, v.Cancelled)
-	case core.LinkSeen:
+	case core.LinkChanged:
 		n.metrics.Link(v.To, int(v.Level))
 	case core.Log:
 		n.log.Log(ctx, levels[v.Level], v.Msg, v.KV...)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// faulty fails to accept at first, as a process does that has no free file or socket.
+// faulty is a listener whose first calls of Accept fail for lack of file descriptors.
 type faulty struct {
 	net.Listener
 	left int
@@ -30,8 +30,8 @@
 	return f.Listener.Accept()
 }
 
-// Found while looking for what could end a controller once in many days: for want of a
-// socket, one refused connection of a peer ended the whole process.
+// One connection of a peer that could not be accepted, for lack of a free socket, used to end the
+// whole process.
 func TestNoFreeSocketDoesNotEndTheService(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,12 +60,12 @@
 }
 
 func TestFrames(t *testing.T) {
-	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, Way: 2, Word: &wire.Reach{Boot: 7, Lacks: true, Seeks: []int{1}, Hears: []wire.ShardReach{{Shard: 1, Of: 4, Heard: 3}}, Apart: []string{"b"}},
-		Call: &core.PeerCall{ID: 9, Life: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
-		Result: &core.PeerResult{ID: 9, Life: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
+	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, RouteHops: 2, Reachability: &wire.ReachReport{Boot: 7, NoWorkers: true, SilentShards: []int{1}, SampledShards: []wire.ShardReach{{Shard: 1, Called: 4, Answered: 3}}, UnreachableNodes: []string{"b"}},
+		Call: &core.PeerCall{ID: 9, Incarnation: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
+		Result: &core.PeerResult{ID: 9, Incarnation: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
 			List: wire.ItemList{Items: []wire.Item{{Key: "live/y", Value: wire.Raw{0x01}, Version: 2}}, Revision: 9}, Events: wire.Events{Revision: 9, Events: []wire.Event{{Delete: "live/z", Version: 9}}}}},
-		Order:   &core.Order{Machine: "m", Addr: "1:1", Orders: wire.Orders{Token: 5, Session: 2}, Roll: true},
-		Ordered: &core.OrderDone{Machine: "m", Token: 5, Session: 2, Status: 409, Report: wire.Report{Machine: "m", Session: 3, Seq: 8}}}
+		WorkerCall:     &core.WorkerCall{Machine: "m", Addr: "1:1", Orders: wire.Orders{Token: 5, Session: 2}, ReturnOutcome: true},
+		WorkerCallDone: &core.WorkerCallDone{Machine: "m", Token: 5, Session: 2, Status: 409, Report: wire.Report{Machine: "m", Session: 3, Seq: 8}}}
 	var b bytes.Buffer
 	if err := Write(&b, in); err != nil {
 		t.Fatal(err)
@@ -79,9 +79,9 @@
 	}
 }
 
-// What comes from the wire costs bounded memory and ends in an error.
+// Malformed input uses bounded memory and results in an error.
 func TestBadFrames(t *testing.T) {
-	huge := binary.BigEndian.AppendUint32(nil, tuning.PeerFrame+1)
+	huge := binary.BigEndian.AppendUint32(nil, tuning.MaxPeerFrameBytes+1)
 	for name, raw := range map[string][]byte{
 		"oversized":   huge,
 		"cut short":   {0, 0, 0, 9, 1},
@@ -94,8 +94,8 @@
 	}
 }
 
-// While a peer cannot be connected to, what waits for it grows old; when it is back it gets
-// what is said from then on, and no flood.
+// Messages that were queued while a peer could not be connected to are outdated. Once it is
+// reachable it gets only messages sent from then on, not a burst of old ones.
 func TestNothingOldAfterACut(t *testing.T) {
 	began, cut := make(chan bool, 1), make(chan bool)
 	near, far := net.Pipe()
@@ -118,9 +118,9 @@
 		l.Send("b", core.PeerMessage{From: "a", Nonce: 2 + n})
 	}
 	close(cut)
-	for len(l.out["b"]) > 0 { // dropped, or sent: then the pipe holds the first of them
+	for len(l.queues["b"]) > 0 { // until the queue is dropped; if it is sent instead, the pipe blocks on the first message
 		time.Sleep(time.Millisecond)
-		if len(l.out["b"]) == 49 {
+		if len(l.queues["b"]) == 49 {
 			break
 		}
 	}
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -100,7 +100,7 @@
 		}
 		return true
 	})
-	return record, !wire.Same(record, plan.stored)
+	return record, !wire.EqualEncoding(record, plan.stored)
 }
 
 // plannedImage returns the plan for an image on the machines of a shard, and whether enough
