--- a/wire/admin.go
+++ b/wire/admin.go
@@ -5,20 +5,20 @@
 	"math"
 )
 
-// Keys of the operators' own settings.
+// Keys of the settings that operators change.
 const (
 	KeySettings  = "live/settings"
 	PrefixCordon = "live/cordon/"
 )
 
-// Settings are the operators' own, changed through the administration API.
+// Settings are the settings that operators change through the administration API.
 type Settings struct {
 	IdleReturnS float64 `cbor:"idle_return_s" json:"idle_return_s"`
 	SilentDropS float64 `cbor:"silent_drop_s" json:"silent_drop_s"`
 	Spot        bool    `cbor:"spot" json:"spot"`
 }
 
-// Check names the first field out of its range.
+// Check returns an error that names the first field that is out of range.
 func (s Settings) Check() error {
 	for _, f := range []struct {
 		name     string
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// SettingsPatch changes some settings; Version is the one that was read, 0 if
-// none had been written.
+// SettingsPatch changes the settings that it sets. Version is the version that was read, 0 if none
+// had been written.
 type SettingsPatch struct {
 	Version     uint64   `cbor:"version"`
 	IdleReturnS *float64 `cbor:"idle_return_s,omitempty"`
@@ -41,7 +41,7 @@
 	Spot        *bool    `cbor:"spot,omitempty"`
 }
 
-// Apply returns settings with what the patch changes, unchecked.
+// Apply returns the settings with the changes of the patch, without checking them.
 func (p *SettingsPatch) Apply(s Settings) Settings {
 	if p.IdleReturnS != nil {
 		s.IdleReturnS = *p.IdleReturnS
@@ -55,18 +55,18 @@
 	return s
 }
 
-// SettingsView answers the administration API.
+// SettingsView is the answer of the administration API about the settings.
 type SettingsView struct {
 	Version  uint64   `cbor:"version" json:"version"`
 	Settings Settings `cbor:"settings" json:"settings"`
 }
 
-// Cordon keeps new tasks off a machine; with Drain what runs there is stopped
-// and the machine is given back.
+// Cordon keeps new tasks off a machine. With Drain its tasks are stopped as well, and the machine is
+// returned to the cloud.
 type Cordon struct {
 	Drain bool `cbor:"drain" json:"drain"`
-	// Lifted: there is none any more. The record stays, since a write that compares that no
-	// record stands there would be executed late after a removal.
+	// Lifted reports that the cordon has been lifted. The record is kept: after a removal, a late
+	// write on the condition that no record exists would still be executed.
 	Lifted bool `cbor:"lifted,omitempty" json:"-"`
 }
 
@@ -78,12 +78,12 @@
 	Shards []ShardView `cbor:"shards" json:"shards"`
 	Blocks []BlockView `cbor:"blocks" json:"blocks"`
 	Teams  []TeamView  `cbor:"teams" json:"teams"`
-	// Limits are what this controller's writes to the state service keep to, and what was
-	// refused for its form since it began.
+	// Limits are the limits that this controller's writes to the state service keep to, and the
+	// writes that were refused as malformed since it started.
 	Limits LimitsView `cbor:"limits" json:"limits"`
 }
 
-// LimitsView tells the limits of a write: bytes of a value, changes of a transaction.
+// LimitsView is the limits of writes: the size of a value in bytes, and the changes of a transaction.
 type LimitsView struct {
 	ValueBytes int             `cbor:"value_bytes" json:"value_bytes"`
 	TxnOps     int             `cbor:"txn_ops" json:"txn_ops"`
@@ -91,8 +91,8 @@
 	Refused    []RefusedWrites `cbor:"refused" json:"refused"`
 }
 
-// RefusedWrites counts the writes of one kind of record that the state service called
-// malformed, with the form of the last and what it said of it.
+// RefusedWrites counts the writes of one kind of record that the state service refused as malformed,
+// with the size of the last one and the reason that the service gave.
 type RefusedWrites struct {
 	Kind       string `cbor:"kind" json:"kind"`
 	Count      int    `cbor:"count" json:"count"`
@@ -102,7 +102,7 @@
 	Why        string `cbor:"why" json:"why"`
 }
 
-// ShardView tells who holds a shard.
+// ShardView is a shard with its holder.
 type ShardView struct {
 	Shard   int      `cbor:"shard" json:"shard"`
 	Holder  string   `cbor:"holder" json:"holder"`
@@ -112,7 +112,7 @@
 	Teams   []string `cbor:"teams" json:"teams"`
 }
 
-// BlockView tells of a block; tasks are known to its holder only.
+// BlockView is a block of machines; only its holder knows the tasks.
 type BlockView struct {
 	Block    string        `cbor:"block" json:"block"`
 	Shard    int           `cbor:"shard" json:"shard"`
@@ -123,7 +123,7 @@
 	Machines []MachineView `cbor:"machines" json:"machines"`
 }
 
-// MachineView tells of a machine.
+// MachineView is a machine of a block.
 type MachineView struct {
 	Name     string   `cbor:"name" json:"name"`
 	State    string   `cbor:"state" json:"state"`
@@ -131,8 +131,8 @@
 	Tasks    []string `cbor:"tasks,omitempty" json:"tasks,omitempty"`
 }
 
-// TeamView tells a team's use against its guarantee and limit, in CPUs; a CPUsMax of 0 is
-// no limit. Known is false on controllers that do not hold it.
+// TeamView is a team's usage, guarantee and limit in CPUs; a CPUsMax of 0 means no limit. Known is
+// false on controllers that do not hold the team's shard.
 type TeamView struct {
 	Team    string  `cbor:"team" json:"team"`
 	Shard   int     `cbor:"shard" json:"shard"`
@@ -143,7 +143,7 @@
 	Waiting int     `cbor:"waiting_tasks" json:"waiting_tasks"`
 }
 
-// Why tells why a job waits.
+// Why holds the reasons why a job waits.
 type Why struct {
 	Job    string   `cbor:"job" json:"job"`
 	Holder string   `cbor:"holder" json:"holder"`
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -7,7 +7,8 @@
 	MachineFailed   = "failed"
 )
 
-// MachineType is one type the cloud rents.
+// MachineType is one type of machine that the cloud rents out. Prices are per hour, BootS is the
+// usual time of a boot in seconds.
 type MachineType struct {
 	Name      string   `cbor:"sku"`
 	CPUs      float64  `cbor:"cpus"`
@@ -21,7 +22,7 @@
 	Zones     []string `cbor:"yards"`
 }
 
-// MachineTypes answers GET /machine_types.
+// MachineTypes is the answer to GET /machine_types.
 type MachineTypes struct {
 	Types []MachineType `cbor:"flavours"`
 }
@@ -40,7 +41,7 @@
 	Machines []string `cbor:"hosts"`
 }
 
-// MachineInfo is one row of the machine list.
+// MachineInfo is one machine of the cloud's list.
 type MachineInfo struct {
 	Name   string  `cbor:"name_id"`
 	Addr   string  `cbor:"endpoint"`
@@ -51,7 +52,7 @@
 	AgeS   float64 `cbor:"age_s"`
 }
 
-// MachineList answers GET /hosts.
+// MachineList is one page of the answer to GET /hosts.
 type MachineList struct {
 	Machines []MachineInfo `cbor:"hosts"`
 	More     bool          `cbor:"more"`
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -1,6 +1,6 @@
-// Package wire holds every message that barrowbridge exchanges with users,
-// workers, the cloud and the state service. The unusual field names of the
-// platform end here: Go field names use the field's standard terms.
+// Package wire declares the messages that barrowbridge exchanges with users, workers, the cloud and
+// the state service, and the records that it stores. The platform's own field names appear only in
+// the tags: the Go names use standard terms.
 package wire
 
 import (
@@ -20,11 +20,11 @@
 
 func init() {
 	var err error
-	// The same message is the same bytes, whoever writes it.
+	// The encoding is deterministic: equal messages have equal bytes, whichever controller writes them.
 	if enc, err = (cbor.EncOptions{Sort: cbor.SortBytewiseLexical}).EncMode(); err != nil {
 		panic(err)
 	}
-	// Bounds keep a hostile body from costing more than its own size.
+	// The limits keep the memory for a hostile body in proportion to its size.
 	dec, err = cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 131072, MaxMapPairs: 131072}.DecMode()
 	if err != nil {
 		panic(err)
@@ -34,7 +34,7 @@
 // Marshal encodes a message as CBOR.
 func Marshal(v any) ([]byte, error) { return enc.Marshal(v) }
 
-// Unmarshal decodes one CBOR message. Unknown fields are ignored.
+// Unmarshal decodes one CBOR message into v. Unknown fields are ignored. An empty body is an error.
 func Unmarshal(b []byte, v any) error {
 	if len(b) == 0 {
 		return errors.New("empty body")
@@ -42,15 +42,15 @@
 	return dec.Unmarshal(b, v)
 }
 
-// Same tells whether two messages are encoded alike.
+// EqualEncoding reports whether two messages have the same encoding.
 func EqualEncoding(a, b any) bool {
 	x, errX := Marshal(a)
 	y, errY := Marshal(b)
 	return errX == nil && errY == nil && bytes.Equal(x, y)
 }
 
-// IsMap tells whether an encoded message is a map (CBOR major type 5).
+// IsMap reports whether an encoded message is a map (CBOR major type 5).
 func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
-// Raw is an encoded value kept as it came.
+// Raw is an encoded value that is not decoded.
 type Raw = cbor.RawMessage
--- a/wire/fuzz_test.go
+++ b/wire/fuzz_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// messages are all that a stranger's bytes are decoded into.
+// messages returns one of each type into which untrusted bytes are decoded.
 func messages() []any {
 	return []any{&JobSpec{}, &Report{}, &ReportReply{}, &Redirect{}, &Orders{}, &JobStatus{}, &Problem{}, &Item{}, &ItemList{}, &TxnReply{},
 		&LeaseReply{}, &LeaseRequest{}, &Events{}, &MachineTypes{}, &RentRequest{}, &MachineNames{}, &MachineList{}, &SettingsPatch{}, &Cordon{},
 		&Job{}, &Final{}, &Node{}, &Leader{}, &Shard{}, &Block{}, &Cache{}, &Demand{}, &Trail{}, &TrailRecord{}, &MachineDetail{}}
 }
 
-// What can be read can be written and read again to the same; what cannot be
-// read is an error, never a panic; a valid job has sane numbers.
+// A message that can be decoded can be encoded and decoded again. Other input results in an error and
+// never in a panic. A validated job has plausible numbers.
 func FuzzDecode(f *testing.F) {
 	for _, m := range messages() {
 		b, err := Marshal(m)
@@ -31,11 +31,11 @@
 			}
 			again, err := Marshal(m)
 			if err != nil {
-				t.Fatalf("%T was read and cannot be written: %v", m, err)
+				t.Fatalf("%T was decoded and cannot be encoded: %v", m, err)
 			}
 			back := reflect.New(reflect.TypeOf(m).Elem()).Interface()
 			if err := Unmarshal(again, back); err != nil {
-				t.Fatalf("%T was written and cannot be read: %v", m, err)
+				t.Fatalf("%T was encoded and cannot be decoded: %v", m, err)
 			}
 			if s, ok := m.(*JobSpec); ok {
 				if j, err := s.Validate(); err == nil && !(j.CPUs >= 0 && j.Tasks >= 1 && j.Tasks <= MaxTasks && ValidJobID(j.ID)) {
--- a/wire/production_test.go
+++ b/wire/production_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// Records that the version in production (deploy/service.toml) has written, as its own code
-// encoded them in scripted days with cuts, late writes and changes of hands. Each is read in
-// full: what is read, written again, is the same bytes, so nothing of it was dropped or taken
-// for something else.
+// Reads records of the version in production (deploy/service.toml), as its own code encoded them in
+// scripted tests with network cuts, late writes and takeovers. A record that is decoded and encoded
+// again has the same bytes, so no part of it was dropped or misread.
 func TestRecordsOfProductionAreRead(t *testing.T) {
 	b, err := os.ReadFile("testdata/production/records.json")
 	if err != nil {
@@ -34,7 +33,7 @@
 	seen := map[string]int{}
 	for _, r := range records {
 		if of[r.Kind] == nil {
-			t.Fatalf("%s: a kind that is not known", r.Kind)
+			t.Fatalf("%s: unknown kind of record", r.Kind)
 		}
 		seen[r.Kind]++
 		v := of[r.Kind]()
@@ -43,7 +42,7 @@
 			continue
 		}
 		if again, err := Marshal(v); err != nil || !bytes.Equal(again, r.Value) {
-			t.Errorf("%s: read as %+v, and written again it is not what it was: %v", r.Key, v, err)
+			t.Errorf("%s: decoded as %+v, its new encoding differs: %v", r.Key, v, err)
 		}
 	}
 	for kind := range of {
--- a/wire/records.go
+++ b/wire/records.go
@@ -1,8 +1,8 @@
 package wire
 
-// Records that the controllers keep in the state service. Everything live
-// stands under LivePrefix and is watched by every controller; final states
-// stand apart, so that starting does not read the whole past.
+// Keys of the records that the controllers keep in the state service. All live records are under
+// LivePrefix, which every controller watches. Final states are stored elsewhere, so that a
+// controller does not read the whole history when it starts.
 const (
 	LivePrefix   = "live/"
 	KeyLeader    = "live/leader"
@@ -14,16 +14,17 @@
 	PrefixJob    = "live/job/"
 	PrefixCache  = "live/cache/"
 	PrefixStart  = "live/start/"
-	// PrefixWeights holds, by shard, what is planned for images that many machines fetch.
+	// PrefixWeights holds, by shard, the plans for images that many machines fetch.
 	PrefixWeights = "live/weights/"
 	PrefixDone    = "live/done/"
 	PrefixFinal   = "final/"
-	// PrefixWaiting holds jobs that wait for others. They move to PrefixJob once all of those
-	// are done, or to PrefixFinal.
+	// PrefixWaiting holds jobs that wait for their predecessors. They move to PrefixJob once all
+	// predecessors are done, or to PrefixFinal.
 	PrefixWaiting = "live/wait/"
 )
 
-// Job is an accepted job as stored: the user's words plus progress.
+// Job is the stored record of an accepted job: the user's request and the progress. AcceptedMS is in
+// milliseconds since 1970.
 type Job struct {
 	ID              string   `cbor:"id"`
 	Class           string   `cbor:"class"`
@@ -46,97 +47,99 @@
 	SaveS           float64  `cbor:"save,omitempty"`
 	DueS            float64  `cbor:"due,omitempty"`
 	AcceptedMS      int64    `cbor:"acc"`
-	// Number orders jobs of a rung: the newest revision of the state that its acceptor knew
-	// of. Unlike the day's time it comes from the state's own order.
+	// Number orders the jobs of a tier. It is the newest revision of the state that the accepting
+	// controller knew of; unlike the wall clock it follows the order of the state service.
 	Number uint64 `cbor:"no,omitempty"`
-	// Started counts the tasks, from index 0, that may ever have been started.
-	// It is written before the start, so a task at or above it is nowhere.
+	// Started is the number of tasks, counted from index 0, that may ever have been started. It is
+	// written before the start, so a task with this index or a higher one runs nowhere.
 	Started int `cbor:"started"`
-	// On names, for a job of few tasks, the machine that each task's last start was
-	// written for, before it was made: the task may be there and nowhere else.
+	// On holds, for a job of few tasks, the machine of each task's last start. It is written before
+	// the start is made: the task may be on that machine and on no other.
 	On []string `cbor:"on,omitempty"`
-	// Done holds half-open ranges [from, to) of completed tasks, in order, as far as there is
-	// room; records under PrefixDone say the rest.
+	// Done holds half-open ranges [from, to) of completed tasks in ascending order, as far as they
+	// fit; the records under PrefixDone hold the others.
 	Done [][2]int `cbor:"done,omitempty"`
-	// Predecessors are jobs that have to be done before any task of this one starts. A job that
-	// waits for them stands under PrefixWaiting; under PrefixJob they all are done.
+	// Predecessors are jobs that have to be done before any task of this one starts. A job that waits
+	// for them is stored under PrefixWaiting; the predecessors of a job under PrefixJob are all done.
 	Predecessors []string `cbor:"awaits,omitempty"`
-	// ReadyMS is when the last predecessor was known to be done (ms, time of day); 0: there are none.
+	// ReadyMS is when the last predecessor was known to be done, in milliseconds since 1970; 0: there
+	// are no predecessors.
 	ReadyMS int64 `cbor:"ready,omitempty"`
 }
 
-// ReadySince is when the job could first run: its acceptance, or the end of its last predecessor
-// (ms, time of day).
+// ReadySince returns when the job could first run, in milliseconds since 1970: the time of its
+// acceptance, or of the end of its last predecessor.
 func (j *Job) ReadySince() int64 { return max(j.AcceptedMS, j.ReadyMS) }
 
-// Done says which tasks of a job are done beside those that its own record names: bit k%32 of
-// word k/32 stands for task From+k. It stands until the job is over.
+// Done records which tasks of a job are done in addition to those in the job's own record: bit k%32 of
+// word k/32 is set if task From+k is done. It is kept until the job is over.
 type Done struct {
 	From int      `cbor:"from"`
 	Bits []uint32 `cbor:"bits"`
 }
 
-// Starts is what has been written of the starts of many jobs, by job, and of machines that
-// are no longer fresh, by "m:" and their name. The entry of a name with the largest N
-// counts, in whichever slot it stands; beside it what the job's own record says.
+// Starts is a record of the starts of many jobs, by job, and of machines that are no longer fresh, by
+// "m:" and their name. Of several entries with the same name, in whichever record, the one with the
+// largest N counts, together with what the job's own record holds.
 type Starts struct {
 	Entries map[string]Start `cbor:"e"`
 }
 
-// Start says of a job what Job.Started and Job.On say.
+// Start has the same content for a job as Job.Started and Job.On.
 type Start struct {
 	N       uint64   `cbor:"n"`
 	Started int      `cbor:"s,omitempty"`
 	On      []string `cbor:"on,omitempty"`
-	// Bad: the job fails on every machine, as far as its holder knows; for successors.
+	// Bad reports that the job fails on every machine, as far as its holder knows, for later holders.
 	Bad bool `cbor:"bad,omitempty"`
 }
 
-// Final is a job's last word.
+// Final is the final state of a job.
 type Final struct {
 	Status string `cbor:"status"`
 	Done   int    `cbor:"done"`
-	// By is the job before it whose cancellation ended this one; "": its own, or it is done.
+	// By is the predecessor whose cancellation ended this job; "": the job itself was cancelled or is
+	// done.
 	By string `cbor:"by,omitempty"`
 }
 
-// Node is a controller's presence, attached to its grant.
+// Node is the presence record of a controller, attached to its state lease.
 type Node struct {
 	Boot uint64 `cbor:"boot"`
 	Zone string `cbor:"zone"`
-	// Features are those that this life understands. Versions that know of none leave it out.
+	// Features are the features that this incarnation understands. Versions without features omit it.
 	Features []string `cbor:"features,omitempty"`
 }
 
-// Leader names the leading controller, attached to its grant.
+// Leader is the record of the leading controller, attached to its state lease.
 type Leader struct {
 	Node string `cbor:"node"`
 	Boot uint64 `cbor:"boot"`
 }
 
-// Shard binds teams and blocks to one holder. A takeover is one write of it.
+// Shard assigns teams and blocks to one holder. A takeover is a single write of this record.
 type Shard struct {
 	Holder string   `cbor:"holder"`
 	Boot   uint64   `cbor:"boot"`
 	Home   string   `cbor:"home"`
 	Teams  []string `cbor:"teams"`
-	// Settled: the holder has accounted for every machine it inherited, so that
-	// no holder before it can still be answering a worker.
+	// Settled reports that the holder has accounted for every machine that it inherited, so that no
+	// earlier holder can still be answering a worker.
 	Settled bool `cbor:"settled,omitempty"`
-	// Past names every life that held the shard since all its machines were last
-	// accounted for, if Known: once all of them are dead, nobody else can be
-	// answering a worker.
+	// Past holds, if Known is set, every incarnation that has held the shard since all its machines
+	// were last accounted for: once all of these are dead, no other controller can be answering a
+	// worker.
 	Past  []Incarnation `cbor:"past,omitempty"`
 	Known bool          `cbor:"known,omitempty"`
 }
 
-// Life is one life of a controller.
+// Incarnation is one incarnation of a controller process.
 type Incarnation struct {
 	Node string `cbor:"node"`
 	Boot uint64 `cbor:"boot"`
 }
 
-// Block is a few machines of one type, zone and kind, leased to a shard.
+// Block is a small group of machines of one type, zone and kind that is assigned to a shard.
 type Block struct {
 	Shard    int            `cbor:"shard"`
 	Type     string         `cbor:"type"`
@@ -147,10 +150,10 @@
 	Machines []BlockMachine `cbor:"machines"`
 }
 
-// BlockMachine is a machine of a block. Drop asks the leader to delete it;
-// nothing is started on it any more. Empty says that nothing is on it either,
-// so that a later holder need not account for it. Fresh says that nothing has
-// ever been started on it; it is taken back in writing before the first start.
+// BlockMachine is a machine of a block. Drop asks the leader to delete it; no task is started on it any
+// more. Empty states that no task is on it either, so that a later holder need not account for it.
+// Fresh states that no task has ever been started on it; it is cleared by a write before the first
+// start.
 type BlockMachine struct {
 	Name  string `cbor:"name"`
 	Fresh bool   `cbor:"fresh,omitempty"`
@@ -158,18 +161,18 @@
 	Empty bool   `cbor:"empty,omitempty"`
 }
 
-// Cache tells which images a shard's machines have fetched. It is advice: a
-// successor that does not know lets tasks wait for fetches that are needless.
+// Cache records which images a shard's machines have fetched. It is advisory: without it a new holder
+// lets tasks wait for fetches that are not needed.
 type Cache struct {
 	Images []string `cbor:"images"`
-	// Sets has for each machine bits of the images it has: bit k%32 of word k/32 stands
-	// for Images[k]. A shard of many machines has several records.
+	// Sets is, by machine, a bit set of its images: bit k%32 of word k/32 is set if it has Images[k].
+	// A shard of many machines has several records.
 	Sets map[string][]uint32 `cbor:"sets,omitempty"`
-	// Machines is what earlier versions wrote: indexes into Images.
+	// Machines is the form that earlier versions wrote: indexes into Images.
 	Machines map[string][]int `cbor:"machines,omitempty"`
 }
 
-// Of lists the images of a machine, and whether the record names it.
+// Of returns the images of a machine, and whether the record contains the machine.
 func (c *Cache) Of(machine string) (images []string, named bool) {
 	words, named := c.Sets[machine]
 	for k, image := range c.Images {
@@ -186,7 +189,7 @@
 	return images, named || was
 }
 
-// Names lists the machines that the record names, in no order.
+// Names returns the machines in the record, in no particular order.
 func (c *Cache) Names() []string {
 	names := make([]string, 0, len(c.Sets)+len(c.Machines))
 	for n := range c.Sets {
@@ -198,15 +201,15 @@
 	return names
 }
 
-// Want is what a shard's holder asks of the leader. Seen is the newest
-// revision of the shard's blocks known when it was written, so that the
-// leader does not serve the same want twice.
+// Demand is a shard's unmet demand, which its holder sends to the leader. Seen is the newest revision
+// of the shard's blocks that was known when it was written, so that the leader does not serve the
+// same demand twice.
 type Demand struct {
 	Seen  uint64 `cbor:"seen"`
 	Needs []Need `cbor:"needs,omitempty"`
 }
 
-// Need asks for Count machines, each to hold at least one task of Size.
+// Need is the demand for machines that can run Tasks tasks of this size.
 type Need struct {
 	Types []string `cbor:"types,omitempty"`
 	Zone  string   `cbor:"zone,omitempty"`
@@ -215,23 +218,23 @@
 	GPUs  float64  `cbor:"gpus,omitempty"`
 	MemGB float64  `cbor:"mem"`
 	Tasks int      `cbor:"tasks"`
-	// Dire: the tasks lie within their teams' guarantees and the cloud has
-	// given nothing for a while; shards that borrow are to give way.
+	// Starved reports that the tasks are within their teams' guarantees and that the cloud has
+	// provided nothing for some time; shards that borrow capacity have to release it.
 	Starved bool `cbor:"dire,omitempty" msgpack:"Dire"`
-	// Booting: machines for it are on their way; only blocks that are up help.
+	// Booting reports that machines for it are booting; only blocks that are up can help.
 	Booting bool `cbor:"booting,omitempty"`
-	// Rung is the rank of the work that asks; needs of higher rungs are served first, whichever
-	// shard they are of.
+	// Tier is the rank of the waiting work's tier; the needs of higher tiers are served first,
+	// regardless of their shard.
 	Tier int `cbor:"rung,omitempty" msgpack:"Rung"`
 }
 
-// Weights is what a shard's holder has planned for images that many of its machines fetch: one change an
-// image and stage. Roots fetch it from the store.
+// Weights is the plan of a shard's holder for images that many of its machines fetch. It changes once
+// for each image and stage.
 type Weights struct {
 	Images []WeightsImage `cbor:"images,omitempty" json:"images,omitempty"`
 }
 
-// WeightsImage is one of them.
+// WeightsImage is the plan for one image. Roots are the machines that fetch it from the store.
 type WeightsImage struct {
 	Image string   `cbor:"image" json:"image"`
 	GB    float64  `cbor:"gb" json:"gb"`
--- a/wire/size.go
+++ b/wire/size.go
@@ -8,10 +8,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// jsonGrowth bounds how many times as long as its CBOR form a record's JSON form
-// is: lists of small numbers grow most, to twice.
+// jsonGrowth is an upper bound of the size of a record in JSON form divided by its size in CBOR form.
+// Lists of small numbers grow most, to twice their size.
 const jsonGrowth = 4
 
+// generic decodes any value and rejects duplicate keys of maps.
 var generic = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 131072, MaxMapPairs: 131072, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
@@ -20,9 +21,9 @@
 	return m
 }()
 
-// JSONSize is an encoded value's size in bytes in JSON form, in which the protocol
-// counts its limits. It fails on what the protocol does not allow: maps keyed by
-// anything but text, and binary data.
+// JSONSize returns the size in bytes of an encoded value in JSON form, to which the protocol's limits
+// apply. It returns an error for values that the protocol does not allow: maps with keys that are not
+// text, and binary data.
 func JSONSize(raw Raw) (int, error) {
 	var v any
 	if err := generic.Unmarshal(raw, &v); err != nil {
@@ -36,15 +37,16 @@
 	return len(b), err
 }
 
-// FitsIn tells whether an encoded value has at most so many bytes in JSON form.
+// FitsIn reports whether an encoded value has at most limit bytes in JSON form.
 func FitsIn(raw Raw, limit int) bool {
 	if len(raw)*jsonGrowth <= limit {
-		return true // most are far from it, and need not be counted
+		return true // most values are far smaller and need no exact size
 	}
 	n, err := JSONSize(raw)
 	return err == nil && n <= limit
 }
 
+// textKeys converts the maps in a decoded value to maps with text keys.
 func textKeys(v any) (any, error) {
 	switch x := v.(type) {
 	case map[any]any:
@@ -76,7 +78,7 @@
 	return nil, fmt.Errorf("%T is not allowed", v)
 }
 
-// NotTaken tells who asked for a record to be written that the state service does not take it.
+// RecordRefused returns the error body for a request whose record the state service refuses to store.
 func RecordRefused(why string) Problem {
 	return Problem{Error: "the state service does not take this record: " + why}
 }
--- a/wire/state.go
+++ b/wire/state.go
@@ -1,6 +1,6 @@
 package wire
 
-// Item is a stored key.
+// Item is a key of the state service with its value.
 type Item struct {
 	Key     string `cbor:"path"`
 	Value   Raw    `cbor:"v"`
@@ -8,19 +8,19 @@
 	Lease   uint64 `cbor:"permit,omitempty"`
 }
 
-// ItemList answers GET /store.
+// ItemList is one page of the answer to GET /store.
 type ItemList struct {
 	Items    []Item `cbor:"items"`
 	More     bool   `cbor:"more"`
 	Revision uint64 `cbor:"epoch"`
 }
 
-// Absent answers GET /store/{key} for a key that does not exist.
+// Absent is the answer to GET /store/{key} for a key that does not exist.
 type Absent struct {
 	Revision uint64 `cbor:"epoch"`
 }
 
-// Condition is one comparison of a transaction; version 0: the key is absent.
+// Condition is one condition of a transaction: the key has this version, or is absent if that is 0.
 type Condition struct {
 	Key     string `cbor:"path"`
 	Version uint64 `cbor:"stamp"`
@@ -40,7 +40,7 @@
 	Then []Change    `cbor:"apply,omitempty"`
 }
 
-// TxnReply answers POST /commit.
+// TxnReply is the answer to POST /commit. Failed holds the keys whose conditions did not hold.
 type TxnReply struct {
 	Revision uint64   `cbor:"epoch"`
 	Failed   []string `cbor:"failed,omitempty"`
@@ -51,7 +51,7 @@
 	TTLMS int64 `cbor:"life_ms"`
 }
 
-// LeaseReply answers POST /grants.
+// LeaseReply is the answer to POST /grants.
 type LeaseReply struct {
 	Lease uint64 `cbor:"permit"`
 }
@@ -64,7 +64,7 @@
 	Delete  string `cbor:"delete,omitempty"`
 }
 
-// Events answers GET /changes.
+// Events is the answer to GET /changes.
 type Events struct {
 	Revision uint64  `cbor:"epoch"`
 	Events   []Event `cbor:"news"`
--- a/wire/trail.go
+++ b/wire/trail.go
@@ -1,31 +1,31 @@
 package wire
 
-// PrefixTrail is where each controller keeps what is lasting of its trail; it
-// lies outside LivePrefix, so that nobody watches it.
+// PrefixTrail is the prefix of the stored part of the controllers' trails. It is outside LivePrefix, so
+// that no controller watches it.
 const PrefixTrail = "trail/"
 
-// TrailEvent is one decision, or one thing learned, that matters after a
-// failure. Which fields are set goes by Kind.
+// TrailEvent is a decision or an observation that helps to explain a failure. Kind determines which
+// fields are set.
 type TrailEvent struct {
-	Seq     uint64 `cbor:"seq" json:"seq"`                             // in this controller's life, from 1
+	Seq     uint64 `cbor:"seq" json:"seq"`                             // counted from 1 in this incarnation of the controller
 	Cause   uint64 `cbor:"cause,omitempty" json:"cause,omitempty"`     // Seq of the event that led to it; 0: none known
-	AtMS    int64  `cbor:"at" json:"at_ms"`                            // steady milliseconds since the controller's start
-	WallMS  int64  `cbor:"wall" json:"wall_ms"`                        // its time of day, in milliseconds since 1970
+	AtMS    int64  `cbor:"at" json:"at_ms"`                            // milliseconds since the controller's start, by the monotonic clock
+	WallMS  int64  `cbor:"wall" json:"wall_ms"`                        // the controller's wall clock, in milliseconds since 1970
 	Kind    string `cbor:"kind" json:"kind"`                           // see package trail
 	Machine string `cbor:"machine,omitempty" json:"machine,omitempty"` //
 	Job     string `cbor:"job,omitempty" json:"job,omitempty"`         //
 	Task    string `cbor:"task,omitempty" json:"task,omitempty"`       //
 	Block   string `cbor:"block,omitempty" json:"block,omitempty"`     //
-	Node    string `cbor:"node,omitempty" json:"node,omitempty"`       // another controller it is about
+	Node    string `cbor:"node,omitempty" json:"node,omitempty"`       // the other controller that the event is about
 	Shard   *int   `cbor:"shard,omitempty" json:"shard,omitempty"`     //
 	Token   uint64 `cbor:"token,omitempty" json:"token,omitempty"`     //
 	Count   int    `cbor:"n,omitempty" json:"count,omitempty"`         // machines or tasks
 	Why     string `cbor:"why,omitempty" json:"why,omitempty"`         //
-	Boot    uint64 `cbor:"boot,omitempty" json:"boot,omitempty"`       // life it belongs to, in a stored record
+	Boot    uint64 `cbor:"boot,omitempty" json:"boot,omitempty"`       // incarnation that recorded it, in a stored record
 }
 
-// Trail answers GET /admin/v1/trail. Next is the number to ask after next time;
-// Missed tells that events after the number asked for are no longer kept.
+// Trail is the answer to GET /admin/v1/trail. Next is the sequence number to pass as after in the next
+// request. Missed reports that some events after the requested number are no longer kept.
 type Trail struct {
 	Node   string       `cbor:"node" json:"node"`
 	Boot   uint64       `cbor:"boot" json:"boot"`
@@ -35,19 +35,19 @@
 	Events []TrailEvent `cbor:"events" json:"events"`
 }
 
-// TrailRecord is what a controller keeps of its trail in the state service.
+// TrailRecord is the part of a controller's trail that it stores in the state service.
 type TrailRecord struct {
 	Boot   uint64       `cbor:"boot"`
 	Events []TrailEvent `cbor:"events"`
 }
 
-// Believed is a machine as one controller believes it to be now. Times are in
-// seconds; those that mean nothing yet are null.
+// MachineDetail is one controller's current view of a machine. Times are in seconds; those that are not
+// known yet are null.
 type MachineDetail struct {
 	Machine    string          `cbor:"machine" json:"machine"`
-	Node       string          `cbor:"node" json:"node"`     // who believes it
-	Holder     string          `cbor:"holder" json:"holder"` // who holds its block
-	Held       bool            `cbor:"held" json:"held"`     // by Node: the rest is known only then
+	Node       string          `cbor:"node" json:"node"`     // the controller that answers
+	Holder     string          `cbor:"holder" json:"holder"` // the holder of its block
+	Held       bool            `cbor:"held" json:"held"`     // whether Node is the holder; only then the following fields are known
 	Block      string          `cbor:"block" json:"block"`
 	Shard      int             `cbor:"shard" json:"shard"`
 	Token      uint64          `cbor:"token" json:"token"`
@@ -60,7 +60,7 @@
 	Inherited  bool            `cbor:"inherited" json:"inherited"`
 	Accounted  bool            `cbor:"accounted" json:"accounted"`
 	ReportedS  *float64        `cbor:"reported_s" json:"reported_s"`     // since its last report
-	LeaseLeftS *float64        `cbor:"lease_left_s" json:"lease_left_s"` // until its lease is surely over; negative: it is
+	LeaseLeftS *float64        `cbor:"lease_left_s" json:"lease_left_s"` // until its lease has certainly expired; negative: since then
 	FreeCPUs   float64         `cbor:"free_cpus" json:"free_cpus"`
 	Errors     int             `cbor:"errors" json:"errors"` // failures in a row
 	Images     []string        `cbor:"images" json:"images"`
@@ -68,7 +68,7 @@
 	Trail      []TrailEvent    `cbor:"trail" json:"trail"`
 }
 
-// BelievedTask is an attempt that is, or may be, on a machine.
+// AttemptDetail is an attempt that is or may be on a machine.
 type AttemptDetail struct {
 	Task    string  `cbor:"task" json:"task"`
 	Attempt uint64  `cbor:"attempt" json:"attempt"`
--- a/wire/user.go
+++ b/wire/user.go
@@ -11,9 +11,8 @@
 const (
 	ShapeBatch   = "batch"
 	ShapeService = "service"
-	// ShapeGang is a batch whose tasks run together; workers hold its tasks
-	// back until all are there. The platform plays it though it does not
-	// describe it.
+	// ShapeGang is a batch whose tasks run together; workers delay its tasks until all of them are
+	// placed. The platform uses it although its documentation does not describe it.
 	ShapeGang = "gang"
 )
 
@@ -28,7 +27,7 @@
 // MaxTasks is the largest number of tasks of one job.
 const MaxTasks = 100000
 
-// JobSpec is what a user submits. Pointers tell a missing field from a zero.
+// JobSpec is a job as a user submits it. Pointers distinguish a missing field from a zero.
 type JobSpec struct {
 	ID              *string  `cbor:"name_id"`
 	Class           *string  `cbor:"jobclass"`
@@ -56,10 +55,10 @@
 
 var jobID = regexp.MustCompile(`^job-[0-9]{1,18}$`)
 
-// ValidJobID tells whether a text has the form of a job id.
+// ValidJobID reports whether s has the form of a job id.
 func ValidJobID(s string) bool { return jobID.MatchString(s) }
 
-// Priority ranks, higher is served first; -1 for an unknown name.
+// PriorityRank returns the rank of a priority, -1 for an unknown name. Higher ranks are served first.
 func PriorityRank(p string) int {
 	switch p {
 	case "production":
@@ -74,7 +73,7 @@
 	return -1
 }
 
-// PriorityName is the name that ranks so; "" for none.
+// PriorityName returns the priority with this rank, "" if there is none.
 func PriorityName(rank int) string {
 	for _, p := range []string{"idle", "normal", "urgent", "production"} {
 		if PriorityRank(p) == rank {
@@ -84,7 +83,7 @@
 	return ""
 }
 
-// Validate checks every field and returns a job without pointers.
+// Validate checks every field and returns the job's record. An error names the field.
 func (s *JobSpec) Validate() (Job, error) {
 	var j Job
 	text := func(name string, p *string, dst *string, max int) error {
@@ -183,7 +182,7 @@
 	return j, nil
 }
 
-// JobStatus answers submissions, polls and aborts.
+// JobStatus is the answer to submissions, polls and aborts.
 type JobStatus struct {
 	ID      string `cbor:"name_id"`
 	Status  string `cbor:"status"`
--- a/wire/version.go
+++ b/wire/version.go
@@ -1,34 +1,36 @@
 package wire
 
-// PrefixVersion is where it is remembered what each controller's last life understands. The
-// records hang on no grant: what a controller that is down will understand when it comes back
-// is only known from them.
+// PrefixVersion is the prefix of the records of the features that each controller's last incarnation
+// understands. They are not attached to a state lease: only these records show which features a
+// controller that is down will understand when it returns.
 const PrefixVersion = "live/version/"
 
-// Version is what one life of a controller understands, written once its presence stands.
+// Version records the features that one incarnation of a controller understands. It is written once
+// its presence record exists.
 type Version struct {
 	Boot     uint64   `cbor:"boot"`
 	Features []string `cbor:"features,omitempty"`
-	Version  string   `cbor:"version,omitempty"` // of the program; unset: one that does not say it
+	Version  string   `cbor:"version,omitempty"` // of the program; unset for programs that do not record it
 }
 
-// VersionView answers the administration API: who runs what, and what is held back for whom.
+// VersionView is the answer of the administration API about versions: which version each controller
+// runs, and which features are not used yet because of which controllers.
 type VersionView struct {
-	Node        string              `cbor:"node" json:"node"` // that answers
+	Node        string              `cbor:"node" json:"node"` // the controller that answers
 	Controllers []ControllerVersion `cbor:"controllers" json:"controllers"`
 	Features    []FeatureView       `cbor:"features" json:"features"`
 }
 
-// ControllerVersion is one controller's version as it was last known.
+// ControllerVersion is the last known version of one controller.
 type ControllerVersion struct {
 	Node     string   `cbor:"node" json:"node"`
 	Present  bool     `cbor:"present" json:"present"`
-	Boot     uint64   `cbor:"boot" json:"boot"`       // of the life meant; 0: none is known
-	Version  string   `cbor:"version" json:"version"` // "": one that does not say it
+	Boot     uint64   `cbor:"boot" json:"boot"`       // of the incarnation; 0: none is known
+	Version  string   `cbor:"version" json:"version"` // "" for programs that do not record it
 	Features []string `cbor:"features" json:"features"`
 }
 
-// FeatureView tells whether a feature is used for new things, and if not, for whom it waits.
+// FeatureView reports whether a feature is in use, and if not, which controllers prevent it.
 type FeatureView struct {
 	Feature string   `cbor:"feature" json:"feature"`
 	On      bool     `cbor:"on" json:"on"`
--- a/wire/weights.go
+++ b/wire/weights.go
@@ -2,21 +2,22 @@
 
 import "slices"
 
-// WeightsView answers the administration API: what one controller knows of images that tasks wait for or
-// run with.
+// WeightsView is the answer of the administration API about images: what one controller knows of images
+// that tasks wait for or run with.
 type WeightsView struct {
 	Node   string `cbor:"node" json:"node"`
-	HandOn bool   `cbor:"hand_on" json:"hand_on"` // machines are told of others that have an image
-	Pace   bool   `cbor:"pace" json:"pace"`       // fetches are held back where more at once bring no more
-	// StoreGBps is what all fetches at once get from the store, as measured, where it binds, and Most how many
-	// of them use all of it; 0: a machine's own rate binds, or too little is known.
+	HandOn bool   `cbor:"hand_on" json:"hand_on"` // machines are told which other machines have an image
+	Pace   bool   `cbor:"pace" json:"pace"`       // fetches are delayed where more of them at a time are no faster
+	// StoreGBps is the measured total rate of fetches from the store where the store is the bottleneck, and
+	// Most the number of fetches that use all of it; 0: the machines' own rates are the bottleneck, or too
+	// little is known.
 	StoreGBps float64            `cbor:"store_gbps" json:"store_gbps"`
 	Most      int                `cbor:"most" json:"most"`
 	Images    []WeightsImageView `cbor:"images" json:"images"`
-	Others    []WeightsOther     `cbor:"others,omitempty" json:"others,omitempty"` // plans of other shards
+	Others    []WeightsOther     `cbor:"others,omitempty" json:"others,omitempty"` // the plans of other shards
 }
 
-// WeightsImageView is one image on the machines that the controller holds.
+// WeightsImageView is one image with the machines of the controller that have or fetch it.
 type WeightsImageView struct {
 	Image   string        `cbor:"image" json:"image"`
 	GB      float64       `cbor:"gb" json:"gb"`
@@ -24,23 +25,24 @@
 	Fetches []WeightsCopy `cbor:"fetches" json:"fetches"`
 }
 
-// WeightsCopy is an image on one machine, or on its way there.
+// WeightsCopy is a copy of an image on one machine, or a fetch of it.
 type WeightsCopy struct {
 	Machine string   `cbor:"machine" json:"machine"`
 	Zone    string   `cbor:"zone" json:"zone"`
 	Shard   int      `cbor:"shard" json:"shard"`
-	ForS    float64  `cbor:"for_s" json:"for_s"`                         // there, or being fetched, for so long (s)
-	LeftS   float64  `cbor:"left_s,omitempty" json:"left_s,omitempty"`   // until it is expected to be there (s)
-	Sources []string `cbor:"sources,omitempty" json:"sources,omitempty"` // machines it comes from; none: the store
+	ForS    float64  `cbor:"for_s" json:"for_s"`                         // seconds since it was there, or since the fetch began
+	LeftS   float64  `cbor:"left_s,omitempty" json:"left_s,omitempty"`   // seconds until it is expected to be there
+	Sources []string `cbor:"sources,omitempty" json:"sources,omitempty"` // machines that it is fetched from; none: the store
 }
 
-// WeightsOther is what another shard's holder has written of an image.
+// WeightsOther is the plan of another shard's holder for an image.
 type WeightsOther struct {
 	Shard int `cbor:"shard" json:"shard"`
 	WeightsImage
 }
 
-// Cached adds a machine that has images which no task on it uses, of one image or of all.
+// Cached adds a machine to the holders of its images, or, if only is set, of that image. It is for
+// images that no task on the machine uses.
 func (v *WeightsView) Cached(m WeightsCopy, images []string, only string) {
 	for _, image := range images {
 		if only != "" && image != only {
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// States of a task on a machine, and causes of its end.
+// States of a task on a machine, and the causes of its end.
 const (
 	TaskPulling = "pulling"
 	TaskRunning = "running"
@@ -28,7 +28,7 @@
 	VerbClear = "clear"
 )
 
-// Report is what a worker says of itself.
+// Report is a worker's report of its state and its tasks.
 type Report struct {
 	Machine  string       `cbor:"host"`
 	Addr     string       `cbor:"endpoint"`
@@ -42,7 +42,7 @@
 	Attempts []TaskReport `cbor:"pieces"`
 }
 
-// TaskReport is one attempt on a machine.
+// TaskReport is the state of one attempt on a machine.
 type TaskReport struct {
 	Task    string `cbor:"piece"`
 	Attempt uint64 `cbor:"try"`
@@ -51,39 +51,39 @@
 	Saved   bool   `cbor:"kept,omitempty"`
 }
 
-// Command is one order to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb    string   `cbor:"verb"`
 	Task    string   `cbor:"piece"`
 	Attempt uint64   `cbor:"try"`
 	GraceS  *float64 `cbor:"wind_down_s,omitempty"`
-	// Sources are addresses of workers that have the task's image, or fetch it, and hand it on; none: it comes from
-	// the store. A worker that does not know the field fetches it from there all the same.
+	// Sources are the addresses of workers that have or fetch the task's image and hand it on; without any
+	// it is fetched from the store. A worker that does not know the field fetches it from the store.
 	Sources []string `cbor:"sources,omitempty" msgpack:",omitempty"`
 }
 
-// ReportReply answers a report.
+// ReportReply is the answer to a report.
 type ReportReply struct {
 	Token    uint64    `cbor:"baton"`
 	Commands []Command `cbor:"orders"`
 }
 
-// Redirect is the body of a 421.
+// Redirect is the body of a 421 answer: the controller to report to.
 type Redirect struct {
 	Holder string `cbor:"foreman,omitempty"`
 }
 
-// Orders is the body of POST /orders.
+// Orders is the body of POST /orders, a direct call to a worker.
 type Orders struct {
 	Token    uint64    `cbor:"baton"`
 	Session  uint64    `cbor:"tenure"`
 	Commands []Command `cbor:"orders"`
 }
 
-// TaskName joins a job id and a task's index.
+// TaskName returns the name of a job's task.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// ParseTask splits a task's name.
+// ParseTask returns the job id and the index of a task's name.
 func ParseTask(s string) (job string, index int, err error) {
 	job, n, ok := strings.Cut(s, "/")
 	if !ok || !ValidJobID(job) {
