--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -97,11 +97,14 @@
 	}
 	limits := cfg.Params.State.Strictest()
 	n := &node{
-		authority: make(chan any, tuning.InboxSize), inbox: make(chan any, tuning.InboxSize), log: log,
-		workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
-		state:   statestore.New(cfg.Services.State, limits.RPS, limits.WriteRPS),
-		cloud:   cloud.New(cfg.Services.Cloud, cfg.Params.Cloud.RPS),
-		waiting: map[uint64]chan httpapi.Reply{},
+		authority: make(chan any, tuning.InboxSize),
+		inbox:     make(chan any, tuning.InboxSize),
+		log:       log,
+		workers:   make(chan request, tuning.InboxSize),
+		users:     make(chan request, tuning.UserQueueSize),
+		state:     statestore.New(cfg.Services.State, limits.RPS, limits.WriteRPS),
+		cloud:     cloud.New(cfg.Services.Cloud, cfg.Params.Cloud.RPS),
+		waiting:   map[uint64]chan httpapi.Reply{},
 	}
 	ln, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -261,7 +264,15 @@
 		var answer func(int, wire.Report)
 		if v.ReturnOutcome || v.ProbeOnly {
 			answer = func(status int, r wire.Report) {
-				n.inbox <- core.WorkerCallDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, ProbeOnly: v.ProbeOnly, RequestedBy: v.RequestedBy, Status: status, Report: r}
+				n.inbox <- core.WorkerCallDone{
+					Machine:     v.Machine,
+					Token:       v.Orders.Token,
+					Session:     v.Orders.Session,
+					ProbeOnly:   v.ProbeOnly,
+					RequestedBy: v.RequestedBy,
+					Status:      status,
+					Report:      r,
+				}
 			}
 		}
 		if v.ProbeOnly {
--- a/internal/node/queue_test.go
+++ b/internal/node/queue_test.go
@@ -13,8 +13,13 @@
 // A controller that cannot keep up serves workers first, refuses users' requests beyond a short
 // queue at once with a Retry-After, and skips requests whose caller no longer waits.
 func TestOverload(t *testing.T) {
-	n := &node{authority: make(chan any, 1), inbox: make(chan any, 1), workers: make(chan request, tuning.InboxSize), users: make(chan request, tuning.UserQueueSize),
-		waiting: map[uint64]chan httpapi.Reply{}}
+	n := &node{
+		authority: make(chan any, 1),
+		inbox:     make(chan any, 1),
+		workers:   make(chan request, tuning.InboxSize),
+		users:     make(chan request, tuning.UserQueueSize),
+		waiting:   map[uint64]chan httpapi.Reply{},
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	poll := func(id uint64) any { return core.Poll{Req: id} }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,12 +60,57 @@
 }
 
 func TestFrames(t *testing.T) {
-	in := core.PeerMessage{From: "a", Boot: 7, Nonce: 3, Revision: 1200, UpMS: 5, Jobs: []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}}, RouteHops: 2, Reachability: &wire.ReachReport{Boot: 7, NoWorkers: true, SilentShards: []int{1}, SampledShards: []wire.ShardReach{{Shard: 1, Called: 4, Answered: 3}}, UnreachableNodes: []string{"b"}},
-		Call: &core.PeerCall{ID: 9, Incarnation: 4, Hops: 1, Op: core.OpCommit, Key: "live/x", If: []wire.Condition{{Key: "live/x", Version: 3}}, Then: []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}}},
-		Result: &core.PeerResult{ID: 9, Incarnation: 4, Reply: core.StateReply{Status: 200, Item: wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
-			List: wire.ItemList{Items: []wire.Item{{Key: "live/y", Value: wire.Raw{0x01}, Version: 2}}, Revision: 9}, Events: wire.Events{Revision: 9, Events: []wire.Event{{Delete: "live/z", Version: 9}}}}},
-		WorkerCall:     &core.WorkerCall{Machine: "m", Addr: "1:1", Orders: wire.Orders{Token: 5, Session: 2}, ReturnOutcome: true},
-		WorkerCallDone: &core.WorkerCallDone{Machine: "m", Token: 5, Session: 2, Status: 409, Report: wire.Report{Machine: "m", Session: 3, Seq: 8}}}
+	in := core.PeerMessage{
+		From:      "a",
+		Boot:      7,
+		Nonce:     3,
+		Revision:  1200,
+		UpMS:      5,
+		Jobs:      []core.JobCount{{ID: "job-000001", Running: 2, Done: 1}},
+		RouteHops: 2,
+		Reachability: &wire.ReachReport{
+			Boot:             7,
+			NoWorkers:        true,
+			SilentShards:     []int{1},
+			SampledShards:    []wire.ShardReach{{Shard: 1, Called: 4, Answered: 3}},
+			UnreachableNodes: []string{"b"},
+		},
+		Call: &core.PeerCall{
+			ID:          9,
+			Incarnation: 4,
+			Hops:        1,
+			Op:          core.OpCommit,
+			Key:         "live/x",
+			If:          []wire.Condition{{Key: "live/x", Version: 3}},
+			Then:        []core.PeerChange{{Put: "live/x", Value: []byte{0xa0}, Lease: 8}},
+		},
+		Result: &core.PeerResult{
+			ID:          9,
+			Incarnation: 4,
+			Reply: core.StateReply{
+				Status: 200,
+				Item:   wire.Item{Key: "live/x", Value: wire.Raw{0xa0}, Version: 4},
+				List: wire.ItemList{
+					Items:    []wire.Item{{Key: "live/y", Value: wire.Raw{0x01}, Version: 2}},
+					Revision: 9,
+				},
+				Events: wire.Events{Revision: 9, Events: []wire.Event{{Delete: "live/z", Version: 9}}},
+			},
+		},
+		WorkerCall: &core.WorkerCall{
+			Machine:       "m",
+			Addr:          "1:1",
+			Orders:        wire.Orders{Token: 5, Session: 2},
+			ReturnOutcome: true,
+		},
+		WorkerCallDone: &core.WorkerCallDone{
+			Machine: "m",
+			Token:   5,
+			Session: 2,
+			Status:  409,
+			Report:  wire.Report{Machine: "m", Session: 3, Seq: 8},
+		},
+	}
 	var b bytes.Buffer
 	if err := Write(&b, in); err != nil {
 		t.Fatal(err)
@@ -96,7 +141,7 @@
 
 // Messages that were queued while a peer could not be connected to are outdated. Once it is
 // reachable it gets only messages sent from then on, not a burst of old ones.
-func TestNothingOldAfterACut(t *testing.T) {
+func TestNoOutdatedMessagesAfterReconnect(t *testing.T) {
 	began, cut := make(chan bool, 1), make(chan bool)
 	near, far := net.Pipe()
 	first := true
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -38,7 +38,13 @@
 }
 
 func newSharedLimit(limit, most float64) *sharedLimit {
-	p := limits.ShareParams{Min: limit * tuning.MinRateShare, Max: limit * most, Gain: limit * tuning.RateShareGain, Cut: tuning.RateShareCut, Pause: tuning.RateShareCutInterval}
+	p := limits.ShareParams{
+		Min:   limit * tuning.MinRateShare,
+		Max:   limit * most,
+		Gain:  limit * tuning.RateShareGain,
+		Cut:   tuning.RateShareCut,
+		Pause: tuning.RateShareCutInterval,
+	}
 	return &sharedLimit{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
 }
 
--- a/internal/statestore/statestore_test.go
+++ b/internal/statestore/statestore_test.go
@@ -135,17 +135,17 @@
 
 // Deferred writes get a share of the rate that the service currently allows: of a limit that has
 // fallen without notice they would otherwise use everything.
-func TestLaterFollowsTheLearnedShare(t *testing.T) {
+func TestDeferredWritesFollowTheLearnedRate(t *testing.T) {
 	refuse := say(http.StatusTooManyRequests, wire.Problem{Error: "too many writes"})
 	c, _ := client(t, refuse, refuse, refuse, refuse)
-	told := c.deferred.Limit()
+	before := c.deferred.Limit()
 	for range 4 {
 		c.writes.share.Refused(-time.Hour) // as if each refusal came long after the previous one
 		if r := c.Do(context.Background(), put(core.LaneDeferred)); r.Status != http.StatusTooManyRequests {
 			t.Fatalf("status %d", r.Status)
 		}
 	}
-	if got := c.deferred.Limit(); float64(got) > float64(told)*0.5 {
-		t.Errorf("%v changes per second after four refusals, %v before", got, told)
+	if got := c.deferred.Limit(); float64(got) > float64(before)*0.5 {
+		t.Errorf("%v changes per second after four refusals, %v before", got, before)
 	}
 }
--- a/internal/step/admin.go
+++ b/internal/step/admin.go
@@ -49,12 +49,12 @@
 )
 
 type (
-	// AdminLadder reads the tier order, or replaces or validates its tiers if Patch is set.
+	// AdminTierOrder reads the tier order, or replaces or validates its tiers if Patch is set.
 	AdminTierOrder struct {
 		Req   uint64
 		Patch *wire.TierOrderPatch
 	}
-	// AdminOrder asks for the order in which jobs are served.
+	// AdminServiceOrder asks for the order in which jobs are served.
 	AdminServiceOrder struct{ Req uint64 }
 )
 
