--- a/internal/cborhttp/cborhttp.go
+++ b/internal/cborhttp/cborhttp.go
@@ -29,27 +29,27 @@
 
 // RoundTrip sends a request with body, if that is not nil, and returns the status and the encoded
 // body of the response.
-func RoundTrip(ctx context.Context, hc *http.Client, method, url string, body any) (int, []byte, error) {
-	status, _, raw, err := Exchange(ctx, hc, method, url, body)
+func RoundTrip(ctx context.Context, client *http.Client, method, url string, body any) (int, []byte, error) {
+	status, _, raw, err := Exchange(ctx, client, method, url, body)
 	return status, raw, err
 }
 
 // Exchange does the same as RoundTrip and returns the header of the response as well.
-func Exchange(ctx context.Context, hc *http.Client, method, url string, body any) (int, http.Header, []byte, error) {
-	var rd io.Reader
+func Exchange(ctx context.Context, client *http.Client, method, url string, body any) (int, http.Header, []byte, error) {
+	var reader io.Reader
 	if body != nil {
 		b, err := wire.Marshal(body)
 		if err != nil {
 			return 0, nil, nil, err
 		}
-		rd = bytes.NewReader(b)
+		reader = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, url, rd)
+	req, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
 		return 0, nil, nil, err
 	}
 	req.Header.Set("Content-Type", "application/cbor")
-	resp, err := hc.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, nil, err
 	}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -51,11 +51,11 @@
 	case core.OpTypes:
 		path, into = "/machine_types", &types
 	case core.OpMachines:
-		q := url.Values{"page": {strconv.Itoa(500)}}
+		query := url.Values{"page": {strconv.Itoa(500)}}
 		if call.After != "" {
-			q.Set("after", call.After)
+			query.Set("after", call.After)
 		}
-		path, into = "/hosts?"+q.Encode(), &list
+		path, into = "/hosts?"+query.Encode(), &list
 	case core.OpRent:
 		method, path, body, into = http.MethodPost, "/hosts", call.Rent, &names
 	case core.OpDelete:
@@ -65,7 +65,7 @@
 	if err != nil {
 		return core.CloudReply{Err: err.Error()}
 	}
-	rep := core.CloudReply{Status: status}
+	reply := core.CloudReply{Status: status}
 	if status == http.StatusOK && into != nil {
 		if err := wire.Unmarshal(raw, into); err != nil {
 			return core.CloudReply{Err: "bad answer: " + err.Error()}
@@ -73,9 +73,9 @@
 	} else if status != http.StatusOK {
 		var p wire.Problem
 		if wire.Unmarshal(raw, &p) == nil {
-			rep.Err = p.Error
+			reply.Err = p.Error
 		}
 	}
-	rep.Types, rep.Names, rep.List = types.Types, names.Machines, list
-	return rep
+	reply.Types, reply.Names, reply.List = types.Types, names.Machines, list
+	return reply
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -264,8 +264,8 @@
 	if c.Params.Cloud.ListLagS < 0 {
 		errs = append(errs, errors.New("params.cloud.list_lag_s: must not be negative"))
 	}
-	l := c.Params.Limits
-	if l.CPUShare < 0 || l.MemoryMB < 0 || l.MaxSockets < 0 {
+	machine := c.Params.Limits
+	if machine.CPUShare < 0 || machine.MemoryMB < 0 || machine.MaxSockets < 0 {
 		errs = append(errs, errors.New("params.machine_limits: must not be negative"))
 	}
 	if len(c.Params.Teams) == 0 {
@@ -273,31 +273,31 @@
 	}
 	seen := map[string]bool{}
 	for i, t := range c.Params.Teams {
-		f := fmt.Sprintf("params.teams[%d]", i)
+		prefix := fmt.Sprintf("params.teams[%d]", i)
 		switch {
 		case t.Name == "":
-			errs = append(errs, fmt.Errorf("%s.name: missing", f))
+			errs = append(errs, fmt.Errorf("%s.name: missing", prefix))
 		case seen[t.Name]:
-			errs = append(errs, fmt.Errorf("%s.name: %q stands twice", f, t.Name))
+			errs = append(errs, fmt.Errorf("%s.name: %q stands twice", prefix, t.Name))
 		case !(t.CPUs >= 0) || !(t.GPUs >= 0):
-			errs = append(errs, fmt.Errorf("%s: a guarantee must not be negative", f))
+			errs = append(errs, fmt.Errorf("%s: a guarantee must not be negative", prefix))
 		case t.CPUsMax != 0 && !(t.CPUsMax >= t.CPUs):
-			errs = append(errs, fmt.Errorf("%s.cpus_max: must be at least cpus, or 0 for no limit", f))
+			errs = append(errs, fmt.Errorf("%s.cpus_max: must be at least cpus, or 0 for no limit", prefix))
 		case t.GPUsMax != 0 && !(t.GPUsMax >= t.GPUs):
-			errs = append(errs, fmt.Errorf("%s.gpus_max: must be at least gpus, or 0", f))
+			errs = append(errs, fmt.Errorf("%s.gpus_max: must be at least gpus, or 0", prefix))
 		}
 		seen[t.Name] = true
 	}
 	nodes := map[string]bool{c.Node: true}
 	for i, p := range c.Peers {
-		f := fmt.Sprintf("siblings[%d]", i)
+		prefix := fmt.Sprintf("siblings[%d]", i)
 		if p.Node == "" {
-			errs = append(errs, fmt.Errorf("%s.node_name: missing", f))
+			errs = append(errs, fmt.Errorf("%s.node_name: missing", prefix))
 		} else if nodes[p.Node] {
-			errs = append(errs, fmt.Errorf("%s.node_name: %q stands twice", f, p.Node))
+			errs = append(errs, fmt.Errorf("%s.node_name: %q stands twice", prefix, p.Node))
 		}
 		nodes[p.Node] = true
-		errs = append(errs, addr(f+".peer_addr", p.Addr))
+		errs = append(errs, addr(prefix+".peer_addr", p.Addr))
 	}
 	for _, err := range errs {
 		if err != nil {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -35,7 +35,7 @@
 		peerJobCounts: map[string]JobCount{},
 		relays: relay.NewTracker(relay.Limits{
 			Lease:            params.WorkerLease,
-			RedirectInterval: tuning.RelayTime,
+			RedirectInterval: tuning.RedirectInterval,
 			MaxReports:       tuning.MaxRelayedReports,
 			AnswerTimeout:    tuning.RelayTimeout,
 		}),
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -117,22 +117,22 @@
 		if err := c.waitForLimits(ctx, &call); err != nil {
 			return core.StateReply{Status: http.StatusTooManyRequests, Err: err.Error(), OwnLimit: true}
 		}
-		rep := c.send(ctx, call)
+		reply := c.send(ctx, call)
 		if n := len(call.Txn.Then); n > 0 {
-			c.writes.record(rep.Status, n, time.Since(c.startedAt))
+			c.writes.record(reply.Status, n, time.Since(c.startedAt))
 			// Deferred writes get a share of the rate that the service currently allows: of a limit
 			// that has fallen they would otherwise use everything. The burst stays, since no write
 			// counts for more than the burst.
 			c.deferred.SetLimit(rate.Limit(float64(c.writes.Limit()) * tuning.DeferredWriteShare / tuning.StateWriteShare))
 		} else {
-			c.calls.record(rep.Status, 1, time.Since(c.startedAt))
+			c.calls.record(reply.Status, 1, time.Since(c.startedAt))
 		}
-		if rep.Status != http.StatusTooManyRequests || !awaited || tries == tuning.RateLimitRetries {
-			return rep
+		if reply.Status != http.StatusTooManyRequests || !awaited || tries == tuning.RateLimitRetries {
+			return reply
 		}
 		select {
 		case <-ctx.Done():
-			return rep
+			return reply
 		case <-time.After(tuning.RateLimitRetryDelay):
 		}
 	}
@@ -149,7 +149,7 @@
 	method, path := http.MethodGet, ""
 	var body any
 	var into any
-	var rep core.StateReply
+	var reply core.StateReply
 	var item wire.Item
 	var list wire.ItemList
 	var txn wire.TxnReply
@@ -159,11 +159,11 @@
 	case core.OpGet:
 		path, into = "/store/"+call.Key, &item
 	case core.OpList:
-		q := url.Values{"starts": {call.Key}, "page": {"500"}}
+		query := url.Values{"starts": {call.Key}, "page": {"500"}}
 		if call.After != "" {
-			q.Set("after", call.After)
+			query.Set("after", call.After)
 		}
-		path, into = "/store?"+q.Encode(), &list
+		path, into = "/store?"+query.Encode(), &list
 	case core.OpCommit:
 		method, path, body, into = http.MethodPost, "/commit", call.Txn, &txn
 	case core.OpGrant:
@@ -178,7 +178,7 @@
 	if err != nil {
 		return core.StateReply{Err: err.Error()}
 	}
-	rep.Status = status
+	reply.Status = status
 	switch {
 	case status == http.StatusOK && into != nil:
 		if err := wire.Unmarshal(raw, into); err != nil {
@@ -195,9 +195,9 @@
 	case status >= 400:
 		var p wire.Problem
 		if wire.Unmarshal(raw, &p) == nil {
-			rep.Err = p.Error
+			reply.Err = p.Error
 		}
 	}
-	rep.Item, rep.List, rep.Txn, rep.Lease, rep.Events = item, list, txn, lease.Lease, events
-	return rep
+	reply.Item, reply.List, reply.Txn, reply.Lease, reply.Events = item, list, txn, lease.Lease, events
+	return reply
 }
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -46,9 +46,9 @@
 	// MaxRelayedReports (reports) is how many reports are relayed for a worker before it is
 	// redirected to its holder; one may be all that a worker needs after a takeover.
 	MaxRelayedReports = 3
-	// RelayTime (duration) is how long reports are relayed for a worker that came back from its
-	// holder, before the next redirect, which costs the worker half a lease.
-	RelayTime = 20 * time.Second
+	// RedirectInterval (duration) is how long reports are relayed for a worker that came back from
+	// its holder, before the next redirect, which costs the worker half a lease.
+	RedirectInterval = 20 * time.Second
 	// RelayTimeout (duration) is how long a relayed report may go unanswered before it is
 	// returned to its worker. Holders answer in milliseconds, a busy one in tenths of
 	// a second.
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -126,9 +126,9 @@
 // Forecasts of run times.
 const (
 	// ForecastPriorTasks (tasks) is the weight of a user's estimate before the run times of its
-	// class are known, ForecastMaxTasks (tasks) the largest weight of observed run times, and
-	// ForecastPriorSpread (of the logarithm) the spread assumed for estimates; users are off by
-	// half.
+	// class are known, ForecastMaxTasks (tasks) how many tasks of a class are remembered, and
+	// ForecastPriorSpread (of the logarithm) the spread that is assumed until then; users' estimates
+	// are off by half.
 	ForecastPriorTasks  = 4
 	ForecastMaxTasks    = 200
 	ForecastPriorSpread = 0.4
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -14,32 +14,32 @@
 const MaxBody = 64 << 10
 
 var (
-	enc cbor.EncMode
-	dec cbor.DecMode
+	encodeMode cbor.EncMode
+	decodeMode cbor.DecMode
 )
 
 func init() {
 	var err error
 	// The encoding is deterministic: equal messages have equal bytes, whichever controller writes them.
-	if enc, err = (cbor.EncOptions{Sort: cbor.SortBytewiseLexical}).EncMode(); err != nil {
+	if encodeMode, err = (cbor.EncOptions{Sort: cbor.SortBytewiseLexical}).EncMode(); err != nil {
 		panic(err)
 	}
 	// The limits keep the memory for a hostile body in proportion to its size.
-	dec, err = cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 131072, MaxMapPairs: 131072}.DecMode()
+	decodeMode, err = cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 131072, MaxMapPairs: 131072}.DecMode()
 	if err != nil {
 		panic(err)
 	}
 }
 
 // Marshal encodes a message as CBOR.
-func Marshal(v any) ([]byte, error) { return enc.Marshal(v) }
+func Marshal(v any) ([]byte, error) { return encodeMode.Marshal(v) }
 
 // Unmarshal decodes one CBOR message into v. Unknown fields are ignored. An empty body is an error.
 func Unmarshal(b []byte, v any) error {
 	if len(b) == 0 {
 		return errors.New("empty body")
 	}
-	return dec.Unmarshal(b, v)
+	return decodeMode.Unmarshal(b, v)
 }
 
 // EqualEncoding reports whether two messages have the same encoding.
--- a/wire/size.go
+++ b/wire/size.go
@@ -12,8 +12,8 @@
 // Lists of small numbers grow most, to twice their size.
 const jsonGrowth = 4
 
-// generic decodes any value and rejects duplicate keys of maps.
-var generic = func() cbor.DecMode {
+// genericDecodeMode decodes any value and rejects duplicate keys of maps.
+var genericDecodeMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 131072, MaxMapPairs: 131072, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode()
 	if err != nil {
 		panic(err)
@@ -26,7 +26,7 @@
 // text, and binary data.
 func JSONSize(raw Raw) (int, error) {
 	var v any
-	if err := generic.Unmarshal(raw, &v); err != nil {
+	if err := genericDecodeMode.Unmarshal(raw, &v); err != nil {
 		return 0, err
 	}
 	plain, err := textKeys(v)
