--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -23,7 +23,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/reach"
 	"github.com/barrowbridge/barrowbridge/internal/reservation"
 	"github.com/barrowbridge/barrowbridge/internal/rollout"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/takeover"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -94,8 +94,8 @@
 	reservations      map[int]*reservation.Table[*machine] // by shard: machines reserved for tasks that fit on no machine
 	limitReservations map[string]reservation.Reservation   // by team: part of its limit reserved for a job that does not fit into the rest
 	runTimes          *forecast.Estimator
-	calendar          *calendar.Book // crews and the plans for their departures
-	weights           *weights.Book  // distribution of images that many machines need
+	calendar          *calendar.Planner // crews and the plans for their departures
+	weights           *weights.Planner  // distribution of images that many machines need
 	dependencyState
 	workerAddresses *takeover.AddressBook // addresses that workers listen on
 	listingMachines bool                  // a cloud list is being read to restore worker addresses
@@ -122,7 +122,7 @@
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(params.NodeZones), c.nodes)
 	c.holderState = newHolderState()
-	c.startLog, c.provisioning, c.progress = starts.New(starts.Limits{}), newProvisioning(), progress.New(tuning.ProgressRecordTasks)
+	c.startLog, c.provisioning, c.progress = startlog.New(startlog.Limits{}), newProvisioning(), progress.New(tuning.ProgressRecordTasks)
 	c.indexes = newIndexes(params.Teams)
 	c.objectives = params.Objectives
 	c.callQueue = newCallQueue(params)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -44,8 +44,8 @@
 		Version:        Version(),
 		Features:       rollout.Features(),
 		Weights: weights.Switches{
-			HandOn: cfg.Switches.Weights.HandOn,
-			Pace:   cfg.Switches.Weights.Pace,
+			PeerTransfer: cfg.Switches.Weights.HandOn,
+			PaceFetches:  cfg.Switches.Weights.Pace,
 		},
 	}
 	for _, n := range cfg.Peers {
