--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"github.com/barrowbridge/barrowbridge/internal/boot"
 	records "github.com/barrowbridge/barrowbridge/internal/mirror"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
+	"github.com/barrowbridge/barrowbridge/internal/provisioning"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
@@ -34,7 +34,7 @@
 	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
 	startLog     *starts.Book         // recorded starts of tasks
 	progress     *progress.Book       // recorded done tasks
-	provisioning *boot.Book           // machines that are booting
+	provisioning *provisioning.Book   // machines that are booting
 	biases       map[string]wire.Bias // by key: how far run-time estimates are off
 
 	// Indexes that are updated with each record, so that the cost of a report or a poll does not depend
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -4,16 +4,16 @@
 	"math"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/boot"
+	"github.com/barrowbridge/barrowbridge/internal/provisioning"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
 // newProvisioning returns a tracker of boots without observations. The prior stands for what the cloud's
 // documentation says of boot times, as multiples of the usual one.
-func newProvisioning() *boot.Book {
-	return boot.New(boot.Params{
-		Prior: []boot.Seen{
+func newProvisioning() *provisioning.Book {
+	return provisioning.New(provisioning.Params{
+		Prior: []provisioning.Seen{
 			{Ratio: 0.6, Weight: 2},
 			{Ratio: 0.9, Weight: 3},
 			{Ratio: 1.2, Weight: 3},
@@ -41,7 +41,7 @@
 		return
 	}
 	if now != nil {
-		kind := boot.Kind{Type: now.record.Type, Zone: now.record.Zone, Spot: now.record.Spot}
+		kind := provisioning.Kind{Type: now.record.Type, Zone: now.record.Zone, Spot: now.record.Spot}
 		for _, blockMachine := range now.record.Machines {
 			switch m := c.machines[blockMachine.Name]; {
 			case !blockMachine.Fresh: // adopted, so the time of its rental is not known
@@ -91,6 +91,6 @@
 // noteRented tracks machines that have just been rented and are in no stored block yet.
 func (c *Core) noteRented(infos []wire.MachineInfo) {
 	for _, info := range infos {
-		c.provisioning.Booked(c.now, info.Name, boot.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
+		c.provisioning.Booked(c.now, info.Name, provisioning.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
 	}
 }
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/boot"
+	"github.com/barrowbridge/barrowbridge/internal/provisioning"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -140,12 +140,12 @@
 		return false
 	}
 	var offers []supply.Offer
-	var requests []boot.Ask
+	var requests []provisioning.Ask
 	for _, offer := range supply.Offers(c.machineTypes, need, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= leader.offerRetryAt[offer.Key()] {
 			offers = append(offers, offer)
-			requests = append(requests, boot.Ask{
-				Kind:  boot.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
+			requests = append(requests, provisioning.Ask{
+				Kind:  provisioning.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
 				Count: offer.MachineCount(need.Tasks, tuning.RentMax),
 			})
 		}
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/barrowbridge/barrowbridge/internal/boot"
+	"github.com/barrowbridge/barrowbridge/internal/provisioning"
 	"github.com/barrowbridge/barrowbridge/internal/starts"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -135,7 +135,7 @@
 	w.kill("c1")
 	w.start("c1")
 	w.run(2 * sec)
-	kind, without := boot.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
+	kind, without := provisioning.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
 	c := w.nodes["c1"].core
 	if !c.loaded || c.provisioning.Fresh(c.now, kind) != without.Fresh(0, kind) {
 		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.Fresh(c.now, kind), without.Fresh(0, kind))
--- a/internal/boot/boot.go
+++ b/internal/provisioning/provisioning.go
@@ -1,4 +1,4 @@
-// Package boot judges machines that have been rented and are not up: how likely one that
+// Package provisioning judges machines that have been rented and are not up: how likely one that
 // has waited so long still comes, and which kinds are worth asking for. A booting machine
 // counted as room to come in full until it was given up, four usual boots later, and work
 // waited all that while for hands that never came.
@@ -8,7 +8,7 @@
 // so all controllers judge alike and a change of leader loses nothing.
 //
 // Pure: time comes in; not for concurrent use.
-package boot
+package provisioning
 
 import (
 	"cmp"
--- a/internal/boot/boot_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -1,4 +1,4 @@
-package boot
+package provisioning
 
 import (
 	"fmt"
