--- a/internal/core/admin.go
+++ b/internal/core/admin.go
@@ -17,7 +17,7 @@
 
 // settingsView returns the current settings and the version of their record.
 func (c *Core) settingsView() wire.SettingsView {
-	return wire.SettingsView{Version: c.versions.Of(wire.KeySettings), Settings: c.settings}
+	return wire.SettingsView{Version: c.versions.Version(wire.KeySettings), Settings: c.settings}
 }
 
 // onAdminSettings answers an operator who reads or changes the settings. A change has to name the version that it
@@ -36,7 +36,7 @@
 		c.answer(query.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	if query.Patch.Version != c.versions.Of(wire.KeySettings) {
+	if query.Patch.Version != c.versions.Version(wire.KeySettings) {
 		c.answer(query.Req, 409, c.settingsView())
 		return
 	}
@@ -79,7 +79,7 @@
 	if query.Cordon != nil {
 		change.Value = wire.Cordon{Drain: query.Cordon.Drain}
 	}
-	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.versions.Of(key)}}, []wire.Change{change}, func(reply StateReply) {
+	c.commit(LaneUser, []wire.Condition{{Key: key, Version: c.versions.Version(key)}}, []wire.Change{change}, func(reply StateReply) {
 		c.answerAdminWrite(query.Req, reply, func() any { return query.Cordon })
 	})
 }
@@ -166,8 +166,8 @@
 	overview.Limits = wire.LimitsView{
 		ValueBytes: c.params.MaxValueBytes,
 		TxnOps:     c.params.MaxTxnOps,
-		Stuck:      c.writeLimits.Stuck(c.now),
-		Refused:    c.writeLimits.Tell(),
+		Stuck:      c.writeLimits.StartsStuck(c.now),
+		Refused:    c.writeLimits.RefusedWrites(),
 	}
 	c.answer(query.Req, 200, overview)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -86,7 +86,7 @@
 	trailLoaded, trailCallPending bool // whether the stored trail of earlier incarnations has been read, and whether a call for it is in flight
 
 	mirror
-	rollout *rollout.Book // features that the controllers support
+	rollout *rollout.Tracker // features that the controllers support
 	holderState
 	indexes
 	callQueue         *callqueue.Queue[*machine]           // workers to be called for an early report
@@ -105,7 +105,7 @@
 	probingState bool // a probe of the direct link to the state service is in flight, while calls go through a peer
 	reachability
 	leader      leaderState
-	writeLimits *limits.Form // sizes of writes that the state service accepts
+	writeLimits *limits.WriteBounds // sizes of writes that the state service accepts
 }
 
 // New returns a core that has not read the state yet.
@@ -118,7 +118,7 @@
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(params.Node))
 	c.jitter = rand.New(rand.NewPCG(hash.Sum64(), 0))
-	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, Every: tuning.TrailEvery})
+	c.trail = trail.New(trail.Limits{Events: tuning.TrailEvents, WriteInterval: tuning.TrailEvery})
 	c.mirror = newMirror()
 	c.rollout = rollout.New(rollout.Features(), sortedKeys(params.NodeZones), c.nodes)
 	c.holderState = newHolderState()
@@ -146,7 +146,7 @@
 	})
 	c.term = membership.NewTerm(tuning.RetryAfter)
 	c.leader.reset(params.CloudListLag)
-	c.writeLimits = limits.NewForm(writeLimitParams, limits.Bounds{ValueBytes: params.MaxValueBytes, Changes: params.MaxTxnOps})
+	c.writeLimits = limits.NewWriteBounds(writeLimitParams, limits.Bounds{ValueBytes: params.MaxValueBytes, Changes: params.MaxTxnOps})
 	c.applyWriteLimits(c.writeLimits.Bounds())
 	return c
 }
@@ -432,7 +432,7 @@
 			}
 		}
 		// The watch repeats the changes that were made while the pages were read.
-		c.versions.Read(c.listRevision)
+		c.versions.MarkRead(c.listRevision)
 		c.mirrorRevision, c.loading, c.watching, c.listedKeys = c.listRevision, false, false, nil
 		c.presence.WatchAnswered(began)
 		c.startHoldingShards()
@@ -498,7 +498,7 @@
 			c.writeRefused(conditions, changes, reply.Err)
 		case 200:
 			for _, change := range changes {
-				c.writeLimits.Taken(limits.KindOf(change.Put))
+				c.writeLimits.RecordSuccess(limits.KindOf(change.Put))
 				if change.Delete != "" {
 					c.applyDelete(change.Delete, reply.Txn.Revision)
 				} else if raw, err := wire.Marshal(change.Value); err == nil {
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -149,7 +149,7 @@
 		return unlimitedCapacity(team)
 	}, func(p *queue.Entry[*jobEntry]) bool {
 		e, j := p.Handle, &p.Handle.record
-		if e.run == nil || c.taskHealth.Trial(j.ID) || c.writeLimits.Aside(c.now, limits.Start, jobKey(j.ID)) {
+		if e.run == nil || c.taskHealth.OnTrial(j.ID) || c.writeLimits.ShouldSkip(c.now, limits.KindStart, jobKey(j.ID)) {
 			return true
 		}
 		size, team := jobSize(j), c.params.Teams[j.Team]
@@ -241,7 +241,7 @@
 		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
 		// While starts are stuck, nothing is rented for tasks that cannot start, and no machine is
 		// given back for lack of tasks.
-		if !c.writeLimits.Stuck(c.now) {
+		if !c.writeLimits.StartsStuck(c.now) {
 			unmet.Needs = c.unmetNeeds(shard)
 			c.retireMachines(shard, len(unmet.Needs) > 0)
 			if len(unmet.Needs) == 0 {
--- a/internal/core/flush.go
+++ b/internal/core/flush.go
@@ -38,10 +38,10 @@
 func (c *Core) newBatch() *batch {
 	b := &batch{
 		c:              c,
-		maxChanges:     c.writeLimits.Bounds().Short(tuning.ShortOps),
+		maxChanges:     c.writeLimits.Bounds().ShortWrite(tuning.ShortOps),
 		comparedShards: map[int]bool{},
 	}
-	if c.writeLimits.Alone(c.now) {
+	if c.writeLimits.WriteSingly(c.now) {
 		b.maxChanges = 2
 	}
 	return b
@@ -138,7 +138,7 @@
 		if b.full() {
 			break
 		}
-		if e.run.writeInFlight || c.writeLimits.Aside(c.now, limits.Final, jobKey(e.record.ID)) {
+		if e.run.writeInFlight || c.writeLimits.ShouldSkip(c.now, limits.KindFinal, jobKey(e.record.ID)) {
 			continue
 		}
 		if _, ended, _ := c.unwrittenStarts(e); !ended {
@@ -152,7 +152,7 @@
 		block := c.blocks[id]
 		if block == nil || !c.holdsShard(block.record.Shard) {
 			delete(c.urgentBlocks, id)
-		} else if !b.full() && !c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
+		} else if !b.full() && !c.writeLimits.ShouldSkip(c.now, limits.KindBlock, blockKey(id)) {
 			if rec, change := c.desiredBlock(block); change {
 				b.addBlock(block, rec)
 			} else {
@@ -220,7 +220,7 @@
 	b := c.newBatch()
 	for _, id := range c.blockIDs() {
 		block := c.blocks[id]
-		if !c.holdsShard(block.record.Shard) || c.urgentBlocks[id] || b.full() || c.writeLimits.Aside(c.now, limits.Block, blockKey(id)) {
+		if !c.holdsShard(block.record.Shard) || c.urgentBlocks[id] || b.full() || c.writeLimits.ShouldSkip(c.now, limits.KindBlock, blockKey(id)) {
 			continue
 		}
 		if rec, change := c.desiredBlock(block); change {
@@ -236,7 +236,7 @@
 			break
 		}
 		// A job whose record is being written is skipped; its progress follows later.
-		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.writeLimits.Aside(c.now, limits.Job, jobKey(e.record.ID)) {
+		if e.run.writeInFlight || c.now-e.run.progressWrittenAt < pause || c.writeLimits.ShouldSkip(c.now, limits.KindJob, jobKey(e.record.ID)) {
 			continue
 		}
 		e.run.progressWrittenAt = c.now
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -132,9 +132,9 @@
 
 			tr := trail.New(trail.Limits{Events: tuning.TrailEvents, Bytes: min(tuning.TrailBytes, bytes/2)})
 			for k := range machines {
-				tr.Add(time.Duration(k)*sec, time.UnixMilli(1e12), wire.TrailEvent{Kind: trail.LeaseOver, Machine: long(k), Count: 4, Node: "controller-of-a-long-name"})
+				tr.Add(time.Duration(k)*sec, time.UnixMilli(1e12), wire.TrailEvent{Kind: trail.LeaseExpired, Machine: long(k), Count: 4, Node: "controller-of-a-long-name"})
 			}
-			rec, _ := tr.Record(time.Hour, 1<<40)
+			rec, _ := tr.NextRecord(time.Hour, 1<<40)
 			if len(rec.Events) < 4 {
 				t.Errorf("%d events in the trail's record", len(rec.Events))
 			}
--- a/internal/core/holder.go
+++ b/internal/core/holder.go
@@ -40,7 +40,7 @@
 	startsRetryAt    map[int]Time // earliest next write of a shard's starts after a failed one
 	startsPacedUntil map[int]Time // earliest next write of a shard's starts if none is urgent
 
-	taskHealth        *health.Book
+	taskHealth        *health.Tracker
 	firstUseUnwritten map[string]bool         // machines that are up, but recorded as never used
 	urgentBlocks      map[string]bool         // blocks whose records are written with the urgent writes
 	pendingTransfers  map[int]pendingTransfer // by shard: transfers sent to be written, not yet in the mirror
@@ -200,7 +200,7 @@
 			e.run.inheritedBelow = e.record.Started
 			if starts, _ := c.startLog.Of(e.record.ID); starts.Bad && len(e.run.done) == 0 {
 				// Otherwise all tasks of an array that fails everywhere would be tried again after each takeover.
-				c.taskHealth.Condemn(c.now, e.record.ID)
+				c.taskHealth.MarkMistaken(c.now, e.record.ID)
 				e.run.notBefore = c.taskHealth.NotBefore(e.record.ID)
 			}
 			c.reconcileJob(e, shard, true)
@@ -504,7 +504,7 @@
 		e.run.active[a.taskIndex] = other
 		return
 	}
-	if !e.run.done.Has(a.taskIndex) {
+	if !e.run.done.Contains(a.taskIndex) {
 		e.run.retryIndexes = append(e.run.retryIndexes, a.taskIndex)
 		e.run.waitingSince = c.now
 	}
--- a/internal/core/indexes.go
+++ b/internal/core/indexes.go
@@ -196,7 +196,7 @@
 		Pending:       c.startableTasks(e),
 		Started:       j.Started > 0 || run.nextIndex > 0,
 	}
-	if c.taskHealth.Trial(j.ID) {
+	if c.taskHealth.OnTrial(j.ID) {
 		queued.Unfinished = min(queued.Unfinished, 1) // it reserves no capacity that other jobs could use
 	}
 	c.jobQueue.Put(e, queued)
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -217,8 +217,8 @@
 			t.Errorf("ended %v after the change: %v", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
-			if n.core.versions.Of(wire.KeyLadder) != w.key(wire.KeyLadder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
-				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Of(wire.KeyLadder))
+			if n.core.versions.Version(wire.KeyLadder) != w.key(wire.KeyLadder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
+				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Version(wire.KeyLadder))
 			}
 		}
 	}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -18,7 +18,7 @@
 // because all of it can be learned again from the cloud and the state service.
 type leaderState struct {
 	listingMachines  bool                       // a read of the cloud's machine list is in progress
-	cloudMachines    *inventory.Book            // the machines that the cloud lists
+	cloudMachines    *inventory.Tracker         // the machines that the cloud lists
 	deletingMachines bool                       // a delete call to the cloud is in progress
 	servingShards    map[int]bool               // shards with a rental or a block move in progress
 	rentedMachines   map[int][]wire.MachineInfo // by shard: rented machines that are in no block yet
@@ -38,10 +38,10 @@
 	requests := l.rentRequests // kept, so that request names never repeat
 	*l = leaderState{
 		cloudMachines: inventory.New(inventory.Limits{
-			Lag:   listLag,
-			Gone:  3*listLag + tuning.GoneAfter,
-			Grace: tuning.SurpriseGrace,
-			Again: tuning.SurpriseAgain,
+			ListLag:      listLag,
+			GoneAfter:    3*listLag + tuning.GoneAfter,
+			AdoptAfter:   tuning.SurpriseGrace,
+			CallInterval: tuning.SurpriseAgain,
 		}),
 		servingShards:  map[int]bool{},
 		rentedMachines: map[int][]wire.MachineInfo{},
@@ -60,7 +60,7 @@
 // leader's periodic work.
 func (c *Core) runLeader() {
 	leader := &c.leader
-	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.versions.Of(wire.KeyLeader))
+	began, ended := c.term.ObserveLeader(c.now, c.isLeader(), c.versions.Version(wire.KeyLeader))
 	if !c.isLeader() {
 		if ended {
 			c.recordEvent(wire.TrailEvent{Kind: trail.NoLongerLeading, Node: c.leaderRecord.Node})
@@ -70,7 +70,7 @@
 		// The leadership is free, or held by an earlier incarnation of this node, which is dead.
 		if c.term.StartClaim(c.now, (c.leaderRecord.Node == "" || c.leaderRecord.Node == c.params.Node) && c.presence.Registered()) {
 			c.commit(LaneFirst,
-				[]wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}},
+				[]wire.Condition{{Key: wire.KeyLeader, Version: c.versions.Version(wire.KeyLeader)}},
 				[]wire.Change{{
 					Put:   wire.KeyLeader,
 					Value: wire.Leader{Node: c.params.Node, Boot: c.presence.Boot()},
@@ -85,8 +85,8 @@
 	}
 	if began {
 		leader.reset(c.params.CloudListLag)
-		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Of(wire.KeyLeader)})
-		c.log(1, "leading", "revision", c.versions.Of(wire.KeyLeader))
+		c.recordEvent(wire.TrailEvent{Kind: trail.Leading, Token: c.versions.Version(wire.KeyLeader)})
+		c.log(1, "leading", "revision", c.versions.Version(wire.KeyLeader))
 	}
 	for name := range c.nodes {
 		if _, ok := leader.nodeSince[name]; !ok {
@@ -110,7 +110,7 @@
 
 // leaderCondition returns the condition that the leader record has not changed.
 func (c *Core) leaderCondition() wire.Condition {
-	return wire.Condition{Key: wire.KeyLeader, Version: c.versions.Of(wire.KeyLeader)}
+	return wire.Condition{Key: wire.KeyLeader, Version: c.versions.Version(wire.KeyLeader)}
 }
 
 // canFormBlocks reports whether blocks may be formed: no earlier write of this controller that forms
@@ -318,7 +318,7 @@
 				inBlocks[bm.Name] = true
 			}
 		}
-		leader.cloudMachines.Read(c.now, all, inBlocks)
+		leader.cloudMachines.ApplyList(c.now, all, inBlocks)
 		c.runLeader()
 	})
 }
@@ -326,7 +326,7 @@
 // onUnassignedReport handles a report of a machine that is in no block. The report may be a copy of an
 // old one, so the worker is probed before the machine is adopted.
 func (c *Core) onUnassignedReport(r *wire.Report) {
-	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.Came(c.now, r.Machine) {
+	if c.isLeader() && r.Addr != "" && c.leader.cloudMachines.AllowCall(c.now, r.Machine) {
 		c.effects = append(c.effects, Order{Machine: r.Machine, Addr: r.Addr, Look: true})
 	}
 }
@@ -334,7 +334,7 @@
 // noteAnswered records that a machine in no block has answered a call from this controller.
 func (c *Core) noteAnswered(r *wire.Report) {
 	if c.isLeader() && c.blockOf(r.Machine) == nil {
-		c.leader.cloudMachines.Lives(c.now, wire.MachineInfo{
+		c.leader.cloudMachines.MarkAnswered(c.now, wire.MachineInfo{
 			Name:   r.Machine,
 			Addr:   r.Addr,
 			Type:   r.Type,
@@ -352,7 +352,7 @@
 	conditions := []wire.Condition{c.leaderCondition()}
 	var changes []wire.Change
 	done := map[string]bool{}
-	for _, name := range leader.cloudMachines.AllGone() {
+	for _, name := range leader.cloudMachines.DeletedMachines() {
 		id, inBlock := c.blockOfMachine[name]
 		if !inBlock || done[id] || len(changes) >= c.params.MaxTxnOps {
 			continue
@@ -360,7 +360,7 @@
 		done[id] = true
 		block := c.blocks[id]
 		rec := block.record
-		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.Gone(bm.Name) })
+		rec.Machines = slices.DeleteFunc(slices.Clone(rec.Machines), func(bm wire.BlockMachine) bool { return leader.cloudMachines.IsDeleted(bm.Name) })
 		conditions = append(conditions, wire.Condition{Key: blockKey(id), Version: block.version})
 		if len(rec.Machines) == 0 {
 			changes = append(changes, wire.Change{Delete: blockKey(id)})
@@ -376,7 +376,7 @@
 		})
 		return true
 	}
-	leader.cloudMachines.Forget(c.now)
+	leader.cloudMachines.ForgetOld(c.now)
 	return false
 }
 
@@ -387,13 +387,13 @@
 	if leader.writePending {
 		return
 	}
-	if leader.cloudMachines.AnyGone() && c.dueEvery("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
+	if leader.cloudMachines.HasDeleted() && c.dueEvery("gone", 100*time.Millisecond) && c.removeDeletedMachines() {
 		return
 	}
 	if leader.deletingMachines || c.now < leader.cloudRetryAt {
 		return
 	}
-	names := leader.cloudMachines.ToDelete(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
+	names := leader.cloudMachines.PendingDeletions(c.markedForDeletion, func(n string) bool { return c.blockOfMachine[n] != "" }, tuning.DeleteMax)
 	if len(names) == 0 {
 		return
 	}
@@ -406,7 +406,7 @@
 			return
 		}
 		leader.cloudBackoff = 0
-		leader.cloudMachines.Deleted(c.now, names)
+		leader.cloudMachines.MarkDeleted(c.now, names)
 		c.mirrorChanged()
 	})
 }
@@ -416,14 +416,14 @@
 	leader := &c.leader
 	// Without the machine types every block counts as having no CPUs, and all base machines once
 	// went to the same shard.
-	if leader.writePending || !leader.cloudMachines.Strangers() ||
+	if leader.writePending || !leader.cloudMachines.HasUnassigned() ||
 		len(c.machineTypes) == 0 || len(c.shards) < len(c.params.NodeZones) ||
 		!c.dueEvery("adopt", 200*time.Millisecond) || !c.canFormBlocks() {
 		return
 	}
 	// The machine list may lag by up to twice the usual time.
 	first := leader.shardsCreatedAt > 0 && c.now-leader.shardsCreatedAt < 2*c.params.CloudListLag && (len(c.blocks) == 0 || leader.adoptingBase)
-	infos := leader.cloudMachines.Adopt(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
+	infos := leader.cloudMachines.PendingAdoptions(c.now, first, func(n string) bool { return c.blockOf(n) != nil })
 	if leader.adoptingBase = first && len(infos) > 0; len(infos) == 0 {
 		return
 	}
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -31,11 +31,11 @@
 	settings     wire.Settings
 	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *tiers.Order
-	tierRecord   wire.Ladder          // the stored record that tierOrder was read from
-	startLog     *starts.Book         // recorded starts of tasks
-	progress     *progress.Book       // recorded done tasks
-	provisioning *provisioning.Book   // machines that are booting
-	biases       map[string]wire.Bias // by key: how far run-time estimates are off
+	tierRecord   wire.Ladder           // the stored record that tierOrder was read from
+	startLog     *starts.Book          // recorded starts of tasks
+	progress     *progress.Index       // recorded done tasks
+	provisioning *provisioning.Tracker // machines that are booting
+	biases       map[string]wire.Bias  // by key: how far run-time estimates are off
 
 	// Indexes that are updated with each record, so that the cost of a report or a poll does not depend
 	// on the number of machines. The tests compare them with a full recount.
@@ -218,7 +218,7 @@
 // applyPut applies a write to the mirror. An older version of the key changes nothing, whether it comes
 // from the watch, a list, a read or a commit of this controller.
 func (c *Core) applyPut(key string, value wire.Raw, version uint64) {
-	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.News(key, version) {
+	if !strings.HasPrefix(key, wire.LivePrefix) || !c.versions.IsNewer(key, version) {
 		return
 	}
 	fail := func(err error) { c.log(0, "cannot decode a stored record", "key", key, "err", err.Error()) }
@@ -419,7 +419,7 @@
 		c.assignments.RemoveStored(key[len(wire.PrefixReach):])
 	case strings.HasPrefix(key, wire.PrefixNode):
 		delete(c.nodes, key[len(wire.PrefixNode):])
-		c.recordEvent(wire.TrailEvent{Kind: trail.NodeGone, Node: key[len(wire.PrefixNode):]})
+		c.recordEvent(wire.TrailEvent{Kind: trail.ControllerGone, Node: key[len(wire.PrefixNode):]})
 		c.log(1, "controller is no longer present", "node", key[len(wire.PrefixNode):])
 	case strings.HasPrefix(key, wire.PrefixVersion):
 		c.rollout.Remember(key[len(wire.PrefixVersion):], wire.Version{})
--- a/internal/core/pending_machines.go
+++ b/internal/core/pending_machines.go
@@ -96,7 +96,7 @@
 // learnAddresses stores the addresses of workers from the cloud's list of machines.
 func (c *Core) learnAddresses(list map[string]wire.MachineInfo) {
 	for name, info := range list {
-		if c.blockOfMachine[name] != "" || c.leader.cloudMachines.Stranger(name) {
+		if c.blockOfMachine[name] != "" || c.leader.cloudMachines.IsUnassigned(name) {
 			c.workerAddresses.Learn(name, info.Addr, 0)
 		}
 	}
--- a/internal/core/placement.go
+++ b/internal/core/placement.go
@@ -139,9 +139,9 @@
 // possiblyInherited returns the number of tasks that may run on machines of an earlier holder.
 // They count against the team's limit.
 func (r *jobRun) possiblyInherited() int {
-	n := r.inheritedBelow - r.done.Below(r.inheritedBelow)
+	n := r.inheritedBelow - r.done.CountBelow(r.inheritedBelow)
 	for k := range r.active {
-		if k < r.inheritedBelow && !r.done.Has(k) {
+		if k < r.inheritedBelow && !r.done.Contains(k) {
 			n--
 		}
 	}
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -29,7 +29,7 @@
 		if !privileged && (e.priority <= idleRank || len(c.idleAttempts) == 0) {
 			return !c.tierOrder.PriorityOnly() // nothing is preemptible for it; in plain priority order no later job is urgent
 		}
-		if !privileged && !p.WithinGuarantee || c.taskHealth.Trial(e.record.ID) {
+		if !privileged && !p.WithinGuarantee || c.taskHealth.OnTrial(e.record.ID) {
 			return true
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
--- a/internal/core/progress.go
+++ b/internal/core/progress.go
@@ -9,7 +9,7 @@
 
 // knownDone returns the tasks of a job that are stored as done, as far as this version reads the records.
 func (c *Core) knownDone(e *jobEntry) ranges.Set {
-	return ranges.Set(e.record.Done).Union(c.progress.Of(e.record.ID))
+	return ranges.Set(e.record.Done).Union(c.progress.Done(e.record.ID))
 }
 
 // durableDone returns the tasks of a job that any controller that takes it over knows as done. Until all
@@ -35,13 +35,13 @@
 		return err == nil && wire.FitsIn(raw, c.params.MaxValueBytes)
 	}, maxParts)
 	var changes []wire.Change
-	if rec.Done = plan.Record.Clone(); plan.Put {
+	if rec.Done = plan.Record.Clone(); plan.PutRecord {
 		changes = append(changes, wire.Change{Put: jobKey(rec.ID), Value: rec})
 		raw, _ := wire.Marshal(rec)
 		b.bytes += len(raw)
 	}
 	for _, part := range plan.Parts {
-		b.conditions = append(b.conditions, wire.Condition{Key: part.Key, Version: part.Ver})
+		b.conditions = append(b.conditions, wire.Condition{Key: part.Key, Version: part.Version})
 		changes = append(changes, wire.Change{Put: part.Key, Value: part.Record})
 	}
 	if len(changes) > 0 {
@@ -52,7 +52,7 @@
 // hasUnwrittenEnd reports whether an attempt has completed its task and that is not stored yet.
 func (c *Core) hasUnwrittenEnd(a *attempt) bool {
 	e := c.jobs[a.job]
-	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Has(a.taskIndex)
+	return e != nil && e.run != nil && a.status == wire.TaskEnded && a.cause == wire.CauseDone && !c.durableDone(e).Contains(a.taskIndex)
 }
 
 // keepsUnwrittenEnds reports whether a machine's worker has reported ends that are not stored yet. Until
@@ -97,7 +97,7 @@
 	if c.leader.deletingProgress || !c.dueEvery("tidyDone", tuning.TidyEvery) {
 		return
 	}
-	id, keys := c.progress.Over(func(id string) bool { return c.jobs[id] != nil }, c.params.MaxTxnOps/2)
+	id, keys := c.progress.Obsolete(func(id string) bool { return c.jobs[id] != nil }, c.params.MaxTxnOps/2)
 	if id == "" {
 		return
 	}
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -11,9 +11,9 @@
 
 // newProvisioning returns a tracker of boots without observations. The prior stands for what the cloud's
 // documentation says of boot times, as multiples of the usual one.
-func newProvisioning() *provisioning.Book {
+func newProvisioning() *provisioning.Tracker {
 	return provisioning.New(provisioning.Params{
-		Prior: []provisioning.Seen{
+		Prior: []provisioning.Sample{
 			{Ratio: 0.6, Weight: 2},
 			{Ratio: 0.9, Weight: 3},
 			{Ratio: 1.2, Weight: 3},
@@ -22,13 +22,13 @@
 			{Ratio: tuning.BootGiveUp, Weight: 0.25},
 			{Ratio: math.Inf(1), Weight: 0.2},
 		},
-		Keep:    tuning.BootKeep,
-		Memory:  tuning.BootMemory,
-		Horizon: tuning.BootHorizon,
-		Enough:  tuning.BootEnough,
-		GiveUp:  tuning.BootHopeless,
-		Trust:   tuning.BootTrust,
-		Ahead:   tuning.BootAhead,
+		SamplesPerKind:   tuning.BootKeep,
+		SampleMaxAge:     tuning.BootMemory,
+		HorizonRatio:     tuning.BootHorizon,
+		FullCountChance:  tuning.BootEnough,
+		GiveUpChance:     tuning.BootHopeless,
+		TrustChance:      tuning.BootTrust,
+		MaxDoubtfulShare: tuning.BootAhead,
 	})
 }
 
@@ -47,14 +47,14 @@
 			case !blockMachine.Fresh: // adopted, so the time of its rental is not known
 				c.provisioning.Forget(blockMachine.Name)
 			case !c.useRecorded(blockMachine.Name) && (m == nil || !m.reported):
-				c.provisioning.Booked(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
+				c.provisioning.MachineRented(c.now, blockMachine.Name, kind, c.bootTime(kind.Type))
 			}
 		}
 	}
 	if old != nil {
 		for _, blockMachine := range old.record.Machines {
 			if c.blockOfMachine[blockMachine.Name] == "" {
-				c.provisioning.Gone(c.now, blockMachine.Name)
+				c.provisioning.MachineGone(c.now, blockMachine.Name)
 			}
 		}
 	}
@@ -75,14 +75,14 @@
 	if len(names) == 0 {
 		return nil
 	}
-	return c.provisioning.Doubted(c.now, names)
+	return c.provisioning.Doubtful(c.now, names)
 }
 
 // bootFailure returns why a machine that has not come up is to be returned, or "" if it is not.
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
-	case c.provisioning.Hopeless(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.provisioning.ShouldGiveUp(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
 		return "never came up"
 	}
 	return ""
@@ -91,6 +91,6 @@
 // noteRented tracks machines that have just been rented and are in no stored block yet.
 func (c *Core) noteRented(infos []wire.MachineInfo) {
 	for _, info := range infos {
-		c.provisioning.Booked(c.now, info.Name, provisioning.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
+		c.provisioning.MachineRented(c.now, info.Name, provisioning.Kind{Type: info.Type, Zone: info.Zone, Spot: info.Spot}, c.bootTime(info.Type))
 	}
 }
--- a/internal/core/reachability.go
+++ b/internal/core/reachability.go
@@ -143,7 +143,7 @@
 		if successor == "" || c.now < c.notBefore["take:"+shardKey(shard)] {
 			continue
 		}
-		c.recordShardEvent(trail.ShardGiven, shard, wire.TrailEvent{
+		c.recordShardEvent(trail.ShardHandedOver, shard, wire.TrailEvent{
 			Node: successor,
 			Why:  fmt.Sprintf("its machines silent for %.1f s here, heard there", silent.Seconds()),
 		})
@@ -189,7 +189,7 @@
 	if successor == "" || !c.term.StartResignation(c.now, tuning.StandDown) {
 		return
 	}
-	c.recordEvent(wire.TrailEvent{Kind: trail.LeadGiven, Node: successor, Why: "the cloud is not reached here, and is there"})
+	c.recordEvent(wire.TrailEvent{Kind: trail.LeadershipHandedOver, Node: successor, Why: "the cloud is not reached here, and is there"})
 	c.log(1, "resigning leadership", "to", successor, "why", "the cloud is not reached here")
 	c.commit(LaneFirst, []wire.Condition{c.leaderCondition()}, []wire.Change{{Delete: wire.KeyLeader}}, func(StateReply) {
 		c.term.WriteFinished()
@@ -213,7 +213,7 @@
 	}
 	r.writingReport = true
 	c.commit(LaneLater,
-		[]wire.Condition{{Key: key, Version: c.versions.Of(key)}},
+		[]wire.Condition{{Key: key, Version: c.versions.Version(key)}},
 		[]wire.Change{{Put: key, Value: current, Lease: c.presence.StateLease()}},
 		func(StateReply) { r.writingReport = false })
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -23,7 +23,7 @@
 // markAccounted records that the tasks on a machine are known from now on.
 func (c *Core) markAccounted(m *machine, reason string) {
 	if m.inherited && !m.accounted {
-		c.recordMachineEvent(trail.Accounted, m, wire.TrailEvent{Count: len(m.attempts), Why: reason})
+		c.recordMachineEvent(trail.AccountedFor, m, wire.TrailEvent{Count: len(m.attempts), Why: reason})
 		c.unaccountedMachines[m.shard]--
 	}
 	m.accounted = true
@@ -45,7 +45,7 @@
 		if len(c.unreconciledShards) == 0 {
 			clear(c.jobsAwaitingMachine)
 		}
-		c.recordShardEvent(trail.Settled, shard, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[shard]).Seconds())})
+		c.recordShardEvent(trail.Reconciled, shard, wire.TrailEvent{Why: fmt.Sprintf("after %.1f s", (c.now - c.shardHeldSince[shard]).Seconds())})
 		c.log(1, "all inherited machines accounted for", "shard", shard, "after", (c.now - c.shardHeldSince[shard]).String())
 		for _, e := range c.jobsByAge() {
 			if e.run != nil && c.shardOfTeam(e.record.Team) == shard {
@@ -126,7 +126,7 @@
 	}
 	unresolved := false
 	for k := 0; k < e.run.inheritedBelow; k++ {
-		if e.run.done.Has(k) || e.run.active[k] != nil || queued[k] {
+		if e.run.done.Contains(k) || e.run.active[k] != nil || queued[k] {
 			continue
 		}
 		if c.mayRunOnInherited(e, k, shard) {
@@ -216,7 +216,7 @@
 						// would bring tasks that run elsewhere by now back to the machine.
 						m.session, m.seq = m.session+1, 0
 					}
-					c.recordMachineEvent(trail.LeaseOver, m, wire.TrailEvent{Count: len(m.attempts)})
+					c.recordMachineEvent(trail.LeaseExpired, m, wire.TrailEvent{Count: len(m.attempts)})
 					c.log(1, "machine silent and its lease is over", "machine", m.name, "tasks", len(m.attempts))
 					c.machineGone(m, "lease over")
 				}
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -276,7 +276,7 @@
 		}
 		rest := e.record.Tasks - e.run.done.Count()
 		pending := len(e.run.retryIndexes) + e.record.Tasks - e.run.nextIndex
-		if c.taskHealth.Trial(e.record.ID) { // counts as one task, of which one is tried at a time
+		if c.taskHealth.OnTrial(e.record.ID) { // counts as one task, of which one is tried at a time
 			rest = min(rest, 1)
 			if e.record.Shape != wire.ShapeGang {
 				pending = min(pending, max(0, 1-len(e.run.active)))
--- a/internal/core/renting.go
+++ b/internal/core/renting.go
@@ -32,7 +32,7 @@
 			c.mirrorChanged()
 			return
 		}
-		n := min(len(rest), c.writeLimits.Bounds().Short(tuning.ShortOps))
+		n := min(len(rest), c.writeLimits.Bounds().ShortWrite(tuning.ShortOps))
 		conditions := []wire.Condition{c.leaderCondition()}
 		var changes []wire.Change
 		for k := range rest[:n] {
@@ -140,11 +140,11 @@
 		return false
 	}
 	var offers []supply.Offer
-	var requests []provisioning.Ask
+	var requests []provisioning.Request
 	for _, offer := range supply.Offers(c.machineTypes, need, c.params.NodeZones[c.shards[shard].record.Holder], c.settings.Spot) {
 		if c.now >= leader.offerRetryAt[offer.Key()] {
 			offers = append(offers, offer)
-			requests = append(requests, provisioning.Ask{
+			requests = append(requests, provisioning.Request{
 				Kind:  provisioning.Kind{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot},
 				Count: offer.MachineCount(need.Tasks, tuning.RentMax),
 			})
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -131,9 +131,9 @@
 func (c *Core) deliveryChanged(m *machine) {
 	c.markDirty(m)
 	c.placementDue = true
-	kind := trail.MachineHears
+	kind := trail.MachineReceiving
 	if m.delivery.MissesAnswers() {
-		kind = trail.MachineDeaf
+		kind = trail.MachineNotReceiving
 	}
 	c.recordMachineEvent(kind, m, wire.TrailEvent{Count: len(m.attempts)})
 	c.log(1, "verdict on whether the worker receives answers changed", "machine", m.name, "now", !m.delivery.MissesAnswers())
@@ -148,7 +148,7 @@
 func (c *Core) applyMachineReport(m *machine, r *wire.Report) {
 	if m.silent {
 		m.silent = false
-		c.recordMachineEvent(trail.MachineBack, m, wire.TrailEvent{
+		c.recordMachineEvent(trail.MachineReporting, m, wire.TrailEvent{
 			Count: len(r.Attempts),
 			Why:   fmt.Sprintf("silent for %.1f s", (c.now - m.lastReport).Seconds()),
 		})
@@ -166,7 +166,7 @@
 		if len(c.params.NodeZones) > 1 { // sent to the peers with the next pings, and forgotten then
 			c.workerAddresses.MachineUp(c.now, m.name)
 		}
-		c.provisioning.Up(c.now, m.name)
+		c.provisioning.MachineUp(c.now, m.name)
 		if m.fresh {
 			c.firstUseUnwritten[m.name] = true
 		}
@@ -285,7 +285,7 @@
 		switch t.Status {
 		case wire.TaskRunning:
 			a.runningSince = c.now
-			c.recordTaskRecovery(trail.TaskRuns, a)
+			c.recordTaskRecovery(trail.TaskRunning, a)
 			c.log(2, "task running", "task", a.key.task, "machine", m.name, "after", (c.now - a.createdAt).String())
 		case wire.TaskEnded:
 			m.usage.valid = false
@@ -330,7 +330,7 @@
 		}
 		e.run.done = e.run.done.Add(a.taskIndex)
 		e.run.failures = 0
-		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
+		c.returnFaulty(c.taskHealth.RecordCompletion(a.job, a.machine.name))
 		if current := e.run.active[a.taskIndex]; current == a {
 			delete(e.run.active, a.taskIndex)
 		}
@@ -384,7 +384,7 @@
 		switch {
 		case a.status == wire.TaskEnded:
 			// Cleared only once the outcome is recorded or no longer matters.
-			if !live || a.cause != wire.CauseDone || c.durableDone(e).Has(a.taskIndex) {
+			if !live || a.cause != wire.CauseDone || c.durableDone(e).Contains(a.taskIndex) {
 				commands = append(commands, wire.Command{Verb: wire.VerbClear, Task: k.task, Attempt: k.number})
 			}
 		case !live || a.stopping:
@@ -398,7 +398,7 @@
 		case a.status == "" && c.startable(a) && !preview:
 			if run, now := c.runCommand(a); now {
 				a.startSent = true
-				c.recordTaskRecovery(trail.TaskAgain, a)
+				c.recordTaskRecovery(trail.TaskRestarted, a)
 				commands = append(commands, run)
 			}
 		}
--- a/internal/core/reservation.go
+++ b/internal/core/reservation.go
@@ -74,7 +74,7 @@
 		c.reserveTeamLimits(shard, wide)
 		for _, m := range table.Plan(c.now, wide, machines) {
 			if held, ok := table.Get(m); ok {
-				c.recordMachineEvent(trail.PlaceHeld, m, wire.TrailEvent{Why: "for " + held.Job + ", whose tasks fit nowhere"})
+				c.recordMachineEvent(trail.CapacityReserved, m, wire.TrailEvent{Why: "for " + held.Job + ", whose tasks fit nowhere"})
 				c.log(2, "capacity reserved", "machine", m.name, "job", held.Job, "free_in", (held.FitsAt - c.now).String())
 			}
 			c.markDirty(m)
@@ -101,7 +101,7 @@
 		least = smallerSize(least, size)
 		if e.priority >= urgentRank || p.Late && !p.Overdue ||
 			p.Job.AcceptedMS > acceptedBefore || len(requests) >= tuning.HoldJobs ||
-			e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.Trial(e.record.ID) {
+			e.record.Shape == wire.ShapeGang || c.placementBlocked(e, shard) || c.taskHealth.OnTrial(e.record.ID) {
 			return true // urgent work preempts other work instead
 		}
 		team := p.Job.Team
--- a/internal/core/rollout.go
+++ b/internal/core/rollout.go
@@ -7,7 +7,7 @@
 )
 
 // featureEnabled reports whether a feature may be used for new records: every controller is known to support it.
-func (c *Core) featureEnabled(feature string) bool { return c.loaded && c.rollout.On(feature) }
+func (c *Core) featureEnabled(feature string) bool { return c.loaded && c.rollout.Enabled(feature) }
 
 // onAdminVersion answers an operator with the versions of the controllers and the features in use.
 func (c *Core) onAdminVersion(query AdminVersion) {
@@ -25,10 +25,10 @@
 	if !c.loaded {
 		return
 	}
-	for _, change := range c.rollout.Turned() {
+	for _, change := range c.rollout.ChangedFeatures() {
 		c.log(1, "feature switched", "name", change.Feature, "on", change.On, "held_for", change.HeldFor)
 	}
-	node, record, due := c.rollout.Due(rollout.Life{
+	node, record, due := c.rollout.DueRecord(rollout.Incarnation{
 		Node:     c.params.Node,
 		Boot:     c.presence.Boot(),
 		Version:  c.params.Version,
@@ -40,8 +40,8 @@
 	nodeKey, versionKey := wire.PrefixNode+node, wire.PrefixVersion+node
 	c.commit(LaneLater,
 		[]wire.Condition{
-			{Key: nodeKey, Version: c.versions.Of(nodeKey)},
-			{Key: versionKey, Version: c.versions.Of(versionKey)},
+			{Key: nodeKey, Version: c.versions.Version(nodeKey)},
+			{Key: versionKey, Version: c.versions.Version(versionKey)},
 		},
 		[]wire.Change{{Put: versionKey, Value: record}},
 		func(StateReply) {})
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -31,7 +31,7 @@
 	w.t.Helper()
 	for _, n := range sortedKeys(w.nodes) {
 		if c := w.nodes[n].core; c != nil && c.featureEnabled(rollout.Chains) != on {
-			w.t.Fatalf("%s: %s has chains on: %v; lack %v", when, n, !on, c.rollout.Lack(rollout.Chains))
+			w.t.Fatalf("%s: %s has chains on: %v; lack %v", when, n, !on, c.rollout.ControllersLacking(rollout.Chains))
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	if got := c.versions.Keys(); len(got) != len(keys) {
 		t.Errorf("%d keys are known, of %d", len(got), len(keys))
 	}
-	if lack := c.rollout.Lack(rollout.Chains); len(lack) == 0 {
+	if lack := c.rollout.ControllersLacking(rollout.Chains); len(lack) == 0 {
 		t.Error("a controller that production wrote of counts as one that understands chains")
 	}
 }
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -137,8 +137,8 @@
 	w.run(2 * sec)
 	kind, without := provisioning.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
 	c := w.nodes["c1"].core
-	if !c.loaded || c.provisioning.Fresh(c.now, kind) != without.Fresh(0, kind) {
-		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.Fresh(c.now, kind), without.Fresh(0, kind))
+	if !c.loaded || c.provisioning.NewMachineChance(c.now, kind) != without.NewMachineChance(0, kind) {
+		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.NewMachineChance(c.now, kind), without.NewMachineChance(0, kind))
 	}
 	w.absent = 100 // what is rented from now on never comes
 	for i := range 3 {
@@ -148,7 +148,7 @@
 	w.kill("c1")
 	w.start("c1")
 	w.run(12 * sec) // twice a usual boot
-	if c := w.nodes["c1"].core; c.provisioning.Fresh(c.now, kind) >= without.Fresh(0, kind) {
-		t.Errorf("machines that do not come are not seen: chance %v", c.provisioning.Fresh(c.now, kind))
+	if c := w.nodes["c1"].core; c.provisioning.NewMachineChance(c.now, kind) >= without.NewMachineChance(0, kind) {
+		t.Errorf("machines that do not come are not seen: chance %v", c.provisioning.NewMachineChance(c.now, kind))
 	}
 }
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -14,14 +14,14 @@
 const machineEntryPrefix = "m:"
 
 // writeLimitParams configure how the limits of writes are learned from refused writes.
-var writeLimitParams = limits.FormParams{
-	Least:  limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
-	Factor: tuning.FormFactor,
-	Aside:  tuning.FormAside,
-	AsideM: tuning.FormAsideMax,
-	Alone:  tuning.FormAlone,
-	Stuck:  tuning.FormStuck,
-	Again:  tuning.FormAgain,
+var writeLimitParams = limits.WriteBoundsParams{
+	Floor:        limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
+	Factor:       tuning.FormFactor,
+	SkipFor:      tuning.FormAside,
+	SkipForMax:   tuning.FormAsideMax,
+	SinglyFor:    tuning.FormAlone,
+	StuckAfter:   tuning.FormStuck,
+	WarnInterval: tuning.FormAgain,
 }
 
 // writeRefused lowers the limits of writes after the state service has refused one as malformed.
@@ -29,9 +29,9 @@
 	if strings.Contains(reason, "lease") {
 		return // the state lease has ended: its holder requests another one
 	}
-	write := limits.Describe(conditions, changes)
+	write := limits.DescribeWrite(conditions, changes)
 	c.effects = append(c.effects, WriteRefused{Kind: write.Kind})
-	if c.writeLimits.Refused(c.now, write, reason) {
+	if c.writeLimits.RecordRefusal(c.now, write, reason) {
 		bounds := c.writeLimits.Bounds()
 		c.log(3, "state service refused a write as malformed",
 			"kind", write.Kind, "bytes", write.Bytes, "changes", write.Changes, "conditions", write.Conditions, "err", reason,
@@ -44,7 +44,7 @@
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
 	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
-	c.trail.KeepTo(min(tuning.TrailBytes, bounds.ValueBytes/2))
+	c.trail.SetRecordBytes(min(tuning.TrailBytes, bounds.ValueBytes/2))
 	c.calendar.KeepTo(bounds.ValueBytes)
 }
 
@@ -70,7 +70,7 @@
 			c.markDirty(m)
 		}
 		if machine, isMachine := strings.CutPrefix(name, machineEntryPrefix); isMachine {
-			c.provisioning.Up(c.now, machine)
+			c.provisioning.MachineUp(c.now, machine)
 		}
 	}
 	return err
@@ -128,13 +128,13 @@
 				break // the number of conditions in one call is limited
 			}
 			started, ended, due := c.unwrittenStarts(e)
-			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOfTeam(e.record.Team) != shard || c.writeLimits.Aside(c.now, limits.Start, jobKey(e.record.ID)) {
+			if e.run == nil || e.run.writeInFlight || ended || !due || c.shardOfTeam(e.record.Team) != shard || c.writeLimits.ShouldSkip(c.now, limits.KindStart, jobKey(e.record.ID)) {
 				continue
 			}
 			jobsByID[e.record.ID] = e
 			entries = append(entries, starts.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
 		}
-		if c.writeLimits.Alone(c.now) && len(jobsByID) > 0 {
+		if c.writeLimits.WriteSingly(c.now) && len(jobsByID) > 0 {
 			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
 		}
 		if len(entries) > 0 {
--- a/internal/core/state_calls.go
+++ b/internal/core/state_calls.go
@@ -72,7 +72,7 @@
 		if c.stateRoutes.SetCurrentPeer(peer); peer != "" {
 			c.presence.RenewNow(c.now) // the renewal of the state lease is sent first
 		}
-		c.recordEvent(wire.TrailEvent{Kind: trail.WayChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Reason})
+		c.recordEvent(wire.TrailEvent{Kind: trail.RouteChanged, Node: peer, Why: judgement.Level.String() + ": " + judgement.Reason})
 		c.log(1, "route to the state service changed", "through", peer, "link", judgement.Level.String(), "why", judgement.Reason)
 	}
 	if c.stateRoutes.ShouldProbe(judgement) && !c.probingState && c.dueEvery("probe", tuning.RetryAfter) {
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -338,8 +338,8 @@
 		}
 	}
 	step(StateDone{ID: watch, Reply: StateReply{Status: 200, Events: wire.Events{Revision: 70}}})
-	if c.versions.Remembered() > 0 {
-		t.Errorf("nothing older can come any more, and %d removals are remembered", c.versions.Remembered())
+	if c.versions.TombstoneCount() > 0 {
+		t.Errorf("nothing older can come any more, and %d removals are remembered", c.versions.TombstoneCount())
 	}
 }
 
--- a/internal/core/task_health.go
+++ b/internal/core/task_health.go
@@ -10,32 +10,32 @@
 )
 
 // newHealth returns a record of task failures without any evidence.
-func newHealth() *health.Book {
+func newHealth() *health.Tracker {
 	return health.New(health.Params{
-		SoundJob:        tuning.BlameSoundJob,
-		NewJob:          tuning.BlameNewJob,
-		FailsElsewhere:  tuning.BlameElsewhere,
-		Suspect:         tuning.BlameSuspect,
-		Sick:            tuning.BlameSick,
-		SoundMachine:    tuning.BlameSoundMachine,
-		NewMachine:      tuning.BlameNewMachine,
-		TroubledMachine: tuning.BlameTroubled,
-		Mistaken:        tuning.BlameMistaken,
-		Pause:           tuning.ErrorBackoff,
-		PauseMax:        tuning.ErrorBackoffMax,
-		MistakenMax:     tuning.MistakenMax,
+		ProvenJobWeight:       tuning.BlameSoundJob,
+		UnprovenJobWeight:     tuning.BlameNewJob,
+		FailsElsewhereWeight:  tuning.BlameElsewhere,
+		SuspectCertainty:      tuning.BlameSuspect,
+		FaultyCertainty:       tuning.BlameSick,
+		ProvenMachineWeight:   tuning.BlameSoundMachine,
+		UnprovenMachineWeight: tuning.BlameNewMachine,
+		TroubledMachineWeight: tuning.BlameTroubled,
+		MistakenThreshold:     tuning.BlameMistaken,
+		RetryDelay:            tuning.ErrorBackoff,
+		RetryDelayMax:         tuning.ErrorBackoffMax,
+		MistakenRetryDelayMax: tuning.MistakenMax,
 	})
 }
 
 // taskFailed records that a task failed and acts on what that says about its machine and its job.
 func (c *Core) taskFailed(e *jobEntry, a *attempt) {
 	wasMistaken := c.taskHealth.Mistaken(a.job)
-	c.returnFaulty(c.taskHealth.Failed(c.now, a.job, a.machine.name))
+	c.returnFaulty(c.taskHealth.RecordFailure(c.now, a.job, a.machine.name))
 	e.run.notBefore = max(e.run.notBefore, c.taskHealth.NotBefore(a.job))
 	c.markDirty(a.machine)
 	c.markJobDirty(e)
 	if c.taskHealth.Mistaken(a.job) && !wasMistaken {
-		machines, times := c.taskHealth.Failures(a.job)
+		machines, times := c.taskHealth.JobFailures(a.job)
 		c.recordTaskEvent(trail.JobMistaken, a, fmt.Sprintf("failed %d times on %d machines, completed nowhere", times, machines))
 		c.log(1, "job fails on every machine; retrying it rarely", "job", a.job, "machines", machines, "failures", times)
 	}
@@ -48,7 +48,7 @@
 		if m == nil || m.returning {
 			continue
 		}
-		_, failures := c.taskHealth.Machine(name)
+		_, failures := c.taskHealth.MachineVerdict(name)
 		c.recordMachineEvent(trail.MachineFaulty, m, wire.TrailEvent{Count: failures, Why: "fails tasks of jobs that complete elsewhere"})
 		c.log(1, "machine seems faulty; returning it", "machine", name, "failures", failures)
 		m.returning = true
@@ -64,8 +64,8 @@
 	}
 	if e := c.jobs[a.job]; e != nil && e.record.Shape == wire.ShapeService {
 		a.countedSound = true
-		trial := c.taskHealth.Trial(a.job)
-		c.returnFaulty(c.taskHealth.Completed(a.job, a.machine.name))
+		trial := c.taskHealth.OnTrial(a.job)
+		c.returnFaulty(c.taskHealth.RecordCompletion(a.job, a.machine.name))
 		if trial {
 			c.markJobDirty(e)
 		}
@@ -82,8 +82,8 @@
 		return true // a job that fails everywhere causes no fetch, unless no machine has its image any more
 	}
 	if e.priority >= urgentRank {
-		verdict, _ := c.taskHealth.Machine(m.name)
-		return verdict != health.Well
+		verdict, _ := c.taskHealth.MachineVerdict(m.name)
+		return verdict != health.Healthy
 	}
 	return false
 }
@@ -92,7 +92,7 @@
 // several machines and completed on none runs one task at a time.
 func (c *Core) startableTasks(e *jobEntry) int {
 	n := e.run.pendingTasks(&e.record)
-	if e.record.Shape != wire.ShapeGang && c.taskHealth.Trial(e.record.ID) {
+	if e.record.Shape != wire.ShapeGang && c.taskHealth.OnTrial(e.record.ID) {
 		n = min(n, max(0, 1-len(e.run.active)))
 	}
 	return n
--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -19,7 +19,7 @@
 
 // tierOrderView returns the tier order that is in force, for the admin interface.
 func (c *Core) tierOrderView() wire.LadderView {
-	return wire.LadderView{Version: c.versions.Of(wire.KeyLadder), Ladder: c.tierRecord, All: c.tierOrder.Tiers()}
+	return wire.LadderView{Version: c.versions.Version(wire.KeyLadder), Ladder: c.tierRecord, All: c.tierOrder.Tiers()}
 }
 
 // onAdminTiers answers with the tier order, or checks and writes a new one.
@@ -37,7 +37,7 @@
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	version := c.versions.Of(wire.KeyLadder)
+	version := c.versions.Version(wire.KeyLadder)
 	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Rungs, c.wall, c.params.Node, tuning.LadderHistory), c.params.MaxValueBytes, tiers.DropOldestChange)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
@@ -69,7 +69,7 @@
 	c.answer(v.Req, 200, wire.OrderView{
 		Node:     c.params.Node,
 		Revision: c.mirrorRevision,
-		Version:  c.versions.Of(wire.KeyLadder),
+		Version:  c.versions.Version(wire.KeyLadder),
 		Digest:   digest,
 		Count:    len(ordered),
 		Jobs:     ordered[:min(len(ordered), tuning.OrderAnswer)],
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -57,7 +57,7 @@
 // whether they run on machines of an earlier holder.
 func (c *Core) recordHeldTasks(entry *jobEntry, shard int) {
 	if count := entry.run.inheritedBelow - entry.run.done.Count(); entry.run.inheritedBelow > 0 && count > 0 {
-		c.recordShardEvent(trail.TaskHeld, shard, wire.TrailEvent{
+		c.recordShardEvent(trail.TaskWithheld, shard, wire.TrailEvent{
 			Job:   entry.record.ID,
 			Count: count,
 			Why:   "may run on machines that are not accounted for",
@@ -107,19 +107,19 @@
 			c.trailCallPending = false
 			var record wire.TrailRecord
 			if reply.Status == 200 && wire.Unmarshal(reply.Item.Value, &record) == nil {
-				c.trail.Earlier(record, c.presence.Boot())
+				c.trail.LoadEarlier(record, c.presence.Boot())
 			}
 			c.trailLoaded = reply.Status == 200 || reply.Status == 404
 		})
 	default:
-		record, due := c.trail.Record(c.now, c.presence.Boot())
+		record, due := c.trail.NextRecord(c.now, c.presence.Boot())
 		if !due {
 			return
 		}
 		c.trailCallPending = true
 		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
 			if c.trailCallPending = false; reply.Status != 200 {
-				c.trail.Failed(c.now)
+				c.trail.WriteFailed(c.now)
 			}
 		})
 	}
@@ -150,7 +150,7 @@
 			c.answer(query.Req, 500, wire.Problem{Error: "the stored trail is not readable"})
 			return
 		}
-		c.answer(query.Req, 200, trail.Stored(query.Node, &record, query.Query))
+		c.answer(query.Req, 200, trail.StoredTrail(query.Node, &record, query.Query))
 	})
 }
 
@@ -188,7 +188,7 @@
 func (c *Core) fillMachineView(view *wire.Believed, m *machine) {
 	view.Held, view.State, view.Session, view.Inherited, view.Accounted = true, m.state(), m.session, m.inherited, m.accounted
 	view.FreeCPUs, view.Images = c.freeCapacity(m).CPUs, sortedKeys(m.images)
-	_, view.Errors = c.taskHealth.Machine(m.name)
+	_, view.Errors = c.taskHealth.MachineVerdict(m.name)
 	if m.reported {
 		ago, left := (c.now - m.lastReport).Seconds(), (m.lastAnswered + c.leaseBound() - c.now).Seconds()
 		view.ReportedS, view.LeaseLeftS = &ago, &left
--- a/internal/core/trailing_test.go
+++ b/internal/core/trailing_test.go
@@ -65,8 +65,8 @@
 		t.Errorf("believed of the hung machine: %+v", b)
 	}
 	w.run(30 * sec)
-	got := chain(w.trailOf(holder, "").Events, trail.TaskRuns, func(wire.TrailEvent) bool { return true })
-	if want := []string{trail.TaskRuns, trail.TaskAgain, trail.TaskLost, trail.LeaseOver, trail.MachineSilent}; !same(got, want) {
+	got := chain(w.trailOf(holder, "").Events, trail.TaskRunning, func(wire.TrailEvent) bool { return true })
+	if want := []string{trail.TaskRunning, trail.TaskRestarted, trail.TaskLost, trail.LeaseExpired, trail.MachineSilent}; !same(got, want) {
 		t.Errorf("after a hang: %v, want %v", got, want)
 	}
 	w.kill(holder)
@@ -75,16 +75,16 @@
 	var leader wire.Leader
 	_ = wire.Unmarshal(w.key(wire.KeyLeader).Value, &leader)
 	taken := chain(w.trailOf(leader.Node, "").Events, trail.ShardTaken, func(e wire.TrailEvent) bool { return e.Node == holder })
-	if !same(taken, []string{trail.ShardTaken, trail.NodeGone}) {
+	if !same(taken, []string{trail.ShardTaken, trail.ControllerGone}) {
 		t.Errorf("the takeover: %v", taken)
 	}
 	if next == leader.Node {
-		if got := chain(w.trailOf(next, "").Events, trail.Settled, func(e wire.TrailEvent) bool { return e.Shard != nil }); len(got) < 3 {
+		if got := chain(w.trailOf(next, "").Events, trail.Reconciled, func(e wire.TrailEvent) bool { return e.Shard != nil }); len(got) < 3 {
 			t.Errorf("the settling is not traced to the takeover: %v", got)
 		}
 	}
 	stored := w.trailOf(next, holder)
-	if !stored.Stored || len(chain(stored.Events, trail.LeaseOver, func(e wire.TrailEvent) bool { return e.Machine == hung.info.Name })) == 0 {
+	if !stored.Stored || len(chain(stored.Events, trail.LeaseExpired, func(e wire.TrailEvent) bool { return e.Machine == hung.info.Name })) == 0 {
 		t.Errorf("of the dead holder's trail is left: %+v", stored.Events)
 	}
 }
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -332,7 +332,7 @@
 		}
 		found = true
 		if !slices.ContainsFunc(call.Txn.If, func(x wire.Condition) bool {
-			return x.Key == wire.KeyLeader && x.Version == c.versions.Of(wire.KeyLeader)
+			return x.Key == wire.KeyLeader && x.Version == c.versions.Version(wire.KeyLeader)
 		}) {
 			t.Errorf("the shard is moved without comparing the leader: %+v", call.Txn.If)
 		}
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -9,27 +9,27 @@
 	"pgregory.net/rapid"
 )
 
-var params = Params{SoundJob: 0.9, NewJob: 0.3, FailsElsewhere: 0.05, Suspect: 0.5, Sick: 0.85,
-	SoundMachine: 1, NewMachine: 0.6, TroubledMachine: 0.3, Mistaken: 1.5,
-	Pause: time.Second, PauseMax: 30 * time.Second, MistakenMax: 4 * time.Minute}
+var params = Params{ProvenJobWeight: 0.9, UnprovenJobWeight: 0.3, FailsElsewhereWeight: 0.05, SuspectCertainty: 0.5, FaultyCertainty: 0.85,
+	ProvenMachineWeight: 1, UnprovenMachineWeight: 0.6, TroubledMachineWeight: 0.3, MistakenThreshold: 1.5,
+	RetryDelay: time.Second, RetryDelayMax: 30 * time.Second, MistakenRetryDelayMax: 4 * time.Minute}
 
 // play runs jobs of several tasks on machines at random: mistaken jobs fail everywhere,
 // faulty machines fail everything. It keeps off sick machines and obeys trials.
-func play(b *Book, rng *rand.Rand, jobs, machines, steps int, badJob, badMachine func(int) bool) (starts map[string]int) {
+func play(b *Tracker, rng *rand.Rand, jobs, machines, steps int, badJob, badMachine func(int) bool) (starts map[string]int) {
 	starts = map[string]int{}
 	now := time.Duration(0)
 	for range steps {
 		now += 500 * time.Millisecond
 		j, m := rng.IntN(jobs), rng.IntN(machines)
 		jn, mn := fmt.Sprint("j", j), fmt.Sprint("m", m)
-		if v, _ := b.Machine(mn); v == Sick || now < b.NotBefore(jn) || b.Avoids(jn, mn) {
+		if v, _ := b.MachineVerdict(mn); v == Faulty || now < b.NotBefore(jn) || b.Avoids(jn, mn) {
 			continue
 		}
 		starts[jn]++
 		if badJob(j) || badMachine(m) {
-			b.Failed(now, jn, mn)
+			b.RecordFailure(now, jn, mn)
 		} else {
-			b.Completed(jn, mn)
+			b.RecordCompletion(jn, mn)
 		}
 	}
 	return starts
@@ -52,8 +52,8 @@
 			ok = ok && b.Mistaken(fmt.Sprint("j", j)) == mistaken(j)
 		}
 		for m := range machines {
-			v, _ := b.Machine(fmt.Sprint("m", m))
-			ok = ok && (v == Sick) == faulty(m)
+			v, _ := b.MachineVerdict(fmt.Sprint("m", m))
+			ok = ok && (v == Faulty) == faulty(m)
 		}
 		if ok {
 			right++
@@ -76,7 +76,7 @@
 		b := New(params)
 		starts := play(b, rand.New(rand.NewPCG(seed, 5)), jobs, machines, 7200, func(j int) bool { return j > 0 || jobs == 1 }, func(int) bool { return false })
 		for m := range machines {
-			if v, n := b.Machine(fmt.Sprint("m", m)); v == Sick {
+			if v, n := b.MachineVerdict(fmt.Sprint("m", m)); v == Faulty {
 				t.Fatalf("m%d is condemned, %d failures", m, n)
 			}
 		}
@@ -94,12 +94,12 @@
 	play(b, rng, 20, 12, 400, func(int) bool { return false }, func(int) bool { return false })
 	play(b, rng, 20, 12, 1500, func(int) bool { return false }, func(m int) bool { return m%2 == 0 })
 	for m := range 12 {
-		if v, _ := b.Machine(fmt.Sprint("m", m)); (v == Sick) != (m%2 == 0) {
+		if v, _ := b.MachineVerdict(fmt.Sprint("m", m)); (v == Faulty) != (m%2 == 0) {
 			t.Errorf("m%d: verdict %d", m, v)
 		}
 	}
 	for j := range 20 {
-		if b.Trial(fmt.Sprint("j", j)) {
+		if b.OnTrial(fmt.Sprint("j", j)) {
 			t.Errorf("j%d is held back", j)
 		}
 	}
@@ -108,20 +108,20 @@
 // A completion clears a job at once, and turns its failures against the machines.
 func TestACompletionClears(t *testing.T) {
 	b := New(params)
-	b.Failed(0, "j", "m1")
-	b.Failed(time.Second, "j", "m1")
-	b.Failed(2*time.Second, "j", "m2")
-	b.Failed(3*time.Second, "j", "m3")
-	if !b.Trial("j") || !b.Mistaken("j") {
+	b.RecordFailure(0, "j", "m1")
+	b.RecordFailure(time.Second, "j", "m1")
+	b.RecordFailure(2*time.Second, "j", "m2")
+	b.RecordFailure(3*time.Second, "j", "m3")
+	if !b.OnTrial("j") || !b.Mistaken("j") {
 		t.Fatal("failed on three machines and is not on trial")
 	}
-	if sick := b.Completed("j", "m4"); len(sick) != 1 || sick[0] != "m1" {
+	if sick := b.RecordCompletion("j", "m4"); len(sick) != 1 || sick[0] != "m1" {
 		t.Errorf("sick: %v, m1 failed twice", sick)
 	}
-	if b.Trial("j") || b.Mistaken("j") || b.NotBefore("j") != 0 {
+	if b.OnTrial("j") || b.Mistaken("j") || b.NotBefore("j") != 0 {
 		t.Error("it has completed and is still held back")
 	}
-	if v, _ := b.Machine("m2"); v != Suspect {
+	if v, _ := b.MachineVerdict("m2"); v != Suspect {
 		t.Errorf("m2: verdict %d", v)
 	}
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -10,8 +10,8 @@
 
 const sec = time.Second
 
-func newBook() *Book {
-	return New(Limits{Lag: 10 * sec, Gone: 32 * sec, Grace: 4 * sec, Again: 2 * sec})
+func newBook() *Tracker {
+	return New(Limits{ListLag: 10 * sec, GoneAfter: 32 * sec, AdoptAfter: 4 * sec, CallInterval: 2 * sec})
 }
 
 func listOf(names ...string) map[string]wire.MachineInfo {
@@ -43,30 +43,30 @@
 // at once when the cluster starts, and sooner if it has answered.
 func TestAdopt(t *testing.T) {
 	b := newBook()
-	if b.Strangers() {
+	if b.HasUnassigned() {
 		t.Error("nothing has been read")
 	}
-	b.Read(sec, listOf("a", "b", "c"), set("a"))
-	if got := names(b.Adopt(sec, true, nowhere)); !slices.Equal(got, []string{"b", "c"}) || !b.Stranger("b") || b.Stranger("a") {
+	b.ApplyList(sec, listOf("a", "b", "c"), set("a"))
+	if got := names(b.PendingAdoptions(sec, true, nowhere)); !slices.Equal(got, []string{"b", "c"}) || !b.IsUnassigned("b") || b.IsUnassigned("a") {
 		t.Errorf("at the first start: %v", got)
 	}
-	if got := b.Adopt(20*sec, false, nowhere); got != nil {
+	if got := b.PendingAdoptions(20*sec, false, nowhere); got != nil {
 		t.Errorf("after 19 s: %v", got)
 	}
-	b.Lives(6*sec, wire.MachineInfo{Name: "b", Status: wire.MachineRunning})
-	if got := names(b.Adopt(6*sec, false, nowhere)); !slices.Equal(got, []string{"b"}) {
+	b.MarkAnswered(6*sec, wire.MachineInfo{Name: "b", Status: wire.MachineRunning})
+	if got := names(b.PendingAdoptions(6*sec, false, nowhere)); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("b has answered: %v", got)
 	}
-	if got := names(b.Adopt(22*sec, false, func(n string) bool { return n == "b" })); !slices.Equal(got, []string{"c"}) || b.Stranger("b") {
+	if got := names(b.PendingAdoptions(22*sec, false, func(n string) bool { return n == "b" })); !slices.Equal(got, []string{"c"}) || b.IsUnassigned("b") {
 		t.Errorf("b stands in a block by now: %v", got)
 	}
-	b.Read(23*sec, listOf("a"), set("a"))
-	if b.Strangers() {
+	b.ApplyList(23*sec, listOf("a"), set("a"))
+	if b.HasUnassigned() {
 		t.Error("c is listed no more, and has never answered")
 	}
-	b.Lives(24*sec, wire.MachineInfo{Name: "d"})
-	b.Read(25*sec, listOf("a"), set("a"))
-	if !b.Strangers() {
+	b.MarkAnswered(24*sec, wire.MachineInfo{Name: "d"})
+	b.ApplyList(25*sec, listOf("a"), set("a"))
+	if !b.HasUnassigned() {
 		t.Error("d has answered and is not listed yet")
 	}
 }
@@ -75,50 +75,50 @@
 // is neither deleted again nor adopted while old lists name it.
 func TestDelete(t *testing.T) {
 	b := newBook()
-	b.Read(sec, listOf("a", "b", "c", "s"), set("a", "b", "c"))
+	b.ApplyList(sec, listOf("a", "b", "c", "s"), set("a", "b", "c"))
 	list := listOf("a", "s")
 	failed := list["s"]
 	failed.Status = wire.MachineFailed
 	list["s"] = failed
-	b.Read(33*sec, list, set("a", "b", "c"))
+	b.ApplyList(33*sec, list, set("a", "b", "c"))
 	in := func(n string) bool { return n != "s" }
-	if got := b.ToDelete(set("a"), in, 9); !slices.Equal(got, []string{"a", "s"}) {
+	if got := b.PendingDeletions(set("a"), in, 9); !slices.Equal(got, []string{"a", "s"}) {
 		t.Errorf("32 s after it was listed: %v", got)
 	}
-	b.Read(34*sec, list, set("a", "b", "c"))
-	if got := b.ToDelete(set("a", "b"), in, 9); !slices.Equal(got, []string{"a", "b", "c", "s"}) {
+	b.ApplyList(34*sec, list, set("a", "b", "c"))
+	if got := b.PendingDeletions(set("a", "b"), in, 9); !slices.Equal(got, []string{"a", "b", "c", "s"}) {
 		t.Errorf("%v", got)
 	}
-	if got := b.ToDelete(nil, in, 1); !slices.Equal(got, []string{"b"}) {
+	if got := b.PendingDeletions(nil, in, 1); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("one at a time: %v", got)
 	}
-	b.Deleted(35*sec, []string{"b", "s"})
-	b.Read(36*sec, list, set("a", "b", "c"))
-	if got := b.ToDelete(nil, in, 9); !slices.Equal(got, []string{"c"}) || !b.Gone("s") || !slices.Equal(b.AllGone(), []string{"b", "s"}) {
-		t.Errorf("%v, gone %v", got, b.AllGone())
+	b.MarkDeleted(35*sec, []string{"b", "s"})
+	b.ApplyList(36*sec, list, set("a", "b", "c"))
+	if got := b.PendingDeletions(nil, in, 9); !slices.Equal(got, []string{"c"}) || !b.IsDeleted("s") || !slices.Equal(b.DeletedMachines(), []string{"b", "s"}) {
+		t.Errorf("%v, gone %v", got, b.DeletedMachines())
 	}
-	if got := b.Adopt(60*sec, true, nowhere); got != nil {
+	if got := b.PendingAdoptions(60*sec, true, nowhere); got != nil {
 		t.Errorf("deleted, and adopted: %v", got)
 	}
-	b.Lives(61*sec, wire.MachineInfo{Name: "s"})
-	if b.Strangers() {
+	b.MarkAnswered(61*sec, wire.MachineInfo{Name: "s"})
+	if b.HasUnassigned() {
 		t.Error("a late answer of a deleted machine")
 	}
-	if b.Forget(75 * sec); !b.Gone("b") {
+	if b.ForgetOld(75 * sec); !b.IsDeleted("b") {
 		t.Error("forgotten while old lists may name it")
 	}
-	if b.Forget(76 * sec); b.Gone("b") {
+	if b.ForgetOld(76 * sec); b.IsDeleted("b") {
 		t.Error("remembered for ever")
 	}
 }
 
 func TestReportsOfStrangersAreLookedInto(t *testing.T) {
 	b := newBook()
-	if !b.Came(sec, "a") || b.Came(3*sec, "a") || !b.Came(3500*time.Millisecond, "a") {
+	if !b.AllowCall(sec, "a") || b.AllowCall(3*sec, "a") || !b.AllowCall(3500*time.Millisecond, "a") {
 		t.Error("at most every two seconds")
 	}
-	b.Deleted(4*sec, []string{"z"})
-	if b.Came(4*sec, "z") {
+	b.MarkDeleted(4*sec, []string{"z"})
+	if b.AllowCall(4*sec, "z") {
 		t.Error("a copy of what a deleted machine reported")
 	}
 }
--- a/internal/limits/share.go
+++ b/internal/limits/share.go
@@ -6,10 +6,10 @@
 
 // ShareParams bound a share of a limit.
 type ShareParams struct {
-	Min, Max float64       // units a second
-	Gain     float64       // units a second gained in each second of full use
-	Cut      float64       // factor after a refusal
-	Pause    time.Duration // between cuts: refusals that come together tell one thing
+	Min, Max    float64       // units a second
+	Gain        float64       // units a second gained in each second of full use
+	CutFactor   float64       // factor after a refusal
+	CutInterval time.Duration // between cuts: refusals that come together tell one thing
 }
 
 // Share is one caller's part of a limit that several callers share without asking each
@@ -19,27 +19,27 @@
 // to more than the limit had two thirds of a crowd's calls refused and sent again; ones
 // that sum to less leave a lone successor slow.
 type Share struct {
-	p    ShareParams
-	rate float64
-	cut  time.Duration // when it was cut last
-	was  bool
+	params  ShareParams
+	rate    float64
+	lastCut time.Duration // when it was cut last
+	everCut bool
 }
 
 // NewShare begins with all that the bounds allow.
-func NewShare(p ShareParams) *Share { return &Share{p: p, rate: p.Max} }
+func NewShare(p ShareParams) *Share { return &Share{params: p, rate: p.Max} }
 
 // Rate is the share now, in units a second.
 func (s *Share) Rate() float64 { return s.rate }
 
 // Served notes n units that the service took.
 func (s *Share) Served(n int) {
-	s.rate = min(s.p.Max, s.rate+s.p.Gain*float64(n)/s.rate)
+	s.rate = min(s.params.Max, s.rate+s.params.Gain*float64(n)/s.rate)
 }
 
 // Refused notes that the service refused for its limit.
 func (s *Share) Refused(now time.Duration) {
-	if s.was && now-s.cut < s.p.Pause {
+	if s.everCut && now-s.lastCut < s.params.CutInterval {
 		return
 	}
-	s.rate, s.cut, s.was = max(s.p.Min, s.rate*s.p.Cut), now, true
+	s.rate, s.lastCut, s.everCut = max(s.params.Min, s.rate*s.params.CutFactor), now, true
 }
--- a/internal/limits/share_test.go
+++ b/internal/limits/share_test.go
@@ -36,7 +36,7 @@
 
 func three() (s []*Share) {
 	for range 3 {
-		s = append(s, NewShare(ShareParams{Min: 7, Max: 63, Gain: 7, Cut: 0.7, Pause: 300 * time.Millisecond}))
+		s = append(s, NewShare(ShareParams{Min: 7, Max: 63, Gain: 7, CutFactor: 0.7, CutInterval: 300 * time.Millisecond}))
 	}
 	return s
 }
--- a/internal/limits/form_test.go
+++ b/internal/limits/write_bounds_test.go
@@ -10,7 +10,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var formParams = FormParams{Least: Bounds{512, 2}, Factor: 0.67, Aside: 10 * time.Second, AsideM: time.Minute, Alone: 5 * time.Second, Stuck: 3 * time.Second, Again: 30 * time.Second}
+var formParams = WriteBoundsParams{Floor: Bounds{512, 2}, Factor: 0.67, SkipFor: 10 * time.Second, SkipForMax: time.Minute, SinglyFor: 5 * time.Second, StuckAfter: 3 * time.Second, WarnInterval: 30 * time.Second}
 
 // Whatever a service allows, and however little it says of why it refuses, a few writes at
 // the bounds find out, and what is smaller than all it ever refused is still written.
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		real := Bounds{rapid.IntRange(512, 20000).Draw(t, "bytes"), rapid.IntRange(2, 20).Draw(t, "changes")}
 		says := rapid.Bool().Draw(t, "says")
-		f := NewForm(formParams, Bounds{16384, 16})
+		f := NewWriteBounds(formParams, Bounds{16384, 16})
 		refused := 0
 		for step := 0; step < 40; step++ {
 			b := f.Bounds()
@@ -42,7 +42,7 @@
 				why = "bad request"
 			}
 			refused++
-			f.Refused(0, w, why)
+			f.RecordRefusal(0, w, why)
 		}
 		t.Fatalf("still refused: %+v, real %+v", f.Bounds(), real)
 	})
@@ -50,66 +50,66 @@
 
 // One that can't be written in any form is found and passed by; the others go on.
 func TestFormSetsOneAside(t *testing.T) {
-	f := NewForm(formParams, Bounds{2048, 4})
+	f := NewWriteBounds(formParams, Bounds{2048, 4})
 	job := func(k int) string { return wire.PrefixJob + fmt.Sprint("job-", k) }
 	w := Write{Kind: "start", Bytes: 300, Changes: 1, Conditions: 5, Subjects: []string{job(1), job(2), job(3)}}
-	if warn := f.Refused(time.Second, w, "what is this value?"); !warn || !f.Alone(2*time.Second) || f.Bounds().ValueBytes != 2048 {
+	if warn := f.RecordRefusal(time.Second, w, "what is this value?"); !warn || !f.WriteSingly(2*time.Second) || f.Bounds().ValueBytes != 2048 {
 		t.Fatalf("three together refused: %+v", f)
 	}
 	w.Subjects = w.Subjects[1:2]
-	if warn := f.Refused(2*time.Second, w, "what is this value?"); warn {
+	if warn := f.RecordRefusal(2*time.Second, w, "what is this value?"); warn {
 		t.Error("warned twice of the same")
 	}
-	if f.Alone(3*time.Second) || !f.Aside(3*time.Second, Start, job(2)) || f.Aside(3*time.Second, Start, job(1)) {
+	if f.WriteSingly(3*time.Second) || !f.ShouldSkip(3*time.Second, KindStart, job(2)) || f.ShouldSkip(3*time.Second, KindStart, job(1)) {
 		t.Fatalf("one alone refused: %+v", f)
 	}
-	if f.Aside(3*time.Second, Final, job(2)) {
+	if f.ShouldSkip(3*time.Second, KindFinal, job(2)) {
 		t.Error("its end is passed by as well")
 	}
-	if f.Stuck(5 * time.Second) {
+	if f.StartsStuck(5 * time.Second) {
 		t.Error("stuck for one that is passed by")
 	}
-	if f.Aside(12*time.Second+1, Start, job(2)) {
+	if f.ShouldSkip(12*time.Second+1, KindStart, job(2)) {
 		t.Error("passed by for ever")
 	}
-	f.Refused(13*time.Second, w, "what is this value?")
-	if !f.Aside(32*time.Second, Start, job(2)) || f.Aside(34*time.Second, Start, job(2)) {
+	f.RecordRefusal(13*time.Second, w, "what is this value?")
+	if !f.ShouldSkip(32*time.Second, KindStart, job(2)) || f.ShouldSkip(34*time.Second, KindStart, job(2)) {
 		t.Error("the second pause is not twice the first")
 	}
-	if got := f.Tell(); len(got) != 1 || got[0].Kind != "start" || got[0].Count != 3 || got[0].Bytes != 300 {
+	if got := f.RefusedWrites(); len(got) != 1 || got[0].Kind != "start" || got[0].Count != 3 || got[0].Bytes != 300 {
 		t.Errorf("told: %+v", got)
 	}
 }
 
 // Starts that are refused again and again, and none written, are stuck.
 func TestFormIsStuck(t *testing.T) {
-	f := NewForm(formParams, Bounds{2048, 4})
+	f := NewWriteBounds(formParams, Bounds{2048, 4})
 	at := time.Second
 	for ; at < 6*time.Second; at += 200 * time.Millisecond {
-		if got, want := f.Stuck(at), at > 4*time.Second; got != want {
+		if got, want := f.StartsStuck(at), at > 4*time.Second; got != want {
 			t.Fatalf("after %v: %v", at, got)
 		}
-		f.Refused(at, Write{Kind: "start", Bytes: 300, Changes: 1}, "what is this value?")
+		f.RecordRefusal(at, Write{Kind: "start", Bytes: 300, Changes: 1}, "what is this value?")
 	}
-	if f.Taken("job"); !f.Stuck(at) {
+	if f.RecordSuccess("job"); !f.StartsStuck(at) {
 		t.Error("other writes are no starts")
 	}
-	if f.Stuck(at + 4*time.Second) {
+	if f.StartsStuck(at + 4*time.Second) {
 		t.Error("stuck though nothing is tried: nothing waits to be written")
 	}
-	if f.Taken("start"); f.Stuck(at) {
+	if f.RecordSuccess("start"); f.StartsStuck(at) {
 		t.Error("stuck after a start was written")
 	}
 }
 
 func TestDescribe(t *testing.T) {
 	final := wire.Final{Status: wire.JobDone, Done: 12}
-	w := Describe([]wire.Condition{{Key: wire.PrefixShard + "0", Version: 3}, {Key: wire.PrefixJob + "job-1", Version: 4}},
+	w := DescribeWrite([]wire.Condition{{Key: wire.PrefixShard + "0", Version: 3}, {Key: wire.PrefixJob + "job-1", Version: 4}},
 		[]wire.Change{{Delete: wire.PrefixJob + "job-1"}, {Put: wire.PrefixFinal + "job-1", Value: final}})
-	if w.Kind != Final || w.Changes != 2 || w.Conditions != 2 || w.Bytes != len(`{"status":"done","done":12}`) || len(w.Subjects) != 1 || w.Subjects[0] != wire.PrefixJob+"job-1" {
+	if w.Kind != KindFinal || w.Changes != 2 || w.Conditions != 2 || w.Bytes != len(`{"status":"done","done":12}`) || len(w.Subjects) != 1 || w.Subjects[0] != wire.PrefixJob+"job-1" {
 		t.Errorf("an end of a job: %+v", w)
 	}
-	if w := Describe(nil, []wire.Change{{Delete: wire.KeyLeader}}); w.Kind != "leader" || w.Bytes != 0 {
+	if w := DescribeWrite(nil, []wire.Change{{Delete: wire.KeyLeader}}); w.Kind != "leader" || w.Bytes != 0 {
 		t.Errorf("leadership given away: %+v", w)
 	}
 }
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -20,30 +20,30 @@
 const wordBits = 32
 
 // Book is a copy of all further records, each of which tells of span tasks.
-type Book struct {
+type Index struct {
 	span int
 	jobs map[string]*job
 }
 
 type job struct {
 	parts map[int]part
-	all   ranges.Set // of all parts
+	done  ranges.Set // of all parts
 }
 
 type part struct {
-	ver  uint64
-	done ranges.Set
+	version uint64
+	done    ranges.Set
 }
 
 // New returns an empty book; span is in tasks, a multiple of 32.
-func New(span int) *Book { return &Book{span, map[string]*job{}} }
+func New(span int) *Index { return &Index{span, map[string]*job{}} }
 
 // Key is where a further record of a job stands, the first of which has number 0.
 func Key(id string, number int) string {
 	return wire.PrefixDone + id + "/" + strconv.Itoa(number)
 }
 
-func parse(key string) (id string, number int, err error) {
+func parseKey(key string) (id string, number int, err error) {
 	id, n, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixDone), "/")
 	if number, err = strconv.Atoi(n); !ok || err != nil {
 		return "", 0, fmt.Errorf("no record of done tasks: %q", key)
@@ -52,8 +52,8 @@
 }
 
 // Put takes a record as it stands, and returns its job.
-func (b *Book) Put(key string, ver uint64, r wire.Done) (id string, err error) {
-	id, n, err := parse(key)
+func (b *Index) Put(key string, ver uint64, r wire.Done) (id string, err error) {
+	id, n, err := parseKey(key)
 	if err != nil {
 		return "", err
 	}
@@ -62,7 +62,7 @@
 		j = &job{parts: map[int]part{}}
 		b.jobs[id] = j
 	}
-	p := part{ver: ver}
+	p := part{version: ver}
 	for k, word := range r.Bits {
 		for i := range wordBits {
 			if word>>i&1 == 1 {
@@ -71,16 +71,16 @@
 		}
 	}
 	j.parts[n] = p
-	j.all = nil
+	j.done = nil
 	for _, x := range j.parts {
-		j.all = j.all.Union(x.done)
+		j.done = j.done.Union(x.done)
 	}
 	return id, nil
 }
 
 // Remove forgets a record, which is removed only after its job is over.
-func (b *Book) Remove(key string) {
-	id, n, err := parse(key)
+func (b *Index) Remove(key string) {
+	id, n, err := parseKey(key)
 	if j := b.jobs[id]; err == nil && j != nil {
 		if delete(j.parts, n); len(j.parts) == 0 {
 			delete(b.jobs, id)
@@ -89,15 +89,15 @@
 }
 
 // Of is which tasks of a job its further records call done. It is not to be changed.
-func (b *Book) Of(id string) ranges.Set {
+func (b *Index) Done(id string) ranges.Set {
 	if j := b.jobs[id]; j != nil {
-		return j.all
+		return j.done
 	}
 	return nil
 }
 
 // Over lists the keys, most at the most, of one job that is not live; "" if there is none.
-func (b *Book) Over(live func(id string) bool, most int) (id string, keys []string) {
+func (b *Index) Obsolete(live func(id string) bool, most int) (id string, keys []string) {
 	for x := range b.jobs {
 		if !live(x) && (id == "" || x < id) {
 			id = x
@@ -115,37 +115,37 @@
 
 // Part is a further record to be put if its key still has the version Ver.
 type Part struct {
-	Key    string
-	Ver    uint64
-	Record wire.Done
+	Key     string
+	Version uint64
+	Record  wire.Done
 }
 
 // Plan is what is to be written of a job's progress.
 type Plan struct {
-	Record ranges.Set // of its own record, which has room for it
-	Put    bool       // its own record says more than before
-	Parts  []Part
+	Record    ranges.Set // of its own record, which has room for it
+	PutRecord bool       // its own record says more than before
+	Parts     []Part
 }
 
 // Plan finds what is to be written of a job whose own record calls written done, and of which
 // done is known, all of written in it. fits tells whether the own record has room for a set;
 // as many further records are planned as most says. What no record has room for yet is left
 // out, and its workers keep it; what is written stays.
-func (b *Book) Plan(id string, written, done ranges.Set, fits func(ranges.Set) bool, most int) Plan {
+func (b *Index) Plan(id string, written, done ranges.Set, fits func(ranges.Set) bool, most int) Plan {
 	p := Plan{Record: done}
 	if !fits(done) {
-		p.Record = fill(written, done, fits)
+		p.Record = fillRecord(written, done, fits)
 	}
-	p.Put = p.Record.Count() > written.Count()
-	if p.Put {
+	p.PutRecord = p.Record.Count() > written.Count()
+	if p.PutRecord {
 		most--
 	}
 	last := -1
-	for _, r := range done.Minus(p.Record).Minus(b.Of(id)) {
+	for _, r := range done.Minus(p.Record).Minus(b.Done(id)) {
 		for n := max(last+1, r[0]/b.span); n <= (r[1]-1)/b.span && len(p.Parts) < most; n++ {
-			x := Part{Key: Key(id, n), Record: wire.Done{From: n * b.span, Bits: words(done, n*b.span, b.span)}}
+			x := Part{Key: Key(id, n), Record: wire.Done{From: n * b.span, Bits: bitWords(done, n*b.span, b.span)}}
 			if j := b.jobs[id]; j != nil {
-				x.Ver = j.parts[n].ver
+				x.Version = j.parts[n].version
 			}
 			p.Parts, last = append(p.Parts, x), n
 		}
@@ -155,10 +155,10 @@
 
 // fill is written with as much more of done as fits: first what makes its ranges longer and
 // not more, then the others from the first on.
-func fill(written, done ranges.Set, fits func(ranges.Set) bool) ranges.Set {
+func fillRecord(written, done ranges.Set, fits func(ranges.Set) bool) ranges.Set {
 	var longer ranges.Set
 	for _, r := range done {
-		if written.Below(r[1]) > written.Below(r[0]) {
+		if written.CountBelow(r[1]) > written.CountBelow(r[0]) {
 			longer = append(longer, r)
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // words has the bits of a record's tasks.
-func words(done ranges.Set, from, span int) []uint32 {
+func bitWords(done ranges.Set, from, span int) []uint32 {
 	bits := make([]uint32, span/wordBits)
 	used := 0
 	for _, r := range done {
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -17,35 +17,35 @@
 		stored, ver := map[string]wire.Done{}, map[string]uint64{}
 		var record, done, written ranges.Set
 		rev := uint64(0)
-		read := func() (*Book, ranges.Set) {
+		read := func() (*Index, ranges.Set) {
 			b := New(span)
 			for k, r := range stored {
 				if got, err := b.Put(k, ver[k], r); err != nil || got != id {
 					t.Fatalf("%s: %s, %v", k, got, err)
 				}
 			}
-			return b, record.Union(b.Of(id))
+			return b, record.Union(b.Done(id))
 		}
 		write := func(room, most int, lost bool) {
 			b, _ := read()
 			fits := func(s ranges.Set) bool { return len(s) <= room }
 			p := b.Plan(id, record, done, fits, most)
-			if n := len(p.Parts); n > most || p.Put && n > max(0, most-1) {
-				t.Fatalf("%d further records beside %v, %d changes at the most", n, p.Put, most)
+			if n := len(p.Parts); n > most || p.PutRecord && n > max(0, most-1) {
+				t.Fatalf("%d further records beside %v, %d changes at the most", n, p.PutRecord, most)
 			}
 			if lost {
 				return
 			}
 			rev++
-			if p.Put {
+			if p.PutRecord {
 				if !fits(p.Record) {
 					t.Fatalf("%d ranges, room for %d", len(p.Record), room)
 				}
 				record = p.Record.Clone()
 			}
 			for _, x := range p.Parts {
-				if x.Ver != ver[x.Key] {
-					t.Fatalf("%s compared with %d, it is %d", x.Key, x.Ver, ver[x.Key])
+				if x.Version != ver[x.Key] {
+					t.Fatalf("%s compared with %d, it is %d", x.Key, x.Version, ver[x.Key])
 				}
 				stored[x.Key], ver[x.Key] = x.Record, rev
 			}
@@ -83,14 +83,14 @@
 		}
 	}
 	live := func(id string) bool { return id == "job-000003" }
-	if id, keys := b.Over(live, 1); id != "job-000001" || len(keys) != 1 || keys[0] != Key("job-000001", 0) {
+	if id, keys := b.Obsolete(live, 1); id != "job-000001" || len(keys) != 1 || keys[0] != Key("job-000001", 0) {
 		t.Fatalf("%s: %v", id, keys)
 	}
 	b.Remove(Key("job-000001", 0))
 	b.Remove(Key("job-000001", 1))
 	b.Remove(Key("job-000002", 0))
-	if id, _ := b.Over(live, 9); id != "" || b.Of("job-000001") != nil || !b.Of("job-000003").Has(2) {
-		t.Fatalf("%q, %v", id, b.Of("job-000003"))
+	if id, _ := b.Obsolete(live, 9); id != "" || b.Done("job-000001") != nil || !b.Done("job-000003").Contains(2) {
+		t.Fatalf("%q, %v", id, b.Done("job-000003"))
 	}
 	if _, err := b.Put(wire.PrefixDone+"job-000001", 1, wire.Done{}); err == nil {
 		t.Fatal("a key without a number was taken")
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-var params = Params{Prior: []Seen{{Ratio: 0.6, Weight: 2}, {Ratio: 0.9, Weight: 3}, {Ratio: 1.2, Weight: 3}, {Ratio: 1.5, Weight: 1.3}, {Ratio: 2.5, Weight: 0.25}, {Ratio: 4, Weight: 0.25}, {Ratio: math.Inf(1), Weight: 0.2}},
-	Keep: 24, Memory: 10 * time.Minute, Horizon: 1.6, Enough: 0.8, GiveUp: 0.15, Trust: 0.5, Ahead: 0.5}
+var params = Params{Prior: []Sample{{Ratio: 0.6, Weight: 2}, {Ratio: 0.9, Weight: 3}, {Ratio: 1.2, Weight: 3}, {Ratio: 1.5, Weight: 1.3}, {Ratio: 2.5, Weight: 0.25}, {Ratio: 4, Weight: 0.25}, {Ratio: math.Inf(1), Weight: 0.2}},
+	SamplesPerKind: 24, SampleMaxAge: 10 * time.Minute, HorizonRatio: 1.6, FullCountChance: 0.8, GiveUpChance: 0.15, TrustChance: 0.5, MaxDoubtfulShare: 0.5}
 
 var (
 	kind  = Kind{Type: "std", Zone: "n", Spot: true}
@@ -22,13 +22,13 @@
 // given up when the longest that is known of is over.
 func TestWithoutEvidence(t *testing.T) {
 	b := New(params)
-	b.Booked(0, "m", kind, ready)
+	b.MachineRented(0, "m", kind, ready)
 	for _, x := range []struct {
 		ratio             float64
 		doubted, hopeless bool
 	}{{0, false, false}, {1, false, false}, {1.4, false, false}, {1.7, true, false}, {3, true, false}, {4.1, true, true}} {
 		now := time.Duration(x.ratio * float64(ready))
-		if d, h := b.Doubted(now, []string{"m"})["m"], b.Hopeless(now, "m"); d != x.doubted || h != x.hopeless {
+		if d, h := b.Doubtful(now, []string{"m"})["m"], b.ShouldGiveUp(now, "m"); d != x.doubted || h != x.hopeless {
 			t.Errorf("after %v: doubted %v, hopeless %v", x.ratio, d, h)
 		}
 	}
@@ -39,35 +39,35 @@
 func TestAKindThatFails(t *testing.T) {
 	b := New(params)
 	now := time.Duration(0)
-	if n := b.May(now, kind, 10); n != 10 {
+	if n := b.RentLimit(now, kind, 10); n != 10 {
 		t.Fatalf("asked for %d of 10 without evidence", n)
 	}
 	for i := range 12 {
-		b.Booked(now, fmt.Sprint("m", i), kind, ready)
+		b.MachineRented(now, fmt.Sprint("m", i), kind, ready)
 	}
 	now += 35 * time.Second // all wait beyond the horizon
-	if n := b.May(now, kind, 10); n != 1 {
+	if n := b.RentLimit(now, kind, 10); n != 1 {
 		t.Errorf("asked for %d of a kind that fails", n)
 	}
-	if n := b.May(now, other, 10); n != 10 {
+	if n := b.RentLimit(now, other, 10); n != 10 {
 		t.Errorf("asked for %d of another kind", n)
 	}
-	b.Booked(now, "probe", kind, ready)
-	if n := b.May(now, kind, 10); n != 0 {
+	b.MachineRented(now, "probe", kind, ready)
+	if n := b.RentLimit(now, kind, 10); n != 0 {
 		t.Errorf("asked for %d beside a probe", n)
 	}
 	for i := range 12 {
-		b.Gone(now, fmt.Sprint("m", i))
+		b.MachineGone(now, fmt.Sprint("m", i))
 	}
-	b.Up(now+ready, "probe")
+	b.MachineUp(now+ready, "probe")
 	for i := range 8 {
-		b.Booked(now, fmt.Sprint("p", i), kind, ready)
-		b.Up(now+ready, fmt.Sprint("p", i))
+		b.MachineRented(now, fmt.Sprint("p", i), kind, ready)
+		b.MachineUp(now+ready, fmt.Sprint("p", i))
 	}
-	if n := b.May(now+ready, kind, 10); n != 10 {
+	if n := b.RentLimit(now+ready, kind, 10); n != 10 {
 		t.Errorf("asked for %d once they come again", n)
 	}
-	if n := b.May(now+20*time.Minute, kind, 10); n != 10 {
+	if n := b.RentLimit(now+20*time.Minute, kind, 10); n != 10 {
 		t.Errorf("asked for %d long after", n)
 	}
 }
@@ -78,17 +78,17 @@
 	never, slow := New(params), New(params)
 	for i := range 10 {
 		n := fmt.Sprint("m", i)
-		never.Booked(0, n, kind, ready)
-		never.Gone(5*ready, n)
-		slow.Booked(0, n, kind, ready)
-		slow.Up(4*ready, n)
-	}
-	never.Booked(5*ready, "x", kind, ready)
-	slow.Booked(4*ready, "x", kind, ready)
-	if !never.Hopeless(7*ready, "x") {
+		never.MachineRented(0, n, kind, ready)
+		never.MachineGone(5*ready, n)
+		slow.MachineRented(0, n, kind, ready)
+		slow.MachineUp(4*ready, n)
+	}
+	never.MachineRented(5*ready, "x", kind, ready)
+	slow.MachineRented(4*ready, "x", kind, ready)
+	if !never.ShouldGiveUp(7*ready, "x") {
 		t.Error("not given up though none has come")
 	}
-	if slow.Hopeless(4*ready+3*ready, "x") {
+	if slow.ShouldGiveUp(4*ready+3*ready, "x") {
 		t.Error("given up though all have come, late")
 	}
 }
@@ -98,11 +98,11 @@
 	b := New(params)
 	for i := range 20 {
 		n := fmt.Sprint("m", i)
-		b.Booked(0, n, kind, ready)
-		b.Gone(2*ready, n)
+		b.MachineRented(0, n, kind, ready)
+		b.MachineGone(2*ready, n)
 	}
-	b.Booked(2*ready, "x", kind, ready)
-	if b.Hopeless(5*ready, "x") {
+	b.MachineRented(2*ready, "x", kind, ready)
+	if b.ShouldGiveUp(5*ready, "x") {
 		t.Error("given up after three usual times, and none has been waited for that long")
 	}
 }
@@ -118,25 +118,25 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				n := fmt.Sprint("m", i)
-				b.Booked(now, n, k, ready)
+				b.MachineRented(now, n, k, ready)
 				names = append(names, n)
 			case 2:
 				if len(names) > 0 {
 					n := rapid.SampledFrom(names).Draw(t, "up")
-					b.Up(now, n)
-					if b.Hopeless(now, n) {
+					b.MachineUp(now, n)
+					if b.ShouldGiveUp(now, n) {
 						t.Fatal("a machine that is up is doubted")
 					}
 				}
 			case 3:
 				if len(names) > 0 {
-					b.Gone(now, rapid.SampledFrom(names).Draw(t, "gone"))
+					b.MachineGone(now, rapid.SampledFrom(names).Draw(t, "gone"))
 				}
 			}
-			if p := b.Fresh(now, k); !(p >= 0 && p <= 1) {
+			if p := b.NewMachineChance(now, k); !(p >= 0 && p <= 1) {
 				t.Fatalf("chance %v", p)
 			}
-			if n := len(b.Doubted(now, names)); n > max(1, len(names)/2) {
+			if n := len(b.Doubtful(now, names)); n > max(1, len(names)/2) {
 				t.Fatalf("%d of %d doubted", n, len(names))
 			}
 		}
@@ -147,7 +147,7 @@
 // half of what is needed is asked for of the likeliest.
 func TestChoose(t *testing.T) {
 	b := New(params)
-	asks := []Ask{{kind, 5}, {other, 7}}
+	asks := []Request{{kind, 5}, {other, 7}}
 	if k, n := b.Choose(0, asks); k != 0 || n != 5 {
 		t.Errorf("nothing is known against the first: %d of %d", n, k)
 	}
@@ -157,18 +157,18 @@
 	for i := range 60 { // neither comes, the first least
 		k := []Kind{kind, kind, other}[i%3]
 		n := fmt.Sprint(k, i)
-		b.Booked(0, n, k, ready)
-		b.Gone(10*ready, n)
+		b.MachineRented(0, n, k, ready)
+		b.MachineGone(10*ready, n)
 	}
 	now := 10 * ready
 	if k, n := b.Choose(now, asks); k != 0 || n != 1 {
 		t.Fatalf("one to try: %d of %d", n, k)
 	}
-	b.Booked(now, "x", kind, ready)
+	b.MachineRented(now, "x", kind, ready)
 	if k, n := b.Choose(now, asks); k != 1 || n != 1 {
 		t.Fatalf("one of the other: %d of %d", n, k)
 	}
-	b.Booked(now, "y", other, ready)
+	b.MachineRented(now, "y", other, ready)
 	if k, n := b.Choose(now, asks); k != 1 || n != 4 {
 		t.Errorf("half of it, of the likeliest: %d of %d", n, k)
 	}
--- a/internal/ranges/ranges.go
+++ b/internal/ranges/ranges.go
@@ -23,7 +23,7 @@
 }
 
 // Has tells whether an index is in the set.
-func (r Set) Has(i int) bool {
+func (r Set) Contains(i int) bool {
 	k := sort.Search(len(r), func(k int) bool { return r[k][1] > i })
 	return k < len(r) && r[k][0] <= i
 }
@@ -102,7 +102,7 @@
 }
 
 // Below counts the indexes of the set under a bound.
-func (r Set) Below(bound int) int {
+func (r Set) CountBelow(bound int) int {
 	n := 0
 	for _, x := range r {
 		if x[0] >= bound {
--- a/internal/ranges/ranges_test.go
+++ b/internal/ranges/ranges_test.go
@@ -23,22 +23,22 @@
 		}
 		less := a.Minus(b)
 		for k := range 32 {
-			if less.Has(k) != (in[k] && !more[k]) {
+			if less.Contains(k) != (in[k] && !more[k]) {
 				t.Fatalf("%v without %v is %v", a, b, less)
 			}
 		}
 		u, bound := a.Union(b), rapid.IntRange(0, 32).Draw(t, "bound")
 		n := 0
 		for k := range 32 {
-			if u.Has(k) != in[k] {
+			if u.Contains(k) != in[k] {
 				t.Fatalf("%v with %v is %v", a, b, u)
 			}
 			if in[k] && k < bound {
 				n++
 			}
 		}
-		if u.Count() != len(in) || u.Below(bound) != n {
-			t.Fatalf("%v: %d in all, %d below %d", u, u.Count(), u.Below(bound), bound)
+		if u.Count() != len(in) || u.CountBelow(bound) != n {
+			t.Fatalf("%v: %d in all, %d below %d", u, u.Count(), u.CountBelow(bound), bound)
 		}
 		for i := 1; i < len(u); i++ {
 			if u[i][0] <= u[i-1][1] {
@@ -56,7 +56,7 @@
 	if diff := cmp.Diff(Set{{0, 1}, {3, 6}, {8, 10}}, r); diff != "" {
 		t.Fatal(diff)
 	}
-	if r.Count() != 6 || !r.Has(4) || r.Has(6) || r.Has(2) {
+	if r.Count() != 6 || !r.Contains(4) || r.Contains(6) || r.Contains(2) {
 		t.Fatalf("count %d of %v", r.Count(), r)
 	}
 }
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -16,26 +16,26 @@
 
 // Steps of a recovery, in the order in which they come.
 const (
-	Noticed      = "noticed"       // a controller suspects that something is wrong
-	LeaseOver    = "lease_over"    // the lost machines' leases are surely over
-	TakenOver    = "taken_over"    // another controller was granted the lost one's shards
-	TokenRaised  = "token_raised"  // and answers workers under a higher token
-	AccountedFor = "accounted_for" // what runs on the shards' machines is known
-	StartedAgain = "started_again" // the lost tasks were ordered on a machine again
-	ImageThere   = "image_there"   // which has their image
-	Running      = "running"       // and runs them
-	Confirmed    = "confirmed"     // the controllers are entitled again
-	UserTold     = "user_told"     // their users can see it
+	Noticed       = "noticed"       // a controller suspects that something is wrong
+	LeasesExpired = "lease_over"    // the lost machines' leases are surely over
+	TakenOver     = "taken_over"    // another controller was granted the lost one's shards
+	TokenRaised   = "token_raised"  // and answers workers under a higher token
+	AccountedFor  = "accounted_for" // what runs on the shards' machines is known
+	Restarted     = "started_again" // the lost tasks were ordered on a machine again
+	ImageReady    = "image_there"   // which has their image
+	Running       = "running"       // and runs them
+	Confirmed     = "confirmed"     // the controllers are entitled again
+	UserInformed  = "user_told"     // their users can see it
 )
 
 // Order lists the steps.
-var Order = []string{Noticed, LeaseOver, TakenOver, TokenRaised, AccountedFor, StartedAgain, ImageThere, Running, Confirmed, UserTold}
+var StepOrder = []string{Noticed, LeasesExpired, TakenOver, TokenRaised, AccountedFor, Restarted, ImageReady, Running, Confirmed, UserInformed}
 
 // Params are the protocol's times that bound a recovery from below.
 type Params struct {
-	Report, Lease time.Duration
-	Grant         time.Duration // a silent controller stays entitled so long
-	Renew         time.Duration // and renews so often
+	ReportInterval, WorkerLease time.Duration
+	StateLease                  time.Duration // a silent controller stays entitled so long
+	RenewInterval               time.Duration // and renews so often
 }
 
 // Machine is a machine that a fault hit, as it was at that moment.
@@ -82,11 +82,11 @@
 
 // Kinds of observations of workers and users.
 const (
-	Ordered  = "task_ordered"
-	Started  = "task_started"
-	Left     = "task_left"
-	ToldUp   = "told_up"   // a user was told that all of a job's tasks run, or that it is done
-	ToldDown = "told_down" // a user was told less
+	TaskOrdered = "task_ordered"
+	TaskStarted = "task_started"
+	TaskLeft    = "task_left"
+	UserSawUp   = "told_up"   // a user was told that all of a job's tasks run, or that it is done
+	UserSawDown = "told_down" // a user was told less
 )
 
 // Step is one step of a recovery.
@@ -99,7 +99,7 @@
 
 // notices are the trail's events by which a controller first notices each kind of
 // trouble, and what must match.
-var notices = []struct {
+var noticeKinds = []struct {
 	kind  string
 	match func(*Incident, *Observation) bool
 }{
@@ -129,18 +129,18 @@
 // Analyze derives the steps of one incident. Steps that did not come, or that this
 // fault does not need, are left out.
 func Analyze(p Params, inc Incident, seen []Observation) []Step {
-	x := since(p, inc, seen)
-	x.notice()
+	x := newAnalysis(p, inc, seen)
+	x.detection()
 	x.leases()
 	x.shards()
 	x.tasks()
-	x.entitlement()
+	x.authority()
 	x.users()
 	return x.steps
 }
 
 // since prepares what was seen from the fault on, in order.
-func since(p Params, inc Incident, seen []Observation) *analysis {
+func newAnalysis(p Params, inc Incident, seen []Observation) *analysis {
 	obs := make([]Observation, 0, len(seen))
 	for _, o := range seen {
 		if o.At >= inc.At {
@@ -148,42 +148,42 @@
 		}
 	}
 	sort.SliceStable(obs, func(a, b int) bool { return obs[a].At < obs[b].At })
-	return &analysis{p: p, inc: inc, obs: obs}
+	return &analysis{params: p, incident: inc, observations: obs}
 }
 
 type analysis struct {
-	p     Params
-	inc   Incident
-	obs   []Observation
-	steps []Step
-	lost  map[string]Time // task -> when it was started again, 0: not yet
+	params       Params
+	incident     Incident
+	observations []Observation
+	steps        []Step
+	lost         map[string]Time // task -> when it was started again, 0: not yet
 }
 
 func (x *analysis) add(step string, at Time, least time.Duration, count int) {
-	x.steps = append(x.steps, Step{step, (at - x.inc.At).Milliseconds(), max(0, least).Milliseconds(), count})
+	x.steps = append(x.steps, Step{step, (at - x.incident.At).Milliseconds(), max(0, least).Milliseconds(), count})
 }
 
 // leastNotice: a machine's next report must be missing; a dead controller is known
 // by its grant, which it may have renewed just before.
-func (x *analysis) leastNotice() time.Duration {
+func (x *analysis) minDetectionTime() time.Duration {
 	switch {
-	case len(x.inc.Controllers) > 0 && x.inc.Dead:
-		return x.p.Grant - x.p.Renew
-	case x.inc.Silent && len(x.inc.Machines) > 0:
+	case len(x.incident.Controllers) > 0 && x.incident.Dead:
+		return x.params.StateLease - x.params.RenewInterval
+	case x.incident.Silent && len(x.incident.Machines) > 0:
 		least := time.Duration(1 << 62)
-		for _, m := range x.inc.Machines {
-			least = min(least, x.p.Report*3/4-m.Reported)
+		for _, m := range x.incident.Machines {
+			least = min(least, x.params.ReportInterval*3/4-m.Reported)
 		}
 		return least
 	}
 	return 0
 }
 
-func (x *analysis) notice() {
-	for _, o := range x.obs {
-		for _, n := range notices {
-			if o.From == FromTrail && o.Kind == n.kind && n.match(&x.inc, &o) {
-				x.add(Noticed, o.At, x.leastNotice(), 1)
+func (x *analysis) detection() {
+	for _, o := range x.observations {
+		for _, n := range noticeKinds {
+			if o.From == FromTrail && o.Kind == n.kind && n.match(&x.incident, &o) {
+				x.add(Noticed, o.At, x.minDetectionTime(), 1)
 				return
 			}
 		}
@@ -192,10 +192,10 @@
 
 // leaseLeft is the longest of the lost machines that had something on them.
 func (x *analysis) leaseLeft() (left time.Duration) {
-	if !x.inc.Silent {
+	if !x.incident.Silent {
 		return 0
 	}
-	for _, m := range x.inc.Machines {
+	for _, m := range x.incident.Machines {
 		if len(m.Tasks) > 0 {
 			left = max(left, m.LeaseLeft)
 		}
@@ -206,37 +206,37 @@
 func (x *analysis) leases() {
 	last, over := Time(0), map[string]bool{}
 	least := time.Duration(0)
-	for _, o := range x.obs {
-		if o.From != FromTrail || o.Kind != "lease_over" || !hitsMachine(&x.inc, &o) || over[o.Machine] {
+	for _, o := range x.observations {
+		if o.From != FromTrail || o.Kind != "lease_over" || !hitsMachine(&x.incident, &o) || over[o.Machine] {
 			continue
 		}
 		over[o.Machine], last = true, o.At
-		for _, m := range x.inc.Machines {
+		for _, m := range x.incident.Machines {
 			if m.Name == o.Machine {
 				least = max(least, m.LeaseLeft)
 			}
 		}
 	}
 	if len(over) > 0 {
-		x.add(LeaseOver, last, least, len(over))
+		x.add(LeasesExpired, last, least, len(over))
 	}
 }
 
 // atOnce is by how much what follows a write may be seen before it: each controller's trail has the time
 // of its own step, and who takes a shard may read the write before its writer has the answer.
-const atOnce = 50 * time.Millisecond
+const trailSkew = 50 * time.Millisecond
 
 // shards follows what became of the shards of the controllers that were hit.
 func (x *analysis) shards() {
 	taken, held, settled := map[int]Time{}, map[int]Time{}, map[int]Time{}
-	for _, o := range x.obs {
-		if _, known := taken[o.Shard]; o.From == FromTrail && o.Shard >= 0 && o.Kind == "shard_taken" && !known && slices.Contains(x.inc.Controllers, o.Node) {
+	for _, o := range x.observations {
+		if _, known := taken[o.Shard]; o.From == FromTrail && o.Shard >= 0 && o.Kind == "shard_taken" && !known && slices.Contains(x.incident.Controllers, o.Node) {
 			taken[o.Shard] = o.At
 		}
 	}
-	for _, o := range x.obs {
+	for _, o := range x.observations {
 		at, mine := taken[o.Shard]
-		if o.From != FromTrail || !mine || o.At < at-atOnce || o.At < at && slices.Contains(x.inc.Controllers, o.By) {
+		if o.From != FromTrail || !mine || o.At < at-trailSkew || o.At < at && slices.Contains(x.incident.Controllers, o.By) {
 			continue
 		}
 		switch o.Kind {
@@ -259,7 +259,7 @@
 			last = max(last, at)
 		}
 		if len(s.times) > 0 {
-			x.add(s.step, last, x.leastNotice(), len(s.times))
+			x.add(s.step, last, x.minDetectionTime(), len(s.times))
 		}
 	}
 }
@@ -268,60 +268,60 @@
 // lease ran out elsewhere while it lasted.
 func (x *analysis) tasks() {
 	x.lost = map[string]Time{}
-	for _, m := range x.inc.Machines {
-		if x.inc.Silent {
+	for _, m := range x.incident.Machines {
+		if x.incident.Silent {
 			for _, t := range m.Tasks {
 				x.lost[t] = 0
 			}
 		}
 	}
-	end := x.inc.Until
+	end := x.incident.Until
 	if end == 0 {
-		end = x.inc.At + 2*x.p.Lease
+		end = x.incident.At + 2*x.params.WorkerLease
 	}
 	var ordered, started Time
 	orders, runs := map[string]bool{}, map[string]bool{}
-	for _, o := range x.obs {
+	for _, o := range x.observations {
 		if o.From != FromWorker {
 			continue
 		}
 		_, lost := x.lost[o.Task]
 		switch {
-		case o.Kind == Left && o.At <= end+x.p.Lease && x.takes(&o):
+		case o.Kind == TaskLeft && o.At <= end+x.params.WorkerLease && x.isLoss(&o):
 			if !lost {
 				x.lost[o.Task] = 0
 			}
 			if !runs[o.Task] {
 				delete(orders, o.Task)
 			}
-		case o.Kind == Ordered && lost && !orders[o.Task]:
+		case o.Kind == TaskOrdered && lost && !orders[o.Task]:
 			orders[o.Task], ordered = true, max(ordered, o.At)
-		case o.Kind == Started && lost && !runs[o.Task]:
+		case o.Kind == TaskStarted && lost && !runs[o.Task]:
 			runs[o.Task], started = true, max(started, o.At)
 			x.lost[o.Task] = o.At
 		}
 	}
 	least := x.leaseLeft()
 	if len(orders) > 0 {
-		x.add(StartedAgain, ordered, least, len(orders))
+		x.add(Restarted, ordered, least, len(orders))
 	}
 	if len(runs) > 0 {
-		x.add(ImageThere, started, least, len(runs))
+		x.add(ImageReady, started, least, len(runs))
 		x.add(Running, started, least, len(runs))
 	}
 }
 
 // takes tells whether a task that left was lost to the fault: it was not stopped by
 // command and did not complete.
-func (x *analysis) takes(o *Observation) bool {
-	near := hitsMachine(&x.inc, o) || x.inc.Services || len(x.inc.Controllers) > 0
+func (x *analysis) isLoss(o *Observation) bool {
+	near := hitsMachine(&x.incident, o) || x.incident.Services || len(x.incident.Controllers) > 0
 	return near && (o.Cause == "" || o.Cause == "error")
 }
 
 // entitlement tells when the last controller that was not confirmed is again.
-func (x *analysis) entitlement() {
+func (x *analysis) authority() {
 	open, last := map[string]bool{}, Time(0)
-	for _, o := range x.obs {
+	for _, o := range x.observations {
 		switch {
 		case o.From != FromTrail:
 		case o.Kind == "unconfirmed":
@@ -331,12 +331,12 @@
 			last = o.At
 		}
 	}
-	if last > 0 && (x.inc.Services || len(x.inc.Controllers) > 0) && len(open) == 0 {
+	if last > 0 && (x.incident.Services || len(x.incident.Controllers) > 0) && len(open) == 0 {
 		least := time.Duration(0)
-		if x.inc.Until > 0 {
-			least = x.inc.Until - x.inc.At
+		if x.incident.Until > 0 {
+			least = x.incident.Until - x.incident.At
 		}
-		x.add(Confirmed, last, min(least, last-x.inc.At), 1)
+		x.add(Confirmed, last, min(least, last-x.incident.At), 1)
 	}
 }
 
@@ -348,20 +348,20 @@
 		jobs[id] = max(jobs[id], again)
 	}
 	told, last := map[string]bool{}, Time(0)
-	for _, o := range x.obs {
+	for _, o := range x.observations {
 		again, mine := jobs[o.Job]
-		if o.From == FromUser && o.Kind == ToldUp && mine && again > 0 && !told[o.Job] && o.At >= again {
+		if o.From == FromUser && o.Kind == UserSawUp && mine && again > 0 && !told[o.Job] && o.At >= again {
 			told[o.Job], last = true, max(last, o.At)
 		}
 	}
 	if len(told) > 0 {
-		x.add(UserTold, last, x.leaseLeft(), len(told))
+		x.add(UserInformed, last, x.leaseLeft(), len(told))
 	}
 }
 
 // Lost counts the tasks that an incident took, and those of them that ran again.
-func Lost(p Params, inc Incident, seen []Observation) (lost, back int) {
-	x := since(p, inc, seen)
+func LostTasks(p Params, inc Incident, seen []Observation) (lost, back int) {
+	x := newAnalysis(p, inc, seen)
 	x.tasks()
 	for _, s := range x.steps {
 		if s.Step == Running {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-var params = Params{Report: 2 * sec, Lease: 10 * sec, Grant: 3 * sec, Renew: sec}
+var params = Params{ReportInterval: 2 * sec, WorkerLease: 10 * sec, StateLease: 3 * sec, RenewInterval: sec}
 
 // A machine that hangs: every step is found, with the last of those concerned, and
 // the least time goes by what its worker's lease had left.
@@ -28,22 +28,22 @@
 		trail(101*sec, "machine_silent", "b"),
 		trail(104*sec, "machine_silent", "a"),
 		trail(111*sec, "lease_over", "a"),
-		work(112*sec, Ordered, "b", "job-1/0", ""),
-		work(113*sec, Started, "b", "job-1/0", ""),
-		work(114*sec, Ordered, "b", "job-1/1", ""),
-		work(116*sec, Started, "b", "job-1/1", ""),
-		work(113*sec, Started, "b", "job-2/0", ""),                             // another job's
-		{At: 115 * sec, From: FromUser, Kind: ToldUp, Job: "job-1", Shard: -1}, // too early to be true of both
-		{At: 117 * sec, From: FromUser, Kind: ToldUp, Job: "job-1", Shard: -1},
-		work(130*sec, Left, "a", "job-1/0", ""), // it goes on, and gives up what it had
+		work(112*sec, TaskOrdered, "b", "job-1/0", ""),
+		work(113*sec, TaskStarted, "b", "job-1/0", ""),
+		work(114*sec, TaskOrdered, "b", "job-1/1", ""),
+		work(116*sec, TaskStarted, "b", "job-1/1", ""),
+		work(113*sec, TaskStarted, "b", "job-2/0", ""),                            // another job's
+		{At: 115 * sec, From: FromUser, Kind: UserSawUp, Job: "job-1", Shard: -1}, // too early to be true of both
+		{At: 117 * sec, From: FromUser, Kind: UserSawUp, Job: "job-1", Shard: -1},
+		work(130*sec, TaskLeft, "a", "job-1/0", ""), // it goes on, and gives up what it had
 	}
-	want := []Step{{Noticed, 4000, 500, 1}, {LeaseOver, 11000, 9000, 1}, {StartedAgain, 14000, 9000, 2}, {ImageThere, 16000, 9000, 2},
-		{Running, 16000, 9000, 2}, {UserTold, 17000, 9000, 1}}
+	want := []Step{{Noticed, 4000, 500, 1}, {LeasesExpired, 11000, 9000, 1}, {Restarted, 14000, 9000, 2}, {ImageReady, 16000, 9000, 2},
+		{Running, 16000, 9000, 2}, {UserInformed, 17000, 9000, 1}}
 	if diff := cmp.Diff(want, Analyze(params, inc, seen)); diff != "" {
 		t.Error(diff)
 	}
-	before := Observation{At: 99 * sec, From: FromWorker, Kind: Left, Machine: "a", Task: "job-3/0", Shard: -1} // not this fault's
-	if lost, back := Lost(params, inc, append([]Observation{before}, seen[:7]...)); lost != 2 || back != 1 {
+	before := Observation{At: 99 * sec, From: FromWorker, Kind: TaskLeft, Machine: "a", Task: "job-3/0", Shard: -1} // not this fault's
+	if lost, back := LostTasks(params, inc, append([]Observation{before}, seen[:7]...)); lost != 2 || back != 1 {
 		t.Errorf("%d lost, %d back, want 2 and 1", lost, back)
 	}
 }
@@ -88,7 +88,7 @@
 			o := Observation{At: Time(i)*sec + Time(rapid.IntRange(0, 900).Draw(t, "ms"))*time.Millisecond, From: FromTrail, Shard: rapid.IntRange(-1, 2).Draw(t, "shard"),
 				Machine: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "machine"), Node: rapid.SampledFrom([]string{"", "c0", "c1"}).Draw(t, "node"), By: "c0"}
 			if rapid.Bool().Draw(t, "worker") {
-				o.From, o.Kind, o.Task = FromWorker, rapid.SampledFrom([]string{Ordered, Started, Left}).Draw(t, "kind"), rapid.SampledFrom([]string{"job-1/0", "job-1/1"}).Draw(t, "task")
+				o.From, o.Kind, o.Task = FromWorker, rapid.SampledFrom([]string{TaskOrdered, TaskStarted, TaskLeft}).Draw(t, "kind"), rapid.SampledFrom([]string{"job-1/0", "job-1/1"}).Draw(t, "task")
 			} else {
 				o.Kind = rapid.SampledFrom(kinds).Draw(t, "kind")
 			}
@@ -99,7 +99,7 @@
 		last := -1
 		for _, s := range steps {
 			at := -1
-			for i, name := range Order {
+			for i, name := range StepOrder {
 				if name == s.Step {
 					at = i
 				}
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -330,9 +330,9 @@
 		return false
 	}
 	over := st.Status == wire.JobDone || st.Status == wire.JobAborted
-	kind := recovery.ToldDown
+	kind := recovery.UserSawDown
 	if over || st.Running != nil && *st.Running >= int(*j.spec.Tasks) {
-		kind = recovery.ToldUp
+		kind = recovery.UserSawUp
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -448,5 +448,5 @@
 
 // params are the times by which recoveries are bounded.
 func (r *rehearsal) params() recovery.Params {
-	return recovery.Params{Report: seconds(r.sc.Fleet.ReportS), Lease: seconds(r.sc.Fleet.LeaseS), Grant: tuning.GrantTTL, Renew: tuning.ExtendEvery}
+	return recovery.Params{ReportInterval: seconds(r.sc.Fleet.ReportS), WorkerLease: seconds(r.sc.Fleet.LeaseS), StateLease: tuning.GrantTTL, RenewInterval: tuning.ExtendEvery}
 }
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -380,7 +380,7 @@
 	case "handed":
 		return oneOf(k+"step", e.Step, ToNewer, ToEarlier)
 	case "recovered":
-		return first(within(k+"fault", float64(e.Fault), 1, float64(len(s.Faults))), oneOf(k+"step", e.Step, recovery.Order...),
+		return first(within(k+"fault", float64(e.Fault), 1, float64(len(s.Faults))), oneOf(k+"step", e.Step, recovery.StepOrder...),
 			within(k+"within_s", e.WithinS, 0.1, s.MostS))
 	}
 	if (e.Job == "") == (e.Class == "") {
@@ -423,7 +423,7 @@
 	case "noticed", "lifted":
 		ok = len(w) == 2 && number(1, len(s.Faults))
 	case "step":
-		ok = len(w) == 3 && number(1, len(s.Faults)) && slices.Contains(recovery.Order, w[2])
+		ok = len(w) == 3 && number(1, len(s.Faults)) && slices.Contains(recovery.StepOrder, w[2])
 	}
 	if !ok {
 		return bad
--- a/internal/rehearse/watch.go
+++ b/internal/rehearse/watch.go
@@ -103,7 +103,7 @@
 		key := fmt.Sprint("shard ", o.Shard)
 		r.end(key, &r.line.Shards, at.Seconds(), "")
 		r.begin(key, &r.line.Shards, Span{Who: node, What: key, FromS: at.Seconds()})
-	case trail.NodeGone:
+	case trail.ControllerGone:
 		if i, ok := r.open["leader"]; ok && r.line.Leaders[i].Who == e.Node {
 			r.end("leader", &r.line.Leaders, at.Seconds(), "gone")
 		}
@@ -317,8 +317,8 @@
 		return o
 	}
 	inc := r.staged[e.Fault-1].inc
-	if i := slices.Index(recovery.Order, e.Step); i >= slices.Index(recovery.Order, recovery.StartedAgain) && e.Step != recovery.Confirmed {
-		if lost, back := recovery.Lost(r.params(), inc, r.seen); back < lost {
+	if i := slices.Index(recovery.StepOrder, e.Step); i >= slices.Index(recovery.StepOrder, recovery.Restarted) && e.Step != recovery.Confirmed {
+		if lost, back := recovery.LostTasks(r.params(), inc, r.seen); back < lost {
 			return o
 		}
 	}
@@ -365,7 +365,7 @@
 	res.Rules, res.Served = Rules{Broken: broken, Starts: starts}, r.served
 	for i, s := range r.staged {
 		s.f.Steps = append(s.f.Steps, r.steps(i+1)...)
-		s.f.Lost, s.f.Back = recovery.Lost(r.params(), s.inc, r.seen)
+		s.f.Lost, s.f.Back = recovery.LostTasks(r.params(), s.inc, r.seen)
 		res.Faults = append(res.Faults, s.f)
 	}
 	for _, e := range r.sc.Expect {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -29,7 +29,7 @@
 func Features() []string { return []string{Chains, ProgressRecords} }
 
 // Life is this controller's own.
-type Life struct {
+type Incarnation struct {
 	Node     string
 	Boot     uint64
 	Version  string // of the program
@@ -37,35 +37,35 @@
 }
 
 // Book is what is known of the controllers.
-type Book struct {
+type Tracker struct {
 	features   []string // that this version knows of
 	configured []string // every controller, sorted
 	present    map[string]wire.Node
-	remembered map[string]wire.Version
-	on         map[string]bool // as last told by Turned
+	recorded   map[string]wire.Version
+	announced  map[string]bool // as last told by Turned
 }
 
 // New returns a book over the features that are asked for, the controllers of the settings, and
 // those present, which the owner keeps.
-func New(features, configured []string, present map[string]wire.Node) *Book {
-	return &Book{features: features, configured: configured, present: present,
-		remembered: map[string]wire.Version{}, on: map[string]bool{}}
+func New(features, configured []string, present map[string]wire.Node) *Tracker {
+	return &Tracker{features: features, configured: configured, present: present,
+		recorded: map[string]wire.Version{}, announced: map[string]bool{}}
 }
 
 // Remember takes what is written down of a controller; an empty record: nothing.
-func (b *Book) Remember(node string, v wire.Version) {
-	if b.remembered[node] = v; v.Boot == 0 {
-		delete(b.remembered, node)
+func (b *Tracker) Remember(node string, v wire.Version) {
+	if b.recorded[node] = v; v.Boot == 0 {
+		delete(b.recorded, node)
 	}
 }
 
 // Lack lists the controllers that are not known to understand a feature: those of the settings
 // of which that is not written down, and those present that do not say so. One that is present
 // and not in the settings counts too: it acts on the same records.
-func (b *Book) Lack(feature string) []string {
+func (b *Tracker) ControllersLacking(feature string) []string {
 	var lack []string
 	for _, n := range b.configured {
-		if !slices.Contains(b.remembered[n].Features, feature) {
+		if !slices.Contains(b.recorded[n].Features, feature) {
 			lack = append(lack, n)
 		}
 	}
@@ -80,9 +80,9 @@
 
 // On tells whether a feature may be used for something new: none lacks it. It is asked for each task
 // of each report, so it makes no list.
-func (b *Book) On(feature string) bool {
+func (b *Tracker) Enabled(feature string) bool {
 	for _, n := range b.configured {
-		if !slices.Contains(b.remembered[n].Features, feature) {
+		if !slices.Contains(b.recorded[n].Features, feature) {
 			return false
 		}
 	}
@@ -100,11 +100,11 @@
 // the first by name of those present that do understand something writes it for that one.
 // The write must compare both the presence it is made from and the record that it replaces;
 // then a late one of an earlier life fails whatever it finds.
-func (b *Book) Due(self Life) (node string, rec wire.Version, due bool) {
+func (b *Tracker) DueRecord(self Incarnation) (node string, rec wire.Version, due bool) {
 	if p, up := b.present[self.Node]; !up || p.Boot != self.Boot || len(self.Features) == 0 {
 		return "", wire.Version{}, false
 	}
-	if b.remembered[self.Node].Boot != self.Boot {
+	if b.recorded[self.Node].Boot != self.Boot {
 		return self.Node, wire.Version{Boot: self.Boot, Features: self.Features, Version: self.Version}, true
 	}
 	for n, p := range b.present {
@@ -114,7 +114,7 @@
 	}
 	for _, n := range b.configured {
 		p, up := b.present[n]
-		if r, known := b.remembered[n]; up && len(p.Features) == 0 && known && r.Boot != p.Boot {
+		if r, known := b.recorded[n]; up && len(p.Features) == 0 && known && r.Boot != p.Boot {
 			return n, wire.Version{Boot: p.Boot}, true
 		}
 	}
@@ -122,25 +122,25 @@
 }
 
 // Turned lists the features that have been switched on or off since it was last asked.
-func (b *Book) Turned() []wire.FeatureView {
+func (b *Tracker) ChangedFeatures() []wire.FeatureView {
 	var turned []wire.FeatureView
 	for _, f := range b.features {
-		on := b.On(f)
-		if was, told := b.on[f]; !told || was != on {
-			b.on[f] = on
-			turned = append(turned, b.view(f))
+		on := b.Enabled(f)
+		if was, told := b.announced[f]; !told || was != on {
+			b.announced[f] = on
+			turned = append(turned, b.featureView(f))
 		}
 	}
 	return turned
 }
 
-func (b *Book) view(feature string) wire.FeatureView {
-	lack := b.Lack(feature)
+func (b *Tracker) featureView(feature string) wire.FeatureView {
+	lack := b.ControllersLacking(feature)
 	return wire.FeatureView{Feature: feature, On: len(lack) == 0, HeldFor: lack}
 }
 
 // View is what operators are told.
-func (b *Book) View(node string) wire.VersionView {
+func (b *Tracker) View(node string) wire.VersionView {
 	names := slices.Clone(b.configured)
 	for n := range b.present {
 		if !slices.Contains(names, n) {
@@ -150,11 +150,11 @@
 	slices.Sort(names)
 	view := wire.VersionView{Node: node}
 	for _, f := range b.features {
-		view.Features = append(view.Features, b.view(f))
+		view.Features = append(view.Features, b.featureView(f))
 	}
 	for _, n := range names {
 		p, up := b.present[n]
-		r := b.remembered[n]
+		r := b.recorded[n]
 		c := wire.ControllerVersion{Node: n, Present: up, Boot: r.Boot, Version: r.Version, Features: r.Features}
 		if up && p.Boot != r.Boot { // its record is another life's
 			c.Boot, c.Version, c.Features = p.Boot, "", p.Features
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -8,16 +8,16 @@
 )
 
 // scene is a book with its controllers a, b and c, of which those in up are present.
-func scene(up map[string]wire.Node) *Book {
+func scene(up map[string]wire.Node) *Tracker {
 	return New([]string{Chains}, []string{"a", "b", "c"}, up)
 }
 
 func newer(boot uint64) wire.Node { return wire.Node{Boot: boot, Features: []string{Chains}} }
 
 // write has a controller of the book do what is due, and tells of which controller it wrote.
-func write(b *Book, node string) string {
+func write(b *Tracker, node string) string {
 	p := b.present[node]
-	n, rec, due := b.Due(Life{Node: node, Boot: p.Boot, Features: p.Features, Version: "v"})
+	n, rec, due := b.DueRecord(Incarnation{Node: node, Boot: p.Boot, Features: p.Features, Version: "v"})
 	if due {
 		b.Remember(n, rec)
 	}
@@ -27,28 +27,28 @@
 func TestOnOnceAllAreKnownToUnderstand(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": {Boot: 2}, "c": newer(3)}
 	b := scene(up)
-	if got := b.Lack(Chains); !slices.Equal(got, []string{"a", "b", "c"}) {
+	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Fatalf("nothing is written down yet, lack: %v", got)
 	}
 	write(b, "a")
 	write(b, "c")
-	if got := b.Lack(Chains); !slices.Equal(got, []string{"b"}) {
+	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"b"}) {
 		t.Fatalf("lack: %v", got)
 	}
 	delete(up, "b") // dies before its turn, and may come back as it was
-	if b.On(Chains) {
+	if b.Enabled(Chains) {
 		t.Fatal("on, while one that never said so is down")
 	}
 	up["b"] = newer(9)
-	if b.On(Chains) {
+	if b.Enabled(Chains) {
 		t.Fatal("on before it is written down")
 	}
 	write(b, "b")
-	if !b.On(Chains) {
-		t.Fatalf("lack: %v", b.Lack(Chains))
+	if !b.Enabled(Chains) {
+		t.Fatalf("lack: %v", b.ControllersLacking(Chains))
 	}
 	delete(up, "a")
-	if !b.On(Chains) {
+	if !b.Enabled(Chains) {
 		t.Fatal("off while one that understands it is down")
 	}
 }
@@ -62,7 +62,7 @@
 		write(b, n)
 	}
 	up["b"] = wire.Node{Boot: 7}
-	if b.On(Chains) {
+	if b.Enabled(Chains) {
 		t.Fatal("on with an old one present")
 	}
 	if n := write(b, "c"); n != "" {
@@ -78,12 +78,12 @@
 		t.Fatalf("a wrote again, of %s", n)
 	}
 	delete(up, "b")
-	if b.On(Chains) {
+	if b.Enabled(Chains) {
 		t.Fatal("on while one that came back old is down")
 	}
 	up["b"] = newer(8)
 	write(b, "b")
-	if !b.On(Chains) {
+	if !b.Enabled(Chains) {
 		t.Fatal("off after it came back new")
 	}
 }
@@ -95,7 +95,7 @@
 		write(b, n)
 	}
 	up["z"] = wire.Node{Boot: 4}
-	if got := b.Lack(Chains); !slices.Equal(got, []string{"z"}) {
+	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"z"}) {
 		t.Fatalf("lack: %v", got)
 	}
 }
@@ -104,25 +104,25 @@
 func TestDueOncePerLife(t *testing.T) {
 	up := map[string]wire.Node{}
 	b := scene(up)
-	life := Life{Node: "a", Boot: 5, Features: []string{Chains}, Version: "v"}
-	if _, _, due := b.Due(life); due {
+	life := Incarnation{Node: "a", Boot: 5, Features: []string{Chains}, Version: "v"}
+	if _, _, due := b.DueRecord(life); due {
 		t.Fatal("due before the presence stands")
 	}
 	up["a"] = newer(4)
-	if _, _, due := b.Due(life); due {
+	if _, _, due := b.DueRecord(life); due {
 		t.Fatal("due while an earlier life's presence stands")
 	}
 	up["a"] = newer(5)
-	n, rec, due := b.Due(life)
+	n, rec, due := b.DueRecord(life)
 	if !due || n != "a" || rec.Boot != 5 || rec.Version != "v" || !slices.Equal(rec.Features, life.Features) {
 		t.Fatalf("%q %+v %v", n, rec, due)
 	}
 	b.Remember(n, rec)
-	if _, _, due := b.Due(life); due {
+	if _, _, due := b.DueRecord(life); due {
 		t.Fatal("due twice")
 	}
 	b.Remember("a", wire.Version{})
-	if _, _, due := b.Due(life); !due {
+	if _, _, due := b.DueRecord(life); !due {
 		t.Fatal("not due though the record is gone")
 	}
 }
@@ -138,16 +138,16 @@
 	if f := v.Features[0]; f.On || !slices.Equal(f.HeldFor, []string{"b", "c"}) {
 		t.Fatalf("%+v", f)
 	}
-	if got := b.Turned(); len(got) != 1 || got[0].On {
+	if got := b.ChangedFeatures(); len(got) != 1 || got[0].On {
 		t.Fatalf("first told: %+v", got)
 	}
-	if got := b.Turned(); len(got) != 0 {
+	if got := b.ChangedFeatures(); len(got) != 0 {
 		t.Fatalf("told again: %+v", got)
 	}
 	up["b"], up["c"] = newer(3), newer(4)
 	write(b, "b")
 	write(b, "c")
-	if got := b.Turned(); len(got) != 1 || !got[0].On {
+	if got := b.ChangedFeatures(); len(got) != 1 || !got[0].On {
 		t.Fatalf("switched on: %+v", got)
 	}
 }
--- a/internal/statestore/statestore.go
+++ b/internal/statestore/statestore.go
@@ -38,7 +38,7 @@
 }
 
 func newShared(limit, most float64) *shared {
-	p := limits.ShareParams{Min: limit * tuning.ShareLeast, Max: limit * most, Gain: limit * tuning.ShareGain, Cut: tuning.ShareCut, Pause: tuning.SharePause}
+	p := limits.ShareParams{Min: limit * tuning.ShareLeast, Max: limit * most, Gain: limit * tuning.ShareGain, CutFactor: tuning.ShareCut, CutInterval: tuning.SharePause}
 	return &shared{Limiter: rate.NewLimiter(rate.Limit(p.Max), max(1, int(p.Max))), share: limits.NewShare(p)}
 }
 
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -16,19 +16,19 @@
 
 // The newest event that shares a subject is the cause, and no other machine's.
 func TestCauses(t *testing.T) {
-	x := New(Limits{Events: 100, Bytes: 4096, Every: time.Second})
+	x := New(Limits{Events: 100, Bytes: 4096, WriteInterval: time.Second})
 	add := func(e wire.TrailEvent) uint64 { return x.Add(0, wall, e) }
 	old := add(wire.TrailEvent{Kind: MachineSilent, Machine: "a"})
-	add(wire.TrailEvent{Kind: MachineBack, Machine: "a"})
+	add(wire.TrailEvent{Kind: MachineReporting, Machine: "a"})
 	silent := add(wire.TrailEvent{Kind: MachineSilent, Machine: "a"})
 	add(wire.TrailEvent{Kind: MachineSilent, Machine: "b"})
-	over := add(wire.TrailEvent{Kind: LeaseOver, Machine: "a", Shard: ptr(2)})
+	over := add(wire.TrailEvent{Kind: LeaseExpired, Machine: "a", Shard: ptr(2)})
 	lost := add(wire.TrailEvent{Kind: TaskLost, Machine: "a", Task: "job-1/0"})
 	if !x.WasLost("job-1/0") || x.WasLost("job-1/1") {
 		t.Error("a lost task is not known as lost, or another is")
 	}
-	again := add(wire.TrailEvent{Kind: TaskAgain, Machine: "b", Task: "job-1/0"})
-	add(wire.TrailEvent{Kind: TaskRuns, Machine: "b", Task: "job-1/0"})
+	again := add(wire.TrailEvent{Kind: TaskRestarted, Machine: "b", Task: "job-1/0"})
+	add(wire.TrailEvent{Kind: TaskRunning, Machine: "b", Task: "job-1/0"})
 	if x.WasLost("job-1/0") {
 		t.Error("a task that runs again still counts as lost")
 	}
@@ -47,16 +47,16 @@
 // one, causes lie before what they caused and are still kept, and a reader that
 // follows sees every event once or is told that it missed some.
 func TestBounds(t *testing.T) {
-	kinds := []string{MachineSilent, LeaseOver, TaskLost, TaskAgain, TaskRuns, ShardTaken, ShardHeld, Settled, NodeGone, Accounted, TaskFailed}
+	kinds := []string{MachineSilent, LeaseExpired, TaskLost, TaskRestarted, TaskRunning, ShardTaken, ShardHeld, Reconciled, ControllerGone, AccountedFor, TaskFailed}
 	rapid.Check(t, func(t *rapid.T) {
-		lim := Limits{Events: rapid.IntRange(1, 40).Draw(t, "events"), Bytes: rapid.IntRange(200, 2000).Draw(t, "bytes"), Every: 10 * time.Second}
+		lim := Limits{Events: rapid.IntRange(1, 40).Draw(t, "events"), Bytes: rapid.IntRange(200, 2000).Draw(t, "bytes"), WriteInterval: 10 * time.Second}
 		x := New(lim)
 		now, read, writes := Time(0), uint64(0), []Time{}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			m := rapid.IntRange(0, 4).Draw(t, "subject")
 			seq := x.Add(now, wall, wire.TrailEvent{Kind: rapid.SampledFrom(kinds).Draw(t, "kind"), Machine: fmt.Sprint("n-", m), Task: fmt.Sprint("job-1/", m), Node: fmt.Sprint("c", m), Shard: &m})
-			if rec, due := x.Record(now, 7); due {
+			if rec, due := x.NextRecord(now, 7); due {
 				raw, err := wire.Marshal(rec)
 				if err != nil {
 					t.Fatal(err)
@@ -83,7 +83,7 @@
 			}
 		}
 		for i := 1; i < len(writes); i++ {
-			if writes[i]-writes[i-1] < lim.Every {
+			if writes[i]-writes[i-1] < lim.WriteInterval {
 				t.Fatalf("written at %v and %v", writes[i-1], writes[i])
 			}
 		}
@@ -92,27 +92,27 @@
 
 // The next life keeps what the one before had stored, and says whose it was.
 func TestEarlierLives(t *testing.T) {
-	lim := Limits{Events: 10, Bytes: 4096, Every: time.Second}
+	lim := Limits{Events: 10, Bytes: 4096, WriteInterval: time.Second}
 	a := New(lim)
-	a.Add(time.Second, wall, wire.TrailEvent{Kind: LeaseOver, Machine: "n-1"})
-	rec, due := a.Record(10*time.Second, 5)
+	a.Add(time.Second, wall, wire.TrailEvent{Kind: LeaseExpired, Machine: "n-1"})
+	rec, due := a.NextRecord(10*time.Second, 5)
 	if !due {
 		t.Fatal("a lasting event is not written")
 	}
-	if _, again := a.Record(20*time.Second, 5); again {
+	if _, again := a.NextRecord(20*time.Second, 5); again {
 		t.Error("nothing new, and written again")
 	}
 	b := New(lim)
 	b.Add(0, wall, wire.TrailEvent{Kind: Began})
-	b.Earlier(rec, 9)
-	rec, _ = b.Record(10*time.Second, 9)
+	b.LoadEarlier(rec, 9)
+	rec, _ = b.NextRecord(10*time.Second, 9)
 	if len(rec.Events) != 2 || rec.Events[0].Machine != "n-1" || rec.Events[0].Boot != 5 || rec.Events[1].Kind != Began {
 		t.Errorf("the record has %+v", rec.Events)
 	}
-	b.Add(time.Minute, wall, wire.TrailEvent{Kind: Settled})
-	b.Record(time.Minute+time.Second, 9)
-	b.Failed(time.Minute + time.Second)
-	if _, due := b.Record(3*time.Minute, 9); !due {
+	b.Add(time.Minute, wall, wire.TrailEvent{Kind: Reconciled})
+	b.NextRecord(time.Minute+time.Second, 9)
+	b.WriteFailed(time.Minute + time.Second)
+	if _, due := b.NextRecord(3*time.Minute, 9); !due {
 		t.Error("a write that failed is not tried again")
 	}
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -16,10 +16,10 @@
 
 // Client is safe for concurrent use.
 type Client struct {
-	http  *http.Client
-	queue chan call
-	log   *slog.Logger
-	done  func(status int, took time.Duration)
+	http   *http.Client
+	queue  chan call
+	log    *slog.Logger
+	onDone func(status int, took time.Duration)
 }
 
 type call struct {
@@ -31,12 +31,12 @@
 // New returns a client that works until the context ends; done is called after each
 // call, with status 0 for one that had no answer.
 func New(ctx context.Context, log *slog.Logger, done func(status int, took time.Duration)) *Client {
-	c := &Client{queue: make(chan call, tuning.OrderQueue), log: log, done: done,
+	c := &Client{queue: make(chan call, tuning.OrderQueue), log: log, onDone: done,
 		// A connection to each of a thousand workers would cost more sockets than it saves.
 		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.OrderTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true}}}
 	for range tuning.OrderCalls {
-		go c.work(ctx)
+		go c.run(ctx)
 	}
 	return c
 }
@@ -45,15 +45,15 @@
 // report as it stands after the call, or before one that was refused (409); status 0 means
 // that no report came. It is not called for a call that found no room.
 func (c *Client) Send(addr string, o wire.Orders, answer func(status int, r wire.Report)) bool {
-	return c.put(call{addr, &o, answer})
+	return c.enqueue(call{addr, &o, answer})
 }
 
 // Inspect queues a call that only asks for the worker's report, as Send does.
 func (c *Client) Inspect(addr string, answer func(status int, r wire.Report)) bool {
-	return c.put(call{addr, nil, answer})
+	return c.enqueue(call{addr, nil, answer})
 }
 
-func (c *Client) put(x call) bool {
+func (c *Client) enqueue(x call) bool {
 	select {
 	case c.queue <- x:
 		return true
@@ -62,7 +62,7 @@
 	}
 }
 
-func (c *Client) work(ctx context.Context) {
+func (c *Client) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -79,7 +79,7 @@
 			if err != nil {
 				c.log.Debug("no answer to direct commands", "to", x.addr, "err", err.Error())
 			}
-			c.done(status, time.Since(began))
+			c.onDone(status, time.Since(began))
 			if x.answer != nil {
 				var r wire.Report
 				if wire.Unmarshal(raw, &r) != nil || r.Machine == "" {
