--- a/internal/core/tiers.go
+++ b/internal/core/tiers.go
@@ -19,7 +19,7 @@
 
 // tierOrderView returns the tier order that is in force, for the admin interface.
 func (c *Core) tierOrderView() wire.TierOrderView {
-	return wire.TierOrderView{Version: c.versions.Of(wire.KeyTierOrder), Order: c.tierRecord, All: c.tierOrder.Tiers()}
+	return wire.TierOrderView{Version: c.versions.Version(wire.KeyTierOrder), Order: c.tierRecord, All: c.tierOrder.Tiers()}
 }
 
 // onAdminTiers answers with the tier order, or checks and writes a new one.
@@ -37,7 +37,7 @@
 		c.answer(v.Req, 400, wire.Problem{Error: err.Error()})
 		return
 	}
-	version := c.versions.Of(wire.KeyTierOrder)
+	version := c.versions.Version(wire.KeyTierOrder)
 	rec := limits.Fit(tiers.Revise(c.tierRecord, version, v.Patch.Tiers, c.wall, c.params.Node, tuning.TierHistoryChanges), c.params.MaxValueBytes, tiers.DropOldestChange)
 	if raw, err := wire.Marshal(rec); err != nil || !wire.FitsIn(raw, c.params.MaxValueBytes) {
 		c.answer(v.Req, 400, wire.Problem{Error: "rungs: too large to keep"})
@@ -69,7 +69,7 @@
 	c.answer(v.Req, 200, wire.OrderView{
 		Node:     c.params.Node,
 		Revision: c.mirrorRevision,
-		Version:  c.versions.Of(wire.KeyTierOrder),
+		Version:  c.versions.Version(wire.KeyTierOrder),
 		Digest:   digest,
 		Count:    len(ordered),
 		Jobs:     ordered[:min(len(ordered), tuning.MaxOrderAnswerJobs)],
