--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,11 +1,11 @@
-// Package health decides who is to blame when tasks fail: a faulty machine, which fails
-// whatever it starts, or a mistaken job, which fails wherever it starts. Counting failures
-// in a row on a machine took healthy machines for faulty: two mistaken jobs met there.
+// Package health decides what causes task failures: a faulty machine, on which every task fails,
+// or a mistaken job, which fails on every machine. Counting consecutive failures per machine is
+// not enough: healthy machines were taken for faulty when two mistaken jobs ran on them.
 //
-// A failure speaks against a machine as far as the job is known to be sound, and against
-// the job as far as the machine is. What completes clears both at once.
+// A failure counts against a machine the more, the surer it is that the job works, and against
+// the job the more, the surer it is that the machine works. A completed task clears both.
 //
-// Pure: time comes in; not for concurrent use.
+// The package is pure: callers pass the time in. It is not safe for concurrent use.
 package health
 
 import (
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// Params weigh the evidence and pace the retries. Weights are shares of certainty.
+// Params weighs the evidence and sets the retry delays. Weights are shares of certainty.
 type Params struct {
 	// Weight of a failure against the machine, by what is known of the job.
 	ProvenJobWeight, UnprovenJobWeight, FailsElsewhereWeight float64
-	SuspectCertainty, FaultyCertainty                        float64 // certainty from which on a machine counts as such
+	SuspectCertainty, FaultyCertainty                        float64 // certainty from which a machine is suspect or faulty
 	// Weight of a failure against the job, by what is known of the machine.
 	ProvenMachineWeight, UnprovenMachineWeight, TroubledMachineWeight float64
-	MistakenThreshold                                                 float64 // sum of these, over machines
+	MistakenThreshold                                                 float64 // sum of these weights over machines from which a job is mistaken
 	RetryDelay, RetryDelayMax, MistakenRetryDelayMax                  time.Duration
 }
 
-// Verdict is what is believed of a machine.
+// Verdict is the assessment of a machine.
 type Verdict int
 
-// Well machines take all work, suspects none that is urgent, sick ones none.
+// A healthy machine takes all work, a suspect one no urgent work, and a faulty one no work.
 const (
 	Healthy Verdict = iota
 	Suspect
 	Faulty
 )
 
-// Book holds the evidence.
+// Tracker holds the evidence about jobs and machines.
 type Tracker struct {
 	params   Params
 	jobs     map[string]*job
@@ -44,198 +44,201 @@
 }
 
 type job struct {
-	proven   bool           // a task of it has completed
-	failures map[string]int // machine -> failures there
-	streak   int            // failures since it was last cleared, those at one moment as one
-	retryAt  time.Duration  // not before
+	proven   bool           // a task of the job has completed
+	failures map[string]int // failures by machine
+	streak   int            // failures since the job was last cleared; simultaneous ones count as one
+	retryAt  time.Duration  // no retry before this time
 	mistaken bool
 }
 
 type machine struct {
-	proven   bool           // something has ever completed there
-	failures map[string]int // job -> failures since the last completion
-	faulty   bool           // once found sick it stays so: it is given back
+	proven   bool           // a task has completed on the machine
+	failures map[string]int // failures by job since the last completion
+	faulty   bool           // permanent: a faulty machine is given back
 }
 
-// New returns a book without evidence.
+// New returns a tracker without evidence.
 func New(p Params) *Tracker {
 	return &Tracker{params: p, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
-func (b *Tracker) job(name string) *job {
-	j := b.jobs[name]
+func (t *Tracker) job(name string) *job {
+	j := t.jobs[name]
 	if j == nil {
 		j = &job{failures: map[string]int{}}
-		b.jobs[name] = j
+		t.jobs[name] = j
 	}
 	return j
 }
 
-func (b *Tracker) machine(name string) *machine {
-	m := b.machines[name]
+func (t *Tracker) machine(name string) *machine {
+	m := t.machines[name]
 	if m == nil {
 		m = &machine{failures: map[string]int{}}
-		b.machines[name] = m
+		t.machines[name] = m
 	}
 	return m
 }
 
-// Failed notes that a task of a job failed on a machine. It returns the machines that are
-// sick by now and were not before, in order.
-func (b *Tracker) RecordFailure(now time.Duration, jobName, machineName string) []string {
-	j, m := b.job(jobName), b.machine(machineName)
+// RecordFailure records that a task of a job failed on a machine. It returns the machines that
+// have become faulty by it, sorted.
+func (t *Tracker) RecordFailure(now time.Duration, jobName, machineName string) []string {
+	j, m := t.job(jobName), t.machine(machineName)
 	j.failures[machineName]++
 	m.failures[jobName]++
 	if j.streak == 0 || now >= j.retryAt {
-		j.streak++ // a wave of tasks that were started together tells one thing
+		j.streak++ // tasks that were started together and fail together are one piece of evidence
 	}
 	if !j.proven && !j.mistaken {
-		j.mistaken = b.evidenceAgainst(j, jobName) >= b.params.MistakenThreshold && len(j.failures) > 1
+		j.mistaken = t.evidenceAgainst(j, jobName) >= t.params.MistakenThreshold && len(j.failures) > 1
 	}
-	most := b.params.RetryDelayMax
+	maxDelay := t.params.RetryDelayMax
 	if j.mistaken {
-		most = b.params.MistakenRetryDelayMax
+		maxDelay = t.params.MistakenRetryDelayMax
 	}
-	j.retryAt = now + min(most, b.params.RetryDelay<<min(j.streak-1, 16))
+	j.retryAt = now + min(maxDelay, t.params.RetryDelay<<min(j.streak-1, 16))
 	if j.proven {
-		j.retryAt = now + b.params.RetryDelay/2 // the machine's fault: it goes on elsewhere
+		j.retryAt = now + t.params.RetryDelay/2 // the machine is to blame; the job continues elsewhere
 	}
-	return b.newlyFaulty([]string{machineName})
+	return t.newlyFaulty([]string{machineName})
 }
 
-// against adds up what speaks against a job.
-func (b *Tracker) evidenceAgainst(j *job, name string) (sum float64) {
+// evidenceAgainst returns the sum of the evidence against a job.
+func (t *Tracker) evidenceAgainst(j *job, name string) (sum float64) {
 	for mn := range j.failures {
-		m := b.machines[mn]
+		m := t.machines[mn]
 		switch {
 		case m == nil:
-			sum += b.params.UnprovenMachineWeight
+			sum += t.params.UnprovenMachineWeight
 		case m.faulty:
 		case len(m.failures) > 1 || len(m.failures) == 1 && m.failures[name] == 0:
-			// Others fail there as well. If those fail elsewhere too, they say nothing
-			// of the machine.
-			if b.certainty(m, name) < b.params.SuspectCertainty/2 {
-				sum += b.params.UnprovenMachineWeight
+			// Other jobs fail on the machine as well. If those fail elsewhere too, they are
+			// no evidence against the machine.
+			if t.certainty(m, name) < t.params.SuspectCertainty/2 {
+				sum += t.params.UnprovenMachineWeight
 			} else {
-				sum += b.params.TroubledMachineWeight
+				sum += t.params.TroubledMachineWeight
 			}
 		case m.proven:
-			sum += b.params.ProvenMachineWeight
+			sum += t.params.ProvenMachineWeight
 		default:
-			sum += b.params.UnprovenMachineWeight
+			sum += t.params.UnprovenMachineWeight
 		}
 	}
 	return sum
 }
 
-// certainty is how sure it is that a machine is faulty, the failures of one job apart.
-func (b *Tracker) certainty(m *machine, except string) float64 {
-	well := 1.0
+// certainty returns how certain it is that a machine is faulty, from 0 to 1, ignoring the
+// failures of the job except.
+func (t *Tracker) certainty(m *machine, except string) float64 {
+	healthy := 1.0
 	for jn, n := range m.failures {
-		j := b.jobs[jn]
+		j := t.jobs[jn]
 		if j == nil || jn == except {
 			continue
 		}
 		switch {
 		case j.proven:
-			well *= math.Pow(1-b.params.ProvenJobWeight, float64(n))
-		case j.mistaken || b.failsElsewhere(j, m):
-			well *= 1 - b.params.FailsElsewhereWeight
+			healthy *= math.Pow(1-t.params.ProvenJobWeight, float64(n))
+		case j.mistaken || t.failsElsewhere(j, m):
+			healthy *= 1 - t.params.FailsElsewhereWeight
 		default:
-			well *= 1 - b.params.UnprovenJobWeight
+			healthy *= 1 - t.params.UnprovenJobWeight
 		}
 	}
-	return 1 - well
+	return 1 - healthy
 }
 
-// elsewhere tells whether a job has failed on another machine that is not sick.
-func (b *Tracker) failsElsewhere(j *job, here *machine) bool {
+// failsElsewhere reports whether a job has failed on another machine that is not faulty.
+func (t *Tracker) failsElsewhere(j *job, here *machine) bool {
 	for mn := range j.failures {
-		if o := b.machines[mn]; o != nil && o != here && !o.faulty {
+		if o := t.machines[mn]; o != nil && o != here && !o.faulty {
 			return true
 		}
 	}
 	return false
 }
 
-// judge finds those of some machines that have become sick. Two failures at least that are
-// not those of jobs that fail elsewhere too: of a good machine one may be an accident. And
-// one of a sound job: seven new jobs that fail on a machine may all be mistaken; each is
-// tried elsewhere next, and if one completes there, that decides.
-func (b *Tracker) newlyFaulty(names []string) (sick []string) {
+// newlyFaulty marks those of the named machines as faulty that have become so and returns them,
+// sorted. A machine needs at least two failures of jobs that do not fail elsewhere too, because a
+// single failure on a good machine may be an accident. At least one of them must be of a proven
+// job: seven new jobs that fail on one machine may all be mistaken. Each of these is tried on
+// another machine next, and a completion there decides.
+func (t *Tracker) newlyFaulty(names []string) (faulty []string) {
 	for _, n := range names {
-		m := b.machines[n]
+		m := t.machines[n]
 		if m == nil || m.faulty {
 			continue
 		}
 		failures, sound := 0, false
 		for jn, k := range m.failures {
-			if j := b.jobs[jn]; j != nil && (j.proven || !j.mistaken && !b.failsElsewhere(j, m)) {
+			if j := t.jobs[jn]; j != nil && (j.proven || !j.mistaken && !t.failsElsewhere(j, m)) {
 				failures += k
 				sound = sound || j.proven
 			}
 		}
-		if sound && failures > 1 && b.certainty(m, "") >= b.params.FaultyCertainty {
+		if sound && failures > 1 && t.certainty(m, "") >= t.params.FaultyCertainty {
 			m.faulty = true
-			sick = append(sick, n)
+			faulty = append(faulty, n)
 		}
 	}
-	slices.Sort(sick)
-	return sick
+	slices.Sort(faulty)
+	return faulty
 }
 
-// Completed notes that a task of a job completed on a machine, or has run there for long.
-// It returns machines that are sick by what is now known of the job.
-func (b *Tracker) RecordCompletion(jobName, machineName string) []string {
-	m := b.machine(machineName)
+// RecordCompletion records that a task of a job completed on a machine, or has run there for
+// long. It returns the machines that have become faulty because the job is now known to work,
+// sorted.
+func (t *Tracker) RecordCompletion(jobName, machineName string) []string {
+	m := t.machine(machineName)
 	m.proven = true
 	clear(m.failures)
-	j := b.job(jobName)
+	j := t.job(jobName)
 	first := !j.proven
 	j.proven, j.mistaken, j.streak, j.retryAt = true, false, 0, 0
 	delete(j.failures, machineName)
 	if !first || len(j.failures) == 0 {
 		return nil
 	}
-	return b.newlyFaulty(slices.Sorted(maps.Keys(j.failures)))
+	return t.newlyFaulty(slices.Sorted(maps.Keys(j.failures)))
 }
 
-// Condemn takes over what an earlier holder knew: a job is mistaken.
-func (b *Tracker) MarkMistaken(now time.Duration, name string) {
-	if j := b.job(name); !j.proven && !j.mistaken {
+// MarkMistaken marks a job as mistaken because an earlier holder of its shard found it so.
+func (t *Tracker) MarkMistaken(now time.Duration, name string) {
+	if j := t.job(name); !j.proven && !j.mistaken {
 		j.mistaken, j.streak = true, max(j.streak, 4)
-		j.retryAt = now + min(b.params.MistakenRetryDelayMax, b.params.RetryDelay<<j.streak)
+		j.retryAt = now + min(t.params.MistakenRetryDelayMax, t.params.RetryDelay<<j.streak)
 	}
 }
 
-// Trial tells whether a job is tried by one task at a time: it has failed on more than one
-// machine and completed nowhere.
-func (b *Tracker) OnTrial(name string) bool {
-	j := b.jobs[name]
+// OnTrial reports whether a job may run only one task at a time, because it has failed on more
+// than one machine and completed on none.
+func (t *Tracker) OnTrial(name string) bool {
+	j := t.jobs[name]
 	return j != nil && !j.proven && (j.mistaken || len(j.failures) > 1)
 }
 
-// Mistaken tells whether a job is believed to fail everywhere.
-func (b *Tracker) Mistaken(name string) bool { j := b.jobs[name]; return j != nil && j.mistaken }
+// Mistaken reports whether a job is assumed to fail on every machine.
+func (t *Tracker) Mistaken(name string) bool { j := t.jobs[name]; return j != nil && j.mistaken }
 
-// NotBefore is when a job may be tried next; 0: at any time.
-func (b *Tracker) NotBefore(name string) time.Duration {
-	if j := b.jobs[name]; j != nil {
+// NotBefore returns the earliest time at which a job may be retried, or 0 if there is no delay.
+func (t *Tracker) NotBefore(name string) time.Duration {
+	if j := t.jobs[name]; j != nil {
 		return j.retryAt
 	}
 	return 0
 }
 
-// Avoids tells whether a job keeps off a machine: it has failed there, and one of the two
-// may be sound. A job that fails everywhere is tried where it is known to fail.
-func (b *Tracker) Avoids(jobName, machineName string) bool {
-	j := b.jobs[jobName]
+// Avoids reports whether a job must not run on a machine because it has failed there and one of
+// the two may be sound. A mistaken job is tried on machines where it is known to fail.
+func (t *Tracker) Avoids(jobName, machineName string) bool {
+	j := t.jobs[jobName]
 	return j != nil && j.failures[machineName] > 0 && !j.mistaken
 }
 
-// Machine is what is believed of a machine, and how many failures stand against it.
-func (b *Tracker) MachineVerdict(name string) (v Verdict, failures int) {
-	m := b.machines[name]
+// MachineVerdict returns the verdict on a machine and the number of failures counted against it.
+func (t *Tracker) MachineVerdict(name string) (v Verdict, failures int) {
+	m := t.machines[name]
 	if m == nil {
 		return Healthy, 0
 	}
@@ -245,15 +248,15 @@
 	switch {
 	case m.faulty:
 		return Faulty, failures
-	case failures > 0 && b.certainty(m, "") >= b.params.SuspectCertainty:
+	case failures > 0 && t.certainty(m, "") >= t.params.SuspectCertainty:
 		return Suspect, failures
 	}
 	return Healthy, failures
 }
 
-// Failures tells on how many machines a job has failed, and how often in all.
-func (b *Tracker) JobFailures(name string) (machines, times int) {
-	j := b.jobs[name]
+// JobFailures returns on how many machines a job has failed, and how often in total.
+func (t *Tracker) JobFailures(name string) (machines, times int) {
+	j := t.jobs[name]
 	if j == nil {
 		return 0, 0
 	}
@@ -263,20 +266,20 @@
 	return len(j.failures), times
 }
 
-// ForgetJob drops what is known of a job that is over.
-func (b *Tracker) ForgetJob(name string) {
-	if j := b.jobs[name]; j != nil {
-		// What it says of machines stays said: a sound job's failures there count on.
+// ForgetJob drops the evidence about a job that has ended.
+func (t *Tracker) ForgetJob(name string) {
+	if j := t.jobs[name]; j != nil {
+		// The failures of a proven job still count against the machines.
 		if !j.proven {
 			for mn := range j.failures {
-				if m := b.machines[mn]; m != nil {
+				if m := t.machines[mn]; m != nil {
 					delete(m.failures, name)
 				}
 			}
 		}
-		delete(b.jobs, name)
+		delete(t.jobs, name)
 	}
 }
 
-// ForgetMachine drops what is known of a machine that is gone.
-func (b *Tracker) ForgetMachine(name string) { delete(b.machines, name) }
+// ForgetMachine drops the evidence about a machine that no longer exists.
+func (t *Tracker) ForgetMachine(name string) { delete(t.machines, name) }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -13,8 +13,8 @@
 	ProvenMachineWeight: 1, UnprovenMachineWeight: 0.6, TroubledMachineWeight: 0.3, MistakenThreshold: 1.5,
 	RetryDelay: time.Second, RetryDelayMax: 30 * time.Second, MistakenRetryDelayMax: 4 * time.Minute}
 
-// play runs jobs of several tasks on machines at random: mistaken jobs fail everywhere,
-// faulty machines fail everything. It keeps off sick machines and obeys trials.
+// play runs jobs of several tasks on machines at random: mistaken jobs fail everywhere, and every
+// task fails on a faulty machine. It avoids faulty machines and respects retry delays.
 func play(b *Tracker, rng *rand.Rand, jobs, machines, steps int, badJob, badMachine func(int) bool) (starts map[string]int) {
 	starts = map[string]int{}
 	now := time.Duration(0)
@@ -35,8 +35,8 @@
 	return starts
 }
 
-// Blame lands rightly in nine of ten random runs with one to three bad parties, and on
-// nobody where nothing is bad.
+// The tracker blames the right parties in nine of ten random runs with up to three bad ones, and
+// nobody if nothing is bad.
 func TestBlame(t *testing.T) {
 	right, runs := 0, 200
 	for seed := range uint64(runs) {
@@ -58,17 +58,17 @@
 		if ok {
 			right++
 		} else if bad == 0 {
-			t.Fatalf("seed %d: somebody is blamed, and nothing is bad", seed)
+			t.Fatalf("seed %d: a job or machine is blamed although all are good", seed)
 		}
 	}
 	if right < runs*9/10 {
-		t.Errorf("%d of %d runs blamed rightly", right, runs)
+		t.Errorf("%d of %d runs blamed the right parties", right, runs)
 	}
 }
 
-// However many mistaken jobs meet on however few machines, no healthy machine is given
-// back, as long as each of them fails on two machines at least, and each job is tried
-// rarely: no more than some thirty times in an hour.
+// Several mistaken jobs on a few machines never make a healthy machine count as faulty, as long
+// as each job fails on at least two machines, and each job is tried rarely: at most 35 times in
+// an hour.
 func TestMistakenJobsCondemnNoMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -77,7 +77,7 @@
 		starts := play(b, rand.New(rand.NewPCG(seed, 5)), jobs, machines, 7200, func(j int) bool { return j > 0 || jobs == 1 }, func(int) bool { return false })
 		for m := range machines {
 			if v, n := b.MachineVerdict(fmt.Sprint("m", m)); v == Faulty {
-				t.Fatalf("m%d is condemned, %d failures", m, n)
+				t.Fatalf("m%d counts as faulty after %d failures", m, n)
 			}
 		}
 		for j := range jobs {
@@ -88,7 +88,7 @@
 	})
 }
 
-// Half of all machines turn faulty: they are found, and no job is given up for it.
+// If half of all machines become faulty, they are detected and no job is blamed.
 func TestHalfOfTheMachinesFaulty(t *testing.T) {
 	b, rng := New(params), rand.New(rand.NewPCG(9, 9))
 	play(b, rng, 20, 12, 400, func(int) bool { return false }, func(int) bool { return false })
@@ -100,12 +100,12 @@
 	}
 	for j := range 20 {
 		if b.OnTrial(fmt.Sprint("j", j)) {
-			t.Errorf("j%d is held back", j)
+			t.Errorf("j%d is on trial", j)
 		}
 	}
 }
 
-// A completion clears a job at once, and turns its failures against the machines.
+// A completion clears a job at once and makes its earlier failures count against the machines.
 func TestACompletionClears(t *testing.T) {
 	b := New(params)
 	b.RecordFailure(0, "j", "m1")
@@ -115,11 +115,11 @@
 	if !b.OnTrial("j") || !b.Mistaken("j") {
 		t.Fatal("failed on three machines and is not on trial")
 	}
-	if sick := b.RecordCompletion("j", "m4"); len(sick) != 1 || sick[0] != "m1" {
-		t.Errorf("sick: %v, m1 failed twice", sick)
+	if faulty := b.RecordCompletion("j", "m4"); len(faulty) != 1 || faulty[0] != "m1" {
+		t.Errorf("faulty: %v, want m1, which failed twice", faulty)
 	}
 	if b.OnTrial("j") || b.Mistaken("j") || b.NotBefore("j") != 0 {
-		t.Error("it has completed and is still held back")
+		t.Error("the job has completed and is still restricted")
 	}
 	if v, _ := b.MachineVerdict("m2"); v != Suspect {
 		t.Errorf("m2: verdict %d", v)
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -18,8 +18,8 @@
 	ready = 20 * time.Second
 )
 
-// Without evidence a machine counts until its usual time is over, is replaced then, and
-// given up when the longest that is known of is over.
+// Without evidence a machine counts until its usual boot time is over, is then replaced, and is
+// given up after the longest boot time in the prior.
 func TestWithoutEvidence(t *testing.T) {
 	b := New(params)
 	b.MachineRented(0, "m", kind, ready)
@@ -34,27 +34,27 @@
 	}
 }
 
-// A kind whose machines do not come is asked for one at a time, others are not; once its
-// machines come again, it is asked for in full.
+// A kind whose machines do not come up is rented one at a time while other kinds are not limited;
+// once its machines come up again, the limit ends.
 func TestAKindThatFails(t *testing.T) {
 	b := New(params)
 	now := time.Duration(0)
 	if n := b.RentLimit(now, kind, 10); n != 10 {
-		t.Fatalf("asked for %d of 10 without evidence", n)
+		t.Fatalf("%d of 10 may be rented without evidence", n)
 	}
 	for i := range 12 {
 		b.MachineRented(now, fmt.Sprint("m", i), kind, ready)
 	}
-	now += 35 * time.Second // all wait beyond the horizon
+	now += 35 * time.Second // all have been booting for longer than the horizon
 	if n := b.RentLimit(now, kind, 10); n != 1 {
-		t.Errorf("asked for %d of a kind that fails", n)
+		t.Errorf("%d of a failing kind may be rented", n)
 	}
 	if n := b.RentLimit(now, other, 10); n != 10 {
-		t.Errorf("asked for %d of another kind", n)
+		t.Errorf("%d of another kind may be rented", n)
 	}
 	b.MachineRented(now, "probe", kind, ready)
 	if n := b.RentLimit(now, kind, 10); n != 0 {
-		t.Errorf("asked for %d beside a probe", n)
+		t.Errorf("%d may be rented while a probe is booting", n)
 	}
 	for i := range 12 {
 		b.MachineGone(now, fmt.Sprint("m", i))
@@ -65,15 +65,15 @@
 		b.MachineUp(now+ready, fmt.Sprint("p", i))
 	}
 	if n := b.RentLimit(now+ready, kind, 10); n != 10 {
-		t.Errorf("asked for %d once they come again", n)
+		t.Errorf("%d may be rented after boots succeed again", n)
 	}
 	if n := b.RentLimit(now+20*time.Minute, kind, 10); n != 10 {
-		t.Errorf("asked for %d long after", n)
+		t.Errorf("%d may be rented long after", n)
 	}
 }
 
-// Where boots never come for a while, machines are given up sooner; where all take four
-// times as long, they are not given up before that.
+// If boots never succeed for a while, machines are given up sooner; if all take four times as
+// long as usual, they are not given up before that.
 func TestEvidenceMovesGivingUp(t *testing.T) {
 	never, slow := New(params), New(params)
 	for i := range 10 {
@@ -86,14 +86,14 @@
 	never.MachineRented(5*ready, "x", kind, ready)
 	slow.MachineRented(4*ready, "x", kind, ready)
 	if !never.ShouldGiveUp(7*ready, "x") {
-		t.Error("not given up though none has come")
+		t.Error("not given up although no machine has come up")
 	}
 	if slow.ShouldGiveUp(4*ready+3*ready, "x") {
-		t.Error("given up though all have come, late")
+		t.Error("given up although all machines came up, late")
 	}
 }
 
-// What is given back before its time does not count as one that never comes.
+// A machine that is given back early does not count as one that never comes up.
 func TestGivenBackTooSoonToTell(t *testing.T) {
 	b := New(params)
 	for i := range 20 {
@@ -103,12 +103,12 @@
 	}
 	b.MachineRented(2*ready, "x", kind, ready)
 	if b.ShouldGiveUp(5*ready, "x") {
-		t.Error("given up after three usual times, and none has been waited for that long")
+		t.Error("given up after three usual boot times, although no sample covers that time")
 	}
 }
 
-// Whatever is seen, at most the stated share of booting machines is doubted, chances lie
-// between 0 and 1, and what has come or gone is neither late nor hopeless.
+// For any history, at most the configured share of booting machines is doubtful, probabilities
+// lie between 0 and 1, and a machine that is up is not given up.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now, names := New(params), time.Duration(0), []string{}
@@ -125,7 +125,7 @@
 					n := rapid.SampledFrom(names).Draw(t, "up")
 					b.MachineUp(now, n)
 					if b.ShouldGiveUp(now, n) {
-						t.Fatal("a machine that is up is doubted")
+						t.Fatal("a machine that is up is given up")
 					}
 				}
 			case 3:
@@ -137,39 +137,39 @@
 				t.Fatalf("chance %v", p)
 			}
 			if n := len(b.Doubtful(now, names)); n > max(1, len(names)/2) {
-				t.Fatalf("%d of %d doubted", n, len(names))
+				t.Fatalf("%d of %d machines are doubtful", n, len(names))
 			}
 		}
 	})
 }
 
-// The first kind that may be rented is; where none can be trusted and one of each is on its way,
-// half of what is needed is asked for of the likeliest.
+// The first kind that may be rented is chosen. If no kind is trusted and one machine of each is
+// booting, half of the count is rented of the most likely kind.
 func TestChoose(t *testing.T) {
 	b := New(params)
-	asks := []Request{{kind, 5}, {other, 7}}
-	if k, n := b.Choose(0, asks); k != 0 || n != 5 {
-		t.Errorf("nothing is known against the first: %d of %d", n, k)
+	requests := []Request{{kind, 5}, {other, 7}}
+	if k, n := b.Choose(0, requests); k != 0 || n != 5 {
+		t.Errorf("the first kind has no failures: index %d, count %d", n, k)
 	}
 	if k, _ := b.Choose(0, nil); k != -1 {
-		t.Error("there is none")
+		t.Error("a choice without requests")
 	}
-	for i := range 60 { // neither comes, the first least
+	for i := range 60 { // no machine comes up; the first kind fails more often
 		k := []Kind{kind, kind, other}[i%3]
 		n := fmt.Sprint(k, i)
 		b.MachineRented(0, n, k, ready)
 		b.MachineGone(10*ready, n)
 	}
 	now := 10 * ready
-	if k, n := b.Choose(now, asks); k != 0 || n != 1 {
-		t.Fatalf("one to try: %d of %d", n, k)
+	if k, n := b.Choose(now, requests); k != 0 || n != 1 {
+		t.Fatalf("probe of the first kind: index %d, count %d", n, k)
 	}
 	b.MachineRented(now, "x", kind, ready)
-	if k, n := b.Choose(now, asks); k != 1 || n != 1 {
-		t.Fatalf("one of the other: %d of %d", n, k)
+	if k, n := b.Choose(now, requests); k != 1 || n != 1 {
+		t.Fatalf("probe of the other kind: index %d, count %d", n, k)
 	}
 	b.MachineRented(now, "y", other, ready)
-	if k, n := b.Choose(now, asks); k != 1 || n != 4 {
-		t.Errorf("half of it, of the likeliest: %d of %d", n, k)
+	if k, n := b.Choose(now, requests); k != 1 || n != 4 {
+		t.Errorf("half of the most likely kind: index %d, count %d", n, k)
 	}
 }
