--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,9 +1,11 @@
-// Package inventory follows the cloud's list of machines against the blocks that they stand in:
-// which machines are gone or failed and are to be deleted, which stand in no block and are to be
-// put into one, and which the cloud has deleted and may leave their blocks.
+// Package inventory compares the cloud's list of machines with the blocks that store them. It
+// finds machines that are gone or have failed and must be deleted, machines that are in no block
+// and must be put into one, and machines that the cloud has deleted and that may leave their
+// blocks.
 //
-// Lists lag, so what one says or leaves out proves nothing by itself. A plain structure: no clock,
-// no I/O, not for concurrent use. Times are those of the owner's steady clock.
+// The cloud's lists lag, so neither the presence nor the absence of a machine in one list proves
+// anything. The package is a plain data structure: no clock, no I/O, not safe for concurrent use.
+// Times are those of the owner's steady clock.
 package inventory
 
 import (
@@ -14,164 +16,174 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Limits are the times by which a list is read.
+// Limits are the times by which lists are interpreted.
 type Limits struct {
-	ListLag      time.Duration // lists lag by so long, at times by twice as long
-	GoneAfter    time.Duration // a machine that was listed and is no more for so long is gone
-	AdoptAfter   time.Duration // a machine that stands in no block is put into one after this
-	CallInterval time.Duration // one in no block whose report came is called at most so often
+	ListLag      time.Duration // usual lag of the lists, at times twice as long
+	GoneAfter    time.Duration // a listed machine that is missing from the lists for so long is gone
+	AdoptAfter   time.Duration // a machine in no block is put into one after this time
+	CallInterval time.Duration // a machine in no block that seems to report is called at most once per interval
 }
 
-// Book is what a leader knows of machines in this term. It starts empty: all of it can be learned
-// again.
+// Tracker holds what a leader has learned about machines in its term. It starts empty, because
+// all of it can be learned again.
 type Tracker struct {
 	limits          Limits
-	listRead        bool // a list has been
-	listedAt        map[string]time.Duration
-	unassigned      map[string]wire.MachineInfo // in no block
-	unassignedSince map[string]time.Duration    // since when
-	answered        map[string]bool             // has answered a call of ours
-	calledAt        map[string]time.Duration    // when one in no block was last called for having reported
-	failed          map[string]bool             // to be deleted: failed, or no longer listed
-	deletedAt       map[string]time.Duration    // deleted in the cloud, to be taken out of its block, since
+	listRead        bool                        // a list has been read
+	listedAt        map[string]time.Duration    // last time that a machine in a block was listed
+	unassigned      map[string]wire.MachineInfo // machines in no block
+	unassignedSince map[string]time.Duration
+	answered        map[string]bool          // has answered a call of this controller
+	calledAt        map[string]time.Duration // last call to a machine in no block because it seemed to report
+	failed          map[string]bool          // to be deleted: failed, or no longer listed
+	deletedAt       map[string]time.Duration // deleted in the cloud and to be taken out of its block
 }
 
-// New returns an empty book.
+// New returns an empty tracker.
 func New(l Limits) *Tracker {
-	return &Tracker{limits: l, listedAt: map[string]time.Duration{}, unassigned: map[string]wire.MachineInfo{}, unassignedSince: map[string]time.Duration{}, answered: map[string]bool{},
-		calledAt: map[string]time.Duration{}, failed: map[string]bool{}, deletedAt: map[string]time.Duration{}}
+	return &Tracker{
+		limits:          l,
+		listedAt:        map[string]time.Duration{},
+		unassigned:      map[string]wire.MachineInfo{},
+		unassignedSince: map[string]time.Duration{},
+		answered:        map[string]bool{},
+		calledAt:        map[string]time.Duration{},
+		failed:          map[string]bool{},
+		deletedAt:       map[string]time.Duration{},
+	}
 }
 
-// Read takes a whole list, with the machines that stand in blocks.
-func (b *Tracker) ApplyList(now time.Duration, list map[string]wire.MachineInfo, inBlocks map[string]bool) {
-	b.listRead = true
-	maps.DeleteFunc(b.calledAt, func(_ string, at time.Duration) bool { return now-at > b.limits.CallInterval })
+// ApplyList processes a complete list of the cloud; inBlocks are the machines that are in blocks.
+func (t *Tracker) ApplyList(now time.Duration, list map[string]wire.MachineInfo, inBlocks map[string]bool) {
+	t.listRead = true
+	maps.DeleteFunc(t.calledAt, func(_ string, at time.Duration) bool { return now-at > t.limits.CallInterval })
 	for n := range inBlocks {
 		m, listed := list[n]
-		at, seen := b.listedAt[n]
+		at, seen := t.listedAt[n]
 		switch {
-		case listed && m.Status == wire.MachineFailed, !listed && seen && now-at > b.limits.GoneAfter:
-			if !b.IsDeleted(n) {
-				b.failed[n] = true
+		case listed && m.Status == wire.MachineFailed, !listed && seen && now-at > t.limits.GoneAfter:
+			if !t.IsDeleted(n) {
+				t.failed[n] = true
 			}
 		case listed:
-			b.listedAt[n] = now
+			t.listedAt[n] = now
 		}
 	}
 	for n, m := range list {
-		if inBlocks[n] || b.IsDeleted(n) {
+		if inBlocks[n] || t.IsDeleted(n) {
 			continue
 		}
-		if _, known := b.unassignedSince[n]; !known {
-			b.unassignedSince[n] = now
+		if _, known := t.unassignedSince[n]; !known {
+			t.unassignedSince[n] = now
 		}
-		b.unassigned[n] = m
+		t.unassigned[n] = m
 	}
-	for n := range b.unassigned {
-		// In a block by now, or no longer listed: a machine that an earlier
-		// leader deleted stays in lists for a while.
-		if _, listed := list[n]; inBlocks[n] || !listed && !b.answered[n] {
-			delete(b.unassigned, n)
-			delete(b.unassignedSince, n)
-			delete(b.answered, n)
+	for n := range t.unassigned {
+		// The machine is in a block by now, or is no longer listed: a machine that an
+		// earlier leader deleted stays in lists for a while.
+		if _, listed := list[n]; inBlocks[n] || !listed && !t.answered[n] {
+			delete(t.unassigned, n)
+			delete(t.unassignedSince, n)
+			delete(t.answered, n)
 		}
 	}
 }
 
-// Stranger tells whether a machine is known that stands in no block.
-func (b *Tracker) IsUnassigned(name string) bool { return b.unassignedSince[name] != 0 }
+// IsUnassigned reports whether a machine is known to exist and is in no block.
+func (t *Tracker) IsUnassigned(name string) bool { return t.unassignedSince[name] != 0 }
 
-// Strangers tells that a list has been read and machines stand in no block.
-func (b *Tracker) HasUnassigned() bool { return b.listRead && len(b.unassigned) > 0 }
+// HasUnassigned reports whether a list has been read and some machines are in no block.
+func (t *Tracker) HasUnassigned() bool { return t.listRead && len(t.unassigned) > 0 }
 
-// Came tells whether a machine in no block that seems to have reported is to be called. A report
-// may be a copy of one that it made before it was deleted, and many copies come one after the
-// other: only its own answer to our call proves that it lives.
-func (b *Tracker) AllowCall(now time.Duration, name string) bool {
-	if at, ok := b.calledAt[name]; b.IsDeleted(name) || ok && now-at <= b.limits.CallInterval {
+// AllowCall reports whether a machine in no block that seems to have reported is to be called
+// now, and if so records the call. The report may be a copy of one that the machine sent before
+// it was deleted, and many copies may arrive one after the other: only its own answer to a call
+// proves that the machine exists.
+func (t *Tracker) AllowCall(now time.Duration, name string) bool {
+	if at, ok := t.calledAt[name]; t.IsDeleted(name) || ok && now-at <= t.limits.CallInterval {
 		return false
 	}
-	b.calledAt[name] = now
+	t.calledAt[name] = now
 	return true
 }
 
-// Lives notes that a machine in no block has answered a call of ours.
-func (b *Tracker) MarkAnswered(now time.Duration, m wire.MachineInfo) {
-	if b.IsDeleted(m.Name) {
+// MarkAnswered records that a machine in no block has answered a call of this controller.
+func (t *Tracker) MarkAnswered(now time.Duration, m wire.MachineInfo) {
+	if t.IsDeleted(m.Name) {
 		return
 	}
-	if _, ok := b.unassignedSince[m.Name]; !ok {
-		b.unassignedSince[m.Name] = now
+	if _, ok := t.unassignedSince[m.Name]; !ok {
+		t.unassignedSince[m.Name] = now
 	}
-	b.answered[m.Name] = true
-	b.unassigned[m.Name] = m
+	t.answered[m.Name] = true
+	t.unassigned[m.Name] = m
 }
 
-// ToDelete lists up to most machines that the cloud is to delete: those that holders have dropped,
-// those in blocks that are dead, and strangers that have failed.
-func (b *Tracker) PendingDeletions(dropped map[string]bool, inBlock func(string) bool, most int) (names []string) {
-	add := func(n string, also bool) {
-		if also && !b.IsDeleted(n) && len(names) < most {
+// PendingDeletions returns up to most machines that the cloud is to delete: those that holders
+// have dropped, those in blocks that have failed or are gone, and those in no block that have
+// failed.
+func (t *Tracker) PendingDeletions(dropped map[string]bool, inBlock func(string) bool, most int) (names []string) {
+	add := func(n string, eligible bool) {
+		if eligible && !t.IsDeleted(n) && len(names) < most {
 			names = append(names, n)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(dropped)) {
 		add(n, true)
 	}
-	for _, n := range slices.Sorted(maps.Keys(b.failed)) {
+	for _, n := range slices.Sorted(maps.Keys(t.failed)) {
 		add(n, inBlock(n) && !dropped[n])
 	}
-	for _, n := range slices.Sorted(maps.Keys(b.unassigned)) {
-		add(n, b.unassigned[n].Status == wire.MachineFailed)
+	for _, n := range slices.Sorted(maps.Keys(t.unassigned)) {
+		add(n, t.unassigned[n].Status == wire.MachineFailed)
 	}
 	return names
 }
 
-// Deleted notes that the cloud has said that machines and all on them are gone.
-func (b *Tracker) MarkDeleted(now time.Duration, names []string) {
+// MarkDeleted records that the cloud has confirmed that machines and everything on them are gone.
+func (t *Tracker) MarkDeleted(now time.Duration, names []string) {
 	for _, n := range names {
-		b.deletedAt[n] = now
-		delete(b.failed, n)
-		delete(b.unassigned, n)
+		t.deletedAt[n] = now
+		delete(t.failed, n)
+		delete(t.unassigned, n)
 	}
 }
 
-// Gone tells whether a machine has been deleted.
-func (b *Tracker) IsDeleted(name string) bool { _, is := b.deletedAt[name]; return is }
+// IsDeleted reports whether a machine has been deleted and not yet forgotten.
+func (t *Tracker) IsDeleted(name string) bool { _, deleted := t.deletedAt[name]; return deleted }
 
-// AnyGone tells whether machines have been deleted and not forgotten.
-func (b *Tracker) HasDeleted() bool { return len(b.deletedAt) > 0 }
+// HasDeleted reports whether there are deleted machines that are not yet forgotten.
+func (t *Tracker) HasDeleted() bool { return len(t.deletedAt) > 0 }
 
-// AllGone lists the machines that have been deleted and not forgotten, sorted.
-func (b *Tracker) DeletedMachines() []string { return slices.Sorted(maps.Keys(b.deletedAt)) }
+// DeletedMachines returns the deleted machines that are not yet forgotten, sorted.
+func (t *Tracker) DeletedMachines() []string { return slices.Sorted(maps.Keys(t.deletedAt)) }
 
-// Forget forgets machines that were deleted long ago: until then old lists still name them.
-func (b *Tracker) ForgetOld(now time.Duration) {
-	for n, at := range b.deletedAt {
-		if now-at > 4*b.limits.ListLag {
-			delete(b.deletedAt, n)
-			delete(b.unassigned, n)
-			delete(b.unassignedSince, n)
-			delete(b.listedAt, n)
+// ForgetOld forgets machines that were deleted so long ago that no old list can still name them.
+func (t *Tracker) ForgetOld(now time.Duration) {
+	for n, at := range t.deletedAt {
+		if now-at > 4*t.limits.ListLag {
+			delete(t.deletedAt, n)
+			delete(t.unassigned, n)
+			delete(t.unassignedSince, n)
+			delete(t.listedAt, n)
 		}
 	}
 }
 
-// Adopt lists the machines that are to be put into blocks, those that the cluster finds when it
-// starts for the first time at once.
-func (b *Tracker) PendingAdoptions(now time.Duration, first bool, inBlock func(string) bool) (list []wire.MachineInfo) {
-	for _, n := range slices.Sorted(maps.Keys(b.unassigned)) {
+// PendingAdoptions returns the machines that are to be put into blocks. first is set when the
+// cluster starts for the first time; all machines found then are adopted at once.
+func (t *Tracker) PendingAdoptions(now time.Duration, first bool, inBlock func(string) bool) (list []wire.MachineInfo) {
+	for _, n := range slices.Sorted(maps.Keys(t.unassigned)) {
 		if inBlock(n) {
-			delete(b.unassigned, n)
-			delete(b.unassignedSince, n)
+			delete(t.unassigned, n)
+			delete(t.unassignedSince, n)
 			continue
 		}
-		grace := b.limits.AdoptAfter
-		if !b.answered[n] {
-			grace = max(grace, 2*b.limits.ListLag) // it may be gone, and listed still
+		grace := t.limits.AdoptAfter
+		if !t.answered[n] {
+			grace = max(grace, 2*t.limits.ListLag) // it may be gone and still be listed
 		}
-		if (first || now-b.unassignedSince[n] > grace) && !b.IsDeleted(n) && b.unassigned[n].Status != wire.MachineFailed {
-			list = append(list, b.unassigned[n])
+		if (first || now-t.unassignedSince[n] > grace) && !t.IsDeleted(n) && t.unassigned[n].Status != wire.MachineFailed {
+			list = append(list, t.unassigned[n])
 		}
 	}
 	return list
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -10,7 +10,7 @@
 
 const sec = time.Second
 
-func newBook() *Tracker {
+func newTracker() *Tracker {
 	return New(Limits{ListLag: 10 * sec, GoneAfter: 32 * sec, AdoptAfter: 4 * sec, CallInterval: 2 * sec})
 }
 
@@ -39,12 +39,12 @@
 
 func nowhere(string) bool { return false }
 
-// A machine that is listed and stands in no block is put into one after the time that lists lag,
-// at once when the cluster starts, and sooner if it has answered.
+// A listed machine that is in no block is put into one after the lag of the lists, at once when
+// the cluster starts for the first time, and sooner if it has answered a call.
 func TestAdopt(t *testing.T) {
-	b := newBook()
+	b := newTracker()
 	if b.HasUnassigned() {
-		t.Error("nothing has been read")
+		t.Error("unassigned machines before a list has been read")
 	}
 	b.ApplyList(sec, listOf("a", "b", "c"), set("a"))
 	if got := names(b.PendingAdoptions(sec, true, nowhere)); !slices.Equal(got, []string{"b", "c"}) || !b.IsUnassigned("b") || b.IsUnassigned("a") {
@@ -58,23 +58,23 @@
 		t.Errorf("b has answered: %v", got)
 	}
 	if got := names(b.PendingAdoptions(22*sec, false, func(n string) bool { return n == "b" })); !slices.Equal(got, []string{"c"}) || b.IsUnassigned("b") {
-		t.Errorf("b stands in a block by now: %v", got)
+		t.Errorf("b is in a block by now: %v", got)
 	}
 	b.ApplyList(23*sec, listOf("a"), set("a"))
 	if b.HasUnassigned() {
-		t.Error("c is listed no more, and has never answered")
+		t.Error("c is still known although it is no longer listed and never answered")
 	}
 	b.MarkAnswered(24*sec, wire.MachineInfo{Name: "d"})
 	b.ApplyList(25*sec, listOf("a"), set("a"))
 	if !b.HasUnassigned() {
-		t.Error("d has answered and is not listed yet")
+		t.Error("d is forgotten although it has answered and is only not listed yet")
 	}
 }
 
-// What has failed, has left the list for long or has been dropped is deleted; what has been deleted
-// is neither deleted again nor adopted while old lists name it.
+// A machine that has failed, has been missing from the lists for long or has been dropped is
+// deleted. A deleted machine is neither deleted again nor adopted while old lists still name it.
 func TestDelete(t *testing.T) {
-	b := newBook()
+	b := newTracker()
 	b.ApplyList(sec, listOf("a", "b", "c", "s"), set("a", "b", "c"))
 	list := listOf("a", "s")
 	failed := list["s"]
@@ -95,30 +95,30 @@
 	b.MarkDeleted(35*sec, []string{"b", "s"})
 	b.ApplyList(36*sec, list, set("a", "b", "c"))
 	if got := b.PendingDeletions(nil, in, 9); !slices.Equal(got, []string{"c"}) || !b.IsDeleted("s") || !slices.Equal(b.DeletedMachines(), []string{"b", "s"}) {
-		t.Errorf("%v, gone %v", got, b.DeletedMachines())
+		t.Errorf("pending %v, deleted %v", got, b.DeletedMachines())
 	}
 	if got := b.PendingAdoptions(60*sec, true, nowhere); got != nil {
-		t.Errorf("deleted, and adopted: %v", got)
+		t.Errorf("deleted and still adopted: %v", got)
 	}
 	b.MarkAnswered(61*sec, wire.MachineInfo{Name: "s"})
 	if b.HasUnassigned() {
-		t.Error("a late answer of a deleted machine")
+		t.Error("a late answer brought a deleted machine back")
 	}
 	if b.ForgetOld(75 * sec); !b.IsDeleted("b") {
 		t.Error("forgotten while old lists may name it")
 	}
 	if b.ForgetOld(76 * sec); b.IsDeleted("b") {
-		t.Error("remembered for ever")
+		t.Error("never forgotten")
 	}
 }
 
-func TestReportsOfStrangersAreLookedInto(t *testing.T) {
-	b := newBook()
+func TestCallsToUnassignedMachinesAreLimited(t *testing.T) {
+	b := newTracker()
 	if !b.AllowCall(sec, "a") || b.AllowCall(3*sec, "a") || !b.AllowCall(3500*time.Millisecond, "a") {
-		t.Error("at most every two seconds")
+		t.Error("calls must be at least two seconds apart")
 	}
 	b.MarkDeleted(4*sec, []string{"z"})
 	if b.AllowCall(4*sec, "z") {
-		t.Error("a copy of what a deleted machine reported")
+		t.Error("called for a copied report of a deleted machine")
 	}
 }
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,10 +1,10 @@
-// Package progress keeps which tasks of a job are done in as many records as they need. What
-// fits stands in the job's own record, as ranges. Tasks that end far out of order make ranges
-// too many for one value; the rest stands in further records beside it, each of which has one
-// bit for each of a fixed number of tasks. Nothing that has been written is ever taken back:
-// whoever takes a job over starts again what is not written as done.
+// Package progress stores which tasks of a job are done in as many records as that takes. The
+// job's own record holds what fits, as ranges. If tasks end far out of order, the ranges become
+// too many for one value; the rest goes into additional records beside it, each with one bit for
+// each of a fixed number of tasks. Nothing that has been written is ever taken back, because a
+// controller that takes over a job restarts every task that is not recorded as done.
 //
-// Pure: no clock, no I/O; not for concurrent use.
+// The package is pure: no clock, no I/O. It is not safe for concurrent use.
 package progress
 
 import (
@@ -19,7 +19,7 @@
 
 const wordBits = 32
 
-// Book is a copy of all further records, each of which tells of span tasks.
+// Index is a copy of all additional records, each of which covers span tasks.
 type Index struct {
 	span int
 	jobs map[string]*job
@@ -27,7 +27,7 @@
 
 type job struct {
 	parts map[int]part
-	done  ranges.Set // of all parts
+	done  ranges.Set // union of all parts
 }
 
 type part struct {
@@ -35,14 +35,15 @@
 	done    ranges.Set
 }
 
-// New returns an empty book; span is in tasks, a multiple of 32.
+// New returns an empty index. span is the number of tasks per record, a multiple of 32.
 func New(span int) *Index { return &Index{span, map[string]*job{}} }
 
-// Key is where a further record of a job stands, the first of which has number 0.
+// Key returns the key of an additional record of a job; the first has number 0.
 func Key(id string, number int) string {
 	return wire.PrefixDone + id + "/" + strconv.Itoa(number)
 }
 
+// parseKey returns the job and the number of an additional record.
 func parseKey(key string) (id string, number int, err error) {
 	id, n, ok := strings.Cut(strings.TrimPrefix(key, wire.PrefixDone), "/")
 	if number, err = strconv.Atoi(n); !ok || err != nil {
@@ -51,16 +52,16 @@
 	return id, number, nil
 }
 
-// Put takes a record as it stands, and returns its job.
-func (b *Index) Put(key string, ver uint64, r wire.Done) (id string, err error) {
+// Put stores a record as read from the state service and returns the ID of its job.
+func (index *Index) Put(key string, ver uint64, r wire.Done) (id string, err error) {
 	id, n, err := parseKey(key)
 	if err != nil {
 		return "", err
 	}
-	j := b.jobs[id]
+	j := index.jobs[id]
 	if j == nil {
 		j = &job{parts: map[int]part{}}
-		b.jobs[id] = j
+		index.jobs[id] = j
 	}
 	p := part{version: ver}
 	for k, word := range r.Bits {
@@ -78,33 +79,35 @@
 	return id, nil
 }
 
-// Remove forgets a record, which is removed only after its job is over.
-func (b *Index) Remove(key string) {
+// Remove drops a record. A record is removed only after its job has ended.
+func (index *Index) Remove(key string) {
 	id, n, err := parseKey(key)
-	if j := b.jobs[id]; err == nil && j != nil {
+	if j := index.jobs[id]; err == nil && j != nil {
 		if delete(j.parts, n); len(j.parts) == 0 {
-			delete(b.jobs, id)
+			delete(index.jobs, id)
 		}
 	}
 }
 
-// Of is which tasks of a job its further records call done. It is not to be changed.
-func (b *Index) Done(id string) ranges.Set {
-	if j := b.jobs[id]; j != nil {
+// Done returns the tasks of a job that its additional records list as done. The caller must not
+// change the result.
+func (index *Index) Done(id string) ranges.Set {
+	if j := index.jobs[id]; j != nil {
 		return j.done
 	}
 	return nil
 }
 
-// Over lists the keys, most at the most, of one job that is not live; "" if there is none.
-func (b *Index) Obsolete(live func(id string) bool, most int) (id string, keys []string) {
-	for x := range b.jobs {
-		if !live(x) && (id == "" || x < id) {
-			id = x
+// Obsolete returns one job that is not live and at most most keys of its records, sorted; id is
+// "" if there is none.
+func (index *Index) Obsolete(live func(id string) bool, most int) (id string, keys []string) {
+	for job := range index.jobs {
+		if !live(job) && (id == "" || job < id) {
+			id = job
 		}
 	}
 	if id != "" {
-		for n := range b.jobs[id].parts {
+		for n := range index.jobs[id].parts {
 			keys = append(keys, Key(id, n))
 		}
 		slices.Sort(keys)
@@ -113,25 +116,25 @@
 	return id, keys
 }
 
-// Part is a further record to be put if its key still has the version Ver.
+// Part is an additional record that is to be written if its key still has this version.
 type Part struct {
 	Key     string
 	Version uint64
 	Record  wire.Done
 }
 
-// Plan is what is to be written of a job's progress.
+// Plan lists the records of a job's progress that are to be written.
 type Plan struct {
-	Record    ranges.Set // of its own record, which has room for it
-	PutRecord bool       // its own record says more than before
+	Record    ranges.Set // content of the job's own record, which fits into it
+	PutRecord bool       // whether the job's own record has gained tasks
 	Parts     []Part
 }
 
-// Plan finds what is to be written of a job whose own record calls written done, and of which
-// done is known, all of written in it. fits tells whether the own record has room for a set;
-// as many further records are planned as most says. What no record has room for yet is left
-// out, and its workers keep it; what is written stays.
-func (b *Index) Plan(id string, written, done ranges.Set, fits func(ranges.Set) bool, most int) Plan {
+// Plan determines what to write for a job whose own record lists the tasks written as done; done
+// is the set of all tasks known to be done and includes written. fits reports whether the job's
+// own record can hold a set. At most most records are planned. Tasks that do not fit into any
+// record yet are left out, and their workers keep reporting them; what is already written stays.
+func (index *Index) Plan(id string, written, done ranges.Set, fits func(ranges.Set) bool, most int) Plan {
 	p := Plan{Record: done}
 	if !fits(done) {
 		p.Record = fillRecord(written, done, fits)
@@ -141,20 +144,23 @@
 		most--
 	}
 	last := -1
-	for _, r := range done.Minus(p.Record).Minus(b.Done(id)) {
-		for n := max(last+1, r[0]/b.span); n <= (r[1]-1)/b.span && len(p.Parts) < most; n++ {
-			x := Part{Key: Key(id, n), Record: wire.Done{From: n * b.span, Bits: bitWords(done, n*b.span, b.span)}}
-			if j := b.jobs[id]; j != nil {
-				x.Version = j.parts[n].version
+	for _, r := range done.Minus(p.Record).Minus(index.Done(id)) {
+		for n := max(last+1, r[0]/index.span); n <= (r[1]-1)/index.span && len(p.Parts) < most; n++ {
+			added := Part{
+				Key:    Key(id, n),
+				Record: wire.Done{From: n * index.span, Bits: bitWords(done, n*index.span, index.span)},
 			}
-			p.Parts, last = append(p.Parts, x), n
+			if j := index.jobs[id]; j != nil {
+				added.Version = j.parts[n].version
+			}
+			p.Parts, last = append(p.Parts, added), n
 		}
 	}
 	return p
 }
 
-// fill is written with as much more of done as fits: first what makes its ranges longer and
-// not more, then the others from the first on.
+// fillRecord returns written plus as much of done as fits: first the tasks that only extend
+// existing ranges, then the other ranges in order.
 func fillRecord(written, done ranges.Set, fits func(ranges.Set) bool) ranges.Set {
 	var longer ranges.Set
 	for _, r := range done {
@@ -178,7 +184,7 @@
 	return best
 }
 
-// words has the bits of a record's tasks.
+// bitWords returns the bits of the tasks [from, from+span), without trailing zero words.
 func bitWords(done ranges.Set, from, span int) []uint32 {
 	bits := make([]uint32, span/wordBits)
 	used := 0
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -9,8 +9,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Whatever tasks end, however little room there is and wherever a write is lost: a book that
-// reads the records knows all that was ever written, and in the end all that is done.
+// For any order of completed tasks, however small the records are and whichever writes are lost,
+// an index built from the records contains everything that was ever written, and in the end every
+// task that is done.
 func TestNothingWrittenIsTakenBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span, tasks, id = 64, 500, "job-000001"
@@ -31,7 +32,7 @@
 			fits := func(s ranges.Set) bool { return len(s) <= room }
 			p := b.Plan(id, record, done, fits, most)
 			if n := len(p.Parts); n > most || p.PutRecord && n > max(0, most-1) {
-				t.Fatalf("%d further records beside %v, %d changes at the most", n, p.PutRecord, most)
+				t.Fatalf("%d additional records, own record %v, at most %d changes", n, p.PutRecord, most)
 			}
 			if lost {
 				return
@@ -39,13 +40,13 @@
 			rev++
 			if p.PutRecord {
 				if !fits(p.Record) {
-					t.Fatalf("%d ranges, room for %d", len(p.Record), room)
+					t.Fatalf("%d ranges, at most %d fit", len(p.Record), room)
 				}
 				record = p.Record.Clone()
 			}
 			for _, x := range p.Parts {
 				if x.Version != ver[x.Key] {
-					t.Fatalf("%s compared with %d, it is %d", x.Key, x.Version, ver[x.Key])
+					t.Fatalf("%s is compared with version %d, want %d", x.Key, x.Version, ver[x.Key])
 				}
 				stored[x.Key], ver[x.Key] = x.Record, rev
 			}
@@ -54,14 +55,14 @@
 			for range rapid.IntRange(0, 30).Draw(t, "ends") {
 				done = done.Add(rapid.IntRange(0, tasks-1).Draw(t, "task"))
 			}
-			// The limit may be lowered, and further records be understood only later.
+			// The limit may be lowered, and additional records may be understood only later.
 			write(rapid.SampledFrom([]int{2, 5, 40}).Draw(t, "room"), rapid.IntRange(0, 3).Draw(t, "most"), rapid.IntRange(0, 3).Draw(t, "fate") == 0)
 			_, now := read()
 			if lost := written.Minus(now); len(lost) > 0 {
-				t.Fatalf("taken back: %v", lost)
+				t.Fatalf("tasks are no longer recorded: %v", lost)
 			}
 			if never := now.Minus(done); len(never) > 0 {
-				t.Fatalf("not done: %v", never)
+				t.Fatalf("recorded but not done: %v", never)
 			}
 			written = now
 		}
@@ -74,7 +75,7 @@
 	})
 }
 
-// Records of jobs that are over are found, a few at a time.
+// Records of jobs that have ended are found, a few at a time.
 func TestRecordsOfJobsThatAreOver(t *testing.T) {
 	b := New(64)
 	for _, k := range []string{Key("job-000002", 0), Key("job-000001", 1), Key("job-000001", 0), Key("job-000003", 0)} {
@@ -93,6 +94,6 @@
 		t.Fatalf("%q, %v", id, b.Done("job-000003"))
 	}
 	if _, err := b.Put(wire.PrefixDone+"job-000001", 1, wire.Done{}); err == nil {
-		t.Fatal("a key without a number was taken")
+		t.Fatal("a key without a number was accepted")
 	}
 }
--- a/internal/ranges/ranges.go
+++ b/internal/ranges/ranges.go
@@ -1,5 +1,5 @@
-// Package ranges holds sets of task indexes as ordered half-open ranges [from, to), which
-// stay short while tasks complete about in order.
+// Package ranges implements sets of task indexes as ordered half-open ranges [from, to), which
+// stay short while tasks complete roughly in order.
 package ranges
 
 import (
@@ -7,13 +7,13 @@
 	"sort"
 )
 
-// Set is a set of task indexes, of ranges that neither overlap nor touch.
+// Set is a set of task indexes, as ordered ranges that neither overlap nor touch.
 type Set [][2]int
 
-// Count is how many indexes ranges hold.
+// Count returns the number of indexes in a list of ranges.
 func Count(r [][2]int) int { return Set(r).Count() }
 
-// Count is how many indexes the set holds.
+// Count returns the number of indexes in the set.
 func (r Set) Count() int {
 	n := 0
 	for _, x := range r {
@@ -22,19 +22,19 @@
 	return n
 }
 
-// Has tells whether an index is in the set.
+// Contains reports whether an index is in the set.
 func (r Set) Contains(i int) bool {
 	k := sort.Search(len(r), func(k int) bool { return r[k][1] > i })
 	return k < len(r) && r[k][0] <= i
 }
 
-// Add returns the set with i in it.
+// Add returns the set with i added. It may change the receiver's ranges.
 func (r Set) Add(i int) Set {
 	k := sort.Search(len(r), func(k int) bool { return r[k][1] >= i })
 	if k < len(r) && r[k][0] <= i && i < r[k][1] {
 		return r
 	}
-	if k < len(r) && r[k][1] == i { // grows this one, maybe up to the next
+	if k < len(r) && r[k][1] == i { // extend this range, possibly up to the next one
 		r[k][1]++
 		if k+1 < len(r) && r[k+1][0] == i+1 {
 			r[k][1] = r[k+1][1]
@@ -52,10 +52,10 @@
 	return r
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a copy that shares no memory with the set.
 func (r Set) Clone() Set { return append(Set(nil), r...) }
 
-// Union returns the set with all of another, ordered one in it.
+// Union returns the union of two ordered sets.
 func (r Set) Union(o Set) Set {
 	switch {
 	case len(o) == 0 || slices.Equal(r, o):
@@ -80,7 +80,7 @@
 	return out
 }
 
-// Minus returns what is in the set and not in another.
+// Minus returns the indexes that are in the set and not in the other.
 func (r Set) Minus(o Set) Set {
 	if len(o) == 0 {
 		return r
@@ -101,7 +101,7 @@
 	return out
 }
 
-// Below counts the indexes of the set under a bound.
+// CountBelow returns the number of indexes in the set that are less than bound.
 func (r Set) CountBelow(bound int) int {
 	n := 0
 	for _, x := range r {
--- a/internal/ranges/ranges_test.go
+++ b/internal/ranges/ranges_test.go
@@ -42,7 +42,7 @@
 		}
 		for i := 1; i < len(u); i++ {
 			if u[i][0] <= u[i-1][1] {
-				t.Fatalf("%v is not in order, or has neighbours that touch", u)
+				t.Fatalf("%v is not in order, or has adjacent ranges that touch", u)
 			}
 		}
 	})
