--- a/internal/limits/write_bounds.go
+++ b/internal/limits/write_bounds.go
@@ -9,22 +9,22 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Bounds are what one write of the state service may have.
+// Bounds are the limits of one write to the state service.
 type Bounds struct {
 	ValueBytes int // of each value, in JSON form
-	Changes    int // puts and deletes; four times as many conditions
+	Changes    int // puts and deletes; a write may have four times as many conditions
 }
 
-// Write is the form of a write.
+// Write describes the size of a write.
 type Write struct {
-	Kind       string // of the first record that it puts, or deletes
-	Bytes      int    // of its largest value, in JSON form
+	Kind       string // kind of the first record that it puts, or else deletes
+	Bytes      int    // size of its largest value, in JSON form
 	Changes    int
 	Conditions int
-	Subjects   []string // keys of the jobs and blocks that share it
+	Subjects   []string // keys of the jobs and blocks in the write
 }
 
-// Describe tells the form of a write.
+// DescribeWrite returns the size of a write.
 func DescribeWrite(when []wire.Condition, then []wire.Change) Write {
 	w := Write{Changes: len(then), Conditions: len(when)}
 	for _, x := range when {
@@ -51,24 +51,24 @@
 	return w
 }
 
-// KindOf names the kind of record that stands under a key.
+// KindOf returns the kind of the record under a key.
 func KindOf(key string) string {
 	kind, _, _ := strings.Cut(strings.TrimPrefix(key, wire.LivePrefix), "/")
 	return kind
 }
 
-// FormParams bound what is learned of refusals.
+// WriteBoundsParams configures how bounds are learned from refusals.
 type WriteBoundsParams struct {
-	Floor        Bounds        // nothing lower is believed
-	Factor       float64       // of what was refused, that is tried next
-	SkipFor      time.Duration // a subject whose write is refused at its smallest is passed by for so long, twice as long each time
-	SkipForMax   time.Duration // and at most
-	SinglyFor    time.Duration // subjects are written one by one for so long, to find the one that is refused
+	Floor        Bounds        // bounds are never lowered below these
+	Factor       float64       // share of a refused size that is tried next
+	SkipFor      time.Duration // how long a subject is skipped whose write is refused at its smallest; doubles each time
+	SkipForMax   time.Duration // limit of that time
+	SinglyFor    time.Duration // how long subjects are written one by one to find the one that is refused
 	StuckAfter   time.Duration // starts that have been refused for so long are stuck
-	WarnInterval time.Duration // between warnings of one kind that tell nothing new
+	WarnInterval time.Duration // between warnings of one kind that say nothing new
 }
 
-// refusals counts the writes of one kind that were refused for their form.
+// refusals counts the writes of one kind that were refused as malformed.
 type refusals struct {
 	count    int
 	last     Write
@@ -76,74 +76,75 @@
 	warnedAt time.Duration
 }
 
-// Form learns what the state service takes from what it refuses as malformed. The settings
-// tell its limits, but it may have lower ones than told: without this the same write was
-// sent and refused again and again, and all that stood behind it in its record or
+// WriteBounds learns the real limits of the state service from the writes that it refuses as
+// malformed. The settings state its limits, but the real ones may be lower. Without this, the
+// same write was sent and refused again and again, and everything else in its record or
 // transaction waited with it.
 type WriteBounds struct {
 	params      WriteBoundsParams
 	bounds      Bounds
 	kinds       map[string]*refusals
 	skipped     map[[2]string]skip // by kind and subject
-	singlyUntil time.Duration      // until then
-	starts      struct {           // refused ones with none written in between
+	singlyUntil time.Duration
+	starts      struct { // refused starts since the last successful one
 		any         bool
 		first, last time.Duration
 	}
 }
 
+// skip is a subject whose writes are skipped for a time.
 type skip struct{ until, duration time.Duration }
 
-// NewForm begins with what the settings tell.
-func NewWriteBounds(p WriteBoundsParams, told Bounds) *WriteBounds {
-	return &WriteBounds{params: p, bounds: told, kinds: map[string]*refusals{}, skipped: map[[2]string]skip{}}
+// NewWriteBounds returns bounds that begin with those of the settings.
+func NewWriteBounds(p WriteBoundsParams, configured Bounds) *WriteBounds {
+	return &WriteBounds{params: p, bounds: configured, kinds: map[string]*refusals{}, skipped: map[[2]string]skip{}}
 }
 
-// Short is how many changes a write has that lets others in between: half of the limit, or
-// least if that is more and allowed.
+// ShortWrite returns the number of changes in a write that leaves gaps for other writes: half of
+// the limit, or least if that is more and allowed.
 func (b Bounds) ShortWrite(least int) int { return min(b.Changes, max(least, b.Changes/2)) }
 
-// Bounds are what writes are to keep to.
-func (f *WriteBounds) Bounds() Bounds { return f.bounds }
+// Bounds returns the bounds that writes must respect now.
+func (b *WriteBounds) Bounds() Bounds { return b.bounds }
 
-// Refused takes note of a write that was refused for its form, with what the service said,
-// and tells whether it is worth a warning. What was refused is not sent again alike: the bounds fall below it, or, where it
-// is as small as they get, its subjects are written one by one, and the one that is refused
-// even so is passed by for a while.
-func (f *WriteBounds) RecordRefusal(now time.Duration, w Write, why string) (warn bool) {
-	k := f.kinds[w.Kind]
+// RecordRefusal records a write that was refused as malformed, with the message of the service,
+// and reports whether to log a warning. The same write is not sent again: either the bounds fall
+// below its size or, if it is already as small as possible, its subjects are written one by one,
+// and a subject that is refused even so is skipped for a while.
+func (b *WriteBounds) RecordRefusal(now time.Duration, w Write, why string) (warn bool) {
+	k := b.kinds[w.Kind]
 	if k == nil {
-		k = &refusals{warnedAt: -f.params.WarnInterval}
-		f.kinds[w.Kind] = k
+		k = &refusals{warnedAt: -b.params.WarnInterval}
+		b.kinds[w.Kind] = k
 	}
 	k.count++
 	k.last, k.why = w, why
-	was := f.bounds
-	f.lower(w, why)
-	if s := &f.starts; w.Kind == KindStart {
-		if !s.any || now-s.last > f.params.StuckAfter {
+	was := b.bounds
+	b.lower(w, why)
+	if s := &b.starts; w.Kind == KindStart {
+		if !s.any || now-s.last > b.params.StuckAfter {
 			s.any, s.first = true, now
 		}
 		s.last = now
 	}
-	if f.bounds == was {
+	if b.bounds == was {
 		if len(w.Subjects) > 1 {
-			f.singlyUntil = now + f.params.SinglyFor
+			b.singlyUntil = now + b.params.SinglyFor
 		} else if len(w.Subjects) == 1 {
 			of := [2]string{w.Kind, w.Subjects[0]}
-			a := f.skipped[of]
-			a.duration = min(max(2*a.duration, f.params.SkipFor), f.params.SkipForMax)
+			a := b.skipped[of]
+			a.duration = min(max(2*a.duration, b.params.SkipFor), b.params.SkipForMax)
 			a.until = now + a.duration
-			f.skipped[of], f.singlyUntil = a, now
+			b.skipped[of], b.singlyUntil = a, now
 		}
 	}
-	if warn = f.bounds != was || now-k.warnedAt >= f.params.WarnInterval; warn {
+	if warn = b.bounds != was || now-k.warnedAt >= b.params.WarnInterval; warn {
 		k.warnedAt = now
 	}
 	return warn
 }
 
-// Kinds of records whose subjects are passed by.
+// Kinds of records whose subjects can be skipped.
 const (
 	KindStart = "start"
 	KindJob   = "job"
@@ -151,61 +152,62 @@
 	KindBlock = "block"
 )
 
-// lower takes the bounds below what was refused: those that the service names, or both.
-func (f *WriteBounds) lower(w Write, why string) {
+// lower reduces the bounds below the size of a refused write: the bound that the message of the
+// service names, or both.
+func (b *WriteBounds) lower(w Write, why string) {
 	value := strings.Contains(why, "value")
 	ops := strings.Contains(why, "operation") || strings.Contains(why, "change") || strings.Contains(why, "condition")
 	if !value && !ops {
 		value, ops = true, true
 	}
-	if value && w.Bytes > f.params.Floor.ValueBytes {
-		f.bounds.ValueBytes = min(f.bounds.ValueBytes, max(f.params.Floor.ValueBytes, int(float64(w.Bytes)*f.params.Factor)))
+	if value && w.Bytes > b.params.Floor.ValueBytes {
+		b.bounds.ValueBytes = min(b.bounds.ValueBytes, max(b.params.Floor.ValueBytes, int(float64(w.Bytes)*b.params.Factor)))
 	}
-	if n := max(w.Changes, (w.Conditions+3)/4); ops && n > f.params.Floor.Changes {
-		f.bounds.Changes = min(f.bounds.Changes, max(f.params.Floor.Changes, int(float64(n)*f.params.Factor)))
+	if n := max(w.Changes, (w.Conditions+3)/4); ops && n > b.params.Floor.Changes {
+		b.bounds.Changes = min(b.bounds.Changes, max(b.params.Floor.Changes, int(float64(n)*b.params.Factor)))
 	}
 }
 
-// Taken takes note that a write of a kind was taken.
-func (f *WriteBounds) RecordSuccess(kind string) {
+// RecordSuccess records that a write of a kind succeeded.
+func (b *WriteBounds) RecordSuccess(kind string) {
 	if kind == KindStart {
-		f.starts.any = false
+		b.starts.any = false
 	}
 }
 
-// Alone tells whether subjects are to be written one by one.
-func (f *WriteBounds) WriteSingly(now time.Duration) bool { return now < f.singlyUntil }
+// WriteSingly reports whether subjects are to be written one by one.
+func (b *WriteBounds) WriteSingly(now time.Duration) bool { return now < b.singlyUntil }
 
-// Aside tells whether writes of a kind are to pass a subject by: others are not to wait
-// behind it. A job whose progress can't be written may well end.
-func (f *WriteBounds) ShouldSkip(now time.Duration, kind, subject string) bool {
-	a, ok := f.skipped[[2]string{kind, subject}]
-	if ok && now > a.until+f.params.SkipForMax {
-		delete(f.skipped, [2]string{kind, subject}) // written since, or gone
+// ShouldSkip reports whether writes of a kind must skip a subject so that others do not wait for
+// it. The kinds are separate because a job whose progress cannot be written may still end.
+func (b *WriteBounds) ShouldSkip(now time.Duration, kind, subject string) bool {
+	a, ok := b.skipped[[2]string{kind, subject}]
+	if ok && now > a.until+b.params.SkipForMax {
+		delete(b.skipped, [2]string{kind, subject}) // written since then, or removed
 	}
 	return ok && now < a.until
 }
 
-// Stuck tells whether no start can be written at present: machines that are rented for
-// tasks that can't start are paid for nothing, and given back for nothing. One that is
-// passed by is tried too rarely to make it so.
-func (f *WriteBounds) StartsStuck(now time.Duration) bool {
-	s := &f.starts
-	return s.any && s.last-s.first >= f.params.StuckAfter && now-s.last < f.params.StuckAfter
+// StartsStuck reports whether no task start can be written at present. Machines rented for tasks
+// that cannot start would be paid for and given back unused. A single skipped subject is tried
+// too rarely to cause this.
+func (b *WriteBounds) StartsStuck(now time.Duration) bool {
+	s := &b.starts
+	return s.any && s.last-s.first >= b.params.StuckAfter && now-s.last < b.params.StuckAfter
 }
 
-// Tell lists what was refused, by kind.
-func (f *WriteBounds) RefusedWrites() []wire.RefusedWrites {
+// RefusedWrites returns the refused writes by kind, sorted.
+func (b *WriteBounds) RefusedWrites() []wire.RefusedWrites {
 	out := []wire.RefusedWrites{}
-	for _, kind := range slices.Sorted(maps.Keys(f.kinds)) {
-		k := f.kinds[kind]
+	for _, kind := range slices.Sorted(maps.Keys(b.kinds)) {
+		k := b.kinds[kind]
 		out = append(out, wire.RefusedWrites{Kind: kind, Count: k.count, Bytes: k.last.Bytes, Changes: k.last.Changes, Conditions: k.last.Conditions, Why: k.why})
 	}
 	return out
 }
 
-// Fit shortens a record until it has at most so many bytes in JSON form, or shorten finds
-// nothing more to leave out.
+// Fit shortens a value until its JSON form has at most the given number of bytes, or until
+// shorten reports that nothing more can be removed.
 func Fit[T any](v T, bytes int, shorten func(*T) bool) T {
 	for {
 		if raw, err := wire.Marshal(v); err != nil || wire.FitsIn(raw, bytes) || !shorten(&v) {
--- a/internal/limits/write_bounds_test.go
+++ b/internal/limits/write_bounds_test.go
@@ -10,18 +10,18 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-var formParams = WriteBoundsParams{Floor: Bounds{512, 2}, Factor: 0.67, SkipFor: 10 * time.Second, SkipForMax: time.Minute, SinglyFor: 5 * time.Second, StuckAfter: 3 * time.Second, WarnInterval: 30 * time.Second}
+var testParams = WriteBoundsParams{Floor: Bounds{512, 2}, Factor: 0.67, SkipFor: 10 * time.Second, SkipForMax: time.Minute, SinglyFor: 5 * time.Second, StuckAfter: 3 * time.Second, WarnInterval: 30 * time.Second}
 
-// Whatever a service allows, and however little it says of why it refuses, a few writes at
-// the bounds find out, and what is smaller than all it ever refused is still written.
-func TestFormFindsTheLimits(t *testing.T) {
+// Whatever limits a service has, and however vague its refusals are, a few writes at the bounds
+// find the limits, and the bounds never fall below the floor.
+func TestWriteBoundsFindTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		real := Bounds{rapid.IntRange(512, 20000).Draw(t, "bytes"), rapid.IntRange(2, 20).Draw(t, "changes")}
 		says := rapid.Bool().Draw(t, "says")
-		f := NewWriteBounds(formParams, Bounds{16384, 16})
+		bounds := NewWriteBounds(testParams, Bounds{16384, 16})
 		refused := 0
 		for step := 0; step < 40; step++ {
-			b := f.Bounds()
+			b := bounds.Bounds()
 			w := Write{Kind: "job", Bytes: b.ValueBytes, Changes: b.Changes, Conditions: 4 * b.Changes}
 			why := ""
 			switch {
@@ -42,62 +42,63 @@
 				why = "bad request"
 			}
 			refused++
-			f.RecordRefusal(0, w, why)
+			bounds.RecordRefusal(0, w, why)
 		}
-		t.Fatalf("still refused: %+v, real %+v", f.Bounds(), real)
+		t.Fatalf("still refused: %+v, real %+v", bounds.Bounds(), real)
 	})
 }
 
-// One that can't be written in any form is found and passed by; the others go on.
-func TestFormSetsOneAside(t *testing.T) {
-	f := NewWriteBounds(formParams, Bounds{2048, 4})
+// A subject that cannot be written in any form is found and skipped; the others are still
+// written.
+func TestWriteBoundsSkipOneSubject(t *testing.T) {
+	bounds := NewWriteBounds(testParams, Bounds{2048, 4})
 	job := func(k int) string { return wire.PrefixJob + fmt.Sprint("job-", k) }
 	w := Write{Kind: "start", Bytes: 300, Changes: 1, Conditions: 5, Subjects: []string{job(1), job(2), job(3)}}
-	if warn := f.RecordRefusal(time.Second, w, "what is this value?"); !warn || !f.WriteSingly(2*time.Second) || f.Bounds().ValueBytes != 2048 {
-		t.Fatalf("three together refused: %+v", f)
+	if warn := bounds.RecordRefusal(time.Second, w, "what is this value?"); !warn || !bounds.WriteSingly(2*time.Second) || bounds.Bounds().ValueBytes != 2048 {
+		t.Fatalf("three together refused: %+v", bounds)
 	}
 	w.Subjects = w.Subjects[1:2]
-	if warn := f.RecordRefusal(2*time.Second, w, "what is this value?"); warn {
-		t.Error("warned twice of the same")
+	if warn := bounds.RecordRefusal(2*time.Second, w, "what is this value?"); warn {
+		t.Error("warned twice about the same write")
 	}
-	if f.WriteSingly(3*time.Second) || !f.ShouldSkip(3*time.Second, KindStart, job(2)) || f.ShouldSkip(3*time.Second, KindStart, job(1)) {
-		t.Fatalf("one alone refused: %+v", f)
+	if bounds.WriteSingly(3*time.Second) || !bounds.ShouldSkip(3*time.Second, KindStart, job(2)) || bounds.ShouldSkip(3*time.Second, KindStart, job(1)) {
+		t.Fatalf("one alone refused: %+v", bounds)
 	}
-	if f.ShouldSkip(3*time.Second, KindFinal, job(2)) {
-		t.Error("its end is passed by as well")
+	if bounds.ShouldSkip(3*time.Second, KindFinal, job(2)) {
+		t.Error("the end of the job is skipped as well")
 	}
-	if f.StartsStuck(5 * time.Second) {
-		t.Error("stuck for one that is passed by")
+	if bounds.StartsStuck(5 * time.Second) {
+		t.Error("stuck because of one skipped subject")
 	}
-	if f.ShouldSkip(12*time.Second+1, KindStart, job(2)) {
-		t.Error("passed by for ever")
+	if bounds.ShouldSkip(12*time.Second+1, KindStart, job(2)) {
+		t.Error("skipped for ever")
 	}
-	f.RecordRefusal(13*time.Second, w, "what is this value?")
-	if !f.ShouldSkip(32*time.Second, KindStart, job(2)) || f.ShouldSkip(34*time.Second, KindStart, job(2)) {
-		t.Error("the second pause is not twice the first")
+	bounds.RecordRefusal(13*time.Second, w, "what is this value?")
+	if !bounds.ShouldSkip(32*time.Second, KindStart, job(2)) || bounds.ShouldSkip(34*time.Second, KindStart, job(2)) {
+		t.Error("the second skip is not twice as long as the first")
 	}
-	if got := f.RefusedWrites(); len(got) != 1 || got[0].Kind != "start" || got[0].Count != 3 || got[0].Bytes != 300 {
-		t.Errorf("told: %+v", got)
+	if got := bounds.RefusedWrites(); len(got) != 1 || got[0].Kind != "start" || got[0].Count != 3 || got[0].Bytes != 300 {
+		t.Errorf("refused writes: %+v", got)
 	}
 }
 
-// Starts that are refused again and again, and none written, are stuck.
-func TestFormIsStuck(t *testing.T) {
-	f := NewWriteBounds(formParams, Bounds{2048, 4})
+// Starts that are refused for long without a successful one are stuck.
+func TestStartsStuck(t *testing.T) {
+	bounds := NewWriteBounds(testParams, Bounds{2048, 4})
 	at := time.Second
 	for ; at < 6*time.Second; at += 200 * time.Millisecond {
-		if got, want := f.StartsStuck(at), at > 4*time.Second; got != want {
+		if got, want := bounds.StartsStuck(at), at > 4*time.Second; got != want {
 			t.Fatalf("after %v: %v", at, got)
 		}
-		f.RecordRefusal(at, Write{Kind: "start", Bytes: 300, Changes: 1}, "what is this value?")
+		bounds.RecordRefusal(at, Write{Kind: "start", Bytes: 300, Changes: 1}, "what is this value?")
 	}
-	if f.RecordSuccess("job"); !f.StartsStuck(at) {
-		t.Error("other writes are no starts")
+	if bounds.RecordSuccess("job"); !bounds.StartsStuck(at) {
+		t.Error("a write of another kind counted as a start")
 	}
-	if f.StartsStuck(at + 4*time.Second) {
-		t.Error("stuck though nothing is tried: nothing waits to be written")
+	if bounds.StartsStuck(at + 4*time.Second) {
+		t.Error("stuck although no start has been tried recently")
 	}
-	if f.RecordSuccess("start"); f.StartsStuck(at) {
+	if bounds.RecordSuccess("start"); bounds.StartsStuck(at) {
 		t.Error("stuck after a start was written")
 	}
 }
@@ -110,7 +111,7 @@
 		t.Errorf("an end of a job: %+v", w)
 	}
 	if w := DescribeWrite(nil, []wire.Change{{Delete: wire.KeyLeader}}); w.Kind != "leader" || w.Bytes != 0 {
-		t.Errorf("leadership given away: %+v", w)
+		t.Errorf("leadership released: %+v", w)
 	}
 }
 
@@ -131,6 +132,6 @@
 		t.Fatalf("%d of %d needs are left (%v)", len(got.Needs), len(w.Needs), err)
 	}
 	if got := Fit(w, 1, shorter); len(got.Needs) != 0 {
-		t.Fatal("what can't fit is not returned at its shortest")
+		t.Fatal("a value that cannot fit is not returned at its shortest")
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -7,14 +7,15 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// scene is a book with its controllers a, b and c, of which those in up are present.
-func scene(up map[string]wire.Node) *Tracker {
+// newScenario returns a tracker of the controllers a, b and c, of which those in up are present.
+func newScenario(up map[string]wire.Node) *Tracker {
 	return New([]string{Chains}, []string{"a", "b", "c"}, up)
 }
 
 func newer(boot uint64) wire.Node { return wire.Node{Boot: boot, Features: []string{Chains}} }
 
-// write has a controller of the book do what is due, and tells of which controller it wrote.
+// write makes a controller write the record that is due, if any, and returns the controller that
+// the record is about.
 func write(b *Tracker, node string) string {
 	p := b.present[node]
 	n, rec, due := b.DueRecord(Incarnation{Node: node, Boot: p.Boot, Features: p.Features, Version: "v"})
@@ -26,110 +27,111 @@
 
 func TestOnOnceAllAreKnownToUnderstand(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": {Boot: 2}, "c": newer(3)}
-	b := scene(up)
+	b := newScenario(up)
 	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"a", "b", "c"}) {
-		t.Fatalf("nothing is written down yet, lack: %v", got)
+		t.Fatalf("no records yet, lacking: %v", got)
 	}
 	write(b, "a")
 	write(b, "c")
 	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"b"}) {
-		t.Fatalf("lack: %v", got)
+		t.Fatalf("lacking: %v", got)
 	}
-	delete(up, "b") // dies before its turn, and may come back as it was
+	delete(up, "b") // dies before its turn and may come back as the old version
 	if b.Enabled(Chains) {
-		t.Fatal("on, while one that never said so is down")
+		t.Fatal("enabled while a controller without a record is down")
 	}
 	up["b"] = newer(9)
 	if b.Enabled(Chains) {
-		t.Fatal("on before it is written down")
+		t.Fatal("enabled before the record is written")
 	}
 	write(b, "b")
 	if !b.Enabled(Chains) {
-		t.Fatalf("lack: %v", b.ControllersLacking(Chains))
+		t.Fatalf("lacking: %v", b.ControllersLacking(Chains))
 	}
 	delete(up, "a")
 	if !b.Enabled(Chains) {
-		t.Fatal("off while one that understands it is down")
+		t.Fatal("disabled while a controller that understands it is down")
 	}
 }
 
-// Back to the old version: it turns the feature off at once, and stays held against when it is
-// down again, also if its own earlier life had said otherwise.
+// A controller that returns to the old version disables the feature at once. The feature stays
+// disabled when that controller is down again, even if its earlier incarnation had recorded that
+// it understands the feature.
 func TestOneThatComesBackOldTurnsItOff(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": newer(2), "c": newer(3)}
-	b := scene(up)
+	b := newScenario(up)
 	for n := range up {
 		write(b, n)
 	}
 	up["b"] = wire.Node{Boot: 7}
 	if b.Enabled(Chains) {
-		t.Fatal("on with an old one present")
+		t.Fatal("enabled with an old controller present")
 	}
 	if n := write(b, "c"); n != "" {
-		t.Fatalf("c wrote of %s, though a is the first by name", n)
+		t.Fatalf("c wrote the record of %s, although a is the first by name", n)
 	}
 	if n := write(b, "b"); n != "" {
-		t.Fatalf("an old one wrote of %s", n)
+		t.Fatalf("an old controller wrote the record of %s", n)
 	}
 	if n := write(b, "a"); n != "b" {
-		t.Fatalf("a wrote of %q", n)
+		t.Fatalf("a wrote the record of %q", n)
 	}
 	if n := write(b, "a"); n != "" {
-		t.Fatalf("a wrote again, of %s", n)
+		t.Fatalf("a wrote again, the record of %s", n)
 	}
 	delete(up, "b")
 	if b.Enabled(Chains) {
-		t.Fatal("on while one that came back old is down")
+		t.Fatal("enabled while a controller that came back old is down")
 	}
 	up["b"] = newer(8)
 	write(b, "b")
 	if !b.Enabled(Chains) {
-		t.Fatal("off after it came back new")
+		t.Fatal("disabled after it came back as the new version")
 	}
 }
 
 func TestOneOutsideTheSettingsCounts(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": newer(2), "c": newer(3)}
-	b := scene(up)
+	b := newScenario(up)
 	for n := range up {
 		write(b, n)
 	}
 	up["z"] = wire.Node{Boot: 4}
 	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"z"}) {
-		t.Fatalf("lack: %v", got)
+		t.Fatalf("lacking: %v", got)
 	}
 }
 
-// A life says what it understands once its presence stands in the mirror, not before, and once.
-func TestDueOncePerLife(t *testing.T) {
+// An incarnation records its features once, and only after its presence is in the mirrored state.
+func TestDueOncePerIncarnation(t *testing.T) {
 	up := map[string]wire.Node{}
-	b := scene(up)
-	life := Incarnation{Node: "a", Boot: 5, Features: []string{Chains}, Version: "v"}
-	if _, _, due := b.DueRecord(life); due {
-		t.Fatal("due before the presence stands")
+	b := newScenario(up)
+	self := Incarnation{Node: "a", Boot: 5, Features: []string{Chains}, Version: "v"}
+	if _, _, due := b.DueRecord(self); due {
+		t.Fatal("due before the presence exists")
 	}
 	up["a"] = newer(4)
-	if _, _, due := b.DueRecord(life); due {
-		t.Fatal("due while an earlier life's presence stands")
+	if _, _, due := b.DueRecord(self); due {
+		t.Fatal("due while the presence of an earlier incarnation exists")
 	}
 	up["a"] = newer(5)
-	n, rec, due := b.DueRecord(life)
-	if !due || n != "a" || rec.Boot != 5 || rec.Version != "v" || !slices.Equal(rec.Features, life.Features) {
+	n, rec, due := b.DueRecord(self)
+	if !due || n != "a" || rec.Boot != 5 || rec.Version != "v" || !slices.Equal(rec.Features, self.Features) {
 		t.Fatalf("%q %+v %v", n, rec, due)
 	}
 	b.Remember(n, rec)
-	if _, _, due := b.DueRecord(life); due {
+	if _, _, due := b.DueRecord(self); due {
 		t.Fatal("due twice")
 	}
 	b.Remember("a", wire.Version{})
-	if _, _, due := b.DueRecord(life); !due {
-		t.Fatal("not due though the record is gone")
+	if _, _, due := b.DueRecord(self); !due {
+		t.Fatal("not due although the record is gone")
 	}
 }
 
-func TestViewAndTurned(t *testing.T) {
+func TestViewAndChangedFeatures(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": {Boot: 2}}
-	b := scene(up)
+	b := newScenario(up)
 	write(b, "a")
 	v := b.View("a")
 	if len(v.Controllers) != 3 || v.Controllers[0].Version != "v" || !v.Controllers[1].Present || v.Controllers[1].Boot != 2 || v.Controllers[2].Present {
@@ -139,15 +141,15 @@
 		t.Fatalf("%+v", f)
 	}
 	if got := b.ChangedFeatures(); len(got) != 1 || got[0].On {
-		t.Fatalf("first told: %+v", got)
+		t.Fatalf("first call: %+v", got)
 	}
 	if got := b.ChangedFeatures(); len(got) != 0 {
-		t.Fatalf("told again: %+v", got)
+		t.Fatalf("second call without a change: %+v", got)
 	}
 	up["b"], up["c"] = newer(3), newer(4)
 	write(b, "b")
 	write(b, "c")
 	if got := b.ChangedFeatures(); len(got) != 1 || !got[0].On {
-		t.Fatalf("switched on: %+v", got)
+		t.Fatalf("after enabling: %+v", got)
 	}
 }
