--- a/internal/trail/record.go
+++ b/internal/trail/record.go
@@ -6,8 +6,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Earlier takes the record that this controller's earlier lives left, so that the
-// next write keeps what it has room for. It is called once, before Record.
+// LoadEarlier takes the record that earlier incarnations of this controller have left, so that
+// the next write keeps as much of it as fits. It is called once, before NextRecord.
 func (t *Trail) LoadEarlier(r wire.TrailRecord, boot uint64) {
 	if r.Boot == boot {
 		return
@@ -23,15 +23,15 @@
 	t.trim()
 }
 
-// KeepTo has the record keep to so many bytes from now on.
+// SetRecordBytes sets the maximum size of the record in bytes.
 func (t *Trail) SetRecordBytes(bytes int) {
 	t.limits.Bytes = bytes
 	t.trim()
 }
 
-// Record is what is to be written now, if it is time: when something lasting has
-// happened since the last write, and that was long enough ago. Several events of
-// one failure come within moments and share a write.
+// NextRecord returns the record to be written now, if a durable event has happened since the last
+// write, that write was at least a write interval ago, and the oldest unwritten event at least an
+// eighth of it. Several events of one failure come within moments and share a write.
 func (t *Trail) NextRecord(now Time, boot uint64) (wire.TrailRecord, bool) {
 	if t.pendingSince < 0 || now < t.lastWrite+t.limits.WriteInterval || now < t.pendingSince+t.limits.WriteInterval/8 {
 		return wire.TrailRecord{}, false
@@ -40,7 +40,7 @@
 	return wire.TrailRecord{Boot: boot, Events: append([]wire.TrailEvent(nil), t.durable...)}, true
 }
 
-// Stored is what a controller's record has of its trail.
+// StoredTrail returns the events of a controller's record that match a query.
 func StoredTrail(node string, r *wire.TrailRecord, q Query) wire.Trail {
 	t := wire.Trail{Node: node, Boot: r.Boot, Stored: true, Events: []wire.TrailEvent{}}
 	for i := range r.Events {
@@ -51,11 +51,11 @@
 	return t
 }
 
-// Failed tells that the write did not happen: it is tried again after a while.
+// WriteFailed records that the write of a record did not happen. It is retried after a while.
 func (t *Trail) WriteFailed(now Time) { t.pendingSince = now }
 
-// trim drops the oldest lasting events until the record fits its bytes, which the
-// state service counts in JSON form.
+// trim drops the oldest durable events until the record fits its maximum size, which the state
+// service counts in JSON form.
 func (t *Trail) trim() {
 	total := 64
 	for i := len(t.durable) - 1; i >= 0; i-- {
@@ -67,8 +67,8 @@
 	}
 }
 
-// size bounds an event's bytes as stored: its JSON form with the names of CBOR, which
-// are no longer.
+// size returns an upper bound of the bytes of a stored event: the size of its JSON form with the
+// names that CBOR uses, which are no longer than its own.
 func size(e *wire.TrailEvent) int {
 	b, err := json.Marshal(e)
 	if err != nil {
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -1,8 +1,7 @@
-// Package trail keeps what a controller decided and learned, as far as it
-// matters after a failure, in bounded memory, with links from each event to the
-// one that led to it. It is a state machine: events go in with their time,
-// questions are answered from what is kept, and it tells when something of it
-// is worth a write to the state service.
+// Package trail keeps a controller's decisions and findings, as far as they matter after a
+// failure, in bounded memory. Each event links to the event that caused it. The package is a
+// state machine: callers add events with their times and query what is kept, and it reports when
+// part of it is worth a write to the state service.
 package trail
 
 import (
@@ -13,63 +12,81 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the controller's start.
+// Time is steady time since the start of the controller.
 type Time = time.Duration
 
-// Kinds of events.
+// Kinds of events. The texts are stored and sent and must not change.
 const (
-	Began                = "began"       // this life of the controller has read the state
-	Confirmed            = "confirmed"   // the state service confirms its entitlement again
-	Unconfirmed          = "unconfirmed" // its entitlement is not confirmed: it answers no worker
-	Leading              = "leading"     //
+	Began                = "began"       // this incarnation of the controller has read the state
+	Confirmed            = "confirmed"   // the state service confirms the authority of this controller again
+	Unconfirmed          = "unconfirmed" // its authority is not confirmed; it does not answer workers
+	Leading              = "leading"
 	NoLongerLeading      = "no_longer_leading"
-	ControllerGone       = "node_gone"        // another controller's presence ended
-	ShardTaken           = "shard_taken"      // a takeover was written; Token is the new one
-	ShardHeld            = "shard_held"       // this controller has taken the shard up; Token is its token
-	ShardLost            = "shard_lost"       //
-	ShardYielded         = "shard_yielded"    // a peer holds it under a later token
+	ControllerGone       = "node_gone"   // another controller's presence ended
+	ShardTaken           = "shard_taken" // a takeover was written; Token is the new token
+	ShardHeld            = "shard_held"  // this controller has started to hold the shard; Token is its token
+	ShardLost            = "shard_lost"
+	ShardYielded         = "shard_yielded"    // a peer holds the shard under a later token
 	Reconciled           = "settled"          // all inherited machines are accounted for
-	MachineSilent        = "machine_silent"   // its reports stay away: suspected
+	MachineSilent        = "machine_silent"   // its reports are overdue; it is suspected
 	MachineReporting     = "machine_back"     // a silent machine reports again
-	LeaseExpired         = "lease_over"       // its lease is surely over, confirmed by the state
-	MachineGone          = "machine_gone"     // it has left its block: deleted, or moved empty
-	MachineNotice        = "machine_notice"   // the cloud will take it
-	MachineFaulty        = "machine_faulty"   // it fails what it is given
-	JobMistaken          = "job_mistaken"     // it fails wherever it is started
-	MachineNotReceiving  = "machine_deaf"     // reports, and hears nothing that it is answered
-	MachineReceiving     = "machine_hears"    // hears again
-	JobReleased          = "job_released"     // all that it awaits is done: it may start
-	JobCancelled         = "job_cancelled"    // with one that it awaits, directly or through others; Why names it
-	CrewMiss             = "crew_miss"        // some of a departure's work will not be done in time, or will after all
-	CrewLeft             = "crew_left"        // how a departure went
-	CapacityReserved     = "place_held"       // kept for a job whose tasks fit nowhere
-	MachineReturned      = "machine_returned" // it is to be given back
-	AccountedFor         = "accounted"        // what is on an inherited machine is known; Why tells by what
-	TaskWithheld         = "task_held"        // Count started tasks of a job may be on machines not accounted for
-	TaskLost             = "task_lost"        // a task is nowhere any more and is to be started again
-	TaskFailed           = "task_failed"      //
-	TaskRestarted        = "task_again"       // a lost task has a machine again
-	TaskRunning          = "task_runs"        // a task that had been lost runs
-	TaskStopped          = "task_stopped"     // it was told to stop; Why tells for whom
-	BlockMoved           = "block_moved"      //
-	BlockEmptied         = "block_emptied"    // for another team's guarantee
-	Rented               = "rented"           // Count machines were asked for; Why tells for which shard
-	RentRefused          = "rent_refused"     //
-	CloudFailed          = "cloud_failed"     //
-	ShardHandedOver      = "shard_given"      // its holder gives it to Node, which can serve it
-	LeadershipHandedOver = "lead_given"       // the leader makes way for Node
-	RouteChanged         = "way_changed"      // calls of the state service go through Node, or directly again; Why tells what is believed of the link
-	StateRefused         = "state_refused"    // a write of the holder was not taken
+	LeaseExpired         = "lease_over"       // its lease has certainly expired, as the state confirms
+	MachineGone          = "machine_gone"     // it has left its block: deleted, or moved while empty
+	MachineNotice        = "machine_notice"   // the cloud has announced that it will reclaim it
+	MachineFaulty        = "machine_faulty"   // tasks fail on it
+	JobMistaken          = "job_mistaken"     // its tasks fail on every machine
+	MachineNotReceiving  = "machine_deaf"     // it reports but does not receive the answers
+	MachineReceiving     = "machine_hears"    // it receives answers again
+	JobReleased          = "job_released"     // every job that it awaits is done; it may start
+	JobCancelled         = "job_cancelled"    // cancelled with a job that it awaits, directly or through others; Why names it
+	CrewMiss             = "crew_miss"        // some work of a departure will not be done in time, or will be after all
+	CrewLeft             = "crew_left"        // result of a departure
+	CapacityReserved     = "place_held"       // capacity is reserved for a job whose tasks fit on no machine
+	MachineReturned      = "machine_returned" // it is to be given back to the cloud
+	AccountedFor         = "accounted"        // the tasks on an inherited machine are known; Why states the source
+	TaskWithheld         = "task_held"        // Count started tasks of a job may be on machines that are not accounted for
+	TaskLost             = "task_lost"        // the task runs on no machine any more and is to be started again
+	TaskFailed           = "task_failed"
+	TaskRestarted        = "task_again"   // a lost task has been assigned to a machine again
+	TaskRunning          = "task_runs"    // a lost task is running
+	TaskStopped          = "task_stopped" // it was ordered to stop; Why states in favor of what
+	BlockMoved           = "block_moved"
+	BlockEmptied         = "block_emptied" // for another team's guarantee
+	Rented               = "rented"        // Count machines were requested; Why names the shard
+	RentRefused          = "rent_refused"
+	CloudFailed          = "cloud_failed"
+	ShardHandedOver      = "shard_given"   // its holder hands it over to Node, which can serve it
+	LeadershipHandedOver = "lead_given"    // the leader steps down in favor of Node
+	RouteChanged         = "way_changed"   // calls to the state service go through Node, or directly again; Why states the assumed state of the link
+	StateRefused         = "state_refused" // a write of the holder was refused
 )
 
-// lasting kinds answer "who believed what at three in the morning" and are few;
-// they are worth a write. Task by task it can be told only while the controller
-// lives: hundreds come at once, and the machine's own event says what befell them.
-var durableKinds = map[string]bool{Began: true, Confirmed: true, Unconfirmed: true, Leading: true, NoLongerLeading: true, ControllerGone: true,
-	ShardTaken: true, ShardHeld: true, ShardLost: true, ShardYielded: true, ShardHandedOver: true, LeadershipHandedOver: true, RouteChanged: true, Reconciled: true, LeaseExpired: true, MachineFaulty: true, JobMistaken: true,
-	MachineReporting: true, BlockEmptied: true}
+// durableKinds are the kinds that are worth a write: they tell which controller believed what
+// during a failure, and they are few. Events of single tasks are kept only while the controller
+// lives: hundreds come at once, and the event of their machine states the cause.
+var durableKinds = map[string]bool{
+	Began:                true,
+	Confirmed:            true,
+	Unconfirmed:          true,
+	Leading:              true,
+	NoLongerLeading:      true,
+	ControllerGone:       true,
+	ShardTaken:           true,
+	ShardHeld:            true,
+	ShardLost:            true,
+	ShardYielded:         true,
+	ShardHandedOver:      true,
+	LeadershipHandedOver: true,
+	RouteChanged:         true,
+	Reconciled:           true,
+	LeaseExpired:         true,
+	MachineFaulty:        true,
+	JobMistaken:          true,
+	MachineReporting:     true,
+	BlockEmptied:         true,
+}
 
-// link names a kind that may have led to an event, by the subject both share.
+// link names a kind that may have caused an event, and the subject that both must share.
 type link struct {
 	kind string
 	by   func(e *wire.TrailEvent) string
@@ -87,9 +104,9 @@
 	return strconv.Itoa(*e.Shard)
 }
 
-// causes lists, per kind, what may have led to it. The newest one that shares its
-// subject is taken: a lease is over because of the silence before it, not of one
-// an hour ago that had ended.
+// causes lists the possible causes of each kind. The newest event that shares its subject with
+// the caused one is chosen: a lease has expired because of the silence right before, not because
+// of one an hour ago that had ended.
 var causes = map[string][]link{
 	NoLongerLeading:  {{LeadershipHandedOver, anySubject}},
 	Unconfirmed:      {{RouteChanged, anySubject}},
@@ -115,7 +132,8 @@
 	RentRefused:      {{Rented, byShard}},
 }
 
-// subjects are the kinds that others look up, by what they share.
+// subjectsByKind lists the kinds that can be causes, with the subjects by which they are looked
+// up.
 var subjectsByKind = func() map[string][]func(*wire.TrailEvent) string {
 	out := map[string][]func(*wire.TrailEvent) string{}
 	for _, list := range causes {
@@ -130,32 +148,39 @@
 
 // Limits bound what is kept.
 type Limits struct {
-	Events        int           // in memory
-	Bytes         int           // of the stored record, in the state service's count
-	WriteInterval time.Duration // between writes of it
+	Events        int           // events in memory
+	Bytes         int           // size of the stored record, as the state service counts it
+	WriteInterval time.Duration // minimum time between writes of the record
 }
 
-// Trail is one controller's.
+// Trail is the event log of one controller.
 type Trail struct {
 	limits Limits
-	ring   []wire.TrailEvent // newest last, from head
+	ring   []wire.TrailEvent // in order from head, newest last
 	head   int
 	next   uint64 // Seq of the next event
 	latest map[subject]uint64
-	lost   map[string]bool // tasks lost and not seen running since
+	lost   map[string]bool // lost tasks that have not been seen running since
 
-	durable      []wire.TrailEvent // lasting ones, oldest first: the record
-	pendingSince Time              // since when something waits to be written; -1: nothing
+	durable      []wire.TrailEvent // content of the record, oldest first
+	pendingSince Time              // since when an event waits to be written; -1: none
 	lastWrite    Time
 }
 
 // New returns an empty trail.
 func New(l Limits) *Trail {
-	return &Trail{limits: l, next: 1, latest: map[subject]uint64{}, lost: map[string]bool{}, pendingSince: -1, lastWrite: -l.WriteInterval}
+	return &Trail{
+		limits:       l,
+		next:         1,
+		latest:       map[subject]uint64{},
+		lost:         map[string]bool{},
+		pendingSince: -1,
+		lastWrite:    -l.WriteInterval,
+	}
 }
 
-// Add takes an event at a steady time and a time of day, numbers it and links it to
-// what led to it. It returns its number.
+// Add stores an event with its steady time and wall-clock time, numbers it, links it to its cause
+// and returns its number.
 func (t *Trail) Add(now Time, wall time.Time, e wire.TrailEvent) uint64 {
 	e.Seq, e.AtMS, e.WallMS = t.next, now.Milliseconds(), wall.UnixMilli()
 	e.Cause = t.causeOf(&e)
@@ -188,7 +213,7 @@
 	return e.Seq
 }
 
-// causeOf finds the newest event that may have led to e.
+// causeOf returns the number of the newest event that may have caused e, or 0 if there is none.
 func (t *Trail) causeOf(e *wire.TrailEvent) (cause uint64) {
 	for _, l := range causes[e.Kind] {
 		if s := l.by(e); s != "" {
@@ -196,15 +221,15 @@
 		}
 	}
 	if len(t.ring) == t.limits.Events && cause == t.oldest()+1 {
-		return 0 // leaves the ring for e: a link to nowhere helps nobody
+		return 0 // the cause is dropped from the ring to make space for e, so the link would be dangling
 	}
 	return cause
 }
 
-// oldest is the number before the first event kept.
+// oldest returns the number before that of the first event kept.
 func (t *Trail) oldest() uint64 { return t.next - 1 - uint64(len(t.ring)) }
 
-// forget drops the look-ups of an event that leaves the ring.
+// forget drops the lookup entries of an event that leaves the ring.
 func (t *Trail) forget(e *wire.TrailEvent) {
 	for _, by := range subjectsByKind[e.Kind] {
 		if k := (subject{e.Kind, by(e)}); t.latest[k] == e.Seq {
@@ -212,15 +237,15 @@
 		}
 	}
 	if e.Kind == TaskLost {
-		delete(t.lost, e.Task) // it never came back, or long ago
+		delete(t.lost, e.Task) // it has not run again, or did so long ago
 	}
 }
 
-// WasLost tells whether a task was lost and has not run since: only then is its
-// start an event.
+// WasLost reports whether a task was lost and has not run since. Only the start of such a task is
+// recorded as an event.
 func (t *Trail) WasLost(task string) bool { return t.lost[task] }
 
-// Query selects events; empty fields select all.
+// Query selects events. An empty field selects all.
 type Query struct {
 	After   uint64
 	Most    int
@@ -228,7 +253,7 @@
 	Job     string
 }
 
-// Matches tells whether an event is one that the query asks for.
+// Matches reports whether the query selects an event.
 func (q *Query) Matches(e *wire.TrailEvent) bool {
 	if q.Machine != "" && e.Machine != q.Machine {
 		return false
@@ -236,8 +261,8 @@
 	return q.Job == "" || e.Job == q.Job || strings.HasPrefix(e.Task, q.Job+"/")
 }
 
-// Events answers a query: the oldest ones first, where to go on, and whether some
-// after the number asked for are kept no longer.
+// Events returns the oldest events that a query selects, the number after which to continue, and
+// whether events after the requested number have already been dropped.
 func (t *Trail) Events(q Query) (out []wire.TrailEvent, next uint64, missed bool) {
 	next, missed = max(q.After, t.oldest()), q.After < t.oldest()
 	out = []wire.TrailEvent{}
@@ -253,7 +278,7 @@
 	return out, next, missed
 }
 
-// Last returns the newest events of a query, oldest first.
+// Last returns the newest events that a query selects, oldest first.
 func (t *Trail) Last(q Query) []wire.TrailEvent {
 	out := []wire.TrailEvent{}
 	for seq := t.next - 1; seq > t.oldest() && len(out) < q.Most; seq-- {
--- a/internal/trail/trail_test.go
+++ b/internal/trail/trail_test.go
@@ -14,7 +14,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// The newest event that shares a subject is the cause, and no other machine's.
+// The cause is the newest event that shares a subject, and never an event of another machine.
 func TestCauses(t *testing.T) {
 	x := New(Limits{Events: 100, Bytes: 4096, WriteInterval: time.Second})
 	add := func(e wire.TrailEvent) uint64 { return x.Add(0, wall, e) }
@@ -25,7 +25,7 @@
 	over := add(wire.TrailEvent{Kind: LeaseExpired, Machine: "a", Shard: ptr(2)})
 	lost := add(wire.TrailEvent{Kind: TaskLost, Machine: "a", Task: "job-1/0"})
 	if !x.WasLost("job-1/0") || x.WasLost("job-1/1") {
-		t.Error("a lost task is not known as lost, or another is")
+		t.Error("a lost task is not known as lost, or another task is")
 	}
 	again := add(wire.TrailEvent{Kind: TaskRestarted, Machine: "b", Task: "job-1/0"})
 	add(wire.TrailEvent{Kind: TaskRunning, Machine: "b", Task: "job-1/0"})
@@ -43,9 +43,9 @@
 	}
 }
 
-// Whatever happens, memory and record stay within their bounds, numbers go up by
-// one, causes lie before what they caused and are still kept, and a reader that
-// follows sees every event once or is told that it missed some.
+// For any sequence of events, memory and record stay within their bounds, event numbers increase
+// by one, causes precede the events that they caused and are still kept, and a reader that
+// follows the trail sees every event once or is told that it missed some.
 func TestBounds(t *testing.T) {
 	kinds := []string{MachineSilent, LeaseExpired, TaskLost, TaskRestarted, TaskRunning, ShardTaken, ShardHeld, Reconciled, ControllerGone, AccountedFor, TaskFailed}
 	rapid.Check(t, func(t *rapid.T) {
@@ -90,17 +90,18 @@
 	})
 }
 
-// The next life keeps what the one before had stored, and says whose it was.
-func TestEarlierLives(t *testing.T) {
+// The next incarnation keeps what the one before had stored, with the incarnation that it came
+// from.
+func TestEarlierIncarnations(t *testing.T) {
 	lim := Limits{Events: 10, Bytes: 4096, WriteInterval: time.Second}
 	a := New(lim)
 	a.Add(time.Second, wall, wire.TrailEvent{Kind: LeaseExpired, Machine: "n-1"})
 	rec, due := a.NextRecord(10*time.Second, 5)
 	if !due {
-		t.Fatal("a lasting event is not written")
+		t.Fatal("a durable event is not written")
 	}
 	if _, again := a.NextRecord(20*time.Second, 5); again {
-		t.Error("nothing new, and written again")
+		t.Error("written again without a new event")
 	}
 	b := New(lim)
 	b.Add(0, wall, wire.TrailEvent{Kind: Began})
@@ -113,6 +114,6 @@
 	b.NextRecord(time.Minute+time.Second, 9)
 	b.WriteFailed(time.Minute + time.Second)
 	if _, due := b.NextRecord(3*time.Minute, 9); !due {
-		t.Error("a write that failed is not tried again")
+		t.Error("a failed write is not retried")
 	}
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -1,5 +1,5 @@
-// Package workers sends direct commands to workers, as POST /orders of the protocol.
-// They are advice: what cannot be sent soon is dropped.
+// Package workers sends direct commands to workers, as POST /orders of the protocol. The commands
+// are hints: those that cannot be sent soon are dropped.
 package workers
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Client is safe for concurrent use.
+// Client sends commands to workers. It is safe for concurrent use.
 type Client struct {
 	http   *http.Client
 	queue  chan call
@@ -24,38 +24,47 @@
 
 type call struct {
 	addr   string
-	orders *wire.Orders // nil: only the report is asked for
+	orders *wire.Orders // nil: only asks for the report
 	answer func(status int, r wire.Report)
 }
 
-// New returns a client that works until the context ends; done is called after each
-// call, with status 0 for one that had no answer.
-func New(ctx context.Context, log *slog.Logger, done func(status int, took time.Duration)) *Client {
-	c := &Client{queue: make(chan call, tuning.OrderQueue), log: log, onDone: done,
-		// A connection to each of a thousand workers would cost more sockets than it saves.
-		http: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: tuning.OrderTimeout}).DialContext,
-			DisableKeepAlives: true, DisableCompression: true}}}
+// New returns a client that works until the context ends. onDone is called after each call, with
+// status 0 for a call without an answer.
+func New(ctx context.Context, log *slog.Logger, onDone func(status int, took time.Duration)) *Client {
+	c := &Client{
+		queue:  make(chan call, tuning.OrderQueue),
+		log:    log,
+		onDone: onDone,
+		// Keeping a connection to each of a thousand workers would cost more sockets than it saves.
+		http: &http.Client{Transport: &http.Transport{
+			DialContext:        (&net.Dialer{Timeout: tuning.OrderTimeout}).DialContext,
+			DisableKeepAlives:  true,
+			DisableCompression: true,
+		}},
+	}
 	for range tuning.OrderCalls {
 		go c.run(ctx)
 	}
 	return c
 }
 
-// Send queues a call; it says whether there was room. answer, if given, gets the worker's
-// report as it stands after the call, or before one that was refused (409); status 0 means
-// that no report came. It is not called for a call that found no room.
+// Send queues a call with commands and reports whether the queue had space for it. answer, if not
+// nil, receives the worker's report as of after the call, or as of before it if the worker
+// refused the call (409); status 0 means that no report arrived. answer is not called if the
+// queue was full.
 func (c *Client) Send(addr string, o wire.Orders, answer func(status int, r wire.Report)) bool {
 	return c.enqueue(call{addr, &o, answer})
 }
 
-// Inspect queues a call that only asks for the worker's report, as Send does.
+// Inspect queues a call that only asks for the worker's report. It returns and calls answer as
+// Send does.
 func (c *Client) Inspect(addr string, answer func(status int, r wire.Report)) bool {
 	return c.enqueue(call{addr, nil, answer})
 }
 
-func (c *Client) enqueue(x call) bool {
+func (c *Client) enqueue(next call) bool {
 	select {
-	case c.queue <- x:
+	case c.queue <- next:
 		return true
 	default:
 		return false
@@ -67,25 +76,25 @@
 		select {
 		case <-ctx.Done():
 			return
-		case x := <-c.queue:
-			began := time.Now()
+		case next := <-c.queue:
+			start := time.Now()
 			ctx, cancel := context.WithTimeout(ctx, tuning.OrderTimeout)
 			method, path, body := http.MethodGet, "/inspect", any(nil)
-			if x.orders != nil {
-				method, path, body = http.MethodPost, "/orders", *x.orders
+			if next.orders != nil {
+				method, path, body = http.MethodPost, "/orders", *next.orders
 			}
-			status, raw, err := cborhttp.RoundTrip(ctx, c.http, method, "http://"+x.addr+path, body)
+			status, raw, err := cborhttp.RoundTrip(ctx, c.http, method, "http://"+next.addr+path, body)
 			cancel()
 			if err != nil {
-				c.log.Debug("no answer to direct commands", "to", x.addr, "err", err.Error())
+				c.log.Debug("no answer to direct commands", "to", next.addr, "err", err.Error())
 			}
-			c.onDone(status, time.Since(began))
-			if x.answer != nil {
+			c.onDone(status, time.Since(start))
+			if next.answer != nil {
 				var r wire.Report
 				if wire.Unmarshal(raw, &r) != nil || r.Machine == "" {
 					status = 0
 				}
-				x.answer(status, r)
+				next.answer(status, r)
 			}
 		}
 	}
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -13,7 +13,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-func TestOrdersArriveAndSilenceHoldsUpOnlyItself(t *testing.T) {
+func TestSilentWorkerDoesNotDelayOthers(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	got := make(chan wire.Orders, 1)
@@ -34,38 +34,38 @@
 	defer close(stall)
 	ended := make(chan int, 4)
 	c := New(ctx, slog.New(slog.DiscardHandler), func(status int, _ time.Duration) { ended <- status })
-	type told struct {
+	type reply struct {
 		status int
 		r      wire.Report
 	}
-	tells := make(chan told, 2)
-	tell := func(status int, r wire.Report) { tells <- told{status, r} }
-	if !c.Send(silent.Listener.Addr().String(), wire.Orders{Token: 1, Session: 1}, tell) || !c.Send(srv.Listener.Addr().String(), wire.Orders{Token: 7, Session: 2}, tell) {
-		t.Fatal("no room in an empty queue")
+	answers := make(chan reply, 2)
+	answer := func(status int, r wire.Report) { answers <- reply{status, r} }
+	if !c.Send(silent.Listener.Addr().String(), wire.Orders{Token: 1, Session: 1}, answer) || !c.Send(srv.Listener.Addr().String(), wire.Orders{Token: 7, Session: 2}, answer) {
+		t.Fatal("an empty queue has no space")
 	}
 	select {
 	case o := <-got:
 		if o.Token != 7 || o.Session != 2 {
-			t.Errorf("arrived %+v", o)
+			t.Errorf("orders %+v arrived", o)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing arrived")
+		t.Fatal("no orders arrived")
 	}
 	if s := <-ended; s != 409 {
 		t.Errorf("status %d", s)
 	}
-	if x := <-tells; x.status != 409 || x.r.Session != 3 || x.r.Token != 9 {
+	if x := <-answers; x.status != 409 || x.r.Session != 3 || x.r.Token != 9 {
 		t.Errorf("the report of a refusal: %+v", x)
 	}
 	select {
 	case s := <-ended:
 		if s != 0 {
-			t.Errorf("the silent one answered %d", s)
+			t.Errorf("the silent worker answered %d", s)
 		}
 	case <-time.After(tuning.OrderTimeout + 5*time.Second):
-		t.Fatal("a silent worker holds a call for ever")
+		t.Fatal("the call to a silent worker never ends")
 	}
-	if x := <-tells; x.status != 0 {
-		t.Errorf("the silent one's report: %+v", x)
+	if x := <-answers; x.status != 0 {
+		t.Errorf("report of the silent worker: %+v", x)
 	}
 }
