--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -1,7 +1,7 @@
-// Package recovery works out, from what controllers, workers and users saw, how the
-// cluster came back from a failure: step by step, each with its time, and beside
-// it the least that the protocol's times allow. It is pure: observations go in, in
-// any order, steps come out.
+// Package recovery derives from the observations of controllers, workers and users how the
+// cluster recovered from a failure: the steps, the time of each, and the least time that the
+// intervals and leases of the protocol allow for it. The package is pure: it takes observations
+// in any order and returns steps.
 package recovery
 
 import (
@@ -11,51 +11,62 @@
 	"time"
 )
 
-// Time is steady time since the observed world began.
+// Time is steady time since the observed cluster started.
 type Time = time.Duration
 
 // Steps of a recovery, in the order in which they come.
 const (
-	Noticed       = "noticed"       // a controller suspects that something is wrong
-	LeasesExpired = "lease_over"    // the lost machines' leases are surely over
-	TakenOver     = "taken_over"    // another controller was granted the lost one's shards
-	TokenRaised   = "token_raised"  // and answers workers under a higher token
-	AccountedFor  = "accounted_for" // what runs on the shards' machines is known
-	Restarted     = "started_again" // the lost tasks were ordered on a machine again
-	ImageReady    = "image_there"   // which has their image
-	Running       = "running"       // and runs them
-	Confirmed     = "confirmed"     // the controllers are entitled again
-	UserInformed  = "user_told"     // their users can see it
+	Noticed       = "noticed"       // a controller suspects a failure
+	LeasesExpired = "lease_over"    // the leases of the lost machines have certainly expired
+	TakenOver     = "taken_over"    // another controller was granted the lost controller's shards
+	TokenRaised   = "token_raised"  // the new holder answers workers under a higher token
+	AccountedFor  = "accounted_for" // the tasks on the shards' machines are known
+	Restarted     = "started_again" // the lost tasks were assigned to a machine again
+	ImageReady    = "image_there"   // the machine has the image
+	Running       = "running"       // the machine runs the tasks
+	Confirmed     = "confirmed"     // the controllers have authority to act again
+	UserInformed  = "user_told"     // the users can see it
 )
 
-// Order lists the steps.
-var StepOrder = []string{Noticed, LeasesExpired, TakenOver, TokenRaised, AccountedFor, Restarted, ImageReady, Running, Confirmed, UserInformed}
+// StepOrder lists the steps in the order in which they happen.
+var StepOrder = []string{
+	Noticed,
+	LeasesExpired,
+	TakenOver,
+	TokenRaised,
+	AccountedFor,
+	Restarted,
+	ImageReady,
+	Running,
+	Confirmed,
+	UserInformed,
+}
 
-// Params are the protocol's times that bound a recovery from below.
+// Params are the times of the protocol that bound a recovery from below.
 type Params struct {
 	ReportInterval, WorkerLease time.Duration
-	StateLease                  time.Duration // a silent controller stays entitled so long
-	RenewInterval               time.Duration // and renews so often
+	StateLease                  time.Duration // how long a controller without contact keeps its authority
+	RenewInterval               time.Duration // how often it renews its state lease
 }
 
-// Machine is a machine that a fault hit, as it was at that moment.
+// Machine is a machine that a fault affected, as of the moment of the fault.
 type Machine struct {
 	Name      string
-	LeaseLeft time.Duration // until its worker gives its tasks up
+	LeaseLeft time.Duration // until its worker stops its tasks
 	Reported  time.Duration // since its last report
-	Tasks     []string      // on it
+	Tasks     []string      // tasks on the machine
 }
 
-// Incident is one fault and whom it hit.
+// Incident is one fault and the parties that it affected.
 type Incident struct {
 	Kind        string
 	At          Time
-	Until       Time // when it was lifted; 0: not
+	Until       Time // when the fault ended; 0: not yet
 	Machines    []Machine
 	Controllers []string
-	Services    bool // state service or cloud: nobody is lost, all are hindered
-	Silent      bool // the machines say nothing any more: their leases must run out
-	Dead        bool // the controllers answer nobody any more
+	Services    bool // the state service or the cloud is affected: nothing is lost, but all controllers are impeded
+	Silent      bool // the machines no longer report: their leases must expire
+	Dead        bool // the controllers no longer answer
 }
 
 // Sources of observations.
@@ -65,8 +76,8 @@
 	FromUser   = "user"
 )
 
-// Observation is something seen at a time. Kind is an event's of package trail for
-// FromTrail, one of the worker kinds for FromWorker, and Told for FromUser.
+// Observation is an event observed at a time. Kind is a kind of package trail for FromTrail, one
+// of the worker kinds below for FromWorker, and UserSawUp or UserSawDown for FromUser.
 type Observation struct {
 	At      Time
 	From    string
@@ -74,10 +85,10 @@
 	Machine string
 	Task    string
 	Job     string
-	Node    string // another controller it is about
-	By      string // the controller that believes it
+	Node    string // the other controller that the event is about
+	By      string // the controller that reports it
 	Shard   int    // -1: none
-	Cause   string // of Left: "" if its lease or its machine ended
+	Cause   string // of TaskLeft: "" if the lease or the machine ended
 }
 
 // Kinds of observations of workers and users.
@@ -86,33 +97,43 @@
 	TaskStarted = "task_started"
 	TaskLeft    = "task_left"
 	UserSawUp   = "told_up"   // a user was told that all of a job's tasks run, or that it is done
-	UserSawDown = "told_down" // a user was told less
+	UserSawDown = "told_down" // a user was told that fewer run
 )
 
 // Step is one step of a recovery.
 type Step struct {
 	Step    string `json:"step"`
-	AfterMS int64  `json:"after_ms"` // since the fault, until the last one concerned
-	LeastMS int64  `json:"least_ms"` // the protocol's times allow no less
-	Count   int    `json:"count"`    // machines, shards or tasks concerned
+	AfterMS int64  `json:"after_ms"` // from the fault until the last machine, shard or task has completed the step
+	LeastMS int64  `json:"least_ms"` // least time that the protocol allows
+	Count   int    `json:"count"`    // machines, shards or tasks affected
 }
 
-// notices are the trail's events by which a controller first notices each kind of
-// trouble, and what must match.
+// noticeKinds lists the kinds of trail events by which a controller first notices a failure, and
+// the condition under which an event belongs to an incident.
 var noticeKinds = []struct {
 	kind  string
 	match func(*Incident, *Observation) bool
 }{
-	{"machine_silent", hitsMachine}, {"lease_over", hitsMachine}, {"machine_notice", hitsMachine}, {"machine_gone", hitsMachine},
-	{"task_failed", hitsMachine}, {"machine_faulty", hitsMachine}, {"machine_returned", hitsMachine},
-	{"node_gone", hitsController}, {"shard_taken", hitsController}, {"shard_yielded", hitsController},
-	{"way_changed", byController}, {"shard_given", byController}, {"lead_given", byController},
+	{"machine_silent", hitsMachine},
+	{"lease_over", hitsMachine},
+	{"machine_notice", hitsMachine},
+	{"machine_gone", hitsMachine},
+	{"task_failed", hitsMachine},
+	{"machine_faulty", hitsMachine},
+	{"machine_returned", hitsMachine},
+	{"node_gone", hitsController},
+	{"shard_taken", hitsController},
+	{"shard_yielded", hitsController},
+	{"way_changed", byController},
+	{"shard_given", byController},
+	{"lead_given", byController},
 	{"unconfirmed", func(i *Incident, o *Observation) bool { return i.Services || slices.Contains(i.Controllers, o.By) }},
 	{"cloud_failed", func(i *Incident, _ *Observation) bool { return i.Services }},
 	{"rent_refused", func(i *Incident, _ *Observation) bool { return i.Services }},
 	{"began", func(i *Incident, o *Observation) bool { return i.Dead && slices.Contains(i.Controllers, o.By) }},
 }
 
+// hitsMachine reports whether an observation is about a machine of the incident.
 func hitsMachine(i *Incident, o *Observation) bool {
 	for _, m := range i.Machines {
 		if m.Name == o.Machine {
@@ -122,33 +143,35 @@
 	return false
 }
 
+// hitsController reports whether an observation is about a controller of the incident.
 func hitsController(i *Incident, o *Observation) bool { return slices.Contains(i.Controllers, o.Node) }
 
+// byController reports whether a controller of the incident made an observation.
 func byController(i *Incident, o *Observation) bool { return slices.Contains(i.Controllers, o.By) }
 
-// Analyze derives the steps of one incident. Steps that did not come, or that this
-// fault does not need, are left out.
-func Analyze(p Params, inc Incident, seen []Observation) []Step {
-	x := newAnalysis(p, inc, seen)
-	x.detection()
-	x.leases()
-	x.shards()
-	x.tasks()
-	x.authority()
-	x.users()
-	return x.steps
+// Analyze returns the steps of one incident. Steps that did not happen, or that the fault does
+// not require, are left out.
+func Analyze(p Params, incident Incident, all []Observation) []Step {
+	a := newAnalysis(p, incident, all)
+	a.detection()
+	a.leases()
+	a.shards()
+	a.tasks()
+	a.authority()
+	a.users()
+	return a.steps
 }
 
-// since prepares what was seen from the fault on, in order.
-func newAnalysis(p Params, inc Incident, seen []Observation) *analysis {
-	obs := make([]Observation, 0, len(seen))
-	for _, o := range seen {
-		if o.At >= inc.At {
-			obs = append(obs, o)
+// newAnalysis returns an analysis of the observations since the fault, sorted by time.
+func newAnalysis(p Params, incident Incident, all []Observation) *analysis {
+	observations := make([]Observation, 0, len(all))
+	for _, o := range all {
+		if o.At >= incident.At {
+			observations = append(observations, o)
 		}
 	}
-	sort.SliceStable(obs, func(a, b int) bool { return obs[a].At < obs[b].At })
-	return &analysis{params: p, incident: inc, observations: obs}
+	sort.SliceStable(observations, func(a, b int) bool { return observations[a].At < observations[b].At })
+	return &analysis{params: p, incident: incident, observations: observations}
 }
 
 type analysis struct {
@@ -159,43 +182,46 @@
 	lost         map[string]Time // task -> when it was started again, 0: not yet
 }
 
-func (x *analysis) add(step string, at Time, least time.Duration, count int) {
-	x.steps = append(x.steps, Step{step, (at - x.incident.At).Milliseconds(), max(0, least).Milliseconds(), count})
+// add adds a step that ended at the given time, and that takes at least the given duration.
+func (a *analysis) add(step string, at Time, least time.Duration, count int) {
+	a.steps = append(a.steps, Step{step, (at - a.incident.At).Milliseconds(), max(0, least).Milliseconds(), count})
 }
 
-// leastNotice: a machine's next report must be missing; a dead controller is known
-// by its grant, which it may have renewed just before.
-func (x *analysis) minDetectionTime() time.Duration {
+// minDetectionTime returns the least time in which the failure can be noticed. For a machine, its
+// next report must be overdue. A dead controller is detected when its state lease ends, which it
+// may have renewed just before.
+func (a *analysis) minDetectionTime() time.Duration {
 	switch {
-	case len(x.incident.Controllers) > 0 && x.incident.Dead:
-		return x.params.StateLease - x.params.RenewInterval
-	case x.incident.Silent && len(x.incident.Machines) > 0:
+	case len(a.incident.Controllers) > 0 && a.incident.Dead:
+		return a.params.StateLease - a.params.RenewInterval
+	case a.incident.Silent && len(a.incident.Machines) > 0:
 		least := time.Duration(1 << 62)
-		for _, m := range x.incident.Machines {
-			least = min(least, x.params.ReportInterval*3/4-m.Reported)
+		for _, m := range a.incident.Machines {
+			least = min(least, a.params.ReportInterval*3/4-m.Reported)
 		}
 		return least
 	}
 	return 0
 }
 
-func (x *analysis) detection() {
-	for _, o := range x.observations {
+// detection adds the time at which a controller first noticed the failure.
+func (a *analysis) detection() {
+	for _, o := range a.observations {
 		for _, n := range noticeKinds {
-			if o.From == FromTrail && o.Kind == n.kind && n.match(&x.incident, &o) {
-				x.add(Noticed, o.At, x.minDetectionTime(), 1)
+			if o.From == FromTrail && o.Kind == n.kind && n.match(&a.incident, &o) {
+				a.add(Noticed, o.At, a.minDetectionTime(), 1)
 				return
 			}
 		}
 	}
 }
 
-// leaseLeft is the longest of the lost machines that had something on them.
-func (x *analysis) leaseLeft() (left time.Duration) {
-	if !x.incident.Silent {
+// leaseLeft returns the longest remaining lease of the lost machines that had tasks.
+func (a *analysis) leaseLeft() (left time.Duration) {
+	if !a.incident.Silent {
 		return 0
 	}
-	for _, m := range x.incident.Machines {
+	for _, m := range a.incident.Machines {
 		if len(m.Tasks) > 0 {
 			left = max(left, m.LeaseLeft)
 		}
@@ -203,40 +229,42 @@
 	return left
 }
 
-func (x *analysis) leases() {
+// leases adds the time at which the last lease of the lost machines expired.
+func (a *analysis) leases() {
 	last, over := Time(0), map[string]bool{}
 	least := time.Duration(0)
-	for _, o := range x.observations {
-		if o.From != FromTrail || o.Kind != "lease_over" || !hitsMachine(&x.incident, &o) || over[o.Machine] {
+	for _, o := range a.observations {
+		if o.From != FromTrail || o.Kind != "lease_over" || !hitsMachine(&a.incident, &o) || over[o.Machine] {
 			continue
 		}
 		over[o.Machine], last = true, o.At
-		for _, m := range x.incident.Machines {
+		for _, m := range a.incident.Machines {
 			if m.Name == o.Machine {
 				least = max(least, m.LeaseLeft)
 			}
 		}
 	}
 	if len(over) > 0 {
-		x.add(LeasesExpired, last, least, len(over))
+		a.add(LeasesExpired, last, least, len(over))
 	}
 }
 
-// atOnce is by how much what follows a write may be seen before it: each controller's trail has the time
-// of its own step, and who takes a shard may read the write before its writer has the answer.
+// trailSkew is how much earlier than a write its consequences may be recorded. Each controller's
+// trail has the time of its own step, and the controller that takes over a shard may read the
+// write before its writer has the answer.
 const trailSkew = 50 * time.Millisecond
 
-// shards follows what became of the shards of the controllers that were hit.
-func (x *analysis) shards() {
-	taken, held, settled := map[int]Time{}, map[int]Time{}, map[int]Time{}
-	for _, o := range x.observations {
-		if _, known := taken[o.Shard]; o.From == FromTrail && o.Shard >= 0 && o.Kind == "shard_taken" && !known && slices.Contains(x.incident.Controllers, o.Node) {
+// shards adds the steps of the shards of the affected controllers.
+func (a *analysis) shards() {
+	taken, held, reconciled := map[int]Time{}, map[int]Time{}, map[int]Time{}
+	for _, o := range a.observations {
+		if _, known := taken[o.Shard]; o.From == FromTrail && o.Shard >= 0 && o.Kind == "shard_taken" && !known && slices.Contains(a.incident.Controllers, o.Node) {
 			taken[o.Shard] = o.At
 		}
 	}
-	for _, o := range x.observations {
-		at, mine := taken[o.Shard]
-		if o.From != FromTrail || !mine || o.At < at-trailSkew || o.At < at && slices.Contains(x.incident.Controllers, o.By) {
+	for _, o := range a.observations {
+		at, relevant := taken[o.Shard]
+		if o.From != FromTrail || !relevant || o.At < at-trailSkew || o.At < at && slices.Contains(a.incident.Controllers, o.By) {
 			continue
 		}
 		switch o.Kind {
@@ -245,51 +273,51 @@
 				held[o.Shard] = max(at, o.At)
 			}
 		case "settled":
-			if _, known := settled[o.Shard]; !known {
-				settled[o.Shard] = max(at, o.At)
+			if _, known := reconciled[o.Shard]; !known {
+				reconciled[o.Shard] = max(at, o.At)
 			}
 		}
 	}
 	for _, s := range []struct {
 		step  string
 		times map[int]Time
-	}{{TakenOver, taken}, {TokenRaised, held}, {AccountedFor, settled}} {
+	}{{TakenOver, taken}, {TokenRaised, held}, {AccountedFor, reconciled}} {
 		last := Time(0)
 		for _, at := range s.times {
 			last = max(last, at)
 		}
 		if len(s.times) > 0 {
-			x.add(s.step, last, x.minDetectionTime(), len(s.times))
+			a.add(s.step, last, a.minDetectionTime(), len(s.times))
 		}
 	}
 }
 
-// tasks follows what the fault took: tasks on the machines it hit, and tasks whose
-// lease ran out elsewhere while it lasted.
-func (x *analysis) tasks() {
-	x.lost = map[string]Time{}
-	for _, m := range x.incident.Machines {
-		if x.incident.Silent {
+// tasks adds the steps of the lost tasks: those on the affected machines, and those whose lease
+// ended elsewhere during the fault.
+func (a *analysis) tasks() {
+	a.lost = map[string]Time{}
+	for _, m := range a.incident.Machines {
+		if a.incident.Silent {
 			for _, t := range m.Tasks {
-				x.lost[t] = 0
+				a.lost[t] = 0
 			}
 		}
 	}
-	end := x.incident.Until
+	end := a.incident.Until
 	if end == 0 {
-		end = x.incident.At + 2*x.params.WorkerLease
+		end = a.incident.At + 2*a.params.WorkerLease
 	}
 	var ordered, started Time
 	orders, runs := map[string]bool{}, map[string]bool{}
-	for _, o := range x.observations {
+	for _, o := range a.observations {
 		if o.From != FromWorker {
 			continue
 		}
-		_, lost := x.lost[o.Task]
+		_, lost := a.lost[o.Task]
 		switch {
-		case o.Kind == TaskLeft && o.At <= end+x.params.WorkerLease && x.isLoss(&o):
+		case o.Kind == TaskLeft && o.At <= end+a.params.WorkerLease && a.isLoss(&o):
 			if !lost {
-				x.lost[o.Task] = 0
+				a.lost[o.Task] = 0
 			}
 			if !runs[o.Task] {
 				delete(orders, o.Task)
@@ -298,75 +326,75 @@
 			orders[o.Task], ordered = true, max(ordered, o.At)
 		case o.Kind == TaskStarted && lost && !runs[o.Task]:
 			runs[o.Task], started = true, max(started, o.At)
-			x.lost[o.Task] = o.At
+			a.lost[o.Task] = o.At
 		}
 	}
-	least := x.leaseLeft()
+	least := a.leaseLeft()
 	if len(orders) > 0 {
-		x.add(Restarted, ordered, least, len(orders))
+		a.add(Restarted, ordered, least, len(orders))
 	}
 	if len(runs) > 0 {
-		x.add(ImageReady, started, least, len(runs))
-		x.add(Running, started, least, len(runs))
+		a.add(ImageReady, started, least, len(runs))
+		a.add(Running, started, least, len(runs))
 	}
 }
 
-// takes tells whether a task that left was lost to the fault: it was not stopped by
-// command and did not complete.
-func (x *analysis) isLoss(o *Observation) bool {
-	near := hitsMachine(&x.incident, o) || x.incident.Services || len(x.incident.Controllers) > 0
+// isLoss reports whether a task that left its machine was lost to the fault: it was neither
+// stopped by an order nor completed.
+func (a *analysis) isLoss(o *Observation) bool {
+	near := hitsMachine(&a.incident, o) || a.incident.Services || len(a.incident.Controllers) > 0
 	return near && (o.Cause == "" || o.Cause == "error")
 }
 
-// entitlement tells when the last controller that was not confirmed is again.
-func (x *analysis) authority() {
-	open, last := map[string]bool{}, Time(0)
-	for _, o := range x.observations {
+// authority adds the time at which the last unconfirmed controller was confirmed again.
+func (a *analysis) authority() {
+	unconfirmed, last := map[string]bool{}, Time(0)
+	for _, o := range a.observations {
 		switch {
 		case o.From != FromTrail:
 		case o.Kind == "unconfirmed":
-			open[o.By] = true
-		case o.Kind == "confirmed" && open[o.By]:
-			delete(open, o.By)
+			unconfirmed[o.By] = true
+		case o.Kind == "confirmed" && unconfirmed[o.By]:
+			delete(unconfirmed, o.By)
 			last = o.At
 		}
 	}
-	if last > 0 && (x.incident.Services || len(x.incident.Controllers) > 0) && len(open) == 0 {
+	if last > 0 && (a.incident.Services || len(a.incident.Controllers) > 0) && len(unconfirmed) == 0 {
 		least := time.Duration(0)
-		if x.incident.Until > 0 {
-			least = x.incident.Until - x.incident.At
+		if a.incident.Until > 0 {
+			least = a.incident.Until - a.incident.At
 		}
-		x.add(Confirmed, last, min(least, last-x.incident.At), 1)
+		a.add(Confirmed, last, min(least, last-a.incident.At), 1)
 	}
 }
 
-// users tells when the users of all lost tasks could see them run again, or done.
-func (x *analysis) users() {
+// users adds the time at which the users of all lost tasks could see them running again, or done.
+func (a *analysis) users() {
 	jobs := map[string]Time{}
-	for task, again := range x.lost {
+	for task, again := range a.lost {
 		id, _, _ := strings.Cut(task, "/")
 		jobs[id] = max(jobs[id], again)
 	}
-	told, last := map[string]bool{}, Time(0)
-	for _, o := range x.observations {
-		again, mine := jobs[o.Job]
-		if o.From == FromUser && o.Kind == UserSawUp && mine && again > 0 && !told[o.Job] && o.At >= again {
-			told[o.Job], last = true, max(last, o.At)
+	informed, last := map[string]bool{}, Time(0)
+	for _, o := range a.observations {
+		again, affected := jobs[o.Job]
+		if o.From == FromUser && o.Kind == UserSawUp && affected && again > 0 && !informed[o.Job] && o.At >= again {
+			informed[o.Job], last = true, max(last, o.At)
 		}
 	}
-	if len(told) > 0 {
-		x.add(UserInformed, last, x.leaseLeft(), len(told))
+	if len(informed) > 0 {
+		a.add(UserInformed, last, a.leaseLeft(), len(informed))
 	}
 }
 
-// Lost counts the tasks that an incident took, and those of them that ran again.
-func LostTasks(p Params, inc Incident, seen []Observation) (lost, back int) {
-	x := newAnalysis(p, inc, seen)
-	x.tasks()
-	for _, s := range x.steps {
+// LostTasks returns the number of tasks that an incident took, and how many of them ran again.
+func LostTasks(p Params, incident Incident, all []Observation) (lost, recovered int) {
+	a := newAnalysis(p, incident, all)
+	a.tasks()
+	for _, s := range a.steps {
 		if s.Step == Running {
-			back = s.Count
+			recovered = s.Count
 		}
 	}
-	return len(x.lost), back
+	return len(a.lost), recovered
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -12,8 +12,8 @@
 
 var params = Params{ReportInterval: 2 * sec, WorkerLease: 10 * sec, StateLease: 3 * sec, RenewInterval: sec}
 
-// A machine that hangs: every step is found, with the last of those concerned, and
-// the least time goes by what its worker's lease had left.
+// A machine hangs: every step is found with the time of the last machine or task affected, and
+// the least time follows from the remaining lease of its worker.
 func TestMachine(t *testing.T) {
 	inc := Incident{Kind: "machine_hang", At: 100 * sec, Until: 130 * sec, Silent: true,
 		Machines: []Machine{{Name: "a", LeaseLeft: 9 * sec, Reported: sec, Tasks: []string{"job-1/0", "job-1/1"}}}}
@@ -24,7 +24,7 @@
 		return Observation{At: at, From: FromWorker, Kind: kind, Machine: machine, Task: task, Cause: cause, Shard: -1}
 	}
 	seen := []Observation{
-		trail(99*sec, "machine_silent", "a"), // before: another silence
+		trail(99*sec, "machine_silent", "a"), // before the fault: an earlier silence
 		trail(101*sec, "machine_silent", "b"),
 		trail(104*sec, "machine_silent", "a"),
 		trail(111*sec, "lease_over", "a"),
@@ -32,23 +32,23 @@
 		work(113*sec, TaskStarted, "b", "job-1/0", ""),
 		work(114*sec, TaskOrdered, "b", "job-1/1", ""),
 		work(116*sec, TaskStarted, "b", "job-1/1", ""),
-		work(113*sec, TaskStarted, "b", "job-2/0", ""),                            // another job's
-		{At: 115 * sec, From: FromUser, Kind: UserSawUp, Job: "job-1", Shard: -1}, // too early to be true of both
+		work(113*sec, TaskStarted, "b", "job-2/0", ""),                            // of another job
+		{At: 115 * sec, From: FromUser, Kind: UserSawUp, Job: "job-1", Shard: -1}, // before both tasks run
 		{At: 117 * sec, From: FromUser, Kind: UserSawUp, Job: "job-1", Shard: -1},
-		work(130*sec, TaskLeft, "a", "job-1/0", ""), // it goes on, and gives up what it had
+		work(130*sec, TaskLeft, "a", "job-1/0", ""), // the machine resumes and stops its tasks
 	}
 	want := []Step{{Noticed, 4000, 500, 1}, {LeasesExpired, 11000, 9000, 1}, {Restarted, 14000, 9000, 2}, {ImageReady, 16000, 9000, 2},
 		{Running, 16000, 9000, 2}, {UserInformed, 17000, 9000, 1}}
 	if diff := cmp.Diff(want, Analyze(params, inc, seen)); diff != "" {
 		t.Error(diff)
 	}
-	before := Observation{At: 99 * sec, From: FromWorker, Kind: TaskLeft, Machine: "a", Task: "job-3/0", Shard: -1} // not this fault's
-	if lost, back := LostTasks(params, inc, append([]Observation{before}, seen[:7]...)); lost != 2 || back != 1 {
-		t.Errorf("%d lost, %d back, want 2 and 1", lost, back)
+	before := Observation{At: 99 * sec, From: FromWorker, Kind: TaskLeft, Machine: "a", Task: "job-3/0", Shard: -1} // not lost to this fault
+	if lost, recovered := LostTasks(params, inc, append([]Observation{before}, seen[:7]...)); lost != 2 || recovered != 1 {
+		t.Errorf("%d lost, %d recovered, want 2 and 1", lost, recovered)
 	}
 }
 
-// A controller that dies: its shards are followed to their settling, others' not.
+// A controller dies: its shards are followed until they are reconciled, those of others are not.
 func TestController(t *testing.T) {
 	inc := Incident{Kind: "controller_kill", At: 10 * sec, Controllers: []string{"c1"}, Dead: true}
 	at := func(t Time, kind, node string, shard int) Observation {
@@ -62,8 +62,9 @@
 	}
 }
 
-// Who takes a shard reads of it, and may have settled it, before its writer has the answer; what the one
-// that gave it away does long after, or did just before, is another matter.
+// The controller that takes over a shard may read the write, and reconcile the shard, before the
+// writer has the answer. Events of the controller that gave the shard away, long after or right
+// before, do not count.
 func TestShardTakenAtOnce(t *testing.T) {
 	inc := Incident{Kind: "link", At: 10 * sec, Controllers: []string{"c1"}}
 	at := func(t Time, kind, node, by string) Observation {
@@ -78,8 +79,8 @@
 	}
 }
 
-// Whatever is seen, in whatever order it comes: steps come in order, none lies before
-// the fault, and shuffling the observations changes nothing.
+// For any observations in any order, the steps are in order, none precedes the fault, and
+// shuffling the observations changes nothing.
 func TestAnyOrder(t *testing.T) {
 	kinds := []string{"machine_silent", "lease_over", "node_gone", "shard_taken", "shard_held", "settled", "unconfirmed", "confirmed"}
 	rapid.Check(t, func(t *rapid.T) {
