--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -15,21 +15,21 @@
 
 // play runs jobs of several tasks on machines at random: mistaken jobs fail everywhere, and every
 // task fails on a faulty machine. It avoids faulty machines and respects retry delays.
-func play(b *Tracker, rng *rand.Rand, jobs, machines, steps int, badJob, badMachine func(int) bool) (starts map[string]int) {
+func play(tracker *Tracker, rng *rand.Rand, jobs, machines, steps int, badJob, badMachine func(int) bool) (starts map[string]int) {
 	starts = map[string]int{}
 	now := time.Duration(0)
 	for range steps {
 		now += 500 * time.Millisecond
 		j, m := rng.IntN(jobs), rng.IntN(machines)
 		jn, mn := fmt.Sprint("j", j), fmt.Sprint("m", m)
-		if v, _ := b.MachineVerdict(mn); v == Faulty || now < b.NotBefore(jn) || b.Avoids(jn, mn) {
+		if v, _ := tracker.MachineVerdict(mn); v == Faulty || now < tracker.NotBefore(jn) || tracker.Avoids(jn, mn) {
 			continue
 		}
 		starts[jn]++
 		if badJob(j) || badMachine(m) {
-			b.RecordFailure(now, jn, mn)
+			tracker.RecordFailure(now, jn, mn)
 		} else {
-			b.RecordCompletion(jn, mn)
+			tracker.RecordCompletion(jn, mn)
 		}
 	}
 	return starts
@@ -44,15 +44,15 @@
 		bad := rng.IntN(4)
 		badJobs := rng.IntN(bad + 1)
 		jobs, machines := 8+rng.IntN(20), 6+rng.IntN(30)
-		b := New(params)
+		tracker := New(params)
 		mistaken, faulty := func(j int) bool { return j < badJobs }, func(m int) bool { return m < bad-badJobs }
-		play(b, rng, jobs, machines, 1500, mistaken, faulty)
+		play(tracker, rng, jobs, machines, 1500, mistaken, faulty)
 		ok := true
 		for j := range jobs {
-			ok = ok && b.Mistaken(fmt.Sprint("j", j)) == mistaken(j)
+			ok = ok && tracker.Mistaken(fmt.Sprint("j", j)) == mistaken(j)
 		}
 		for m := range machines {
-			v, _ := b.MachineVerdict(fmt.Sprint("m", m))
+			v, _ := tracker.MachineVerdict(fmt.Sprint("m", m))
 			ok = ok && (v == Faulty) == faulty(m)
 		}
 		if ok {
@@ -73,10 +73,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		jobs, machines := rapid.IntRange(1, 12).Draw(t, "jobs"), rapid.IntRange(2, 8).Draw(t, "machines")
-		b := New(params)
-		starts := play(b, rand.New(rand.NewPCG(seed, 5)), jobs, machines, 7200, func(j int) bool { return j > 0 || jobs == 1 }, func(int) bool { return false })
+		tracker := New(params)
+		starts := play(tracker, rand.New(rand.NewPCG(seed, 5)), jobs, machines, 7200, func(j int) bool { return j > 0 || jobs == 1 }, func(int) bool { return false })
 		for m := range machines {
-			if v, n := b.MachineVerdict(fmt.Sprint("m", m)); v == Faulty {
+			if v, n := tracker.MachineVerdict(fmt.Sprint("m", m)); v == Faulty {
 				t.Fatalf("m%d counts as faulty after %d failures", m, n)
 			}
 		}
@@ -90,16 +90,16 @@
 
 // If half of all machines become faulty, they are detected and no job is blamed.
 func TestHalfOfTheMachinesFaulty(t *testing.T) {
-	b, rng := New(params), rand.New(rand.NewPCG(9, 9))
-	play(b, rng, 20, 12, 400, func(int) bool { return false }, func(int) bool { return false })
-	play(b, rng, 20, 12, 1500, func(int) bool { return false }, func(m int) bool { return m%2 == 0 })
+	tracker, rng := New(params), rand.New(rand.NewPCG(9, 9))
+	play(tracker, rng, 20, 12, 400, func(int) bool { return false }, func(int) bool { return false })
+	play(tracker, rng, 20, 12, 1500, func(int) bool { return false }, func(m int) bool { return m%2 == 0 })
 	for m := range 12 {
-		if v, _ := b.MachineVerdict(fmt.Sprint("m", m)); (v == Faulty) != (m%2 == 0) {
+		if v, _ := tracker.MachineVerdict(fmt.Sprint("m", m)); (v == Faulty) != (m%2 == 0) {
 			t.Errorf("m%d: verdict %d", m, v)
 		}
 	}
 	for j := range 20 {
-		if b.OnTrial(fmt.Sprint("j", j)) {
+		if tracker.OnTrial(fmt.Sprint("j", j)) {
 			t.Errorf("j%d is on trial", j)
 		}
 	}
@@ -107,21 +107,21 @@
 
 // A completion clears a job at once and makes its earlier failures count against the machines.
 func TestACompletionClears(t *testing.T) {
-	b := New(params)
-	b.RecordFailure(0, "j", "m1")
-	b.RecordFailure(time.Second, "j", "m1")
-	b.RecordFailure(2*time.Second, "j", "m2")
-	b.RecordFailure(3*time.Second, "j", "m3")
-	if !b.OnTrial("j") || !b.Mistaken("j") {
+	tracker := New(params)
+	tracker.RecordFailure(0, "j", "m1")
+	tracker.RecordFailure(time.Second, "j", "m1")
+	tracker.RecordFailure(2*time.Second, "j", "m2")
+	tracker.RecordFailure(3*time.Second, "j", "m3")
+	if !tracker.OnTrial("j") || !tracker.Mistaken("j") {
 		t.Fatal("failed on three machines and is not on trial")
 	}
-	if faulty := b.RecordCompletion("j", "m4"); len(faulty) != 1 || faulty[0] != "m1" {
+	if faulty := tracker.RecordCompletion("j", "m4"); len(faulty) != 1 || faulty[0] != "m1" {
 		t.Errorf("faulty: %v, want m1, which failed twice", faulty)
 	}
-	if b.OnTrial("j") || b.Mistaken("j") || b.NotBefore("j") != 0 {
+	if tracker.OnTrial("j") || tracker.Mistaken("j") || tracker.NotBefore("j") != 0 {
 		t.Error("the job has completed and is still restricted")
 	}
-	if v, _ := b.MachineVerdict("m2"); v != Suspect {
+	if v, _ := tracker.MachineVerdict("m2"); v != Suspect {
 		t.Errorf("m2: verdict %d", v)
 	}
 }
--- a/internal/limits/write_bounds_test.go
+++ b/internal/limits/write_bounds_test.go
@@ -17,7 +17,7 @@
 func TestWriteBoundsFindTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		real := Bounds{rapid.IntRange(512, 20000).Draw(t, "bytes"), rapid.IntRange(2, 20).Draw(t, "changes")}
-		says := rapid.Bool().Draw(t, "says")
+		namesLimit := rapid.Bool().Draw(t, "says")
 		bounds := NewWriteBounds(testParams, Bounds{16384, 16})
 		refused := 0
 		for step := 0; step < 40; step++ {
@@ -38,7 +38,7 @@
 				}
 				return
 			}
-			if !says {
+			if !namesLimit {
 				why = "bad request"
 			}
 			refused++
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -19,18 +19,18 @@
 		var record, done, written ranges.Set
 		rev := uint64(0)
 		read := func() (*Index, ranges.Set) {
-			b := New(span)
+			index := New(span)
 			for k, r := range stored {
-				if got, err := b.Put(k, ver[k], r); err != nil || got != id {
+				if got, err := index.Put(k, ver[k], r); err != nil || got != id {
 					t.Fatalf("%s: %s, %v", k, got, err)
 				}
 			}
-			return b, record.Union(b.Done(id))
+			return index, record.Union(index.Done(id))
 		}
-		write := func(room, most int, lost bool) {
-			b, _ := read()
-			fits := func(s ranges.Set) bool { return len(s) <= room }
-			p := b.Plan(id, record, done, fits, most)
+		write := func(maxRanges, most int, lost bool) {
+			index, _ := read()
+			fits := func(s ranges.Set) bool { return len(s) <= maxRanges }
+			p := index.Plan(id, record, done, fits, most)
 			if n := len(p.Parts); n > most || p.PutRecord && n > max(0, most-1) {
 				t.Fatalf("%d additional records, own record %v, at most %d changes", n, p.PutRecord, most)
 			}
@@ -40,7 +40,7 @@
 			rev++
 			if p.PutRecord {
 				if !fits(p.Record) {
-					t.Fatalf("%d ranges, at most %d fit", len(p.Record), room)
+					t.Fatalf("%d ranges, at most %d fit", len(p.Record), maxRanges)
 				}
 				record = p.Record.Clone()
 			}
@@ -77,23 +77,23 @@
 
 // Records of jobs that have ended are found, a few at a time.
 func TestRecordsOfJobsThatAreOver(t *testing.T) {
-	b := New(64)
+	index := New(64)
 	for _, k := range []string{Key("job-000002", 0), Key("job-000001", 1), Key("job-000001", 0), Key("job-000003", 0)} {
-		if _, err := b.Put(k, 1, wire.Done{Bits: []uint32{5}}); err != nil {
+		if _, err := index.Put(k, 1, wire.Done{Bits: []uint32{5}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	live := func(id string) bool { return id == "job-000003" }
-	if id, keys := b.Obsolete(live, 1); id != "job-000001" || len(keys) != 1 || keys[0] != Key("job-000001", 0) {
+	if id, keys := index.Obsolete(live, 1); id != "job-000001" || len(keys) != 1 || keys[0] != Key("job-000001", 0) {
 		t.Fatalf("%s: %v", id, keys)
 	}
-	b.Remove(Key("job-000001", 0))
-	b.Remove(Key("job-000001", 1))
-	b.Remove(Key("job-000002", 0))
-	if id, _ := b.Obsolete(live, 9); id != "" || b.Done("job-000001") != nil || !b.Done("job-000003").Contains(2) {
-		t.Fatalf("%q, %v", id, b.Done("job-000003"))
+	index.Remove(Key("job-000001", 0))
+	index.Remove(Key("job-000001", 1))
+	index.Remove(Key("job-000002", 0))
+	if id, _ := index.Obsolete(live, 9); id != "" || index.Done("job-000001") != nil || !index.Done("job-000003").Contains(2) {
+		t.Fatalf("%q, %v", id, index.Done("job-000003"))
 	}
-	if _, err := b.Put(wire.PrefixDone+"job-000001", 1, wire.Done{}); err == nil {
+	if _, err := index.Put(wire.PrefixDone+"job-000001", 1, wire.Done{}); err == nil {
 		t.Fatal("a key without a number was accepted")
 	}
 }
--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -21,15 +21,15 @@
 // Without evidence a machine counts until its usual boot time is over, is then replaced, and is
 // given up after the longest boot time in the prior.
 func TestWithoutEvidence(t *testing.T) {
-	b := New(params)
-	b.MachineRented(0, "m", kind, ready)
+	tracker := New(params)
+	tracker.MachineRented(0, "m", kind, ready)
 	for _, x := range []struct {
 		ratio             float64
-		doubted, hopeless bool
+		doubted, givenUp bool
 	}{{0, false, false}, {1, false, false}, {1.4, false, false}, {1.7, true, false}, {3, true, false}, {4.1, true, true}} {
 		now := time.Duration(x.ratio * float64(ready))
-		if d, h := b.Doubtful(now, []string{"m"})["m"], b.ShouldGiveUp(now, "m"); d != x.doubted || h != x.hopeless {
-			t.Errorf("after %v: doubted %v, hopeless %v", x.ratio, d, h)
+		if d, h := tracker.Doubtful(now, []string{"m"})["m"], tracker.ShouldGiveUp(now, "m"); d != x.doubted || h != x.givenUp {
+			t.Errorf("after %v: doubted %v, givenUp %v", x.ratio, d, h)
 		}
 	}
 }
@@ -37,37 +37,37 @@
 // A kind whose machines do not come up is rented one at a time while other kinds are not limited;
 // once its machines come up again, the limit ends.
 func TestAKindThatFails(t *testing.T) {
-	b := New(params)
+	tracker := New(params)
 	now := time.Duration(0)
-	if n := b.RentLimit(now, kind, 10); n != 10 {
+	if n := tracker.RentLimit(now, kind, 10); n != 10 {
 		t.Fatalf("%d of 10 may be rented without evidence", n)
 	}
 	for i := range 12 {
-		b.MachineRented(now, fmt.Sprint("m", i), kind, ready)
+		tracker.MachineRented(now, fmt.Sprint("m", i), kind, ready)
 	}
 	now += 35 * time.Second // all have been booting for longer than the horizon
-	if n := b.RentLimit(now, kind, 10); n != 1 {
+	if n := tracker.RentLimit(now, kind, 10); n != 1 {
 		t.Errorf("%d of a failing kind may be rented", n)
 	}
-	if n := b.RentLimit(now, other, 10); n != 10 {
+	if n := tracker.RentLimit(now, other, 10); n != 10 {
 		t.Errorf("%d of another kind may be rented", n)
 	}
-	b.MachineRented(now, "probe", kind, ready)
-	if n := b.RentLimit(now, kind, 10); n != 0 {
+	tracker.MachineRented(now, "probe", kind, ready)
+	if n := tracker.RentLimit(now, kind, 10); n != 0 {
 		t.Errorf("%d may be rented while a probe is booting", n)
 	}
 	for i := range 12 {
-		b.MachineGone(now, fmt.Sprint("m", i))
+		tracker.MachineGone(now, fmt.Sprint("m", i))
 	}
-	b.MachineUp(now+ready, "probe")
+	tracker.MachineUp(now+ready, "probe")
 	for i := range 8 {
-		b.MachineRented(now, fmt.Sprint("p", i), kind, ready)
-		b.MachineUp(now+ready, fmt.Sprint("p", i))
+		tracker.MachineRented(now, fmt.Sprint("p", i), kind, ready)
+		tracker.MachineUp(now+ready, fmt.Sprint("p", i))
 	}
-	if n := b.RentLimit(now+ready, kind, 10); n != 10 {
+	if n := tracker.RentLimit(now+ready, kind, 10); n != 10 {
 		t.Errorf("%d may be rented after boots succeed again", n)
 	}
-	if n := b.RentLimit(now+20*time.Minute, kind, 10); n != 10 {
+	if n := tracker.RentLimit(now+20*time.Minute, kind, 10); n != 10 {
 		t.Errorf("%d may be rented long after", n)
 	}
 }
@@ -95,14 +95,14 @@
 
 // A machine that is given back early does not count as one that never comes up.
 func TestGivenBackTooSoonToTell(t *testing.T) {
-	b := New(params)
+	tracker := New(params)
 	for i := range 20 {
 		n := fmt.Sprint("m", i)
-		b.MachineRented(0, n, kind, ready)
-		b.MachineGone(2*ready, n)
+		tracker.MachineRented(0, n, kind, ready)
+		tracker.MachineGone(2*ready, n)
 	}
-	b.MachineRented(2*ready, "x", kind, ready)
-	if b.ShouldGiveUp(5*ready, "x") {
+	tracker.MachineRented(2*ready, "x", kind, ready)
+	if tracker.ShouldGiveUp(5*ready, "x") {
 		t.Error("given up after three usual boot times, although no sample covers that time")
 	}
 }
@@ -111,32 +111,32 @@
 // lie between 0 and 1, and a machine that is up is not given up.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, now, names := New(params), time.Duration(0), []string{}
+		tracker, now, names := New(params), time.Duration(0), []string{}
 		for i := range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "wait")) * time.Second
 			k := []Kind{kind, other}[rapid.IntRange(0, 1).Draw(t, "kind")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
 				n := fmt.Sprint("m", i)
-				b.MachineRented(now, n, k, ready)
+				tracker.MachineRented(now, n, k, ready)
 				names = append(names, n)
 			case 2:
 				if len(names) > 0 {
 					n := rapid.SampledFrom(names).Draw(t, "up")
-					b.MachineUp(now, n)
-					if b.ShouldGiveUp(now, n) {
+					tracker.MachineUp(now, n)
+					if tracker.ShouldGiveUp(now, n) {
 						t.Fatal("a machine that is up is given up")
 					}
 				}
 			case 3:
 				if len(names) > 0 {
-					b.MachineGone(now, rapid.SampledFrom(names).Draw(t, "gone"))
+					tracker.MachineGone(now, rapid.SampledFrom(names).Draw(t, "gone"))
 				}
 			}
-			if p := b.NewMachineChance(now, k); !(p >= 0 && p <= 1) {
+			if p := tracker.NewMachineChance(now, k); !(p >= 0 && p <= 1) {
 				t.Fatalf("chance %v", p)
 			}
-			if n := len(b.Doubtful(now, names)); n > max(1, len(names)/2) {
+			if n := len(tracker.Doubtful(now, names)); n > max(1, len(names)/2) {
 				t.Fatalf("%d of %d machines are doubtful", n, len(names))
 			}
 		}
@@ -146,30 +146,30 @@
 // The first kind that may be rented is chosen. If no kind is trusted and one machine of each is
 // booting, half of the count is rented of the most likely kind.
 func TestChoose(t *testing.T) {
-	b := New(params)
+	tracker := New(params)
 	requests := []Request{{kind, 5}, {other, 7}}
-	if k, n := b.Choose(0, requests); k != 0 || n != 5 {
+	if k, n := tracker.Choose(0, requests); k != 0 || n != 5 {
 		t.Errorf("the first kind has no failures: index %d, count %d", n, k)
 	}
-	if k, _ := b.Choose(0, nil); k != -1 {
+	if k, _ := tracker.Choose(0, nil); k != -1 {
 		t.Error("a choice without requests")
 	}
 	for i := range 60 { // no machine comes up; the first kind fails more often
 		k := []Kind{kind, kind, other}[i%3]
 		n := fmt.Sprint(k, i)
-		b.MachineRented(0, n, k, ready)
-		b.MachineGone(10*ready, n)
+		tracker.MachineRented(0, n, k, ready)
+		tracker.MachineGone(10*ready, n)
 	}
 	now := 10 * ready
-	if k, n := b.Choose(now, requests); k != 0 || n != 1 {
+	if k, n := tracker.Choose(now, requests); k != 0 || n != 1 {
 		t.Fatalf("probe of the first kind: index %d, count %d", n, k)
 	}
-	b.MachineRented(now, "x", kind, ready)
-	if k, n := b.Choose(now, requests); k != 1 || n != 1 {
+	tracker.MachineRented(now, "x", kind, ready)
+	if k, n := tracker.Choose(now, requests); k != 1 || n != 1 {
 		t.Fatalf("probe of the other kind: index %d, count %d", n, k)
 	}
-	b.MachineRented(now, "y", other, ready)
-	if k, n := b.Choose(now, requests); k != 1 || n != 4 {
+	tracker.MachineRented(now, "y", other, ready)
+	if k, n := tracker.Choose(now, requests); k != 1 || n != 4 {
 		t.Errorf("half of the most likely kind: index %d, count %d", n, k)
 	}
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -16,40 +16,40 @@
 
 // write makes a controller write the record that is due, if any, and returns the controller that
 // the record is about.
-func write(b *Tracker, node string) string {
-	p := b.present[node]
-	n, rec, due := b.DueRecord(Incarnation{Node: node, Boot: p.Boot, Features: p.Features, Version: "v"})
+func write(tracker *Tracker, node string) string {
+	p := tracker.present[node]
+	n, rec, due := tracker.DueRecord(Incarnation{Node: node, Boot: p.Boot, Features: p.Features, Version: "v"})
 	if due {
-		b.Remember(n, rec)
+		tracker.Remember(n, rec)
 	}
 	return n
 }
 
 func TestOnOnceAllAreKnownToUnderstand(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": {Boot: 2}, "c": newer(3)}
-	b := newScenario(up)
-	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"a", "b", "c"}) {
+	tracker := newScenario(up)
+	if got := tracker.ControllersLacking(Chains); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Fatalf("no records yet, lacking: %v", got)
 	}
-	write(b, "a")
-	write(b, "c")
-	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"b"}) {
+	write(tracker, "a")
+	write(tracker, "c")
+	if got := tracker.ControllersLacking(Chains); !slices.Equal(got, []string{"b"}) {
 		t.Fatalf("lacking: %v", got)
 	}
 	delete(up, "b") // dies before its turn and may come back as the old version
-	if b.Enabled(Chains) {
+	if tracker.Enabled(Chains) {
 		t.Fatal("enabled while a controller without a record is down")
 	}
 	up["b"] = newer(9)
-	if b.Enabled(Chains) {
+	if tracker.Enabled(Chains) {
 		t.Fatal("enabled before the record is written")
 	}
-	write(b, "b")
-	if !b.Enabled(Chains) {
-		t.Fatalf("lacking: %v", b.ControllersLacking(Chains))
+	write(tracker, "b")
+	if !tracker.Enabled(Chains) {
+		t.Fatalf("lacking: %v", tracker.ControllersLacking(Chains))
 	}
 	delete(up, "a")
-	if !b.Enabled(Chains) {
+	if !tracker.Enabled(Chains) {
 		t.Fatal("disabled while a controller that understands it is down")
 	}
 }
@@ -59,45 +59,45 @@
 // it understands the feature.
 func TestOneThatComesBackOldTurnsItOff(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": newer(2), "c": newer(3)}
-	b := newScenario(up)
+	tracker := newScenario(up)
 	for n := range up {
-		write(b, n)
+		write(tracker, n)
 	}
 	up["b"] = wire.Node{Boot: 7}
-	if b.Enabled(Chains) {
+	if tracker.Enabled(Chains) {
 		t.Fatal("enabled with an old controller present")
 	}
-	if n := write(b, "c"); n != "" {
+	if n := write(tracker, "c"); n != "" {
 		t.Fatalf("c wrote the record of %s, although a is the first by name", n)
 	}
-	if n := write(b, "b"); n != "" {
+	if n := write(tracker, "b"); n != "" {
 		t.Fatalf("an old controller wrote the record of %s", n)
 	}
-	if n := write(b, "a"); n != "b" {
+	if n := write(tracker, "a"); n != "b" {
 		t.Fatalf("a wrote the record of %q", n)
 	}
-	if n := write(b, "a"); n != "" {
+	if n := write(tracker, "a"); n != "" {
 		t.Fatalf("a wrote again, the record of %s", n)
 	}
 	delete(up, "b")
-	if b.Enabled(Chains) {
+	if tracker.Enabled(Chains) {
 		t.Fatal("enabled while a controller that came back old is down")
 	}
 	up["b"] = newer(8)
-	write(b, "b")
-	if !b.Enabled(Chains) {
+	write(tracker, "b")
+	if !tracker.Enabled(Chains) {
 		t.Fatal("disabled after it came back as the new version")
 	}
 }
 
 func TestOneOutsideTheSettingsCounts(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": newer(2), "c": newer(3)}
-	b := newScenario(up)
+	tracker := newScenario(up)
 	for n := range up {
-		write(b, n)
+		write(tracker, n)
 	}
 	up["z"] = wire.Node{Boot: 4}
-	if got := b.ControllersLacking(Chains); !slices.Equal(got, []string{"z"}) {
+	if got := tracker.ControllersLacking(Chains); !slices.Equal(got, []string{"z"}) {
 		t.Fatalf("lacking: %v", got)
 	}
 }
@@ -105,51 +105,51 @@
 // An incarnation records its features once, and only after its presence is in the mirrored state.
 func TestDueOncePerIncarnation(t *testing.T) {
 	up := map[string]wire.Node{}
-	b := newScenario(up)
+	tracker := newScenario(up)
 	self := Incarnation{Node: "a", Boot: 5, Features: []string{Chains}, Version: "v"}
-	if _, _, due := b.DueRecord(self); due {
+	if _, _, due := tracker.DueRecord(self); due {
 		t.Fatal("due before the presence exists")
 	}
 	up["a"] = newer(4)
-	if _, _, due := b.DueRecord(self); due {
+	if _, _, due := tracker.DueRecord(self); due {
 		t.Fatal("due while the presence of an earlier incarnation exists")
 	}
 	up["a"] = newer(5)
-	n, rec, due := b.DueRecord(self)
+	n, rec, due := tracker.DueRecord(self)
 	if !due || n != "a" || rec.Boot != 5 || rec.Version != "v" || !slices.Equal(rec.Features, self.Features) {
 		t.Fatalf("%q %+v %v", n, rec, due)
 	}
-	b.Remember(n, rec)
-	if _, _, due := b.DueRecord(self); due {
+	tracker.Remember(n, rec)
+	if _, _, due := tracker.DueRecord(self); due {
 		t.Fatal("due twice")
 	}
-	b.Remember("a", wire.Version{})
-	if _, _, due := b.DueRecord(self); !due {
+	tracker.Remember("a", wire.Version{})
+	if _, _, due := tracker.DueRecord(self); !due {
 		t.Fatal("not due although the record is gone")
 	}
 }
 
 func TestViewAndChangedFeatures(t *testing.T) {
 	up := map[string]wire.Node{"a": newer(1), "b": {Boot: 2}}
-	b := newScenario(up)
-	write(b, "a")
-	v := b.View("a")
+	tracker := newScenario(up)
+	write(tracker, "a")
+	v := tracker.View("a")
 	if len(v.Controllers) != 3 || v.Controllers[0].Version != "v" || !v.Controllers[1].Present || v.Controllers[1].Boot != 2 || v.Controllers[2].Present {
 		t.Fatalf("%+v", v)
 	}
 	if f := v.Features[0]; f.On || !slices.Equal(f.HeldFor, []string{"b", "c"}) {
 		t.Fatalf("%+v", f)
 	}
-	if got := b.ChangedFeatures(); len(got) != 1 || got[0].On {
+	if got := tracker.ChangedFeatures(); len(got) != 1 || got[0].On {
 		t.Fatalf("first call: %+v", got)
 	}
-	if got := b.ChangedFeatures(); len(got) != 0 {
+	if got := tracker.ChangedFeatures(); len(got) != 0 {
 		t.Fatalf("second call without a change: %+v", got)
 	}
 	up["b"], up["c"] = newer(3), newer(4)
-	write(b, "b")
-	write(b, "c")
-	if got := b.ChangedFeatures(); len(got) != 1 || !got[0].On {
+	write(tracker, "b")
+	write(tracker, "c")
+	if got := tracker.ChangedFeatures(); len(got) != 1 || !got[0].On {
 		t.Fatalf("after enabling: %+v", got)
 	}
 }
