--- a/internal/calendar/plan.go
+++ b/internal/calendar/plan.go
@@ -10,179 +10,200 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Margins keep work from ending in the last moment.
+// Margins are safety margins, so that work does not end at the last moment.
 type Margins struct {
-	Clock    time.Duration // bound of the controllers' times of day
-	Takeover time.Duration // one change of hands
-	Failures float64       // share of the work that is done again
-	Press    time.Duration // so long before the latest start work goes ahead of other routine work
-	Rounds   float64       // of expected tasks on one place, for which machines are rented ahead
+	ClockError   time.Duration // bound of the error of the controllers' clocks
+	Takeover     time.Duration // duration of one takeover
+	FailureShare float64       // share of the work that is expected to be repeated
+	PressLead    time.Duration // work goes ahead of other routine work from this long before its latest start
+	Rounds       float64       // expected tasks that run one after the other in one slot of a machine rented ahead
 }
 
-// Job is one that has to be done before a departure, as records have it.
+// Job is a job that must be done before a departure, as its records describe it.
 type Job struct {
-	ID      string
-	Tasks   int           // not done
-	Seconds time.Duration // of a task, its estimate corrected for its class
-	CPUs    float64       // of a task
-	Due     time.Time     // its own; zero: none
+	ID           string
+	Tasks        int           // tasks that are not done
+	TaskDuration time.Duration // estimated run time of a task, corrected for its class
+	CPUs         float64       // CPUs of a task
+	Due          time.Time     // its own deadline; zero if it has none
 }
 
-func (j *Job) work() float64 { return float64(j.Tasks) * j.Seconds.Seconds() * j.CPUs }
+// cpuSeconds returns the CPU time that the remaining tasks need, in seconds.
+func (j *Job) cpuSeconds() float64 { return float64(j.Tasks) * j.TaskDuration.Seconds() * j.CPUs }
 
-// Of tells whether a job has to be done before a crew leaves.
-func Of(c *wire.Crew, j *wire.Job, leaves time.Time) bool {
-	return j.Team == c.Team && slices.Contains(c.Classes, j.Class) && (c.Zone == "" || j.Zone == "" || j.Zone == c.Zone) &&
-		j.Shape != wire.ShapeService && j.AcceptedMS < leaves.UnixMilli()
+// RequiredBefore reports whether a job must be done before a crew departs.
+func RequiredBefore(crew *wire.Crew, job *wire.Job, leaves time.Time) bool {
+	return job.Team == crew.Team && slices.Contains(crew.Classes, job.Class) && (crew.Zone == "" || job.Zone == "" || job.Zone == crew.Zone) &&
+		job.Shape != wire.ShapeService && job.AcceptedMS < leaves.UnixMilli()
 }
 
-// Plan plans the departure at leaves, with so many CPUs for the crew's team.
-func Plan(c *wire.Crew, now, leaves time.Time, jobs []Job, have float64, m Margins) wire.CrewPlan {
-	p := wire.CrewPlan{Crew: c.Name, LeavesMS: leaves.UnixMilli(), Leaves: leaves.Format("Mon 2006-01-02 15:04 MST"), Jobs: len(jobs), Have: have}
-	for _, b := range c.Booked {
-		if b.LeavesMS == p.LeavesMS {
-			p.Ahead += b.Count
+// PlanDeparture plans the departure at leaves, with the given number of CPUs available to the
+// crew's team.
+func PlanDeparture(crew *wire.Crew, now, leaves time.Time, jobs []Job, availableCPUs float64, margins Margins) wire.CrewPlan {
+	plan := wire.CrewPlan{
+		Crew:     crew.Name,
+		LeavesMS: leaves.UnixMilli(),
+		Leaves:   leaves.Format("Mon 2006-01-02 15:04 MST"),
+		Jobs:     len(jobs),
+		Have:     availableCPUs,
+	}
+	for _, b := range crew.Booked {
+		if b.LeavesMS == plan.LeavesMS {
+			plan.Ahead += b.Count
 		}
 	}
-	due := Due(leaves, m)
+	deadline := Deadline(leaves, margins)
 	work, longest := 0.0, time.Duration(0)
 	for i := range jobs {
-		p.Tasks += jobs[i].Tasks
-		work += jobs[i].work()
-		longest = max(longest, jobs[i].Seconds)
+		plan.Tasks += jobs[i].Tasks
+		work += jobs[i].cpuSeconds()
+		longest = max(longest, jobs[i].TaskDuration)
 	}
-	work *= 1 + m.Failures
-	takes := max(longest, time.Duration(work/max(have, 1e-9)*float64(time.Second)))
+	work *= 1 + margins.FailureShare
+	duration := max(longest, time.Duration(work/max(availableCPUs, 1e-9)*float64(time.Second)))
 	if len(jobs) == 0 {
-		takes = 0
+		duration = 0
 	}
-	start := due.Add(-min(takes, 1e6*time.Second))
-	p.StartMS = start.UnixMilli()
-	if left := due.Sub(now).Seconds(); left > 0 {
-		p.CPUs = math.Ceil(work / left)
+	start := deadline.Add(-min(duration, 1e6*time.Second))
+	plan.StartMS = start.UnixMilli()
+	if left := deadline.Sub(now).Seconds(); left > 0 {
+		plan.CPUs = math.Ceil(work / left)
 	} else if work > 0 {
-		p.CPUs = math.Ceil(work)
+		plan.CPUs = math.Ceil(work)
 	}
-	p.Pressed = len(jobs) > 0 && !now.Before(start.Add(-m.Press))
-	p.Miss, p.MissS = misses(jobs, now, leaves, have)
-	p.Say = say(c, &p, leaves)
-	return p
+	plan.Pressed = len(jobs) > 0 && !now.Before(start.Add(-margins.PressLead))
+	plan.Miss, plan.MissS = missedJobs(jobs, now, leaves, availableCPUs)
+	plan.Say = summarize(crew, &plan, leaves)
+	return plan
 }
 
-// Due is by when work should be done so that it surely is before the hour.
-func Due(leaves time.Time, m Margins) time.Time { return leaves.Add(-m.Clock - m.Takeover) }
+// Deadline returns the time by which work should be done so that it is certain to be done before
+// the departure.
+func Deadline(leaves time.Time, margins Margins) time.Time {
+	return leaves.Add(-margins.ClockError - margins.Takeover)
+}
 
-// misses counts the jobs that cannot be done in time if as many as possible are (the least
-// work first), and by how many seconds the last of them ends too late.
-func misses(jobs []Job, now, leaves time.Time, have float64) (n int, by float64) {
+// missedJobs returns how many jobs cannot be done in time if as many as possible are, which is the
+// case when those with the least work run first, and by how many seconds the last of them ends too
+// late.
+func missedJobs(jobs []Job, now, leaves time.Time, availableCPUs float64) (count int, lateSeconds float64) {
 	sorted := slices.Clone(jobs)
-	slices.SortFunc(sorted, func(a, b Job) int { return cmp.Or(cmp.Compare(a.work(), b.work()), cmp.Compare(a.ID, b.ID)) })
-	left, at := leaves.Sub(now).Seconds(), 0.0
+	slices.SortFunc(sorted, func(a, b Job) int {
+		return cmp.Or(cmp.Compare(a.cpuSeconds(), b.cpuSeconds()), cmp.Compare(a.ID, b.ID))
+	})
+	secondsLeft, finished := leaves.Sub(now).Seconds(), 0.0
 	for i := range sorted {
-		at += sorted[i].work() / max(have, 1e-9)
-		if end := max(at, sorted[i].Seconds.Seconds()); end > left {
-			n, by = n+1, max(by, end-left)
+		finished += sorted[i].cpuSeconds() / max(availableCPUs, 1e-9)
+		if end := max(finished, sorted[i].TaskDuration.Seconds()); end > secondsLeft {
+			count, lateSeconds = count+1, max(lateSeconds, end-secondsLeft)
 		}
 	}
-	return n, min(by, 1e6)
+	return count, min(lateSeconds, 1e6)
 }
 
-func say(c *wire.Crew, p *wire.CrewPlan, leaves time.Time) string {
+// summarize returns a sentence about a plan for operators.
+func summarize(crew *wire.Crew, plan *wire.CrewPlan, leaves time.Time) string {
 	hour := leaves.Format("15:04")
 	switch {
-	case p.Jobs == 0:
+	case plan.Jobs == 0:
 		return "nothing is left to do before " + hour
-	case p.Miss == 0:
-		return fmt.Sprintf("%d jobs will be done before %s", p.Jobs, hour)
+	case plan.Miss == 0:
+		return fmt.Sprintf("%d jobs will be done before %s", plan.Jobs, hour)
 	}
-	why := fmt.Sprintf("%.0f CPUs are there and %.0f needed", p.Have, p.CPUs)
-	if p.Have == 0 {
-		if why = "no machines"; c.Zone != "" {
-			why += " in " + c.Zone
+	why := fmt.Sprintf("%.0f CPUs are there and %.0f needed", plan.Have, plan.CPUs)
+	if plan.Have == 0 {
+		if why = "no machines"; crew.Zone != "" {
+			why += " in " + crew.Zone
 		}
 	}
-	return fmt.Sprintf("%d of %d jobs will miss %s by up to %s: %s", p.Miss, p.Jobs, hour, (time.Duration(math.Ceil(p.MissS)) * time.Second).String(), why)
+	return fmt.Sprintf("%d of %d jobs will miss %s by up to %s: %s", plan.Miss, plan.Jobs, hour, (time.Duration(math.Ceil(plan.MissS)) * time.Second).String(), why)
 }
 
-// Ahead is how many machines, each of so many CPUs, to rent for expected work of which so
-// many tasks have been accepted already, and from when on: as if it came when it may come
-// last, boot before that. 0: none is expected.
-func Ahead(c *wire.Crew, leaves time.Time, accepted int, limit, machine float64, factor float64, boot time.Duration, m Margins) (machines int, from time.Time) {
-	e := c.Expect
-	tasks := float64(e.Tasks - accepted)
-	if tasks <= 0 || machine <= 0 || limit <= 0 {
+// MachinesAhead returns how many machines, each with the given number of CPUs, to rent for expected
+// work of which some tasks have been accepted already, and from when on. It assumes that the work
+// arrives as late as it may, and allows for the machines' boot time before that. The result is 0 if
+// no work is expected.
+func MachinesAhead(crew *wire.Crew, leaves time.Time, accepted int, maxCPUs, machineCPUs float64, estimateFactor float64, bootTime time.Duration, margins Margins) (machines int, from time.Time) {
+	expect := crew.Expect
+	tasks := float64(expect.Tasks - accepted)
+	if tasks <= 0 || machineCPUs <= 0 || maxCPUs <= 0 {
 		return 0, time.Time{}
 	}
-	one := e.Seconds * factor
-	per := max(1, math.Floor(machine/e.CPUs))
-	slots := min(tasks, math.Floor(limit/e.CPUs))
+	taskSeconds := expect.Seconds * estimateFactor
+	slotsPerMachine := max(1, math.Floor(machineCPUs/expect.CPUs))
+	slots := min(tasks, math.Floor(maxCPUs/expect.CPUs))
 	if slots < 1 {
 		return 0, time.Time{}
 	}
-	slots = math.Ceil(min(slots, max(tasks/m.Rounds, 1)))
-	takes := time.Duration(math.Ceil(tasks/slots) * one * (1 + m.Failures) * float64(time.Second))
-	return int(math.Ceil(slots / per)), Due(leaves, m).Add(-takes - boot)
+	slots = math.Ceil(min(slots, max(tasks/margins.Rounds, 1)))
+	duration := time.Duration(math.Ceil(tasks/slots) * taskSeconds * (1 + margins.FailureShare) * float64(time.Second))
+	return int(math.Ceil(slots / slotsPerMachine)), Deadline(leaves, margins).Add(-duration - bootTime)
 }
 
-// Booking names a rental ahead. ver is the version of the crew's record that the write of the
-// name compares, so no two writes make the same one.
-func Booking(c *wire.Crew, ver uint64, n int) string {
-	return fmt.Sprintf("crew-%s-%d-%d", c.Name, ver, n)
+// BookingName returns the name of a booking of machines rented ahead. version is the version of the
+// crew's record on which the write of the name is conditional, so no two writes create the same
+// name.
+func BookingName(crew *wire.Crew, version uint64, index int) string {
+	return fmt.Sprintf("crew-%s-%d-%d", crew.Name, version, index)
 }
 
-// AddBookings adds bookings for so many machines in all, none of more than most, to the record that
-// stands at ver. Their names follow from that, so whoever books them asks for the same.
-func AddBookings(c *wire.Crew, ver uint64, all wire.CrewBooking, most int) {
-	for k, left := 0, all.Count; left > 0; k++ {
-		all.Request, all.Count = Booking(c, ver, k), min(left, most)
-		c.Booked = append(c.Booked, all)
-		left -= all.Count
+// AddBookings adds bookings for a total number of machines to the record that is stored at version,
+// none for more than maxMachines. Their names follow from the record and its version, so every
+// controller that requests them makes the same requests.
+func AddBookings(crew *wire.Crew, version uint64, total wire.CrewBooking, maxMachines int) {
+	for index, remaining := 0, total.Count; remaining > 0; index++ {
+		total.Request, total.Count = BookingName(crew, version, index), min(remaining, maxMachines)
+		crew.Booked = append(crew.Booked, total)
+		remaining -= total.Count
 	}
 }
 
-// Since is from when on the next departure counts: the latest change by operators, or the
-// last departure that has an outcome.
-func Since(c *wire.Crew) time.Time {
-	ms := int64(0)
-	if n := len(c.History); n > 0 {
-		ms = c.History[n-1].AtMS
+// DeparturesCountFrom returns the time after which the next departure is searched: that of the
+// latest change by operators or of the last departure that has an outcome, whichever is later.
+func DeparturesCountFrom(crew *wire.Crew) time.Time {
+	unixMS := int64(0)
+	if n := len(crew.History); n > 0 {
+		unixMS = crew.History[n-1].AtMS
 	}
-	if n := len(c.Past); n > 0 {
-		ms = max(ms, c.Past[n-1].LeavesMS)
+	if n := len(crew.Past); n > 0 {
+		unixMS = max(unixMS, crew.Past[n-1].LeavesMS)
 	}
-	return time.UnixMilli(ms)
+	return time.UnixMilli(unixMS)
 }
 
-// Shorter leaves the oldest of what is kept of the past out of a record, and tells whether
-// there was any.
-func Shorter(c *wire.Crew) bool {
+// DropOldestHistory removes the oldest outcome or change from a record, and reports whether there
+// was one that could be removed.
+func DropOldestHistory(crew *wire.Crew) bool {
 	switch {
-	case len(c.Past) > 1 && len(c.Past) >= len(c.History): // the last tells what is over
-		c.Past = c.Past[1:]
-	case len(c.History) > 0:
-		c.History = c.History[1:]
-	case len(c.Past) > 1:
-		c.Past = c.Past[1:]
+	case len(crew.Past) > 1 && len(crew.Past) >= len(crew.History): // the last outcome shows which departure is over
+		crew.Past = crew.Past[1:]
+	case len(crew.History) > 0:
+		crew.History = crew.History[1:]
+	case len(crew.Past) > 1:
+		crew.Past = crew.Past[1:]
 	default:
 		return false
 	}
 	return true
 }
 
-// Fewer makes a record shorter whose bookings have not been asked for yet, by the past first,
-// and tells whether it could: what is not booked ahead is rented once the work is there.
-func Fewer(c *wire.Crew) bool {
-	if Shorter(c) {
+// DropHistoryOrBooking shortens a record whose bookings have not been requested yet: it removes the
+// oldest history first, then the last booking. It reports whether it removed history or a booking
+// that was not the only one. Machines that are not booked ahead are rented once the work has
+// arrived.
+func DropHistoryOrBooking(crew *wire.Crew) bool {
+	if DropOldestHistory(crew) {
 		return true
 	}
-	n := len(c.Booked)
-	c.Booked = c.Booked[:max(0, n-1)]
+	n := len(crew.Booked)
+	crew.Booked = crew.Booked[:max(0, n-1)]
 	return n > 1
 }
 
-// Clean leaves out of a record what concerns departures that are over.
-func Clean(c *wire.Crew, leaves time.Time, keep int) {
-	c.Booked = slices.DeleteFunc(slices.Clone(c.Booked), func(b wire.CrewBooking) bool { return b.LeavesMS != leaves.UnixMilli() })
-	c.Past = c.Past[max(0, len(c.Past)-keep):]
-	c.History = c.History[max(0, len(c.History)-keep):]
+// Prune removes from a record the bookings for departures other than the one at leaves, and all but
+// the last historyLength outcomes and changes.
+func Prune(crew *wire.Crew, leaves time.Time, historyLength int) {
+	crew.Booked = slices.DeleteFunc(slices.Clone(crew.Booked), func(b wire.CrewBooking) bool { return b.LeavesMS != leaves.UnixMilli() })
+	crew.Past = crew.Past[max(0, len(crew.Past)-historyLength):]
+	crew.History = crew.History[max(0, len(crew.History)-historyLength):]
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud speaks the cloud's protocol within its rate limit.
+// Package cloud is the client of the cloud's API. It keeps to a share of the cloud's rate limit.
 package cloud
 
 import (
@@ -15,25 +15,25 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Client is safe for concurrent use.
+// Client makes calls of the cloud. It is safe for concurrent use.
 type Client struct {
 	base  string
 	http  *http.Client
 	calls *rate.Limiter
 }
 
-// New returns a client of the cloud at addr.
+// New returns a client of the cloud at addr, with the cloud's limit in requests per second.
 func New(addr string, rps float64) *Client {
 	return &Client{
 		base:  "http://" + addr,
-		http:  cborhttp.NewClient(tuning.CloudTimeout, 8),
-		calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudShare), max(1, int(rps*tuning.CloudShare))),
+		http:  cborhttp.NewClient(tuning.CloudCallTimeout, 8),
+		calls: rate.NewLimiter(rate.Limit(rps*tuning.CloudCallShare), max(1, int(rps*tuning.CloudCallShare))),
 	}
 }
 
 // Do performs one call. Status 0 means that no usable answer came.
 func (c *Client) Do(ctx context.Context, call core.CloudCall) core.CloudReply {
-	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CloudCallTimeout)
 	defer cancel()
 	if err := c.calls.Wait(ctx); err != nil {
 		return core.CloudReply{Status: http.StatusTooManyRequests, Err: "own call limit"}
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -3,13 +3,13 @@
 import (
 	"sort"
 
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/ledger"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/placement"
 	"github.com/barrowbridge/barrowbridge/internal/queue"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
@@ -123,7 +123,7 @@
 		GPUs:  urgentTask.GPUs,
 		MemGB: urgentTask.MemGB,
 		Tasks: missing,
-		Rung:  tier,
+		Tier:  tier,
 	}, missing > 0
 }
 
@@ -133,7 +133,7 @@
 	c.refreshIndexes()
 	var out []wire.Need
 	if need, short := c.spareNeed(shard); short {
-		out = supply.MergeNeed(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.MaxDemandNeeds)
 	}
 	starved := false
 	used := map[string]placement.Size{}
@@ -173,22 +173,22 @@
 			Urgent: e.priority >= urgentRank,
 			Idle:   e.priority <= idleRank,
 		}, want)
-		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.DireAfter
+		overdue := p.WithinGuarantee && e.priority >= urgentRank && c.now-e.run.waitingSince > tuning.StarvedAfter
 		if missing == 0 && !overdue {
 			return true
 		}
 		need := supply.NeedOf(j, zone, missing, e.rank)
 		if overdue {
 			// At best a machine is booting for it; a borrowed machine is available now.
-			need.Dire, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
+			need.Starved, need.Booting, need.Tasks = true, missing == 0, max(missing, p.Job.Pending)
 		}
 		if p.WithinGuarantee && missing > 0 {
 			starved = true
-			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.DireAfter {
-				need.Dire = true
+			if at, ok := c.starvedSince[shard]; ok && c.now-at > tuning.StarvedAfter {
+				need.Starved = true
 			}
 		}
-		out = supply.MergeNeed(out, need, tuning.NeedsMax)
+		out = supply.MergeNeed(out, need, tuning.MaxDemandNeeds)
 		return true
 	})
 	for _, j := range soon { // after all jobs that could run now
@@ -199,7 +199,7 @@
 		want := placement.TasksUnderLimit(team.CPUsMax, team.GPUsMax, used[j.Team], size, j.Tasks)
 		used[j.Team] = used[j.Team].Add(supply.Multiply(size, want))
 		if missing := want - pool.Take(supply.Request{Types: j.Types, Zone: j.Zone, Spot: j.Spot, Size: size}, want); missing > 0 {
-			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.NeedsMax)
+			out = supply.MergeNeed(out, supply.NeedOf(j, j.Zone, missing, c.tierOrder.Rank(j)), tuning.MaxDemandNeeds)
 		}
 	}
 	if _, was := c.starvedSince[shard]; !starved {
@@ -219,26 +219,26 @@
 		if e.priority >= urgentRank || p.WithinGuarantee || p.Job.Service || e.record.DueS <= 0 {
 			return p.Job.Pending
 		}
-		bounds.Headroom, runtimeS = tuning.DueHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
+		bounds.Headroom, runtimeS = tuning.DeadlineHeadroom, c.runTimes.Typical(e.record.Class, e.record.EstimateS).Seconds()
 	}
 	places := bounds.TargetParallelism(p.Job.Unfinished, runtimeS, p.Job.Due, float64(c.wall.UnixMilli())/1000)
 	return max(0, min(p.Job.Pending, places-len(e.run.active)))
 }
 
 // demandPace bounds how often unmet demand is published and written.
-var demandPace = wants.Pace{Again: tuning.WantAgain, Write: tuning.WantWrite, Keep: tuning.WantKeep}
+var demandPace = demand.Pace{RepeatInterval: tuning.DemandRepeatInterval, WriteInterval: tuning.DemandWriteInterval, MaxAge: tuning.DemandTTL}
 
 // publishDemand publishes the unmet demand of each held shard to the leader and the other holders.
 func (c *Core) publishDemand() {
-	if !c.authorized() || !c.dueEvery("want", tuning.WantEvery) {
+	if !c.authorized() || !c.dueEvery("want", tuning.DemandInterval) {
 		return
 	}
-	var announcements []wants.Told
+	var announcements []demand.Announcement
 	for _, shard := range c.shardIDs() {
 		if !c.holdsShard(shard) {
 			continue
 		}
-		unmet := wire.Want{Seen: c.latestBlockRevision(shard)}
+		unmet := wire.Demand{Seen: c.latestBlockRevision(shard)}
 		// While starts are stuck, nothing is rented for tasks that cannot start, and no machine is
 		// given back for lack of tasks.
 		if !c.writeLimits.StartsStuck(c.now) {
@@ -248,37 +248,37 @@
 				c.consolidate(shard)
 			}
 		}
-		unmet = limits.Fit(unmet, c.params.MaxValueBytes, wants.Shorter)
+		unmet = limits.Fit(unmet, c.params.MaxValueBytes, demand.DropLastNeed)
 		if c.demandPublishers[shard] == nil {
-			c.demandPublishers[shard] = wants.NewTeller(demandPace)
+			c.demandPublishers[shard] = demand.NewPublisher(demandPace)
 		}
 		c.publishedDemand[shard] = unmet
 		number, announce, writeRecord := c.demandPublishers[shard].Next(c.now, unmet, c.demands[shard], c.assignments.ReachableOrSelf(c.now, c.leaderRecord.Node))
 		if announce {
-			announcements = append(announcements, wants.Told{Shard: shard, Token: c.shards[shard].version, N: number, Want: unmet})
+			announcements = append(announcements, demand.Announcement{Shard: shard, Token: c.shards[shard].version, Number: number, Want: unmet})
 		}
 		if writeRecord {
 			c.log(2, "requesting machines from the leader", "shard", shard, "needs", len(unmet.Needs))
-			c.commit(LaneLater, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
+			c.commit(LaneDeferred, []wire.Condition{c.shardUnchanged(shard)}, []wire.Change{{Put: demandKey(shard), Value: unmet}}, func(StateReply) { c.mirrorChanged() })
 		}
 	}
 	if announcements != nil {
 		for _, node := range sortedKeys(c.params.NodeZones) {
 			if node != c.params.Node {
-				c.sendToPeer(node, PeerMessage{Wants: announcements})
+				c.sendToPeer(node, PeerMessage{Demand: announcements})
 			}
 		}
 	}
 }
 
 // shardDemand returns the unmet demand of a shard, as far as it is known here.
-func (c *Core) shardDemand(shard int) wire.Want {
+func (c *Core) shardDemand(shard int) wire.Demand {
 	entry := c.shards[shard]
 	switch {
 	case entry == nil:
-		return wire.Want{}
+		return wire.Demand{}
 	case c.holdsShard(shard):
 		return c.publishedDemand[shard]
 	}
-	return c.peerDemand.Of(c.now, shard, entry.version, c.demands[shard])
+	return c.peerDemand.Current(c.now, shard, entry.version, c.demands[shard])
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -9,15 +9,15 @@
 
 	"github.com/barrowbridge/barrowbridge/internal/assignment"
 	"github.com/barrowbridge/barrowbridge/internal/calendar"
+	"github.com/barrowbridge/barrowbridge/internal/demand"
 	"github.com/barrowbridge/barrowbridge/internal/forecast"
 	"github.com/barrowbridge/barrowbridge/internal/limits"
 	"github.com/barrowbridge/barrowbridge/internal/standin/state"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/supply"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
-	"github.com/barrowbridge/barrowbridge/internal/wants"
 	"github.com/barrowbridge/barrowbridge/internal/weights"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -67,13 +67,13 @@
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
 			// A third of the machines is one shard's.
-			book, each := starts.New(starts.Limits{Entries: tuning.StartEntries, Bytes: bytes * 7 / 8}), machines/3
-			var entries []starts.Entry
+			book, each := startlog.New(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
+			var entries []startlog.Entry
 			for k := range each {
-				entries = append(entries, starts.Entry{Name: machineEntryPrefix + long(k)})
+				entries = append(entries, startlog.Entry{Name: machineEntryPrefix + long(k)})
 			}
 			for k := range each { // services, and arrays of 250 small and 400 tasks
-				e := starts.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
+				e := startlog.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
 				if k%2 == 0 {
 					e.Start = wire.Start{Started: 4, On: []string{long(k), long(k + 1), long(k + 2), long(k + 3)}}
 				}
@@ -85,7 +85,7 @@
 				if _, err := book.Put(x.Key, ver, x.Record); err != nil {
 					t.Fatal(err)
 				}
-				entries = entries[x.Taken:]
+				entries = entries[x.Included:]
 			}
 
 			var infos []wire.MachineInfo
@@ -98,7 +98,7 @@
 				}
 				images = append(images, has)
 			}
-			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.BlockSize, Max: tuning.BlockSizeMax, BlocksPerBatch: tuning.BlocksAtOnce}, true, true) {
+			for _, b := range supply.FormBlocks(infos, supply.BlockSizes{Min: tuning.MinBlockMachines, Max: tuning.MaxBlockMachines, BlocksPerBatch: tuning.BlocksPerBatch}, true, true) {
 				b.Idle, b.Spot = true, true
 				for k := range b.Machines {
 					b.Machines[k].Drop, b.Machines[k].Empty = true, true
@@ -109,28 +109,28 @@
 				w.put(fmt.Sprintf("%s0.%d", wire.PrefixCache, k), x)
 			}
 
-			plans := newWeights(weights.Switches{HandOn: true}, weights.NewCaches(0))
+			plans := newWeights(weights.Switches{PeerTransfer: true}, weights.NewCacheIndex(0))
 			for k := range each {
 				m := weights.Machine{Name: long(k), Addr: long(k), Zone: fmt.Sprint("zone-of-a-long-name-", k)}
-				plans.Fetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
+				plans.PlanFetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
 			}
-			if rec, due := plans.Due(0, bytes-256); !due || len(rec.Images) == 0 {
+			if rec, due := plans.NextPlan(0, bytes-256); !due || len(rec.Images) == 0 {
 				t.Errorf("%d bytes: no plan, %v", bytes, due)
 			} else {
 				w.put(wire.PrefixWeights+"0", rec)
 			}
 
-			want := wire.Want{Seen: 1 << 40}
-			for k := range tuning.NeedsMax {
-				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Dire: true, Rung: 7})
+			want := wire.Demand{Seen: 1 << 40}
+			for k := range tuning.MaxDemandNeeds {
+				want.Needs = append(want.Needs, wire.Need{Types: []string{"type-of-a-long-name-0", "type-of-a-long-name-1"}, Zone: "zone-of-a-long-name", Spot: true, CPUs: 1.5, MemGB: 3.25, Tasks: machines + k, Starved: true, Tier: 7})
 			}
-			fit := limits.Fit(want, bytes, wants.Shorter)
+			fit := limits.Fit(want, bytes, demand.DropLastNeed)
 			if len(fit.Needs) < 8 {
 				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
 			w.put(demandKey(0), fit)
 
-			tr := trail.New(trail.Limits{Events: tuning.TrailEvents, Bytes: min(tuning.TrailBytes, bytes/2)})
+			tr := trail.New(trail.Limits{Events: tuning.MaxTrailEvents, Bytes: min(tuning.MaxStoredTrailBytes, bytes/2)})
 			for k := range machines {
 				tr.Add(time.Duration(k)*sec, time.UnixMilli(1e12), wire.TrailEvent{Kind: trail.LeaseExpired, Machine: long(k), Count: 4, Node: "controller-of-a-long-name"})
 			}
@@ -155,15 +155,15 @@
 		shard.Teams = append(shard.Teams, fmt.Sprintf("team-of-a-long-name-%02d", k))
 	}
 	for k := range 20 {
-		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.PastLives, bytes)
+		shard = assignment.WithNewHolder(shard, fmt.Sprintf("controller-of-a-long-name-%d", k%3), 1<<40+uint64(k), tuning.MaxPastIncarnations, bytes)
 		w.put(shardKey(0), shard)
 	}
 
-	reach := wire.Reach{Boot: 1 << 40, Lacks: true, NoCloud: true, Cloud: true}
+	reach := wire.ReachReport{Boot: 1 << 40, NoWorkers: true, NoCloud: true, CloudAnswers: true}
 	for k := range 12 { // controllers and shards
-		reach.Apart = append(reach.Apart, fmt.Sprintf("controller-of-a-long-name-%d", k))
-		reach.Seeks, reach.Misses = append(reach.Seeks, k), append(reach.Misses, k)
-		reach.Hears = append(reach.Hears, wire.ShardReach{Shard: k, Of: machines, Heard: machines})
+		reach.UnreachableNodes = append(reach.UnreachableNodes, fmt.Sprintf("controller-of-a-long-name-%d", k))
+		reach.SilentShards, reach.DegradedShards = append(reach.SilentShards, k), append(reach.DegradedShards, k)
+		reach.SampledShards = append(reach.SampledShards, wire.ShardReach{Shard: k, Called: machines, Answered: machines})
 	}
 	w.put(wire.PrefixReach+"c0", reach)
 	w.put(wire.PrefixNode+"c0", wire.Node{Boot: 1 << 60, Zone: "zone-of-a-long-name"})
@@ -195,32 +195,32 @@
 // operators' records are those that they write.
 func (w *writer) operators(bytes, machines int) {
 	crew := wire.Crew{Name: "crew-of-a-long-name", Team: "team-of-a-long-name", Zone: "zone-of-a-long-name", Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Leaves: "2026-12-03T06:30", TimeZone: "Africa/Dakar", Rule: "FREQ=DAILY"}
-	for k := range tuning.CrewKeep {
+	for k := range tuning.CrewHistoryEntries {
 		crew.Past = append(crew.Past, wire.CrewOutcome{LeavesMS: 1e12 + int64(k), Jobs: 20, Met: 19, LateS: 12.5, Why: "two jobs of 40 tasks will be 80 s late"})
 		crew.History = append(crew.History, wire.CrewChange{AtMS: 1e12, Node: "controller-of-a-long-name", What: "changed, was to leave 2026-12-03T06:30 Africa/Dakar FREQ=DAILY"})
 	}
-	w.put(wire.PrefixCrew+crew.Name, limits.Fit(crew, bytes, calendar.Shorter))
-	for k := range (machines + tuning.RentMax - 1) / tuning.RentMax {
-		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.Booking(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.RentMax, Done: true})
+	w.put(wire.PrefixCrew+crew.Name, limits.Fit(crew, bytes, calendar.DropOldestHistory))
+	for k := range (machines + tuning.MaxRentMachines - 1) / tuning.MaxRentMachines {
+		crew.Booked = append(crew.Booked, wire.CrewBooking{LeavesMS: 1e12, Request: calendar.BookingName(&crew, 1<<40, k), Type: "type-of-a-long-name", Zone: "zone-of-a-long-name", Spot: true, Count: tuning.MaxRentMachines, Done: true})
 	}
-	crew = limits.Fit(crew, bytes, calendar.Fewer)
-	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewKeep-1 {
+	crew = limits.Fit(crew, bytes, calendar.DropHistoryOrBooking)
+	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewHistoryEntries-1 {
 		w.t.Errorf("%d bookings and %d departures are left", len(crew.Booked), len(crew.Past))
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
-	lad := wire.Ladder{}
+	lad := wire.TierOrder{}
 	for k := range 6 {
-		lad.Rungs = append(lad.Rungs, wire.Rung{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
+		lad.Tiers = append(lad.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
-	for k := range tuning.LadderHistory {
-		c := wire.LadderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
-		for _, r := range lad.Rungs {
-			c.Rungs = append(c.Rungs, r.Name)
+	for k := range tuning.TierHistoryChanges {
+		c := wire.TierOrderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
+		for _, r := range lad.Tiers {
+			c.Tiers = append(c.Tiers, r.Name)
 		}
 		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyLadder, limits.Fit(lad, bytes, tiers.DropOldestChange))
+	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
 // progress is that of a job with the longest description that is accepted.
--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("the machine should have been taken over and not be accounted for: %+v", x)
 	}
 	before.Seq += 50 // it is newer than all that has been heard here
-	done := OrderDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
+	done := WorkerCallDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
 	if w.step(w.nodes[c.params.Node], done); x.accounted {
 		t.Error("an answer given under an earlier grant accounts for the machine")
 	}
@@ -62,7 +62,7 @@
 				for i, team := range []string{"red", "blue", "green"} {
 					if w.shardRec(team).Holder == lone {
 						id := fmt.Sprintf("job-%06d", i)
-						w.at(tuning.WatchHold+sec, func() { w.cancelAt("c0", id, func() {}) }) // its open watch has ended
+						w.at(tuning.WatchMaxWait+sec, func() { w.cancelAt("c0", id, func() {}) }) // its open watch has ended
 					}
 				}
 				asked, refused := 0, 0
@@ -260,7 +260,7 @@
 				t.Fatalf("taken over %v: a report of session %d, number %d, changes what is known:\n%s\n%s", taken, r.Session, r.Seq, was, now)
 			}
 		}
-		w.run(tuning.RelayWait + sec)
+		w.run(tuning.RelayTimeout + sec)
 		w.backTo(t, 12, 40*sec)
 	}
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -9,7 +9,7 @@
 	records "github.com/barrowbridge/barrowbridge/internal/mirror"
 	"github.com/barrowbridge/barrowbridge/internal/progress"
 	"github.com/barrowbridge/barrowbridge/internal/provisioning"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/tiers"
 	"github.com/barrowbridge/barrowbridge/internal/trail"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
@@ -19,20 +19,20 @@
 
 // mirror is this controller's copy of the live keys of the state service, updated in revision order.
 type mirror struct {
-	imageCaches  *weights.Caches   // images that machines have stored, as last written by the holders
-	versions     *records.Versions // version of each key
+	imageCaches  *weights.CacheIndex // images that machines have stored, as last written by the holders
+	versions     *records.Versions   // version of each key
 	jobs         map[string]*jobEntry
 	blocks       map[string]*blockEntry
 	shards       map[int]*shardEntry
 	nodes        map[string]wire.Node        // controllers that are present
-	demands      map[int]wire.Want           // by shard: demand for machines that its holder announced
+	demands      map[int]wire.Demand         // by shard: demand for machines that its holder announced
 	machineTypes map[string]wire.MachineType // by name
 	leaderRecord wire.Leader
 	settings     wire.Settings
 	cordons      map[string]wire.Cordon // by machine
 	tierOrder    *tiers.Order
-	tierRecord   wire.Ladder           // the stored record that tierOrder was read from
-	startLog     *starts.Book          // recorded starts of tasks
+	tierRecord   wire.TierOrder        // the stored record that tierOrder was read from
+	startLog     *startlog.Log         // recorded starts of tasks
 	progress     *progress.Index       // recorded done tasks
 	provisioning *provisioning.Tracker // machines that are booting
 	biases       map[string]wire.Bias  // by key: how far run-time estimates are off
@@ -67,10 +67,12 @@
 type jobEntry struct {
 	record   wire.Job
 	version  uint64
-	priority int     // effective priority, which may be inherited from a dependent job
-	rank     int     // rank of its tier
-	due      float64 // earliest due time of the job and its dependents, in seconds since the Unix epoch; +Inf if there is none
-	run      *jobRun // nil unless this controller holds the job's shard
+	priority int // effective priority: the job's own or that of a job that depends on it
+	rank     int // rank of the effective tier
+	// inheritedDue is when the job has to be done for the jobs that depend on it to be on time, in seconds
+	// since the Unix epoch; +Inf if none of them has a due time.
+	inheritedDue float64
+	run          *jobRun // nil unless this controller holds the job's shard
 
 	dirty bool // its entries in the indexes have to be refreshed
 }
@@ -82,10 +84,10 @@
 		blocks:            map[string]*blockEntry{},
 		shards:            map[int]*shardEntry{},
 		nodes:             map[string]wire.Node{},
-		demands:           map[int]wire.Want{},
+		demands:           map[int]wire.Demand{},
 		machineTypes:      map[string]wire.MachineType{},
 		settings:          defaultSettings(),
-		tierOrder:         tiers.NewOrder(wire.Ladder{}),
+		tierOrder:         tiers.NewOrder(wire.TierOrder{}),
 		cordons:           map[string]wire.Cordon{},
 		biases:            map[string]wire.Bias{},
 		blockOfMachine:    map[string]string{},
@@ -93,12 +95,12 @@
 		machineCounts:     map[int]map[string]int{},
 		blockRevisions:    map[int]uint64{},
 		teamShards:        map[string]int{},
-		imageCaches:       weights.NewCaches(tuning.CachesEvery),
+		imageCaches:       weights.NewCacheIndex(tuning.CacheRecordInterval),
 	}
 }
 
 func shardKey(shard int) string  { return wire.PrefixShard + strconv.Itoa(shard) }
-func demandKey(shard int) string { return wire.PrefixWant + strconv.Itoa(shard) }
+func demandKey(shard int) string { return wire.PrefixDemand + strconv.Itoa(shard) }
 
 // shardIDs lists the shards in ascending order.
 func (m *mirror) shardIDs() []int {
@@ -171,7 +173,7 @@
 	if old != nil {
 		for _, blockMachine := range old.record.Machines {
 			if m.blockOfMachine[blockMachine.Name] == "" {
-				m.imageCaches.Gone(blockMachine.Name)
+				m.imageCaches.Remove(blockMachine.Name)
 			}
 		}
 	}
@@ -243,8 +245,8 @@
 		if read(&record) {
 			c.settings = record
 		}
-	case key == wire.KeyLadder:
-		var record wire.Ladder
+	case key == wire.KeyTierOrder:
+		var record wire.TierOrder
 		if read(&record) {
 			c.putTierOrder(record)
 		}
@@ -264,7 +266,7 @@
 			c.biases[key] = record
 		}
 	case strings.HasPrefix(key, wire.PrefixReach):
-		var record wire.Reach
+		var record wire.ReachReport
 		if read(&record) {
 			c.assignments.SetStored(key[len(wire.PrefixReach):], record)
 		}
@@ -334,9 +336,9 @@
 				c.jobChanged(entry)
 			}
 		}
-	case strings.HasPrefix(key, wire.PrefixWant):
-		var record wire.Want
-		shard, err := strconv.Atoi(key[len(wire.PrefixWant):])
+	case strings.HasPrefix(key, wire.PrefixDemand):
+		var record wire.Demand
+		shard, err := strconv.Atoi(key[len(wire.PrefixDemand):])
 		if err != nil {
 			fail(err)
 		} else if read(&record) {
@@ -347,7 +349,7 @@
 		if read(&record) {
 			for _, name := range record.Names() {
 				if images, _ := record.Of(name); c.blockOfMachine[name] != "" {
-					c.imageCaches.Read(name, images)
+					c.imageCaches.Load(name, images)
 				}
 			}
 		}
@@ -356,7 +358,7 @@
 		if shard, err := strconv.Atoi(key[len(wire.PrefixWeights):]); err != nil {
 			fail(err)
 		} else if read(&record) {
-			c.weights.Read(c.now, shard, record, c.heldShards[shard])
+			c.weights.LoadPlan(c.now, shard, record, c.heldShards[shard])
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
 		var record wire.Block
@@ -409,8 +411,8 @@
 		c.log(1, "leader record deleted")
 	case key == wire.KeySettings:
 		c.settings = defaultSettings()
-	case key == wire.KeyLadder:
-		c.putTierOrder(wire.Ladder{})
+	case key == wire.KeyTierOrder:
+		c.putTierOrder(wire.TierOrder{})
 	case strings.HasPrefix(key, wire.PrefixCordon):
 		c.applyCordon(key[len(wire.PrefixCordon):], wire.Cordon{Lifted: true})
 	case strings.HasPrefix(key, wire.PrefixCrew):
@@ -440,8 +442,8 @@
 		c.removeWaitingJob(key[len(wire.PrefixWaiting):])
 	case strings.HasPrefix(key, wire.PrefixDone):
 		c.progress.Remove(key)
-	case strings.HasPrefix(key, wire.PrefixWant):
-		if shard, err := strconv.Atoi(key[len(wire.PrefixWant):]); err == nil {
+	case strings.HasPrefix(key, wire.PrefixDemand):
+		if shard, err := strconv.Atoi(key[len(wire.PrefixDemand):]); err == nil {
 			delete(c.demands, shard)
 		}
 	case strings.HasPrefix(key, wire.PrefixBlock):
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -19,7 +19,7 @@
 // are served in one pass, each on the machine where the least running time is lost. When they were served
 // one by one, each waited until the one before it had its machine.
 func (c *Core) preempt() {
-	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptEvery) {
+	if !c.authorized() || !c.dueEvery("preempt", tuning.PreemptionInterval) {
 		return
 	}
 	var jobs []*jobEntry
@@ -34,7 +34,7 @@
 		}
 		// Nothing is stopped for a part of a gang, because the rest of the gang may find no capacity.
 		if !c.placementBlocked(e, c.shardOfTeam(e.record.Team)) && e.record.Shape != wire.ShapeGang &&
-			c.now-e.run.waitingSince > tuning.PreemptAfter && len(jobs) < tuning.PreemptJobs {
+			c.now-e.run.waitingSince > tuning.PreemptionDelay && len(jobs) < tuning.MaxPreemptionJobs {
 			jobs = append(jobs, e)
 		}
 		return true
@@ -129,7 +129,7 @@
 	starved := false
 	for _, i := range c.shardIDs() {
 		for _, need := range c.shardDemand(i).Needs {
-			if !need.Dire {
+			if !need.Starved {
 				continue
 			}
 			starved = true
@@ -197,7 +197,7 @@
 				break
 			}
 			for _, a := range m.attempts {
-				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Rung) {
+				if e := c.jobs[a.job]; e != nil && (e.priority >= urgentRank || e.rank > need.Tier) {
 					candidate.Pinned = true
 				}
 				if a.status != wire.TaskEnded {
--- a/internal/core/provisioning.go
+++ b/internal/core/provisioning.go
@@ -19,16 +19,16 @@
 			{Ratio: 1.2, Weight: 3},
 			{Ratio: 1.5, Weight: 1.3},
 			{Ratio: 2.5, Weight: 0.25},
-			{Ratio: tuning.BootGiveUp, Weight: 0.25},
+			{Ratio: tuning.BootTimeoutFactor, Weight: 0.25},
 			{Ratio: math.Inf(1), Weight: 0.2},
 		},
-		SamplesPerKind:   tuning.BootKeep,
-		SampleMaxAge:     tuning.BootMemory,
-		HorizonRatio:     tuning.BootHorizon,
-		FullCountChance:  tuning.BootEnough,
-		GiveUpChance:     tuning.BootHopeless,
-		TrustChance:      tuning.BootTrust,
-		MaxDoubtfulShare: tuning.BootAhead,
+		SamplesPerKind:   tuning.MaxBootSamples,
+		SampleMaxAge:     tuning.BootSampleTTL,
+		HorizonRatio:     tuning.BootHorizonFactor,
+		FullCountChance:  tuning.BootChanceSufficient,
+		GiveUpChance:     tuning.BootChanceHopeless,
+		TrustChance:      tuning.BootChanceTrusted,
+		MaxDoubtfulShare: tuning.BootReplacementShare,
 	})
 }
 
@@ -82,7 +82,7 @@
 func (c *Core) bootFailure(m *machine) string {
 	switch {
 	case m.reported:
-	case c.provisioning.ShouldGiveUp(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootGiveUp), tuning.BootGiveUpMin):
+	case c.provisioning.ShouldGiveUp(c.now, m.name), c.now-m.heldSince > max(seconds(c.machineTypes[m.machineType].BootS*tuning.BootTimeoutFactor), tuning.MinBootTimeout):
 		return "never came up"
 	}
 	return ""
--- a/internal/core/startlog.go
+++ b/internal/core/startlog.go
@@ -4,7 +4,7 @@
 	"strings"
 
 	"github.com/barrowbridge/barrowbridge/internal/limits"
-	"github.com/barrowbridge/barrowbridge/internal/starts"
+	"github.com/barrowbridge/barrowbridge/internal/startlog"
 	"github.com/barrowbridge/barrowbridge/internal/tuning"
 	"github.com/barrowbridge/barrowbridge/wire"
 )
@@ -15,13 +15,13 @@
 
 // writeLimitParams configure how the limits of writes are learned from refused writes.
 var writeLimitParams = limits.WriteBoundsParams{
-	Floor:        limits.Bounds{ValueBytes: tuning.FormLeast, Changes: 2},
-	Factor:       tuning.FormFactor,
-	SkipFor:      tuning.FormAside,
-	SkipForMax:   tuning.FormAsideMax,
-	SinglyFor:    tuning.FormAlone,
-	StuckAfter:   tuning.FormStuck,
-	WarnInterval: tuning.FormAgain,
+	Floor:        limits.Bounds{ValueBytes: tuning.MinLearnedValueBytes, Changes: 2},
+	Factor:       tuning.LearnedLimitFactor,
+	SkipFor:      tuning.MalformedWriteDelay,
+	SkipForMax:   tuning.MalformedWriteDelayMax,
+	SinglyFor:    tuning.MalformedIsolationTime,
+	StuckAfter:   tuning.StartWriteStuckAfter,
+	WarnInterval: tuning.MalformedWarningInterval,
 }
 
 // writeRefused lowers the limits of writes after the state service has refused one as malformed.
@@ -43,14 +43,14 @@
 // applyWriteLimits makes all further writes respect the bounds.
 func (c *Core) applyWriteLimits(bounds limits.Bounds) {
 	c.params.MaxValueBytes, c.params.MaxTxnOps = bounds.ValueBytes, bounds.Changes
-	c.startLog.KeepTo(starts.Limits{Entries: tuning.StartEntries, Bytes: bounds.ValueBytes * 7 / 8})
-	c.trail.SetRecordBytes(min(tuning.TrailBytes, bounds.ValueBytes/2))
-	c.calendar.KeepTo(bounds.ValueBytes)
+	c.startLog.SetLimits(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bounds.ValueBytes * 7 / 8})
+	c.trail.SetRecordBytes(min(tuning.MaxStoredTrailBytes, bounds.ValueBytes/2))
+	c.calendar.SetRecordBytes(bounds.ValueBytes)
 }
 
 // overlayStarts updates a job's record with the starts that were recorded separately, in the start log.
 func (c *Core) overlayStarts(r *wire.Job) {
-	if s, ok := c.startLog.Of(r.ID); ok {
+	if s, ok := c.startLog.Latest(r.ID); ok {
 		r.Started = max(r.Started, s.Started)
 		if s.On != nil {
 			r.On = s.On
@@ -78,7 +78,7 @@
 
 // useRecorded reports whether the start log records the first use of a machine.
 func (c *Core) useRecorded(machine string) bool {
-	_, ok := c.startLog.Of(machineEntryPrefix + machine)
+	_, ok := c.startLog.Latest(machineEntryPrefix + machine)
 	return ok
 }
 
@@ -114,12 +114,12 @@
 		if !c.holdsShard(shard) || c.startsInFlight[shard] || c.now < c.startsRetryAt[shard] || paced {
 			continue
 		}
-		var entries []starts.Entry
+		var entries []startlog.Entry
 		for _, name := range sortedKeys(c.firstUseUnwritten) {
 			if m := c.machines[name]; m == nil || !m.fresh {
 				delete(c.firstUseUnwritten, name)
 			} else if m.shard == shard {
-				entries = append(entries, starts.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
+				entries = append(entries, startlog.Entry{Name: machineEntryPrefix + name, Start: wire.Start{}})
 			}
 		}
 		jobsByID := map[string]*jobEntry{}
@@ -132,7 +132,7 @@
 				continue
 			}
 			jobsByID[e.record.ID] = e
-			entries = append(entries, starts.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
+			entries = append(entries, startlog.Entry{Name: e.record.ID, Start: c.startRecord(e, started)})
 		}
 		if c.writeLimits.WriteSingly(c.now) && len(jobsByID) > 0 {
 			entries = entries[len(entries)-len(jobsByID):][:1] // one by one, to find the entry that is refused
@@ -162,16 +162,16 @@
 	if !c.taskHealth.Mistaken(e.record.ID) {
 		return false
 	}
-	s, _ := c.startLog.Of(e.record.ID)
+	s, _ := c.startLog.Latest(e.record.ID)
 	return !s.Bad
 }
 
 // writeStarts writes as many of the entries as one record takes, and retries after a pause if that fails.
-func (c *Core) writeStarts(shard int, entries []starts.Entry, jobsByID map[string]*jobEntry) {
+func (c *Core) writeStarts(shard int, entries []startlog.Entry, jobsByID map[string]*jobEntry) {
 	plan := c.startLog.Plan(shard, entries, c.startEntryNeeded)
-	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Ver}}
+	conditions := []wire.Condition{c.shardUnchanged(shard), {Key: plan.Key, Version: plan.Version}}
 	var busy []*jobEntry
-	for _, x := range entries[:plan.Taken] {
+	for _, x := range entries[:plan.Included] {
 		if e := jobsByID[x.Name]; e != nil {
 			conditions = append(conditions, wire.Condition{Key: jobKey(x.Name), Version: e.version})
 			e.run.writeInFlight = true
@@ -179,7 +179,7 @@
 		}
 	}
 	c.startsInFlight[shard] = true
-	c.startsPacedUntil[shard] = c.now + tuning.StartsEvery
+	c.startsPacedUntil[shard] = c.now + tuning.StartWriteInterval
 	c.commit(LaneUser, conditions, []wire.Change{{Put: plan.Key, Value: plan.Record}}, func(r StateReply) {
 		delete(c.startsInFlight, shard)
 		for _, e := range busy {
@@ -188,8 +188,8 @@
 			}
 		}
 		if r.Status != 200 {
-			c.startsRetryAt[shard] = c.now + tuning.StartsAgain
-			c.log(2, "starts not written", "starts", plan.Taken, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
+			c.startsRetryAt[shard] = c.now + tuning.StartWriteRetryDelay
+			c.log(2, "starts not written", "starts", plan.Included, "status", r.Status, "err", r.Err, "failed", strings.Join(r.Txn.Failed, " "))
 		}
 		c.placementDue = true
 		c.runHolder()
--- a/internal/core/trail.go
+++ b/internal/core/trail.go
@@ -82,7 +82,7 @@
 
 // detectSilentMachines marks machines whose reports are overdue, long before their lease expires.
 func (c *Core) detectSilentMachines() {
-	late := time.Duration(tuning.SuspectReports * float64(c.params.ReportInterval))
+	late := time.Duration(tuning.SuspectReportIntervals * float64(c.params.ReportInterval))
 	for _, m := range c.heldMachines() {
 		if m.reported && !m.silent && !m.leaseOver && c.now-m.lastReport > late && c.holdsShard(m.shard) {
 			m.silent = true
@@ -117,7 +117,7 @@
 			return
 		}
 		c.trailCallPending = true
-		c.commit(LaneLater, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
+		c.commit(LaneDeferred, nil, []wire.Change{{Put: key, Value: record}}, func(reply StateReply) {
 			if c.trailCallPending = false; reply.Status != 200 {
 				c.trail.WriteFailed(c.now)
 			}
@@ -128,7 +128,7 @@
 // onAdminTrail answers an operator with events of the trail: of this controller from memory, of another one
 // from its stored trail.
 func (c *Core) onAdminTrail(query AdminTrail) {
-	query.Query.Most = max(1, min(query.Query.Most, tuning.TrailAnswer))
+	query.Query.Most = max(1, min(query.Query.Most, tuning.MaxTrailAnswerEvents))
 	if query.Node == "" || query.Node == c.params.Node {
 		answer := wire.Trail{Node: c.params.Node, Boot: c.presence.Boot()}
 		answer.Events, answer.Next, answer.Missed = c.trail.Events(query.Query)
@@ -162,7 +162,7 @@
 		return
 	}
 	_, cordoned := c.cordons[query.Machine]
-	view := wire.Believed{
+	view := wire.MachineDetail{
 		Machine:  query.Machine,
 		Node:     c.params.Node,
 		Holder:   c.holderName(block.record.Shard),
@@ -175,8 +175,8 @@
 		State:    "held by " + c.holderName(block.record.Shard),
 		Cordoned: cordoned,
 		Images:   []string{},
-		Attempts: []wire.BelievedTask{},
-		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.TrailOfMachine}),
+		Attempts: []wire.AttemptDetail{},
+		Trail:    c.trail.Last(trail.Query{Machine: query.Machine, Most: tuning.MaxMachineTrailEvents}),
 	}
 	if m := c.machines[query.Machine]; m != nil && c.holdsShard(m.shard) {
 		c.fillMachineView(&view, m)
@@ -185,7 +185,7 @@
 }
 
 // fillMachineView fills in what only the holder of the machine knows.
-func (c *Core) fillMachineView(view *wire.Believed, m *machine) {
+func (c *Core) fillMachineView(view *wire.MachineDetail, m *machine) {
 	view.Held, view.State, view.Session, view.Inherited, view.Accounted = true, m.state(), m.session, m.inherited, m.accounted
 	view.FreeCPUs, view.Images = c.freeCapacity(m).CPUs, sortedKeys(m.images)
 	_, view.Errors = c.taskHealth.MachineVerdict(m.name)
@@ -195,7 +195,7 @@
 	}
 	for _, k := range sortedAttemptKeys(m) {
 		a := m.attempts[k]
-		task := wire.BelievedTask{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
+		task := wire.AttemptDetail{Task: k.task, Attempt: k.number, Status: a.status, ForS: (c.now - a.createdAt).Seconds()}
 		switch {
 		case task.Status == "" && a.startSent:
 			task.Status = "sent"
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,4 +1,4 @@
-// Package httpapi is the HTTP face towards users, workers and probes, on echo.
+// Package httpapi serves the HTTP API for users, workers, administrators and probes, using echo.
 package httpapi
 
 import (
@@ -28,25 +28,25 @@
 	RetryAfter int
 }
 
-// Class orders requests when the core cannot keep up.
+// Class is the priority of a request when the core cannot keep up.
 type Class int
 
 const (
-	Worker Class = iota // reports and probes: leases and traffic hang on them
-	User
+	Worker Class = iota // reports and probes, on which leases and the load balancer depend
+	User                // all other requests
 )
 
-// Ask puts a request to the core; the function makes the input for a request id.
+// Ask passes a request to the core and returns its answer; in returns the input for a request id.
 type Ask func(ctx context.Context, class Class, in func(id uint64) any, timeout time.Duration) Reply
 
-// Server serves the client address.
+// Server serves the API on the client address.
 type Server struct {
 	echo *echo.Echo
 	ask  Ask
 	log  *slog.Logger
 }
 
-// New returns a server that puts requests to ask.
+// New returns a server that passes requests to ask.
 func New(ask Ask, m *metrics.Metrics, log *slog.Logger) *Server {
 	s := &Server{echo: echo.New(), ask: ask, log: log}
 	e := s.echo
@@ -70,10 +70,10 @@
 	a.GET("/chain/:id", s.chain)
 	a.GET("/crews", s.crews)
 	a.PUT("/crews/:name", s.putCrew)
-	a.DELETE("/crews/:name", s.cancelCrew)
-	a.GET("/ladder", s.ladder)
-	a.PUT("/ladder", s.changeLadder)
-	a.GET("/ladder/order", s.order)
+	a.DELETE("/crews/:name", s.removeCrew)
+	a.GET("/ladder", s.tierOrder)
+	a.PUT("/ladder", s.changeTierOrder)
+	a.GET("/ladder/order", s.serviceOrder)
 	a.GET("/overview", s.overview)
 	a.GET("/settings", s.settings)
 	a.PUT("/settings", s.changeSettings)
@@ -97,8 +97,8 @@
 	return s
 }
 
-// Serve accepts connections until the listener fails. Some sockets are kept
-// for the calls this process makes itself.
+// Serve accepts connections until the listener fails. If maxSockets is not 0, connections take at
+// most 80% of it: the others are reserved for the calls that this process makes.
 func (s *Server) Serve(ln net.Listener, maxSockets int) error {
 	if maxSockets > 0 {
 		ln = netutil.LimitListener(ln, max(16, maxSockets*8/10))
@@ -115,6 +115,7 @@
 	return srv.Serve(ln)
 }
 
+// send writes the answer as CBOR.
 func send(c echo.Context, r Reply) error {
 	h := c.Response().Header()
 	if r.RetryAfter > 0 {
@@ -127,8 +128,8 @@
 	return c.Blob(r.Status, "application/cbor", b)
 }
 
-// sendUser answers a user. A node that could not serve closes the connection,
-// so that the next try may reach another one.
+// sendUser answers a user. If this controller is unavailable it closes the connection, so that the
+// retry may reach another controller.
 func sendUser(c echo.Context, r Reply) error {
 	if r.Status == http.StatusServiceUnavailable {
 		c.Response().Header().Set("Connection", "close")
@@ -136,8 +137,8 @@
 	return send(c, r)
 }
 
-// body reads a request's CBOR map into v; what is wrong is said in one line.
-func body(c echo.Context, v any) string {
+// readBody decodes a request's CBOR map into v. It returns a one-line description of the problem, or "".
+func readBody(c echo.Context, v any) string {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	switch {
 	case err != nil:
@@ -153,26 +154,27 @@
 	return ""
 }
 
-func bad(why string) Reply {
+// badRequest returns the answer to a malformed request.
+func badRequest(why string) Reply {
 	return Reply{Status: http.StatusBadRequest, Body: wire.Problem{Error: why}}
 }
 
 func (s *Server) submit(c echo.Context) error {
 	var spec wire.JobSpec
-	if why := body(c, &spec); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &spec); why != "" {
+		return send(c, badRequest(why))
 	}
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Submit{Req: id, Spec: spec} }, tuning.UserTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Submit{Req: id, Spec: spec} }, tuning.UserRequestTimeout))
 }
 
 func (s *Server) poll(c echo.Context) error {
 	job := c.Param("id")
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Poll{Req: id, ID: job} }, tuning.PollTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Poll{Req: id, ID: job} }, tuning.PollRequestTimeout))
 }
 
 func (s *Server) abort(c echo.Context) error {
 	job := c.Param("id")
-	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Abort{Req: id, ID: job} }, tuning.UserTimeout))
+	return sendUser(c, s.ask(c.Request().Context(), User, func(id uint64) any { return core.Abort{Req: id, ID: job} }, tuning.UserRequestTimeout))
 }
 
 func (s *Server) ready(c echo.Context) error {
@@ -181,138 +183,138 @@
 
 func (s *Server) report(c echo.Context) error {
 	var r wire.Report
-	if why := body(c, &r); why != "" {
-		s.log.Info("report not readable", "from", c.RealIP(), "err", why)
-		return send(c, bad(why))
+	if why := readBody(c, &r); why != "" {
+		s.log.Info("cannot decode worker report", "from", c.RealIP(), "err", why)
+		return send(c, badRequest(why))
 	}
 	if r.Machine == "" || r.Session == 0 {
-		return send(c, bad("host and tenure are needed"))
+		return send(c, badRequest("host and tenure are needed"))
 	}
-	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.ReportTimeout))
+	return send(c, s.ask(c.Request().Context(), Worker, func(id uint64) any { return core.WorkerReport{Req: id, Report: r} }, tuning.WorkerReportTimeout))
 }
 
-// put sends an administrator's request to the core.
-func (s *Server) put(c echo.Context, in func(id uint64) any) error {
-	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserTimeout))
+// sendToCore passes an administrator's request to the core.
+func (s *Server) sendToCore(c echo.Context, in func(id uint64) any) error {
+	return send(c, s.ask(c.Request().Context(), User, in, tuning.UserRequestTimeout))
 }
 
 func (s *Server) overview(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminOverview{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminOverview{Req: id} })
 }
 
 func (s *Server) settings(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminSettings{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminSettings{Req: id} })
 }
 
 func (s *Server) changeSettings(c echo.Context) error {
 	var p wire.SettingsPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminSettings{Req: id, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminSettings{Req: id, Patch: &p} })
 }
 
-func (s *Server) ladder(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminLadder{Req: id} })
+func (s *Server) tierOrder(c echo.Context) error {
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTierOrder{Req: id} })
 }
 
-func (s *Server) changeLadder(c echo.Context) error {
-	var p wire.LadderPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+func (s *Server) changeTierOrder(c echo.Context) error {
+	var p wire.TierOrderPatch
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminLadder{Req: id, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTierOrder{Req: id, Patch: &p} })
 }
 
 func (s *Server) crews(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminCrews{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrews{Req: id} })
 }
 
 func (s *Server) putCrew(c echo.Context) error {
 	var p wire.CrewPatch
-	if why := body(c, &p); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &p); why != "" {
+		return send(c, badRequest(why))
 	}
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Patch: &p} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Patch: &p} })
 }
 
-// cancelCrew takes a crew away: ?version=N&dry_run=true.
-func (s *Server) cancelCrew(c echo.Context) error {
+// removeCrew removes a crew: ?version=N&dry_run=true.
+func (s *Server) removeCrew(c echo.Context) error {
 	ver, err := strconv.ParseUint(c.QueryParam("version"), 10, 64)
 	if err != nil {
-		return send(c, bad("version: must be a number"))
+		return send(c, badRequest("version: must be a number"))
 	}
 	name, dry := c.Param("name"), c.QueryParam("dry_run") == "true"
-	return s.put(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Ver: ver, DryRun: dry} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCrew{Req: id, Name: name, Ver: ver, DryRun: dry} })
 }
 
-func (s *Server) order(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminOrder{Req: id} })
+func (s *Server) serviceOrder(c echo.Context) error {
+	return s.sendToCore(c, func(id uint64) any { return core.AdminServiceOrder{Req: id} })
 }
 
 func (s *Server) why(c echo.Context) error {
 	job := c.Param("id")
-	return s.put(c, func(id uint64) any { return core.AdminWhy{Req: id, ID: job} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminWhy{Req: id, ID: job} })
 }
 
 func (s *Server) chain(c echo.Context) error {
 	job := c.Param("id")
 	if !wire.ValidJobID(job) {
-		return send(c, bad("id: must look like job-000412"))
+		return send(c, badRequest("id: must look like job-000412"))
 	}
-	return s.put(c, func(id uint64) any { return core.AdminChain{Req: id, ID: job} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminChain{Req: id, ID: job} })
 }
 
-// trail answers with events after a number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
+// trail answers with the events after a sequence number: ?after=N&most=M&node=NAME&machine=NAME&job=ID.
 func (s *Server) trail(c echo.Context) error {
-	q := trail.Query{Machine: c.QueryParam("machine"), Job: c.QueryParam("job"), Most: tuning.TrailAnswer}
+	q := trail.Query{Machine: c.QueryParam("machine"), Job: c.QueryParam("job"), Most: tuning.MaxTrailAnswerEvents}
 	if v := c.QueryParam("after"); v != "" {
 		n, err := strconv.ParseUint(v, 10, 64)
 		if err != nil {
-			return send(c, bad("after: must be a number"))
+			return send(c, badRequest("after: must be a number"))
 		}
 		q.After = n
 	}
 	if v := c.QueryParam("most"); v != "" {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < 1 || n > tuning.TrailAnswer {
-			return send(c, bad("most: must be from 1 to "+strconv.Itoa(tuning.TrailAnswer)))
+		if err != nil || n < 1 || n > tuning.MaxTrailAnswerEvents {
+			return send(c, badRequest("most: must be from 1 to "+strconv.Itoa(tuning.MaxTrailAnswerEvents)))
 		}
 		q.Most = n
 	}
 	node := c.QueryParam("node")
-	return s.put(c, func(id uint64) any { return core.AdminTrail{Req: id, Node: node, Query: q} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminTrail{Req: id, Node: node, Query: q} })
 }
 
 func (s *Server) reach(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminReach{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminReach{Req: id} })
 }
 
 func (s *Server) weights(c echo.Context) error {
 	image := c.QueryParam("image")
-	return s.put(c, func(id uint64) any { return core.AdminWeights{Req: id, Image: image} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminWeights{Req: id, Image: image} })
 }
 
 func (s *Server) version(c echo.Context) error {
-	return s.put(c, func(id uint64) any { return core.AdminVersion{Req: id} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminVersion{Req: id} })
 }
 
 func (s *Server) machine(c echo.Context) error {
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminMachine{Req: id, Machine: name} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminMachine{Req: id, Machine: name} })
 }
 
 func (s *Server) cordon(c echo.Context) error {
 	var v wire.Cordon
-	if why := body(c, &v); why != "" {
-		return send(c, bad(why))
+	if why := readBody(c, &v); why != "" {
+		return send(c, badRequest(why))
 	}
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name, Cordon: &v} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name, Cordon: &v} })
 }
 
 func (s *Server) uncordon(c echo.Context) error {
 	name := c.Param("name")
-	return s.put(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name} })
+	return s.sendToCore(c, func(id uint64) any { return core.AdminCordon{Req: id, Machine: name} })
 }
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -200,7 +200,7 @@
 // putCrews fills the calendar.
 func (r *rehearsal) putCrews(ctx context.Context) {
 	for _, c := range r.sc.Crews {
-		k := wire.Crew{Team: c.Team, Classes: c.Classes, TimeZone: "UTC", Leaves: time.Now().Add(seconds(c.LeavesS)).UTC().Format(calendar.Second),
+		k := wire.Crew{Team: c.Team, Classes: c.Classes, TimeZone: "UTC", Leaves: time.Now().Add(seconds(c.LeavesS)).UTC().Format(calendar.SecondLayout),
 			Expect: wire.CrewWork{Tasks: c.Tasks, Seconds: c.RunS, CPUs: c.CPUs}}
 		_, _, err := cborhttp.RoundTrip(ctx, r.http, http.MethodPut, fmt.Sprintf("http://%s/admin/v1/crews/%s", r.site.Direct(r.site.Names()[0]), c.Name), wire.CrewPatch{Crew: k})
 		if err != nil {
@@ -448,5 +448,5 @@
 
 // params are the times by which recoveries are bounded.
 func (r *rehearsal) params() recovery.Params {
-	return recovery.Params{ReportInterval: seconds(r.sc.Fleet.ReportS), WorkerLease: seconds(r.sc.Fleet.LeaseS), StateLease: tuning.GrantTTL, RenewInterval: tuning.ExtendEvery}
+	return recovery.Params{ReportInterval: seconds(r.sc.Fleet.ReportS), WorkerLease: seconds(r.sc.Fleet.LeaseS), StateLease: tuning.StateLeaseTTL, RenewInterval: tuning.StateLeaseRenewInterval}
 }
--- a/internal/weights/cache.go
+++ b/internal/weights/cache.go
@@ -9,125 +9,141 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// MachineImages names the images that a machine has.
+// MachineImages lists the images that a machine has.
 type MachineImages struct {
 	Machine string
 	Images  []string
 }
 
-// PackImages writes down which images machines have, in records of at most so many
-// bytes each, as the protocol counts them (JSON). A machine costs some 20 bytes: each
-// record lists its images once, and a machine has a bit for each. The order of
-// machines decides which of them share a record.
+// PackImages returns records of the images that machines have, each of at most the given number of
+// bytes as the protocol counts them (JSON). A machine takes about 20 bytes: each record lists its
+// images once, and a machine has a bit for each. The order of the machines determines which of them
+// share a record.
 func PackImages(machines []MachineImages, bytes int) []wire.Cache {
-	var out []wire.Cache
-	var rec *wire.Cache
-	index, left := map[string]int{}, 0
-	for _, m := range machines {
-		if rec != nil && left < cost(m, index) {
-			rec = nil
+	var records []wire.Cache
+	var record *wire.Cache
+	index, bytesLeft := map[string]int{}, 0
+	for _, machine := range machines {
+		if record != nil && bytesLeft < maxMachineBytes(machine, index) {
+			record = nil
 		}
-		if rec == nil {
-			out = append(out, wire.Cache{Images: []string{}, Sets: map[string][]uint32{}})
-			rec, left = &out[len(out)-1], bytes-64
+		if record == nil {
+			records = append(records, wire.Cache{Images: []string{}, Sets: map[string][]uint32{}})
+			record, bytesLeft = &records[len(records)-1], bytes-64
 			clear(index)
 		}
-		c := cost(m, index)
-		if c > left {
-			continue // more images than a record holds: learned again from its tasks
+		needed := maxMachineBytes(machine, index)
+		if needed > bytesLeft {
+			continue // its images exceed a record; they are learned again from its tasks
 		}
-		left -= c
-		var words []uint32
-		for _, image := range m.Images {
-			k, known := index[image]
+		bytesLeft -= needed
+		var bits []uint32
+		for _, image := range machine.Images {
+			position, known := index[image]
 			if !known {
-				k = len(rec.Images)
-				index[image] = k
-				rec.Images = append(rec.Images, image)
+				position = len(record.Images)
+				index[image] = position
+				record.Images = append(record.Images, image)
 			}
-			for len(words) <= k/32 {
-				words = append(words, 0)
+			for len(bits) <= position/32 {
+				bits = append(bits, 0)
 			}
-			words[k/32] |= 1 << (k % 32)
+			bits[position/32] |= 1 << (position % 32)
 		}
-		rec.Sets[m.Machine] = words
+		record.Sets[machine.Machine] = bits
 	}
-	return out
+	return records
 }
 
-// cost is the most that a machine adds to a record, in bytes.
-func cost(m MachineImages, index map[string]int) int {
-	n, images := len(m.Machine)+6, len(index)
-	for _, image := range m.Images {
+// maxMachineBytes returns the most bytes that a machine adds to a record.
+func maxMachineBytes(machine MachineImages, index map[string]int) int {
+	bytes, images := len(machine.Machine)+6, len(index)
+	for _, image := range machine.Images {
 		if _, known := index[image]; !known {
-			n += len(image) + 3
+			bytes += len(image) + 3
 			images++
 		}
 	}
-	return n + 11*(images/32+1)
+	return bytes + 11*(images/32+1)
 }
 
-// Caches is which images machines have, by what holders write of it now and then: with a holder's memory it
-// was lost, and for minutes after a takeover services waited for images that other machines had.
-type Caches struct {
-	every time.Duration
-	read  map[string][]string   // machine -> images, as its holder last wrote
-	due   map[int]bool          // held shards of which there is more to write
-	part  map[int]int           // which record of a shard is to be written next
-	named map[int]int           // and which Next named last
-	next  map[int]time.Duration // and when
+// CacheIndex holds the images that machines have, as their holders write them from time to time.
+// Without these records the information was lost with a holder's memory: for minutes after a
+// takeover, services waited for images that other machines had.
+type CacheIndex struct {
+	interval  time.Duration
+	images    map[string][]string   // machine -> images, as last written by its holder
+	dirty     map[int]bool          // held shards that have records to write
+	nextPart  map[int]int           // shard -> which of its records is written next
+	lastPart  map[int]int           // shard -> which of its records NextWrite returned last
+	nextWrite map[int]time.Duration // shard -> earliest time of its next write
 }
 
-// NewCaches returns what is known before anything is; a shard's records are written anew after every at the
-// soonest.
-func NewCaches(every time.Duration) *Caches {
-	return &Caches{every: every, read: map[string][]string{}, due: map[int]bool{}, part: map[int]int{}, named: map[int]int{}, next: map[int]time.Duration{}}
+// NewCacheIndex returns an empty index. After its last record, the records of a shard are not
+// written again before interval has passed.
+func NewCacheIndex(interval time.Duration) *CacheIndex {
+	return &CacheIndex{
+		interval:  interval,
+		images:    map[string][]string{},
+		dirty:     map[int]bool{},
+		nextPart:  map[int]int{},
+		lastPart:  map[int]int{},
+		nextWrite: map[int]time.Duration{},
+	}
 }
 
-// Read takes what a record says of a machine, Of is that, Gone forgets it.
-func (c *Caches) Read(machine string, images []string) { c.read[machine] = images }
-func (c *Caches) Of(machine string) []string           { return c.read[machine] }
-func (c *Caches) Gone(machine string)                  { delete(c.read, machine) }
+// Load stores the images of a machine as read from a record.
+func (c *CacheIndex) Load(machine string, images []string) { c.images[machine] = images }
+
+// Images returns the stored images of a machine.
+func (c *CacheIndex) Images(machine string) []string { return c.images[machine] }
 
-// Len counts the machines of which something has been read.
-func (c *Caches) Len() int { return len(c.read) }
+// Remove removes a machine.
+func (c *CacheIndex) Remove(machine string) { delete(c.images, machine) }
 
-// Learned notes that a machine of a shard has an image that no record tells of.
-func (c *Caches) Learned(shard int) { c.due[shard] = true }
+// Len returns the number of machines with stored images.
+func (c *CacheIndex) Len() int { return len(c.images) }
 
-// Next is the record to write now, and its key: one at a time, in turn; the duty is done when the last is
-// written. mine tells whether a shard is held, of what its machines have.
-func (c *Caches) Next(now time.Duration, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (shard int, key string, rec *wire.Cache) {
-	for _, i := range slices.Sorted(maps.Keys(c.due)) {
-		if !mine(i) {
-			delete(c.due, i)
+// MarkDirty records that a machine of a shard has an image that is in no record.
+func (c *CacheIndex) MarkDirty(shard int) { c.dirty[shard] = true }
+
+// NextWrite returns the next record to write and its key, or nil if none is due. The records of a
+// shard are written one at a time, in turn; the shard is no longer dirty once the last one is
+// returned. holdsShard reports whether a shard is held, imagesOf returns the images of its
+// machines.
+func (c *CacheIndex) NextWrite(now time.Duration, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (shard int, key string, record *wire.Cache) {
+	for _, candidate := range slices.Sorted(maps.Keys(c.dirty)) {
+		if !holdsShard(candidate) {
+			delete(c.dirty, candidate)
 			continue
 		}
-		if now < c.next[i] {
+		if now < c.nextWrite[candidate] {
 			continue
 		}
-		c.next[i] = now + c.every
-		parts := PackImages(of(i), bytes)
+		c.nextWrite[candidate] = now + c.interval
+		parts := PackImages(imagesOf(candidate), bytes)
 		if len(parts) == 0 {
-			delete(c.due, i)
+			delete(c.dirty, candidate)
 			continue
 		}
-		k := c.part[i] % len(parts)
-		key = wire.PrefixCache + strconv.Itoa(i)
-		if k > 0 {
-			key += "." + strconv.Itoa(k)
+		part := c.nextPart[candidate] % len(parts)
+		key = wire.PrefixCache + strconv.Itoa(candidate)
+		if part > 0 {
+			key += "." + strconv.Itoa(part)
 		}
-		c.part[i], c.named[i] = k+1, k
-		if k+1 < len(parts) {
-			c.next[i] = now + c.every/time.Duration(len(parts))
+		c.nextPart[candidate], c.lastPart[candidate] = part+1, part
+		if part+1 < len(parts) {
+			c.nextWrite[candidate] = now + c.interval/time.Duration(len(parts))
 		} else {
-			c.part[i] = 0
-			delete(c.due, i)
+			c.nextPart[candidate] = 0
+			delete(c.dirty, candidate)
 		}
-		return i, key, &parts[k]
+		return candidate, key, &parts[part]
 	}
 	return 0, "", nil
 }
 
-// Failed notes that the record that Next named last for a shard was not written.
-func (c *Caches) Failed(shard int) { c.due[shard], c.part[shard] = true, c.named[shard] }
+// WriteFailed records that the record which NextWrite returned last for a shard was not written.
+func (c *CacheIndex) WriteFailed(shard int) {
+	c.dirty[shard], c.nextPart[shard] = true, c.lastPart[shard]
+}
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -10,34 +10,36 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Stages of an image's way to the machines of a shard.
+// Stages of the distribution of an image to the machines of a shard.
 const (
-	First = 1 // copies are on their way from the store, none is there
-	Tree  = 2 // copies are there, and are handed on
+	StageFirst = 1 // copies are being fetched from the store, none is complete
+	StageTree  = 2 // some copies are complete and serve as sources
 )
 
-// shardPlan is what is written of a shard's images.
+// shardPlan is the plan for the images of one shard.
 type shardPlan struct {
-	own    bool
-	stands wire.Weights  // as the state has it
-	at     time.Duration // read then
+	held     bool          // this controller holds the shard
+	stored   wire.Weights  // as stored in the state service
+	storedAt time.Duration // when it was read or written
 }
 
-// roots counts the fetches from the store that a plan names.
-func (p *shardPlan) roots() (n int) {
-	for _, x := range p.stands.Images {
-		n += len(x.Roots)
+// storeFetches returns the number of fetches from the store in the stored plan.
+func (p *shardPlan) storeFetches() (count int) {
+	for _, planned := range p.stored.Images {
+		count += len(planned.Roots)
 	}
-	return n
+	return count
 }
 
-// Read takes a shard's plan as the state has it; own: this controller holds the shard. A successor goes
-// on with it: fetches that no report has shown yet count as under way.
-func (b *Book) Read(now time.Duration, shard int, rec wire.Weights, own bool) {
-	b.shards[shard] = &shardPlan{own: own, stands: rec, at: now}
+// LoadPlan stores a shard's plan as it is in the state service; held reports whether this
+// controller holds the shard. A new holder continues with the plan: fetches that no report has
+// shown yet count as in progress.
+func (p *Planner) LoadPlan(now time.Duration, shard int, record wire.Weights, held bool) {
+	p.shards[shard] = &shardPlan{held: held, stored: record, storedAt: now}
 }
 
-// Write is a record to be written by a shard's holder, while it holds it. Done tells how that went.
+// Write is a record that the holder of a shard writes on the condition that it still holds the
+// shard. Done must be called with the result.
 type Write struct {
 	Shard int
 	Key   string
@@ -45,20 +47,21 @@
 	Done  func(now time.Duration, ok bool)
 }
 
-// Next is what to write now, one record at a time: which images machines have, or what is planned.
-func (b *Book) Next(now time.Duration, held []int, mine func(shard int) bool, of func(shard int) []MachineImages, bytes int) (Write, bool) {
-	if i, key, rec := b.caches.Next(now, mine, of, bytes); rec != nil {
-		return Write{i, key, *rec, func(_ time.Duration, ok bool) {
+// NextWrite returns the next record to write, if any: the images that machines have, or the plan of
+// a shard. Only one record is written at a time.
+func (p *Planner) NextWrite(now time.Duration, held []int, holdsShard func(shard int) bool, imagesOf func(shard int) []MachineImages, bytes int) (Write, bool) {
+	if shard, key, record := p.caches.NextWrite(now, holdsShard, imagesOf, bytes); record != nil {
+		return Write{shard, key, *record, func(_ time.Duration, ok bool) {
 			if !ok {
-				b.caches.Failed(i)
+				p.caches.WriteFailed(shard)
 			}
 		}}, true
 	}
-	for _, i := range held {
-		if rec, due := b.Due(i, bytes); due {
-			return Write{i, wire.PrefixWeights + strconv.Itoa(i), rec, func(now time.Duration, ok bool) {
+	for _, shard := range held {
+		if record, due := p.NextPlan(shard, bytes); due {
+			return Write{shard, wire.PrefixWeights + strconv.Itoa(shard), record, func(now time.Duration, ok bool) {
 				if ok {
-					b.Read(now, i, rec, true)
+					p.LoadPlan(now, shard, record, true)
 				}
 			}}, true
 		}
@@ -66,27 +69,28 @@
 	return Write{}, false
 }
 
-// Due is the record of a held shard's images if it says something else than the one that stands: an image
-// has got to another stage, or others fetch it from the store. Only images on their way to several machines
-// are named, the most wanted first, as many as fit into so many bytes.
-func (b *Book) Due(shard, bytes int) (wire.Weights, bool) {
-	var rec wire.Weights
-	if !b.s.On() {
-		return rec, false
+// NextPlan returns the plan of a held shard, and whether it differs from the stored one: an image
+// has reached another stage, or other machines fetch it from the store. The plan names only images
+// that are being fetched by several machines, those with the most fetches from the store first, as
+// many as fit into the given number of bytes.
+func (p *Planner) NextPlan(shard, bytes int) (wire.Weights, bool) {
+	var record wire.Weights
+	if !p.switches.Enabled() {
+		return record, false
 	}
-	p := b.shards[shard]
-	if p == nil {
-		p = &shardPlan{}
-		b.shards[shard] = p
+	plan := p.shards[shard]
+	if plan == nil {
+		plan = &shardPlan{}
+		p.shards[shard] = plan
 	}
-	p.own = true
-	for _, image := range slices.Sorted(maps.Keys(b.copies)) {
-		if x, ok := b.planned(shard, image); ok {
-			rec.Images = append(rec.Images, x)
+	plan.held = true
+	for _, image := range slices.Sorted(maps.Keys(p.copies)) {
+		if planned, ok := p.plannedImage(shard, image); ok {
+			record.Images = append(record.Images, planned)
 		}
 	}
-	slices.SortStableFunc(rec.Images, func(x, y wire.WeightsImage) int { return len(y.Roots) - len(x.Roots) })
-	rec = limits.Fit(rec, bytes, func(r *wire.Weights) bool {
+	slices.SortStableFunc(record.Images, func(x, y wire.WeightsImage) int { return len(y.Roots) - len(x.Roots) })
+	record = limits.Fit(record, bytes, func(r *wire.Weights) bool {
 		if len(r.Images) == 0 {
 			return false
 		}
@@ -96,35 +100,35 @@
 		}
 		return true
 	})
-	return rec, !wire.Same(rec, p.stands)
+	return record, !wire.EqualEncoding(record, plan.stored)
 }
 
-// planned is what is written of an image on the machines of a shard, if many fetch it. Rates change all
-// the time and are not written.
-func (b *Book) planned(shard int, image string) (wire.WeightsImage, bool) {
-	x, fetches, there := wire.WeightsImage{Image: image, Stage: First}, 0, 0
-	for _, n := range slices.Sorted(maps.Keys(b.copies[image])) {
-		c := b.copies[image][n]
+// plannedImage returns the plan for an image on the machines of a shard, and whether enough
+// machines need it. Rates change constantly and are not written.
+func (p *Planner) plannedImage(shard int, image string) (wire.WeightsImage, bool) {
+	planned, fetches, present := wire.WeightsImage{Image: image, Stage: StageFirst}, 0, 0
+	for _, machine := range slices.Sorted(maps.Keys(p.copies[image])) {
+		copied := p.copies[image][machine]
 		switch {
-		case c.Shard != shard:
+		case copied.Shard != shard:
 			continue
-		case c.there:
-			there++
-			x.Stage = Tree
+		case copied.present:
+			present++
+			planned.Stage = StageTree
 		default:
 			fetches++
-			if len(c.sources) == 0 {
-				x.Roots = append(x.Roots, n)
+			if len(copied.sources) == 0 {
+				planned.Roots = append(planned.Roots, machine)
 			}
 		}
-		x.GB = max(x.GB, c.gb)
+		planned.GB = max(planned.GB, copied.gb)
 	}
-	return x, fetches > 0 && fetches+there >= b.l.Many
+	return planned, fetches > 0 && fetches+present >= p.limits.MinMachines
 }
 
-// Left notes that a shard is held by another from now on.
-func (b *Book) Left(shard int) {
-	if p := b.shards[shard]; p != nil {
-		p.own = false
+// ReleaseShard records that this controller no longer holds a shard.
+func (p *Planner) ReleaseShard(shard int) {
+	if plan := p.shards[shard]; plan != nil {
+		plan.held = false
 	}
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,9 +1,10 @@
-// Package weights plans how an image that many machines want at once reaches them: how many fetch
-// it from the store at a time, and which have it from others that have it or fetch it. To the
-// protocol a model's weights are an image, its replicas tasks.
+// Package weights plans how an image that many machines need at once is distributed: how many
+// machines fetch it from the store at a time, and which fetch it from other machines that have it
+// or are fetching it. In terms of the protocol, the weights of a model are an image and its
+// replicas are tasks.
 //
-// A pure state machine: what workers report goes in, answers come out. Nothing rests on it but
-// speed: an image that a source does not hand on is fetched from the store.
+// The package is a pure state machine: it is given what workers report and returns plans. Only
+// speed depends on it: an image that a source does not serve is fetched from the store.
 package weights
 
 import (
@@ -15,302 +16,339 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Switches are what is switched on.
+// Switches are the features that are enabled.
 type Switches struct {
-	HandOn bool // workers are told of others that have the image
-	Pace   bool // fetches are held back where more at once brings no more
+	PeerTransfer bool // workers are given other machines to fetch an image from
+	PaceFetches  bool // fetches from the store wait while more of them would not increase the total rate
 }
 
-// On tells whether anything is.
-func (s Switches) On() bool { return s.HandOn || s.Pace }
+// Enabled reports whether any feature is enabled.
+func (s Switches) Enabled() bool { return s.PeerTransfer || s.PaceFetches }
 
-// Limits are the numbers that a plan is made by.
+// Limits are the parameters of the plans.
 type Limits struct {
-	Many    int           // machines that want an image at a time before others hand it on
-	Degree  int           // machines that one hands an image on to at a time
-	Sources int           // that one machine is named
-	Roots   int           // machines of a zone that fetch from the store while its rate is not known
-	Fetches int           // that a measure of the store rests on
-	Bound   float64       // share of their own rates below which fetches show that the store binds
-	Spare   float64       // so many times the machines that would use up the store fetch from it
-	Least   time.Duration // a fetch shorter than this is not measured: reports tell of its end too late
-	Memory  time.Duration // a measure counts for so long
-	Stale   time.Duration // what other holders have written of fetches counts for so long
-	Keep    int           // times as long a machine is kept idle that has an image which many use
+	MinMachines      int           // least number of machines using an image at a time for which it is fetched from other machines
+	MaxServed        int           // most machines that fetch an image from one machine at a time
+	MaxSources       int           // most sources that a machine is given
+	MaxZoneRoots     int           // most machines of a zone that fetch an image from the store while the store's rate is unknown
+	MinMeasurements  int           // fewest measured fetches on which an estimate of the store's rate is based
+	StoreBoundShare  float64       // the store limits fetches that get less than this share of their machines' own rates
+	StoreFetchFactor float64       // fetches from the store that are allowed at a time, as a multiple of those that use up its rate
+	MinFetchDuration time.Duration // shorter fetches are not measured, because reports show their ends too late
+	MeasurementTTL   time.Duration // a measurement counts for this long
+	PlanTTL          time.Duration // fetches in the plans of other holders count for this long
+	IdleFactor       int           // a machine that has an image which many machines use is kept idle this many times as long
 }
 
-// Machine is one that this controller holds. Rate is what its type fetches, GB/s.
+// Machine is a machine of a shard that this controller holds. FetchGBps is the fetch rate of its
+// type in GB/s.
 type Machine struct {
 	Name, Zone, Addr string
 	Shard            int
-	Rate             float64
+	FetchGBps        float64
 }
 
-// Use is an image that tasks on a machine want: they wait for it, or run with it.
-type Use struct {
-	Image string
-	GB    float64
-	There bool
+// ImageUse is an image that tasks on a machine wait for or, if it is present, run with.
+type ImageUse struct {
+	Image   string
+	GB      float64
+	Present bool
 }
 
-// copied is an image on a machine, whole or on its way there.
-type copied struct {
+// imageCopy is an image on a machine, complete or being fetched.
+type imageCopy struct {
 	Machine
-	gb      float64
-	since   time.Duration
-	there   bool
-	sources []string // machines that hand it on; none: the store does
-	depth   int      // of the longest way from a copy that needs nobody
-	began   float64  // the store's fetches so far, in fetch seconds, when it began
+	gb                  float64
+	since               time.Duration // when it became complete, or else when its fetch began
+	present             bool
+	sources             []string // machines that it is fetched from; if there are none, from the store
+	depth               int      // length of the longest path of sources to a copy that depends on no other
+	fetchSecondsAtStart float64  // the store's fetchSeconds when the fetch began
 }
 
-// Book is what one controller knows of images, and its plans for them.
-type Book struct {
-	l      Limits
-	s      Switches
-	copies map[string]map[string]*copied // image -> machine
-	on     map[string]map[string]bool    // machine -> images in use
-	roots  int                           // fetches from the store that are under way here
-	store  store
-	shards map[int]*shardPlan
-	caches *Caches
+// Planner holds what one controller knows of the images on machines, and plans their fetches.
+type Planner struct {
+	limits        Limits
+	switches      Switches
+	copies        map[string]map[string]*imageCopy // image -> machine
+	machineImages map[string]map[string]bool       // machine -> images in use
+	storeFetches  int                              // fetches from the store that are in progress in held shards
+	storeRate     storeRateEstimate
+	shards        map[int]*shardPlan
+	caches        *CacheIndex
 }
 
-// NewBook returns a book of no machines. What it has to write includes which images machines have.
-func NewBook(s Switches, l Limits, k *Caches) *Book {
-	return &Book{l: l, s: s, copies: map[string]map[string]*copied{}, on: map[string]map[string]bool{}, store: store{l: l}, shards: map[int]*shardPlan{}, caches: k}
+// NewPlanner returns a planner without machines. caches holds the images that machines have; the
+// planner writes its records along with the plans.
+func NewPlanner(switches Switches, limits Limits, caches *CacheIndex) *Planner {
+	return &Planner{
+		limits:        limits,
+		switches:      switches,
+		copies:        map[string]map[string]*imageCopy{},
+		machineImages: map[string]map[string]bool{},
+		storeRate:     storeRateEstimate{limits: limits},
+		shards:        map[int]*shardPlan{},
+		caches:        caches,
+	}
 }
 
-// Seen takes what the tasks on a machine want and have, by its newest report.
-func (b *Book) Seen(now time.Duration, m Machine, uses []Use) {
-	had := b.on[m.Name]
-	if len(had) == 0 && len(uses) == 0 {
+// UpdateMachine records which images the tasks on a machine need and have, according to its newest
+// report.
+func (p *Planner) UpdateMachine(now time.Duration, machine Machine, uses []ImageUse) {
+	before := p.machineImages[machine.Name]
+	if len(before) == 0 && len(uses) == 0 {
 		return
 	}
-	b.store.pass(now, b.fetching(now))
-	in := map[string]bool{}
-	for _, u := range uses {
-		in[u.Image] = true
-		c := b.copies[u.Image][m.Name]
-		if c == nil {
-			c = b.add(now, m, u.Image, u.GB)
+	p.storeRate.advance(now, p.storeFetchCount(now))
+	inUse := map[string]bool{}
+	for _, use := range uses {
+		inUse[use.Image] = true
+		copied := p.copies[use.Image][machine.Name]
+		if copied == nil {
+			copied = p.addCopy(now, machine, use.Image, use.GB)
 		}
-		if u.There && !c.there {
-			if len(c.sources) == 0 && len(uses) == 1 {
-				b.store.fetched(now, c)
+		if use.Present && !copied.present {
+			if len(copied.sources) == 0 && len(uses) == 1 {
+				p.storeRate.recordFetch(now, copied)
 			}
-			if len(c.sources) == 0 {
-				b.roots--
+			if len(copied.sources) == 0 {
+				p.storeFetches--
 			}
-			c.there, c.sources, c.depth, c.since = true, nil, 0, now
+			copied.present, copied.sources, copied.depth, copied.since = true, nil, 0, now
 		}
-		c.Addr, c.Shard = m.Addr, m.Shard
+		copied.Addr, copied.Shard = machine.Addr, machine.Shard
 	}
-	for image := range had {
-		if !in[image] {
-			b.drop(m.Name, image)
+	for image := range before {
+		if !inUse[image] {
+			p.removeCopy(machine.Name, image)
 		}
 	}
-	b.on[m.Name] = in
-	if len(in) == 0 {
-		delete(b.on, m.Name)
+	p.machineImages[machine.Name] = inUse
+	if len(inUse) == 0 {
+		delete(p.machineImages, machine.Name)
 	}
 }
 
-// Gone forgets a machine. Those that it hands images on to fetch them elsewhere.
-func (b *Book) Gone(machine string) {
-	for image := range b.on[machine] {
-		b.drop(machine, image)
+// RemoveMachine removes a machine. Machines that it is a source of fetch their images elsewhere.
+func (p *Planner) RemoveMachine(machine string) {
+	for image := range p.machineImages[machine] {
+		p.removeCopy(machine, image)
 	}
-	delete(b.on, machine)
+	delete(p.machineImages, machine)
 }
 
-func (b *Book) add(now time.Duration, m Machine, image string, gb float64) *copied {
-	c := &copied{Machine: m, gb: gb, since: now, began: b.store.sum}
-	if b.copies[image] == nil {
-		b.copies[image] = map[string]*copied{}
+// addCopy adds a copy that is being fetched from the store.
+func (p *Planner) addCopy(now time.Duration, machine Machine, image string, gb float64) *imageCopy {
+	copied := &imageCopy{
+		Machine:             machine,
+		gb:                  gb,
+		since:               now,
+		fetchSecondsAtStart: p.storeRate.fetchSeconds,
+	}
+	if p.copies[image] == nil {
+		p.copies[image] = map[string]*imageCopy{}
 	}
-	b.copies[image][m.Name] = c
-	b.roots++
-	if b.on[m.Name] == nil {
-		b.on[m.Name] = map[string]bool{}
+	p.copies[image][machine.Name] = copied
+	p.storeFetches++
+	if p.machineImages[machine.Name] == nil {
+		p.machineImages[machine.Name] = map[string]bool{}
 	}
-	b.on[m.Name][image] = true
-	return c
+	p.machineImages[machine.Name][image] = true
+	return copied
 }
 
-func (b *Book) drop(machine, image string) {
-	if c := b.copies[image][machine]; c != nil && !c.there && len(c.sources) == 0 {
-		b.roots--
+// removeCopy removes the copy of an image on a machine.
+func (p *Planner) removeCopy(machine, image string) {
+	if copied := p.copies[image][machine]; copied != nil && !copied.present && len(copied.sources) == 0 {
+		p.storeFetches--
 	}
-	delete(b.copies[image], machine)
-	if len(b.copies[image]) == 0 {
-		delete(b.copies, image)
+	delete(p.copies[image], machine)
+	if len(p.copies[image]) == 0 {
+		delete(p.copies, image)
 	}
 }
 
-// fetching counts the fetches from the store that are under way, of all shards.
-func (b *Book) fetching(now time.Duration) (n int) {
-	n = b.roots
-	for _, p := range b.shards {
-		if !p.own && now-p.at < b.l.Stale {
-			n += p.roots()
+// storeFetchCount returns how many fetches from the store are in progress in all shards.
+func (p *Planner) storeFetchCount(now time.Duration) (count int) {
+	count = p.storeFetches
+	for _, plan := range p.shards {
+		if !plan.held && now-plan.storedAt < p.limits.PlanTTL {
+			count += plan.storeFetches()
 		}
 	}
-	return n
+	return count
 }
 
-// Fetch tells whether a machine may be told now to start a task with an image that it lacks, of a job of so many,
-// and names the addresses of machines that hand the image on to it; none: the store does. A fetch waits
-// where measurement has shown that more at once bring no more, and as many as that are under way; one that
-// others hand on does not. First copies come from the store, one to a zone before any zone has two.
-func (b *Book) Fetch(now time.Duration, m Machine, image string, gb float64, tasks int) (sources []string, ok bool) {
-	if b.copies[image][m.Name] != nil || !b.s.On() {
+// PlanFetch reports whether a machine may now be given a task whose image it lacks, and returns the
+// addresses of the machines to fetch the image from. If there are none, it is fetched from the
+// store. tasks is the number of tasks of the job.
+//
+// A fetch from the store waits if measurements have shown that more concurrent fetches do not
+// increase the total rate and that many are in progress. A fetch from other machines does not wait.
+// The first copies come from the store, one in each zone before any zone has two.
+func (p *Planner) PlanFetch(now time.Duration, machine Machine, image string, gb float64, tasks int) (sources []string, ok bool) {
+	if p.copies[image][machine.Name] != nil || !p.switches.Enabled() {
 		return nil, true
 	}
-	b.store.pass(now, b.fetching(now))
-	sources = b.sources(now, m, image, gb, tasks)
-	if most := b.store.most(now); b.s.Pace && len(sources) == 0 && most > 0 && b.fetching(now) > most {
-		b.drop(m.Name, image)
-		delete(b.on[m.Name], image)
+	p.storeRate.advance(now, p.storeFetchCount(now))
+	sources = p.assignSources(now, machine, image, gb, tasks)
+	if allowed := p.storeRate.maxFetches(now); p.switches.PaceFetches && len(sources) == 0 && allowed > 0 && p.storeFetchCount(now) > allowed {
+		p.removeCopy(machine.Name, image)
+		delete(p.machineImages[machine.Name], image)
 		return nil, false
 	}
 	return sources, true
 }
 
-// sources adds a copy on its way, and names those that hand it on.
-func (b *Book) sources(now time.Duration, m Machine, image string, gb float64, tasks int) (addrs []string) {
-	c := b.add(now, m, image, gb)
-	if !b.s.HandOn || tasks < b.l.Many || b.root(now, image, m.Zone) {
+// assignSources adds a copy that is being fetched and returns the addresses of its sources.
+func (p *Planner) assignSources(now time.Duration, machine Machine, image string, gb float64, tasks int) (addrs []string) {
+	copied := p.addCopy(now, machine, image, gb)
+	if !p.switches.PeerTransfer || tasks < p.limits.MinMachines || p.fetchFromStore(now, image, machine.Zone) {
 		return nil
 	}
-	for _, s := range b.able(image, m) {
-		if len(addrs) < b.l.Sources {
-			c.sources, addrs = append(c.sources, s.Name), append(addrs, s.Addr)
-			c.depth = max(c.depth, s.depth+1)
+	for _, source := range p.availableSources(image, machine) {
+		if len(addrs) < p.limits.MaxSources {
+			copied.sources, addrs = append(copied.sources, source.Name), append(addrs, source.Addr)
+			copied.depth = max(copied.depth, source.depth+1)
 		}
 	}
 	if len(addrs) > 0 {
-		b.roots--
+		p.storeFetches--
 	}
 	return addrs
 }
 
-// root tells whether the next copy of an image in a zone is to come from the store.
-func (b *Book) root(now time.Duration, image, zone string) bool {
-	here := 0
-	for _, c := range b.copies[image] {
-		if c.Zone == zone && (c.there || len(c.sources) == 0) {
-			here++
+// fetchFromStore reports whether the newest copy of an image in a zone, which has no sources yet,
+// is to be fetched from the store.
+func (p *Planner) fetchFromStore(now time.Duration, image, zone string) bool {
+	independent := 0
+	for _, copied := range p.copies[image] {
+		if copied.Zone == zone && (copied.present || len(copied.sources) == 0) {
+			independent++
 		}
 	}
-	if here <= 1 { // itself: the zone has no copy that needs nobody
+	if independent <= 1 { // only the new copy itself: the zone has no other copy that is complete or comes from the store
 		return true
 	}
-	if most := b.store.most(now); most > 0 {
-		return b.fetching(now) <= most && here <= b.l.Roots
+	if allowed := p.storeRate.maxFetches(now); allowed > 0 {
+		return p.storeFetchCount(now) <= allowed && independent <= p.limits.MaxZoneRoots
 	}
-	return here <= b.l.Roots
+	return independent <= p.limits.MaxZoneRoots
 }
 
-// able lists the copies that may be handed on to a machine: in its zone first, then those that need
-// the fewest others, then those that serve the fewest.
-func (b *Book) able(image string, m Machine) (list []*copied) {
+// availableSources lists the copies that a machine may fetch an image from: those in its zone
+// first, then those that depend on the fewest others, then those that serve the fewest machines.
+func (p *Planner) availableSources(image string, machine Machine) (list []*imageCopy) {
 	serving := map[string]int{}
-	for _, c := range b.copies[image] {
+	for _, c := range p.copies[image] {
 		for _, s := range c.sources {
 			serving[s]++
 		}
 	}
-	for _, c := range b.copies[image] {
-		if c.Name != m.Name && c.Addr != "" && serving[c.Name] < b.l.Degree {
+	for _, c := range p.copies[image] {
+		if c.Name != machine.Name && c.Addr != "" && serving[c.Name] < p.limits.MaxServed {
 			list = append(list, c)
 		}
 	}
-	far := func(c *copied) int {
-		if c.Zone == m.Zone {
+	distance := func(c *imageCopy) int {
+		if c.Zone == machine.Zone {
 			return 0
 		}
 		return 1
 	}
-	slices.SortFunc(list, func(x, y *copied) int {
-		return cmp.Or(cmp.Compare(far(x), far(y)), cmp.Compare(x.depth, y.depth), cmp.Compare(serving[x.Name], serving[y.Name]), cmp.Compare(x.Name, y.Name))
+	slices.SortFunc(list, func(x, y *imageCopy) int {
+		return cmp.Or(cmp.Compare(distance(x), distance(y)), cmp.Compare(x.depth, y.depth), cmp.Compare(serving[x.Name], serving[y.Name]), cmp.Compare(x.Name, y.Name))
 	})
 	return list
 }
 
-// Busy tells whether a machine fetches an image that many want, other than this one: a task that waits for its
-// own would share the rate.
-func (b *Book) Busy(machine, image string) bool {
-	if !b.s.On() {
+// FetchesOtherImage reports whether a machine is fetching an image that many machines need, other
+// than this one. A task that waits for this image would share the fetch rate.
+func (p *Planner) FetchesOtherImage(machine, image string) bool {
+	if !p.switches.Enabled() {
 		return false
 	}
-	for other := range b.on[machine] {
-		if c := b.copies[other][machine]; other != image && c != nil && !c.there && len(b.copies[other]) >= b.l.Many {
+	for other := range p.machineImages[machine] {
+		if copied := p.copies[other][machine]; other != image && copied != nil && !copied.present && len(p.copies[other]) >= p.limits.MinMachines {
 			return true
 		}
 	}
 	return false
 }
 
-// View is what is known of one image, or of all that are in use.
-func (b *Book) View(now time.Duration, node, image string) wire.WeightsView {
-	v := wire.WeightsView{Node: node, HandOn: b.s.HandOn, Pace: b.s.Pace, StoreGBps: b.store.rate(now), Most: b.store.most(now), Images: []wire.WeightsImageView{}}
-	for _, name := range slices.Sorted(maps.Keys(b.copies)) {
+// View returns what is known of one image, or of all images in use if image is empty.
+func (p *Planner) View(now time.Duration, node, image string) wire.WeightsView {
+	view := wire.WeightsView{
+		Node:      node,
+		HandOn:    p.switches.PeerTransfer,
+		Pace:      p.switches.PaceFetches,
+		StoreGBps: p.storeRate.gbps(now),
+		Most:      p.storeRate.maxFetches(now),
+		Images:    []wire.WeightsImageView{},
+	}
+	for _, name := range slices.Sorted(maps.Keys(p.copies)) {
 		if image != "" && name != image {
 			continue
 		}
-		x := wire.WeightsImageView{Image: name, Holders: []wire.WeightsCopy{}, Fetches: []wire.WeightsCopy{}}
-		for _, n := range slices.Sorted(maps.Keys(b.copies[name])) {
-			c := b.copies[name][n]
-			x.GB = max(x.GB, c.gb)
-			w := wire.WeightsCopy{Machine: n, Zone: c.Zone, Shard: c.Shard, ForS: (now - c.since).Seconds(), Sources: c.sources}
-			if c.there {
-				x.Holders = append(x.Holders, w)
+		imageView := wire.WeightsImageView{Image: name, Holders: []wire.WeightsCopy{}, Fetches: []wire.WeightsCopy{}}
+		for _, machine := range slices.Sorted(maps.Keys(p.copies[name])) {
+			copied := p.copies[name][machine]
+			imageView.GB = max(imageView.GB, copied.gb)
+			copyView := wire.WeightsCopy{
+				Machine: machine,
+				Zone:    copied.Zone,
+				Shard:   copied.Shard,
+				ForS:    (now - copied.since).Seconds(),
+				Sources: copied.sources,
+			}
+			if copied.present {
+				imageView.Holders = append(imageView.Holders, copyView)
 				continue
 			}
-			if c.Rate > 0 {
-				w.LeftS = max(0, b.expected(now, c)-w.ForS)
+			if copied.FetchGBps > 0 {
+				copyView.LeftS = max(0, p.expectedFetchSeconds(now, copied)-copyView.ForS)
 			}
-			x.Fetches = append(x.Fetches, w)
+			imageView.Fetches = append(imageView.Fetches, copyView)
 		}
-		v.Images = append(v.Images, x)
+		view.Images = append(view.Images, imageView)
 	}
-	for _, i := range slices.Sorted(maps.Keys(b.shards)) {
-		if p := b.shards[i]; !p.own {
-			for _, x := range p.stands.Images {
-				if image == "" || x.Image == image {
-					v.Others = append(v.Others, wire.WeightsOther{Shard: i, WeightsImage: x})
+	for _, shard := range slices.Sorted(maps.Keys(p.shards)) {
+		if plan := p.shards[shard]; !plan.held {
+			for _, imageView := range plan.stored.Images {
+				if image == "" || imageView.Image == image {
+					view.Others = append(view.Others, wire.WeightsOther{Shard: shard, WeightsImage: imageView})
 				}
 			}
 		}
 	}
-	return v
+	return view
 }
 
-// expected is how long a fetch takes, in seconds: from the store with as many others as now.
-func (b *Book) expected(now time.Duration, c *copied) float64 {
-	rate := c.Rate
-	if s := b.store.rate(now); s > 0 && len(c.sources) == 0 {
-		rate = min(rate, s/float64(max(1, b.fetching(now))))
+// expectedFetchSeconds returns how long a whole fetch takes in seconds. A fetch from the store is
+// assumed to share its rate with the fetches that are in progress now.
+func (p *Planner) expectedFetchSeconds(now time.Duration, copied *imageCopy) float64 {
+	rate := copied.FetchGBps
+	if storeGBps := p.storeRate.gbps(now); storeGBps > 0 && len(copied.sources) == 0 {
+		rate = min(rate, storeGBps/float64(max(1, p.storeFetchCount(now))))
 	}
-	return c.gb / rate
+	return copied.gb / rate
 }
 
-// Keep is for how long a machine that runs nothing is kept with these images, which would be for so long
-// without them: longer if many machines run with one of them now, for then the next replica does not fetch it.
-func (b *Book) Keep(images map[string]bool, idle time.Duration) time.Duration {
-	if b.s.On() {
+// IdleTimeout returns how long a machine with these images is kept while it runs nothing. It is the
+// given time, or IdleFactor times that if many machines use one of the images now, so that the next
+// replica need not fetch it.
+func (p *Planner) IdleTimeout(images map[string]bool, idle time.Duration) time.Duration {
+	if p.switches.Enabled() {
 		for image := range images {
-			if len(b.copies[image]) >= b.l.Many {
-				return time.Duration(b.l.Keep) * idle
+			if len(p.copies[image]) >= p.limits.MinMachines {
+				return time.Duration(p.limits.IdleFactor) * idle
 			}
 		}
 	}
 	return idle
 }
 
-// Copy is a machine as operators are shown it.
-func (m Machine) Copy() wire.WeightsCopy {
+// View returns a machine as it is shown to operators.
+func (m Machine) View() wire.WeightsCopy {
 	return wire.WeightsCopy{Machine: m.Name, Zone: m.Zone, Shard: m.Shard}
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -32,17 +32,17 @@
 // status 0 for a call without an answer.
 func New(ctx context.Context, log *slog.Logger, onDone func(status int, took time.Duration)) *Client {
 	c := &Client{
-		queue:  make(chan call, tuning.OrderQueue),
+		queue:  make(chan call, tuning.WorkerCallQueueSize),
 		log:    log,
 		onDone: onDone,
 		// Keeping a connection to each of a thousand workers would cost more sockets than it saves.
 		http: &http.Client{Transport: &http.Transport{
-			DialContext:        (&net.Dialer{Timeout: tuning.OrderTimeout}).DialContext,
+			DialContext:        (&net.Dialer{Timeout: tuning.WorkerCallTimeout}).DialContext,
 			DisableKeepAlives:  true,
 			DisableCompression: true,
 		}},
 	}
-	for range tuning.OrderCalls {
+	for range tuning.MaxWorkerCalls {
 		go c.run(ctx)
 	}
 	return c
@@ -78,7 +78,7 @@
 			return
 		case next := <-c.queue:
 			start := time.Now()
-			ctx, cancel := context.WithTimeout(ctx, tuning.OrderTimeout)
+			ctx, cancel := context.WithTimeout(ctx, tuning.WorkerCallTimeout)
 			method, path, body := http.MethodGet, "/inspect", any(nil)
 			if next.orders != nil {
 				method, path, body = http.MethodPost, "/orders", *next.orders
--- a/internal/workers/workers_test.go
+++ b/internal/workers/workers_test.go
@@ -62,7 +62,7 @@
 		if s != 0 {
 			t.Errorf("the silent worker answered %d", s)
 		}
-	case <-time.After(tuning.OrderTimeout + 5*time.Second):
+	case <-time.After(tuning.WorkerCallTimeout + 5*time.Second):
 		t.Fatal("the call to a silent worker never ends")
 	}
 	if x := <-answers; x.status != 0 {
