--- a/internal/provisioning/provisioning_test.go
+++ b/internal/provisioning/provisioning_test.go
@@ -24,12 +24,12 @@
 	tracker := New(params)
 	tracker.MachineRented(0, "m", kind, ready)
 	for _, x := range []struct {
-		ratio             float64
+		ratio            float64
 		doubted, givenUp bool
 	}{{0, false, false}, {1, false, false}, {1.4, false, false}, {1.7, true, false}, {3, true, false}, {4.1, true, true}} {
 		now := time.Duration(x.ratio * float64(ready))
 		if d, h := tracker.Doubtful(now, []string{"m"})["m"], tracker.ShouldGiveUp(now, "m"); d != x.doubted || h != x.givenUp {
-			t.Errorf("after %v: doubted %v, givenUp %v", x.ratio, d, h)
+			t.Errorf("after %v: doubted %v, given up %v", x.ratio, d, h)
 		}
 	}
 }
