--- a/internal/calendar/planner.go
+++ b/internal/calendar/planner.go
@@ -38,7 +38,7 @@
 	// Jobs returns the live jobs, the oldest first.
 	Jobs() iter.Seq[*wire.Job]
 	// Remaining returns how many tasks of a live job are not done, and the run time of each.
-	Remaining(job string) (tasks int, each time.Duration)
+	Remaining(job string) (tasks int, taskDuration time.Duration)
 	// CPUs returns the CPUs that a team may use in a zone, or in all zones if it is empty, up to
 	// the team's limit.
 	CPUs(team, zone string) float64
