--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -62,6 +62,7 @@
 	return &Tracker{params: p, jobs: map[string]*job{}, machines: map[string]*machine{}}
 }
 
+// job returns the evidence about a job and creates it if there is none.
 func (t *Tracker) job(name string) *job {
 	j := t.jobs[name]
 	if j == nil {
@@ -71,6 +72,7 @@
 	return j
 }
 
+// machine returns the evidence about a machine and creates it if there is none.
 func (t *Tracker) machine(name string) *machine {
 	m := t.machines[name]
 	if m == nil {
--- a/internal/limits/write_bounds.go
+++ b/internal/limits/write_bounds.go
@@ -112,14 +112,14 @@
 // below its size or, if it is already as small as possible, its subjects are written one by one,
 // and a subject that is refused even so is skipped for a while.
 func (b *WriteBounds) RecordRefusal(now time.Duration, w Write, why string) (warn bool) {
-	k := b.kinds[w.Kind]
-	if k == nil {
-		k = &refusals{warnedAt: -b.params.WarnInterval}
-		b.kinds[w.Kind] = k
+	refused := b.kinds[w.Kind]
+	if refused == nil {
+		refused = &refusals{warnedAt: -b.params.WarnInterval}
+		b.kinds[w.Kind] = refused
 	}
-	k.count++
-	k.last, k.why = w, why
-	was := b.bounds
+	refused.count++
+	refused.last, refused.why = w, why
+	previous := b.bounds
 	b.lower(w, why)
 	if s := &b.starts; w.Kind == KindStart {
 		if !s.any || now-s.last > b.params.StuckAfter {
@@ -127,19 +127,19 @@
 		}
 		s.last = now
 	}
-	if b.bounds == was {
+	if b.bounds == previous {
 		if len(w.Subjects) > 1 {
 			b.singlyUntil = now + b.params.SinglyFor
 		} else if len(w.Subjects) == 1 {
-			of := [2]string{w.Kind, w.Subjects[0]}
-			a := b.skipped[of]
-			a.duration = min(max(2*a.duration, b.params.SkipFor), b.params.SkipForMax)
-			a.until = now + a.duration
-			b.skipped[of], b.singlyUntil = a, now
+			key := [2]string{w.Kind, w.Subjects[0]}
+			entry := b.skipped[key]
+			entry.duration = min(max(2*entry.duration, b.params.SkipFor), b.params.SkipForMax)
+			entry.until = now + entry.duration
+			b.skipped[key], b.singlyUntil = entry, now
 		}
 	}
-	if warn = b.bounds != was || now-k.warnedAt >= b.params.WarnInterval; warn {
-		k.warnedAt = now
+	if warn = b.bounds != previous || now-refused.warnedAt >= b.params.WarnInterval; warn {
+		refused.warnedAt = now
 	}
 	return warn
 }
@@ -181,11 +181,11 @@
 // ShouldSkip reports whether writes of a kind must skip a subject so that others do not wait for
 // it. The kinds are separate because a job whose progress cannot be written may still end.
 func (b *WriteBounds) ShouldSkip(now time.Duration, kind, subject string) bool {
-	a, ok := b.skipped[[2]string{kind, subject}]
-	if ok && now > a.until+b.params.SkipForMax {
+	entry, found := b.skipped[[2]string{kind, subject}]
+	if found && now > entry.until+b.params.SkipForMax {
 		delete(b.skipped, [2]string{kind, subject}) // written since then, or removed
 	}
-	return ok && now < a.until
+	return found && now < entry.until
 }
 
 // StartsStuck reports whether no task start can be written at present. Machines rented for tasks
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -30,6 +30,7 @@
 	done  ranges.Set // union of all parts
 }
 
+// part is one additional record.
 type part struct {
 	version uint64
 	done    ranges.Set
--- a/internal/provisioning/provisioning.go
+++ b/internal/provisioning/provisioning.go
@@ -53,6 +53,7 @@
 	bootingByKind map[Kind]int
 }
 
+// machine is a rented machine that is not up yet.
 type machine struct {
 	kind          Kind
 	rentedAt      time.Duration
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -14,7 +14,7 @@
 // Time is steady time since the observed cluster started.
 type Time = time.Duration
 
-// Steps of a recovery, in the order in which they come.
+// Steps of a recovery, in the order in which they happen.
 const (
 	Noticed       = "noticed"       // a controller suspects a failure
 	LeasesExpired = "lease_over"    // the leases of the lost machines have certainly expired
@@ -174,6 +174,7 @@
 	return &analysis{params: p, incident: incident, observations: observations}
 }
 
+// analysis derives the steps of one incident.
 type analysis struct {
 	params       Params
 	incident     Incident
--- a/internal/trail/trail.go
+++ b/internal/trail/trail.go
@@ -96,7 +96,10 @@
 func byTask(e *wire.TrailEvent) string    { return e.Task }
 func byNode(e *wire.TrailEvent) string    { return e.Node }
 func byBlock(e *wire.TrailEvent) string   { return e.Block }
-func anySubject(*wire.TrailEvent) string  { return "*" }
+
+// anySubject is the subject of causes that do not depend on one.
+func anySubject(*wire.TrailEvent) string { return "*" }
+
 func byShard(e *wire.TrailEvent) string {
 	if e.Shard == nil {
 		return ""
@@ -144,6 +147,8 @@
 	return out
 }()
 
+// subject identifies the latest event of a kind about one machine, task, controller, block or
+// shard.
 type subject struct{ kind, what string }
 
 // Limits bound what is kept.
@@ -292,6 +297,7 @@
 	return out
 }
 
+// at returns the event with a number, which must still be in the ring.
 func (t *Trail) at(seq uint64) *wire.TrailEvent {
 	return &t.ring[(t.head+int(seq-t.oldest()-1))%len(t.ring)]
 }
--- a/internal/workers/workers.go
+++ b/internal/workers/workers.go
@@ -22,6 +22,7 @@
 	onDone func(status int, took time.Duration)
 }
 
+// call is a queued call to one worker.
 type call struct {
 	addr   string
 	orders *wire.Orders // nil: only asks for the report
@@ -62,6 +63,7 @@
 	return c.enqueue(call{addr, nil, answer})
 }
 
+// enqueue reports whether the queue had space for a call.
 func (c *Client) enqueue(next call) bool {
 	select {
 	case c.queue <- next:
@@ -71,6 +73,7 @@
 	}
 }
 
+// run makes the queued calls, one after the other, until the context ends.
 func (c *Client) run(ctx context.Context) {
 	for {
 		select {
