--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker judges the rules of PROTOCOL from what workers and users saw,
-// never from what controllers say. It is told what happened, in order, and
-// collects what broke a rule.
+// Package checker verifies the rules of PROTOCOL from what workers and users observed,
+// never from what controllers report about themselves. It receives the events of a run
+// in order and collects the violations.
 package checker
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the observed world began.
+// Time is monotonic time since the observed run began.
 type Time = time.Duration
 
-// Rules, by the names that PROTOCOL gives them.
+// Rule names, as in PROTOCOL.
 const (
 	RanTwice     = "ran_twice"
 	Quota        = "quota"
@@ -28,48 +28,69 @@
 	NothingRan   = "nothing_ran"
 	TooEarly     = "too_early"
 	Orphaned     = "orphaned"
-	// Unserved is no rule of PROTOCOL's: less than half of a class, a team or a class's
-	// largest jobs was served, and the day fails.
+	// Unserved is not a rule of PROTOCOL: fewer than half of the jobs of a class, of a team or
+	// of the largest of a class started in time. It fails the run.
 	Unserved = "unserved"
-	// Unfit is none either: a job was accepted that can't run or lacks a field.
+	// Unfit is not a rule of PROTOCOL either: a job was accepted that cannot run or that lacks
+	// a required field.
 	Unfit = "unfit"
 )
 
-// Rules lists them all.
-var Rules = []string{RanTwice, Quota, WrongPlace, RanCancelled, Forgotten, Invented, NotDone, WentBack, NothingRan, TooEarly, Orphaned}
+// Rules lists all rules of PROTOCOL that the checker verifies.
+var Rules = []string{
+	RanTwice,
+	Quota,
+	WrongPlace,
+	RanCancelled,
+	Forgotten,
+	Invented,
+	NotDone,
+	WentBack,
+	NothingRan,
+	TooEarly,
+	Orphaned,
+}
 
 const (
-	// unheard: a job whose polls all fail for so long, while most others are
-	// answered, is forgotten.
-	unheard = 90 * time.Second
-	// calmly: the same once all troubles are over, however others fare.
-	calmly = 75 * time.Second
-	slack  = 1e-6 // sums of decimal numbers
+	// unansweredLimit is how long all polls for a job may fail, while most polls for other
+	// jobs are answered, before the job counts as forgotten.
+	unansweredLimit = 90 * time.Second
+	// unansweredLimitAfterFaults is the limit once all injected faults are over. It applies
+	// whether or not polls for other jobs are answered.
+	unansweredLimitAfterFaults = 75 * time.Second
+	// tolerance absorbs rounding in sums of decimal numbers.
+	tolerance = 1e-6
 )
 
-// Limit is the most a team may use.
+// Limit is the most CPUs and GPUs that a team may use at once.
 type Limit struct{ CPUs, GPUs float64 }
 
-// Params describe the deployment.
+// Params describes the deployment under observation.
 type Params struct {
-	Teams  map[string]Limit
+	// Teams holds the limit of each team by name.
+	Teams map[string]Limit
+	// Cancel is how long tasks may still run or start after a user was told that their job
+	// is cancelled.
 	Cancel time.Duration
-	// Types are the machine types of the cloud; none: whether a job fits one is not judged.
+	// Types lists the machine types of the cloud. If it is empty, the checker does not verify
+	// that an accepted job fits a machine type.
 	Types []wire.MachineType
-	// Lapsed tells whether a machine's lease is over, so that nothing it was given
-	// runs on, even if it hangs and cannot say so. nil: never.
+	// Lapsed reports whether a machine's lease has expired, so that none of the tasks assigned
+	// to it run any more, even if the machine hangs and cannot report that. If it is nil, leases
+	// never expire.
 	Lapsed func(machine string, now Time) bool
-	// Rooms lists the machines that take tasks. nil: who waits is not judged.
+	// Rooms lists the machines that accept tasks. If it is nil, the checker does not verify
+	// that jobs do not wait while there is free capacity.
 	Rooms func(now Time) []Room
 }
 
-// Machine is where a task may be.
+// Machine is a machine that can run tasks.
 type Machine struct {
 	Name, Type, Zone string
 	Spot             bool
 }
 
-// Violation is one broken rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	At   Time   `json:"at_ns"`
 	Rule string `json:"rule"`
@@ -78,111 +99,133 @@
 
 func (v Violation) String() string { return fmt.Sprintf("%v: %s: %s", v.At, v.Rule, v.What) }
 
+// job is what workers and users have observed of one job. Times are never until the event occurs.
 type job struct {
-	spec      wire.JobSpec
-	accepted  Time // when a user was first told; never: not yet
-	begun     Time // when its first task started; never: not yet
-	final     string
-	finalAt   Time
-	aborted   bool // its user has asked to cancel it
-	aborts    Time // when the user was told that it is cancelled; never: not
-	done      map[string]bool
-	doneAt    Time // when the last of its tasks had completed; never: not yet
-	refused   bool // its latest submission was refused for good
-	early     bool // a start before its predecessors were done has been reported
-	orphaned  bool // its being called alive after a cancellation before it has been reported
-	on        map[place]bool
-	unheard   Time // since when every poll has failed; never: the last was answered
-	heard     Time // when the latest poll that was answered had been sent
-	told      bool // its being unheard has been reported
-	cancelled map[place]bool
-	failed    bool // a task of it has ended in error
-	waitsFrom Time // since when each look found it waiting in vain; never: not
-	waitTold  bool // its waiting has been reported
+	spec               wire.JobSpec
+	acceptedAt         Time // when a user was first told that the job is accepted
+	startedAt          Time // when its first task started
+	finalStatus        string
+	finalAt            Time
+	cancelRequested    bool // its user has requested cancellation
+	cancelledAt        Time // when a user was first told that it is cancelled
+	doneTasks          map[string]bool
+	doneAt             Time // when the last of its tasks had completed
+	refused            bool // its latest submission was permanently refused
+	earlyReported      bool // a start before its predecessors were done has been reported
+	orphanReported     bool // an unfinished status after the cancellation of a predecessor has been reported
+	placements         map[place]bool
+	unansweredSince    Time // since when every poll has failed; never if the latest was answered
+	lastAnsweredPoll   Time // when the latest answered poll was sent
+	unansweredReported bool // the lack of answers has been reported
+	overstayReported   map[place]bool
+	failed             bool // one of its tasks ended in error
+	waitingSince       Time // since when every check found it waiting although it could start a task; never if the latest did not
+	waitReported       bool // its waiting has been reported
 }
 
+// place is a task on a machine.
 type place struct{ task, machine string }
 
+// never is the time of an event that has not occurred.
 const never = Time(1<<63 - 1)
 
-// Checker collects what broke.
+// Checker collects the violations of one run.
 type Checker struct {
-	p        Params
-	jobs     map[string]*job
-	after    map[string][]string // jobs that name a job, by that job
-	asks     map[string]int      // jobs that nobody has submitted yet: requests to cancel them that are on their way
-	machines map[string]Machine
-	started  int
-	late     int // starts of tasks whose job had been confirmed as cancelled
-	broken   []Violation
-	polls    []poll // of the last unheard
-	calm     Time   // since when no trouble is left; never: not yet
-	looked   Time   // when it was last looked who waits
+	params           Params
+	jobs             map[string]*job
+	directDependents map[string][]string // IDs of the jobs that name a job as a predecessor, by that job's ID
+	pendingCancels   map[string]int      // cancel requests in flight for jobs not yet submitted, by job ID
+	machines         map[string]Machine
+	started          int
+	startedCancelled int // starts of tasks whose job had been confirmed as cancelled
+	violations       []Violation
+	polls            []poll // those of the last unansweredLimit
+	faultsOverAt     Time   // since when all faults are over; never if some are not
+	waitsCheckedAt   Time   // when the waiting jobs were last checked
 }
 
+// poll is the time at which a poll ended, and whether it was answered.
 type poll struct {
 	at Time
 	ok bool
 }
 
-// New returns a checker of a world in which nothing has happened.
+// New returns a checker of a run in which nothing has happened yet.
 func New(p Params) *Checker {
-	return &Checker{p: p, jobs: map[string]*job{}, after: map[string][]string{}, asks: map[string]int{}, machines: map[string]Machine{}, calm: never}
+	return &Checker{
+		params:           p,
+		jobs:             map[string]*job{},
+		directDependents: map[string][]string{},
+		pendingCancels:   map[string]int{},
+		machines:         map[string]Machine{},
+		faultsOverAt:     never,
+	}
 }
 
-// Calm tells that all troubles are over.
-func (c *Checker) Calm(now Time) { c.calm = min(c.calm, now) }
+// Calm records that all faults are over. Only the first call counts.
+func (c *Checker) Calm(now Time) { c.faultsOverAt = min(c.faultsOverAt, now) }
 
-// Broken lists what broke a rule so far.
-func (c *Checker) Broken() []Violation { return c.broken }
+// Broken returns the violations found so far.
+func (c *Checker) Broken() []Violation { return c.violations }
 
-// Started counts the tasks that were started.
+// Started returns the number of task starts observed.
 func (c *Checker) Started() int { return c.started }
 
-// StartedCancelled counts the tasks that were started after their user had been told that the
-// job is cancelled, soon after or not.
-func (c *Checker) StartedCancelled() int { return c.late }
+// StartedCancelled returns the number of task starts after a user had been told that the job is
+// cancelled, including those within the time that Params.Cancel allows.
+func (c *Checker) StartedCancelled() int { return c.startedCancelled }
 
 func (c *Checker) fail(now Time, rule, format string, a ...any) {
-	c.broken = append(c.broken, Violation{now, rule, fmt.Sprintf(format, a...)})
+	c.violations = append(c.violations, Violation{now, rule, fmt.Sprintf(format, a...)})
 }
 
-// Submitting tells that a user is about to submit a job, for the first time or again.
+// Submitting records that a user is about to submit a job, for the first time or again.
 func (c *Checker) Submitting(spec wire.JobSpec) {
 	if j := c.jobs[*spec.ID]; j != nil {
 		j.refused = false
 	} else {
-		c.jobs[*spec.ID] = &job{spec: spec, accepted: never, begun: never, aborts: never, unheard: never, doneAt: never, waitsFrom: never, aborted: c.asks[*spec.ID] > 0,
-			done: map[string]bool{}, on: map[place]bool{}, cancelled: map[place]bool{}}
+		c.jobs[*spec.ID] = &job{
+			spec:             spec,
+			acceptedAt:       never,
+			startedAt:        never,
+			cancelledAt:      never,
+			unansweredSince:  never,
+			doneAt:           never,
+			waitingSince:     never,
+			cancelRequested:  c.pendingCancels[*spec.ID] > 0,
+			doneTasks:        map[string]bool{},
+			placements:       map[place]bool{},
+			overstayReported: map[place]bool{},
+		}
 		for _, p := range spec.Predecessors {
-			c.after[p] = append(c.after[p], *spec.ID)
+			c.directDependents[p] = append(c.directDependents[p], *spec.ID)
 		}
 	}
 }
 
-// Submitted tells how a submission sent at asked was answered.
+// Submitted records the answer to a submission sent at asked.
 func (c *Checker) Submitted(now, asked Time, id string, status int, st wire.JobStatus) {
 	j := c.jobs[id]
 	switch {
 	case status == 201 || status == 200:
-		if why := c.unfit(&j.spec); why != "" {
+		if why := c.refusalReason(&j.spec); why != "" {
 			c.fail(now, Unfit, "%s is accepted: %s", id, why)
 			return
 		}
-		c.acceptable(now, id, j)
-		j.accepted = min(j.accepted, now)
-		c.told(now, asked, id, j, st.Status)
-	case (status == 400 || status == 422) && j.accepted < asked:
+		c.checkAcceptance(now, id, j)
+		j.acceptedAt = min(j.acceptedAt, now)
+		c.checkStatus(now, asked, id, j, st.Status)
+	case (status == 400 || status == 422) && j.acceptedAt < asked:
 		c.fail(now, Forgotten, "%s was accepted, submitted again it got %d", id, status)
 	case status == 400 || status == 422:
 		j.refused = true
 	}
 }
 
-// Polled tells how a poll sent at asked was answered; status 0: not at all.
+// Polled records the answer to a poll sent at asked. Status 0 means that there was no answer.
 func (c *Checker) Polled(now, asked Time, id string, status int, st wire.JobStatus) {
 	c.polls = append(c.polls, poll{now, status == 200 || status == 404})
-	for len(c.polls) > 0 && now-c.polls[0].at > unheard {
+	for len(c.polls) > 0 && now-c.polls[0].at > unansweredLimit {
 		c.polls = c.polls[1:]
 	}
 	j := c.jobs[id]
@@ -194,25 +237,26 @@
 	}
 	switch {
 	case status == 200:
-		j.unheard, j.heard = never, max(j.heard, asked)
-		c.told(now, asked, id, j, st.Status)
+		j.unansweredSince, j.lastAnsweredPoll = never, max(j.lastAnsweredPoll, asked)
+		c.checkStatus(now, asked, id, j, st.Status)
 	case status == 404:
-		j.unheard, j.heard = never, max(j.heard, asked)
-		if j.accepted < asked {
+		j.unansweredSince, j.lastAnsweredPoll = never, max(j.lastAnsweredPoll, asked)
+		if j.acceptedAt < asked {
 			c.fail(now, Forgotten, "%s was accepted and is unknown now", id)
 		}
-	case asked < j.heard: // the failure of an earlier poll, told late: one sent since was answered
-	case j.accepted < asked:
-		j.unheard = min(j.unheard, asked)
-		lone := now-j.unheard >= unheard && c.answered() > 0.5
-		if !j.told && (lone || c.calm != never && now-max(j.unheard, c.calm) >= calmly) {
-			j.told = true
-			c.fail(now, Forgotten, "every poll for %s has failed for %v", id, now-j.unheard)
+	case asked < j.lastAnsweredPoll: // a late failure of an earlier poll; one sent since was answered
+	case j.acceptedAt < asked:
+		j.unansweredSince = min(j.unansweredSince, asked)
+		lone := now-j.unansweredSince >= unansweredLimit && c.answeredShare() > 0.5
+		if !j.unansweredReported && (lone || c.faultsOverAt != never && now-max(j.unansweredSince, c.faultsOverAt) >= unansweredLimitAfterFaults) {
+			j.unansweredReported = true
+			c.fail(now, Forgotten, "every poll for %s has failed for %v", id, now-j.unansweredSince)
 		}
 	}
 }
 
-func (c *Checker) answered() float64 {
+// answeredShare returns the share of the recent polls, of any job, that were answered.
+func (c *Checker) answeredShare() float64 {
 	ok := 0
 	for _, p := range c.polls {
 		if p.ok {
@@ -222,70 +266,71 @@
 	return float64(ok) / float64(max(1, len(c.polls)))
 }
 
-// Aborting tells that a job's user is about to cancel it, each time that he asks. The job may be submitted while
-// the request is on its way.
+// Aborting records that a user is about to send a request to cancel a job. It is called for each
+// request. The job may be submitted while the request is in flight.
 func (c *Checker) Aborting(id string) {
 	if j := c.jobs[id]; j != nil {
-		j.aborted = true
+		j.cancelRequested = true
 	} else {
-		c.asks[id]++
+		c.pendingCancels[id]++
 	}
 }
 
-// Aborted tells how a request to cancel was answered.
+// Aborted records the answer to a cancel request sent at asked.
 func (c *Checker) Aborted(now, asked Time, id string, status int, st wire.JobStatus) {
 	j := c.jobs[id]
-	if j == nil && c.asks[id] > 0 {
-		c.asks[id]-- // answered before there was such a job: it is cancelled by no other request than a later one
+	if j == nil && c.pendingCancels[id] > 0 {
+		c.pendingCancels[id]-- // answered before the job existed, so only a later request can cancel it
 	}
 	switch {
 	case j == nil && status == 200:
 		c.fail(now, Invented, "%s, which nobody submitted, is %s", id, st.Status)
 	case j == nil:
 	case status == 200:
-		c.told(now, asked, id, j, st.Status)
-	case status == 404 && j.accepted < asked:
+		c.checkStatus(now, asked, id, j, st.Status)
+	case status == 404 && j.acceptedAt < asked:
 		c.fail(now, Forgotten, "%s was accepted and is unknown now", id)
 	}
 }
 
-// told checks an answer against all that users had been told before they asked.
-func (c *Checker) told(now, asked Time, id string, j *job, status string) {
-	if j.final != "" && j.finalAt < asked && status != j.final {
-		c.fail(now, WentBack, "%s was %s and is %s now", id, j.final, status)
+// checkStatus checks a status in an answer against everything that users had been told before asked,
+// when the request was sent.
+func (c *Checker) checkStatus(now, asked Time, id string, j *job, status string) {
+	if j.finalStatus != "" && j.finalAt < asked && status != j.finalStatus {
+		c.fail(now, WentBack, "%s was %s and is %s now", id, j.finalStatus, status)
 	}
 	switch status {
 	case wire.JobDone:
-		if len(j.done) < int(*j.spec.Tasks) {
-			c.fail(now, NotDone, "%s is called done with %d of %d tasks", id, len(j.done), *j.spec.Tasks)
+		if len(j.doneTasks) < int(*j.spec.Tasks) {
+			c.fail(now, NotDone, "%s is called done with %d of %d tasks", id, len(j.doneTasks), *j.spec.Tasks)
 		}
 	case wire.JobAborted:
 		if !c.cancellable(id, j) {
 			c.fail(now, WentBack, "%s is called cancelled, which no user asked for, of it or of a job before it", id)
 		}
-		j.aborts = min(j.aborts, now)
+		j.cancelledAt = min(j.cancelledAt, now)
 	default:
-		c.outlived(now, asked, id, j, status)
+		c.checkOrphaned(now, asked, id, j, status)
 		return
 	}
-	if j.final != "" && j.final != status && j.finalAt >= asked {
-		c.fail(now, WentBack, "%s is called %s and %s", id, j.final, status)
+	if j.finalStatus != "" && j.finalStatus != status && j.finalAt >= asked {
+		c.fail(now, WentBack, "%s is called %s and %s", id, j.finalStatus, status)
 	}
-	if j.final == "" {
-		j.final, j.finalAt = status, now
-		c.ended(now, id, status)
+	if j.finalStatus == "" {
+		j.finalStatus, j.finalAt = status, now
+		c.checkDependents(now, id, status)
 	}
 }
 
-// MachineUp tells of a machine.
+// MachineUp records a machine that came up.
 func (c *Checker) MachineUp(m Machine) { c.machines[m.Name] = m }
 
-// here tells whether what was started on a machine may still run there.
-func (c *Checker) here(machine string, now Time) bool {
-	return c.p.Lapsed == nil || !c.p.Lapsed(machine, now)
+// mayRunOn reports whether tasks that were started on a machine may still run there.
+func (c *Checker) mayRunOn(machine string, now Time) bool {
+	return c.params.Lapsed == nil || !c.params.Lapsed(machine, now)
 }
 
-// TaskStarted tells that a task is on a machine from now.
+// TaskStarted records that a task started on a machine.
 func (c *Checker) TaskStarted(now Time, machine, task string, attempt uint64) {
 	c.started++
 	id, _, _ := strings.Cut(task, "/")
@@ -294,11 +339,11 @@
 		c.fail(now, Invented, "%s of a job that nobody submitted runs on %s", task, machine)
 		return
 	}
-	c.inOrder(now, id, j, task)
-	j.begun = min(j.begun, now)
-	here, total := 0, 0
+	c.checkStartOrder(now, id, j, task)
+	j.startedAt = min(j.startedAt, now)
+	sameZone, total := 0, 0
 	for _, p := range j.places() {
-		if !c.here(p.machine, now) {
+		if !c.mayRunOn(p.machine, now) {
 			continue
 		}
 		if p.task == task && p.machine != machine {
@@ -306,22 +351,24 @@
 		}
 		total++
 		if c.machines[p.machine].Zone == m.Zone {
-			here++
+			sameZone++
 		}
 	}
-	at := c.cancelled(id, j)
+	at := c.cancelledAt(id, j)
 	if at != never && now > at {
-		c.late++
+		c.startedCancelled++
 	}
-	if at != never && now > at+c.p.Cancel {
+	if at != never && now > at+c.params.Cancel {
 		c.fail(now, RanCancelled, "%s starts on %s %v after its job was cancelled", task, machine, now-at)
 	}
-	c.checkPlace(now, j, m, task, here, total)
-	j.on[place{task, machine}] = true
+	c.checkPlace(now, j, m, task, sameZone, total)
+	j.placements[place{task, machine}] = true
 	c.checkQuota(now, *j.spec.Team)
 }
 
-func (c *Checker) checkPlace(now Time, j *job, m Machine, task string, here, total int) {
+// checkPlace verifies that the job allows the machine of a new task. Of the job's other tasks,
+// total are running, and sameZone of them in the machine's zone.
+func (c *Checker) checkPlace(now Time, j *job, m Machine, task string, sameZone, total int) {
 	s := j.spec
 	wrong := func(why string) {
 		c.fail(now, WrongPlace, "%s on %s (%s in %s): %s", task, m.Name, m.Type, m.Zone, why)
@@ -341,35 +388,36 @@
 	if m.Spot && !*s.Spot {
 		wrong("its job does not allow spot machines")
 	}
-	if *s.OneZone && here < total {
+	if *s.OneZone && sameZone < total {
 		wrong("its job's other tasks are in another zone")
 	}
-	if *s.Spread && here+1 > (int(*s.Tasks)+1)/2 {
-		wrong(fmt.Sprintf("%d of its job's %d tasks are in this zone", here+1, *s.Tasks))
+	if *s.Spread && sameZone+1 > (int(*s.Tasks)+1)/2 {
+		wrong(fmt.Sprintf("%d of its job's %d tasks are in this zone", sameZone+1, *s.Tasks))
 	}
 }
 
+// checkQuota verifies that the running tasks of a team are within its limit.
 func (c *Checker) checkQuota(now Time, team string) {
 	var cpus, gpus float64
 	for _, j := range c.jobs {
-		if len(j.on) == 0 || *j.spec.Team != team {
+		if len(j.placements) == 0 || *j.spec.Team != team {
 			continue
 		}
-		for p := range j.on {
-			if c.here(p.machine, now) {
+		for p := range j.placements {
+			if c.mayRunOn(p.machine, now) {
 				cpus, gpus = cpus+*j.spec.CPUs, gpus+*j.spec.GPUs
 			}
 		}
 	}
-	if l := c.p.Teams[team]; cpus > l.CPUs+slack || gpus > l.GPUs+slack {
+	if l := c.params.Teams[team]; cpus > l.CPUs+tolerance || gpus > l.GPUs+tolerance {
 		c.fail(now, Quota, "team %s uses %g cpus and %g gpus of %g and %g", team, cpus, gpus, l.CPUs, l.GPUs)
 	}
 }
 
-// places lists where a job's tasks are, in order, so that verdicts repeat.
+// places lists the placements of a job's tasks in sorted order, so that reports are reproducible.
 func (j *job) places() []place {
-	out := make([]place, 0, len(j.on))
-	for p := range j.on {
+	out := make([]place, 0, len(j.placements))
+	for p := range j.placements {
 		out = append(out, p)
 	}
 	sort.Slice(out, func(a, b int) bool {
@@ -378,85 +426,87 @@
 	return out
 }
 
-// TaskLeft tells that a task is on a machine no longer; cause is that of its report.
+// TaskLeft records that a task is no longer on a machine. The cause is the one in the worker's report.
 func (c *Checker) TaskLeft(now Time, machine, task, cause string) {
 	id, _, _ := strings.Cut(task, "/")
 	j := c.jobs[id]
 	if j == nil {
 		return
 	}
-	c.overstayed(now, id, j, place{task, machine})
-	delete(j.on, place{task, machine})
+	c.checkOverstay(now, id, j, place{task, machine})
+	delete(j.placements, place{task, machine})
 	if cause == wire.CauseDone {
-		j.done[task] = true
-		if len(j.done) >= int(*j.spec.Tasks) {
+		j.doneTasks[task] = true
+		if len(j.doneTasks) >= int(*j.spec.Tasks) {
 			j.doneAt = min(j.doneAt, now)
 		}
 	}
 	j.failed = j.failed || cause == wire.CauseError
 }
 
-// overstayed reports a task that is there longer than its cancelled job allows.
-func (c *Checker) overstayed(now Time, id string, j *job, p place) {
-	if at := c.cancelled(id, j); at != never && now > at+c.p.Cancel && !j.cancelled[p] && c.here(p.machine, now) {
-		j.cancelled[p] = true
+// checkOverstay records a violation, once per placement, if a task is still on a machine more than
+// Params.Cancel after its job was cancelled.
+func (c *Checker) checkOverstay(now Time, id string, j *job, p place) {
+	if at := c.cancelledAt(id, j); at != never && now > at+c.params.Cancel && !j.overstayReported[p] && c.mayRunOn(p.machine, now) {
+		j.overstayReported[p] = true
 		c.fail(now, RanCancelled, "%s is on %s %v after its job was cancelled", p.task, p.machine, now-at)
 	}
 }
 
-// Tick looks for tasks of cancelled jobs that are still somewhere, and for jobs that wait in vain.
+// Tick checks for tasks of cancelled jobs that still run, and for jobs that wait although they could
+// start a task.
 func (c *Checker) Tick(now Time) {
-	c.lookForWaits(now)
+	c.checkWaiting(now)
 	ids := make([]string, 0, len(c.jobs))
 	for id, j := range c.jobs {
-		if len(j.on) > 0 {
+		if len(j.placements) > 0 {
 			ids = append(ids, id)
 		}
 	}
 	sort.Strings(ids)
 	for _, id := range ids {
 		for _, p := range c.jobs[id].places() {
-			c.overstayed(now, id, c.jobs[id], p)
+			c.checkOverstay(now, id, c.jobs[id], p)
 		}
 	}
 }
 
-// Finish ends the observation.
+// Finish ends the observation and returns all violations.
 func (c *Checker) Finish(now Time) []Violation {
 	c.Tick(now)
 	if c.started == 0 {
 		c.fail(now, NothingRan, "no task was started")
 	}
-	return c.broken
+	return c.violations
 }
 
-// Final is what a job's users were told at last, "" if it is not over.
+// Final returns the final status that users were told of a job, or "" if there is none yet.
 func (c *Checker) Final(id string) string {
 	if j := c.jobs[id]; j != nil {
-		return j.final
+		return j.finalStatus
 	}
 	return ""
 }
 
-// Accepted tells whether a user was told that the job is accepted.
-func (c *Checker) Accepted(id string) bool { j := c.jobs[id]; return j != nil && j.accepted != never }
+// Accepted reports whether a user was told that the job is accepted.
+func (c *Checker) Accepted(id string) bool { j := c.jobs[id]; return j != nil && j.acceptedAt != never }
 
-// DoneTasks counts the tasks of a job that have completed.
+// DoneTasks returns the number of tasks of a job that have completed.
 func (c *Checker) DoneTasks(id string) int {
 	if j := c.jobs[id]; j != nil {
-		return len(j.done)
+		return len(j.doneTasks)
 	}
 	return 0
 }
 
-// On lists the machines that a job's tasks are on, task by task.
+// On lists the tasks of a job that may be running at now, each as "TASK on MACHINE".
 func (c *Checker) On(id string, now Time) (out []string) {
 	j := c.jobs[id]
 	if j == nil {
 		return nil
 	}
 	for _, p := range j.places() {
-		if c.here(p.machine, now) {
+		if c.mayRunOn(p.machine, now) {
 			out = append(out, p.task+" on "+p.machine)
 		}
 	}
--- a/internal/checker/waiting.go
+++ b/internal/checker/waiting.go
@@ -7,30 +7,32 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// LeftWaiting is no rule of PROTOCOL's: once all troubles are over, a job waits for so long
-// while a machine that fits has room for a task of it and its team is under its limit.
+// LeftWaiting is not a rule of PROTOCOL: after all faults are over, a job waits for waitLimit
+// although a suitable machine has free capacity for one of its tasks and its team is under its limit.
 const LeftWaiting = "left_waiting"
 
-// waits is for how long; look is how often that is looked at.
 const (
-	waits = 90 * time.Second
-	look  = time.Second
+	// waitLimit is how long a job may wait although it could start a task.
+	waitLimit = 90 * time.Second
+	// waitCheckInterval is the least time between two checks of the waiting jobs.
+	waitCheckInterval = time.Second
 )
 
-// Room is a machine that takes tasks, and what it has left, by what its worker has.
+// Room is a machine that accepts tasks, with its free capacity according to its worker.
 type Room struct {
 	Machine           string
 	CPUs, GPUs, MemGB float64
-	Tasks             []string // on it, or fetched for: not ended
+	Tasks             []string // unfinished tasks on it, including those whose image is being fetched
 }
 
-// lookForWaits judges which jobs wait in vain; each look has to find it so.
-func (c *Checker) lookForWaits(now Time) {
-	if c.p.Rooms == nil || c.calm == never || now < c.looked+look && c.looked > 0 {
+// checkWaiting records a violation for each job that could start a task in every check of the last
+// waitLimit since all faults were over.
+func (c *Checker) checkWaiting(now Time) {
+	if c.params.Rooms == nil || c.faultsOverAt == never || now < c.waitsCheckedAt+waitCheckInterval && c.waitsCheckedAt > 0 {
 		return
 	}
-	c.looked = now
-	rooms := c.p.Rooms(now)
+	c.waitsCheckedAt = now
+	rooms := c.params.Rooms(now)
 	given, used, zones := map[string]int{}, map[string]Limit{}, map[string]map[string]int{}
 	for _, r := range rooms {
 		for _, task := range r.Tasks {
@@ -48,34 +50,37 @@
 			used[*j.spec.Team] = Limit{u.CPUs + *j.spec.CPUs, u.GPUs + *j.spec.GPUs}
 		}
 	}
-	for _, id := range sorted(c.jobs) {
+	for _, id := range sortedKeys(c.jobs) {
 		j := c.jobs[id]
-		if !c.waitsInVain(id, j, rooms, given[id], used[*j.spec.Team], zones[id]) {
-			j.waitsFrom = never
+		if !c.couldStartTask(id, j, rooms, given[id], used[*j.spec.Team], zones[id]) {
+			j.waitingSince = never
 			continue
 		}
-		j.waitsFrom = min(j.waitsFrom, now)
-		if !j.waitTold && now-max(j.waitsFrom, c.calm) >= waits {
-			j.waitTold = true
-			c.fail(now, LeftWaiting, "%s of %s has waited for %v, %d of %d tasks done, %d on machines", id, *j.spec.Team, now-j.waitsFrom, len(j.done), *j.spec.Tasks, given[id])
+		j.waitingSince = min(j.waitingSince, now)
+		if !j.waitReported && now-max(j.waitingSince, c.faultsOverAt) >= waitLimit {
+			j.waitReported = true
+			c.fail(now, LeftWaiting, "%s of %s has waited for %v, %d of %d tasks done, %d on machines", id, *j.spec.Team, now-j.waitingSince, len(j.doneTasks), *j.spec.Tasks, given[id])
 		}
 	}
 }
 
-// waitsInVain tells whether a task of a job is nowhere that could be on a machine now. One that
-// waits for others waits for no room. Jobs that fail are tried rarely, those whose tasks begin together need room for all.
-func (c *Checker) waitsInVain(id string, j *job, rooms []Room, given int, used Limit, zones map[string]int) bool {
+// couldStartTask reports whether a job has a task that is on no machine and that could start on one of
+// rooms now. It is false for a job that waits for its predecessors, which does not wait for free
+// capacity; for a job that is over or being cancelled; for a job with a failed task, since such jobs
+// are retried rarely; and for a gang, which needs free capacity for all its tasks at once. Given is the number of the job's tasks on machines,
+// used is what its team uses, and zones counts the job's tasks by zone.
+func (c *Checker) couldStartTask(id string, j *job, rooms []Room, given int, used Limit, zones map[string]int) bool {
 	s := &j.spec
-	if c.ready(id, j) == never || j.final != "" || c.cancellable(id, j) || j.failed || *s.Shape == wire.ShapeGang || len(j.done)+given >= int(*s.Tasks) {
+	if c.readyAt(id, j) == never || j.finalStatus != "" || c.cancellable(id, j) || j.failed || *s.Shape == wire.ShapeGang || len(j.doneTasks)+given >= int(*s.Tasks) {
 		return false
 	}
-	if l := c.p.Teams[*s.Team]; used.CPUs+*s.CPUs > l.CPUs+slack || used.GPUs+*s.GPUs > l.GPUs+slack {
+	if l := c.params.Teams[*s.Team]; used.CPUs+*s.CPUs > l.CPUs+tolerance || used.GPUs+*s.GPUs > l.GPUs+tolerance {
 		return false
 	}
 	return slices.ContainsFunc(rooms, func(r Room) bool {
 		m := c.machines[r.Machine]
 		switch {
-		case r.CPUs+slack < *s.CPUs || r.GPUs+slack < *s.GPUs || r.MemGB+slack < *s.MemoryGB,
+		case r.CPUs+tolerance < *s.CPUs || r.GPUs+tolerance < *s.GPUs || r.MemGB+tolerance < *s.MemoryGB,
 			s.Types != nil && !slices.Contains(s.Types, m.Type), s.Zone != nil && *s.Zone != m.Zone, m.Spot && !*s.Spot,
 			*s.OneZone && given > 0 && zones[m.Zone] == 0, *s.Spread && zones[m.Zone]+1 > (int(*s.Tasks)+1)/2:
 			return false
