--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -52,8 +52,8 @@
 }
 
 const (
-	// unansweredLimit is how long all polls for a job may fail, while most polls for other
-	// jobs are answered, before the job counts as forgotten.
+	// unansweredLimit is how long all polls for a job may fail, while more than half of
+	// the polls for any job are answered, before the job counts as forgotten.
 	unansweredLimit = 90 * time.Second
 	// unansweredLimitAfterFaults is the limit once all injected faults are over. It applies
 	// whether or not polls for other jobs are answered.
@@ -99,7 +99,8 @@
 
 func (v Violation) String() string { return fmt.Sprintf("%v: %s: %s", v.At, v.Rule, v.What) }
 
-// job is what workers and users have observed of one job. Times are never until the event occurs.
+// job is what workers and users have observed of one job. Times other than finalAt and
+// lastAnsweredPoll are never until the event occurs.
 type job struct {
 	spec               wire.JobSpec
 	acceptedAt         Time // when a user was first told that the job is accepted
--- a/internal/checker/waiting.go
+++ b/internal/checker/waiting.go
@@ -25,8 +25,8 @@
 	Tasks             []string // unfinished tasks on it, including those whose image is being fetched
 }
 
-// checkWaiting records a violation for each job that could start a task in every check of the last
-// waitLimit since all faults were over.
+// checkWaiting records a violation for each job that could have started a task in every check for
+// waitLimit, counted from the end of all faults at the earliest.
 func (c *Checker) checkWaiting(now Time) {
 	if c.params.Rooms == nil || c.faultsOverAt == never || now < c.waitsCheckedAt+waitCheckInterval && c.waitsCheckedAt > 0 {
 		return
@@ -67,8 +67,10 @@
 // couldStartTask reports whether a job has a task that is on no machine and that could start on one of
 // rooms now. It is false for a job that waits for its predecessors, which does not wait for free
 // capacity; for a job that is over or being cancelled; for a job with a failed task, since such jobs
-// are retried rarely; and for a gang, which needs free capacity for all its tasks at once. Given is the number of the job's tasks on machines,
-// used is what its team uses, and zones counts the job's tasks by zone.
+// are retried rarely; and for a gang, which needs free capacity for all its tasks at once.
+//
+// given is the number of the job's tasks on machines, used is what its team uses, and zones counts
+// the job's tasks by zone.
 func (c *Checker) couldStartTask(id string, j *job, rooms []Room, given int, used Limit, zones map[string]int) bool {
 	s := &j.spec
 	if c.readyAt(id, j) == never || j.finalStatus != "" || c.cancellable(id, j) || j.failed || *s.Shape == wire.ShapeGang || len(j.doneTasks)+given >= int(*s.Tasks) {
