--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -9,13 +9,14 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// after is a job that names others.
+// after returns the job description with the given predecessors.
 func after(s wire.JobSpec, predecessors ...string) wire.JobSpec {
 	s.Predecessors = predecessors
 	return s
 }
 
-// statusAt asks a node about a job; "" until it answers 200.
+// statusAt polls a node for a job and returns a pointer to its status, which is empty until the
+// node answers 200.
 func (w *world) statusAt(node, id string) *string {
 	status := ""
 	w.ask(node, func(q uint64) any { return Poll{Req: q, ID: id} }, func(a Answer) {
@@ -26,9 +27,9 @@
 	return &status
 }
 
-// chain submits a pipeline over three teams and a fork, each job once those before it are accepted,
-// the last alone with a deadline and a priority, and returns its ids in the order in which they
-// run: 10, 11 and 12 after it, 13, 14.
+// chain submits a pipeline with a fork over three teams and returns the job ids in the order in
+// which they run: 10, then 11 and 12, then 13, then 14. Each job is submitted once the ones before
+// it are accepted. Only the last has a deadline and a priority above idle.
 func (w *world) chain() []string {
 	ids := []string{"job-000010", "job-000011", "job-000012", "job-000013", "job-000014"}
 	teams := []string{"red", "blue", "green", "red", "blue"}
@@ -52,7 +53,7 @@
 	return ids
 }
 
-// whole tells how the jobs of a chain stand, by a fresh poll of every node.
+// whole polls every node and returns the distinct statuses reported for each job of a chain.
 func (w *world) whole(ids []string) map[string][]string {
 	var all []*string
 	for _, id := range ids {
@@ -73,16 +74,16 @@
 	return out
 }
 
-// A chain over three teams and shards runs in its order and is done in time, also if all
-// controllers end in the middle of it, or one by one.
+// A chain of jobs over three teams and shards runs in order and finishes in time, also when all
+// controllers restart in the middle of it, at once or one by one.
 func TestAChainRunsInOrder(t *testing.T) {
 	t.Parallel()
 	for what, trouble := range map[string]func(*world){
-		"nothing":     func(*world) {},
-		"all end":     func(w *world) { w.at(8*sec, func() { w.bounce(4*sec, sortedKeys(w.nodes)...) }) },
-		"leader ends": func(w *world) { w.at(7*sec, func() { w.bounce(6*sec, w.leaderNode()) }) },
-		"outage":      func(w *world) { w.at(6*sec, func() { w.outage(15 * sec) }) },
-		"zones apart": func(w *world) {
+		"nothing":         func(*world) {},
+		"all restart":     func(w *world) { w.at(8*sec, func() { w.bounce(4*sec, sortedKeys(w.nodes)...) }) },
+		"leader restarts": func(w *world) { w.at(7*sec, func() { w.bounce(6*sec, w.leaderNode()) }) },
+		"outage":          func(w *world) { w.at(6*sec, func() { w.outage(15 * sec) }) },
+		"zones partitioned": func(w *world) {
 			w.at(6*sec, func() { w.apart[[2]string{"n", "s"}] = true })
 			w.at(26*sec, func() { clear(w.apart) })
 		},
@@ -102,20 +103,20 @@
 			w.calm(t)
 			for id, got := range w.whole(ids) {
 				if !slices.Equal(got, []string{wire.JobDone}) {
-					t.Errorf("%s: %v, want done at all nodes", id, got)
+					t.Errorf("%s: status %v, want done at all nodes", id, got)
 				}
 			}
 			if b := w.check.FinishDay(w.now); len(b) > 0 {
-				t.Errorf("the day fails: %v", b)
+				t.Errorf("rules broken over the whole run: %v", b)
 			}
 		})
 	}
 }
 
-// The predecessors of an urgent job with a deadline are due as it needs it, over teams, at every
-// controller alike, also at those that begin later. As long as there is slack they are served as
-// normal work; once there is little they stand on that job's own rung, and give way to nothing
-// less, also the tasks that run by then.
+// The predecessors of an urgent job with a deadline inherit a due time from it, across teams.
+// Every controller computes the same due time, also after a restart. While there is slack they are
+// served at normal priority; once little slack is left they get the urgent job's own tier, and
+// neither they nor their running tasks are preemptible for work of lower priority.
 func TestPredecessorsInheritAcrossTeams(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 901, 1)
@@ -132,15 +133,15 @@
 			}
 			as := wire.Job{Class: "any", Team: "red", Shape: wire.ShapeBatch, Priority: priority}
 			if e.priority != wire.PriorityRank(priority) || e.rank != c.tierOrder.Rank(&as) {
-				t.Errorf("%s: %s: priority %d, rung %d, want those of an %s job", when, n, e.priority, e.rank, priority)
+				t.Errorf("%s: %s: priority %d, tier rank %d, want those of an %s job", when, n, e.priority, e.rank, priority)
 			}
 			if last := float64(c.waitingJobs[ids[4]].record.AcceptedMS)/1000 + 200; e.inheritedDue >= last-4*sec.Seconds() || e.inheritedDue < last-120 {
-				t.Errorf("%s: %s: due at %.1f, the last job at %.1f", when, n, e.inheritedDue, last)
+				t.Errorf("%s: %s: inherited due time %.1f, the last job is due at %.1f", when, n, e.inheritedDue, last)
 			}
 			out = append(out, fmt.Sprintf("%.3f", e.inheritedDue))
 			for _, a := range e.runActive() {
 				if a.idlePriority || a.belowUrgent != (e.priority < urgentRank) {
-					t.Errorf("%s: %s: a task that runs gives way: to normal work %v, to urgent %v", when, n, a.idlePriority, a.belowUrgent)
+					t.Errorf("%s: %s: a running task is preemptible: for normal work %v, for urgent work %v", when, n, a.idlePriority, a.belowUrgent)
 				}
 			}
 		}
@@ -149,21 +150,22 @@
 	before := look("with slack", "normal")
 	for id, got := range w.whole(ids[1:]) {
 		if !slices.Equal(got, []string{wire.JobQueued}) {
-			t.Errorf("%s: %v, want queued at all nodes", id, got)
+			t.Errorf("%s: status %v, want queued at all nodes", id, got)
 		}
 	}
 	w.bounce(3*sec, sortedKeys(w.nodes)...)
 	w.run(20 * sec)
-	if after := look("began later", "normal"); !slices.Equal(before, after) {
-		t.Errorf("due at %v, and %v for those that began later", before, after)
+	if after := look("after the restart", "normal"); !slices.Equal(before, after) {
+		t.Errorf("inherited due times %v before the restart, %v after it", before, after)
 	}
 	if !slices.Equal(slices.Compact(slices.Clone(before)), before[:1]) {
-		t.Errorf("the controllers differ: %v", before)
+		t.Errorf("the controllers computed different due times: %v", before)
 	}
 	w.run(140 * sec)
 	look("with little slack", "urgent")
 }
 
+// runActive returns the active attempts of a job's run, ordered by task.
 func (e *jobEntry) runActive() (list []*attempt) {
 	if e.run != nil {
 		for _, k := range sortedIntKeys(e.run.active) {
@@ -173,33 +175,33 @@
 	return list
 }
 
-// A job of a chain is cancelled, whichever: once its user is told so, no node calls it or one
-// after it anything else, at whatever moment, nothing of those ever starts, and what does not
-// need it goes on.
+// Any job of a chain may be cancelled. Once the cancellation is confirmed to the user, no node
+// reports another status for that job or its dependents at any later moment, no dependent ever
+// starts, and jobs that do not depend on it continue.
 func TestACancellationTakesThoseAfterIt(t *testing.T) {
 	t.Parallel()
 	troubles := map[string]func(w *world, told time.Duration){
 		"nothing": func(*world, time.Duration) {},
-		"watches late": func(w *world, told time.Duration) { // set before the cancellation, below
+		"watches delayed": func(w *world, told time.Duration) { // the lag is set before the cancellation, below
 			w.at(20*sec, func() { w.watchLag = 0 })
 		},
-		"all end at once": func(w *world, told time.Duration) {
+		"all restart at once": func(w *world, told time.Duration) {
 			w.bounce(4*sec, sortedKeys(w.nodes)...)
 		},
-		"an outage a second later": func(w *world, told time.Duration) {
+		"an outage one second later": func(w *world, told time.Duration) {
 			w.at(sec, func() { w.outage(50 * sec) })
 		},
-		"the leader refused, then all": func(w *world, told time.Duration) {
+		"the leader is refused, then an outage": func(w *world, told time.Duration) {
 			n := w.leaderNode()
 			w.cutFrom[n] = true
 			w.at(sec, func() { w.outage(50 * sec) })
 			w.at(51*sec, func() { delete(w.cutFrom, n) })
 		},
-		"hands change": func(w *world, told time.Duration) {
+		"leaders restart": func(w *world, told time.Duration) {
 			w.bounce(300*time.Millisecond, w.leaderNode())
 			w.at(2*sec, func() { w.bounce(sec, w.leaderOr()) })
 		},
-		"writes late": func(w *world, told time.Duration) {
+		"writes executed late": func(w *world, told time.Duration) {
 			w.lateWrites(40, map[string]int{})
 			w.at(40*sec, func() { w.noAnswer = nil })
 		},
@@ -211,27 +213,27 @@
 				w := staffed(t, 910+uint64(k), 1)
 				w.runS = 30 * sec
 				ids := w.chain()
-				if what == "watches late" {
+				if what == "watches delayed" {
 					w.watchLag = 1500 * time.Millisecond
 				}
 				needs := [][]string{ids, {ids[1], ids[3], ids[4]}, {ids[2], ids[3], ids[4]}, {ids[3], ids[4]}}[k]
 				told := false
 				older := func(when string) {
-					if what == "watches late" && when != "repeated" {
-						return // a poll would tell the controller of what it has not heard
+					if what == "watches delayed" && when != "repeated" {
+						return // a poll would make the controller read what its watch has not delivered yet
 					}
 					for _, n := range sortedKeys(w.nodes) {
 						for _, id := range needs {
 							w.ask(n, func(q uint64) any { return Poll{Req: q, ID: id} }, func(a Answer) {
 								if st, _ := a.Body.(wire.JobStatus); a.Status != 503 && (a.Status != 200 || st.Status != wire.JobAborted) {
-									t.Errorf("%s, %v: %s says %d %s of %s", when, w.now, n, a.Status, st.Status, id)
+									t.Errorf("%s, %v: %s answers %d %s for %s", when, w.now, n, a.Status, st.Status, id)
 								}
 							})
-							if when == "repeated" && (id != ids[k] || what != "watches late") {
+							if when == "repeated" && (id != ids[k] || what != "watches delayed") {
 								s := w.jobs[id].spec
 								w.ask(n, func(q uint64) any { return Submit{Req: q, Spec: s} }, func(a Answer) {
 									if st, _ := a.Body.(wire.JobStatus); a.Status != 503 && (a.Status != 200 || st.Status != wire.JobAborted) {
-										t.Errorf("repeated, %v: %s says %d %s of %s", w.now, n, a.Status, st.Status, id)
+										t.Errorf("repeated submission, %v: %s answers %d %s for %s", w.now, n, a.Status, st.Status, id)
 									}
 								})
 							}
@@ -259,26 +261,27 @@
 						want = wire.JobAborted
 					}
 					if !slices.Equal(got, []string{want}) {
-						t.Errorf("%s: %v, want %s at all nodes", id, got, want)
+						t.Errorf("%s: status %v, want %s at all nodes", id, got, want)
 					}
 					if slices.Contains(needs, id) && id != ids[k] && w.startWritten(id) {
-						t.Errorf("%s: starts were written", id)
+						t.Errorf("%s: a start was written for a cancelled dependent", id)
 					}
 				}
 				for _, n := range sortedKeys(w.nodes) {
 					if c := w.nodes[n].core; len(c.waitingJobs) > 0 {
-						t.Errorf("%s: still waiting: %v", n, sortedKeys(c.waitingJobs))
+						t.Errorf("%s: jobs still waiting: %v", n, sortedKeys(c.waitingJobs))
 					}
 				}
 				if b := w.check.FinishDay(w.now); len(b) > 0 {
-					t.Errorf("the day fails: %v", b)
+					t.Errorf("rules broken over the whole run: %v", b)
 				}
 			})
 		}
 	}
 }
 
-// What a submission that names others is answered, each in one line.
+// Submissions with predecessors get the expected status and error message, at the first node and
+// when repeated at the others. Each table entry is one submission.
 func TestSubmissionsThatNameOthers(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 920, 1)
@@ -299,7 +302,7 @@
 	for i, x := range []struct {
 		names  []string
 		status int
-		said   string // the job's state, or what the problem names
+		said   string // the job's status, or the error message
 	}{
 		{[]string{"job-000020"}, 201, wire.JobQueued},
 		{[]string{"job-000020", "job-000020"}, 201, wire.JobQueued},
@@ -312,7 +315,7 @@
 		{hundreds, 422, "job description too large to keep"},
 	} {
 		s := after(spec(fmt.Sprintf("job-%06d", 30+i), "green", wire.ShapeBatch, 1), x.names...)
-		for _, n := range sortedKeys(w.nodes) { // to the first, and repeated at the others
+		for _, n := range sortedKeys(w.nodes) { // submitted to the first node and repeated at the others
 			if x.status < 300 && n == "c0" {
 				w.upload(s)
 			}
@@ -341,8 +344,8 @@
 	}
 }
 
-// A job is cancelled in the moment in which the last task of the one before it ends, over many
-// moments: what the user is told holds, and those after go on after done alone.
+// The first job of a chain is cancelled around the moment when its last task ends, tried at many
+// moments. The status that the user gets stays valid, and the dependents run only if it is done.
 func TestCancelledAsThePredecessorEnds(t *testing.T) {
 	t.Parallel()
 	told := make([]string, 24)
@@ -354,18 +357,18 @@
 			})
 		}
 	})
-	t.Logf("told: %v", told)
+	t.Logf("statuses confirmed: %v", told)
 	if !slices.Contains(told, wire.JobDone) || !slices.Contains(told, wire.JobAborted) {
-		t.Errorf("the moments miss one of the two: %v", told)
+		t.Errorf("the moments do not cover both done and aborted: %v", told)
 	}
 }
 
-// cancelledAtTheEnd plays one moment, and returns what the user was told.
+// cancelledAtTheEnd runs one of these moments and returns the status that the user got.
 func cancelledAtTheEnd(t *testing.T, k int) string {
 	w := staffed(t, 930+uint64(k), 1)
 	ids := w.chain()
 	w.until(60*sec, func() bool { return w.nodes["c0"].core.jobs[ids[0]] != nil && w.begun(ids[0]) })
-	// Its tasks run 4 to 8 s; the moments lie around the end of the last.
+	// Its tasks run for 4 to 8 s; the moments lie around the end of the last task.
 	var at time.Duration
 	w.until(30*sec, func() bool {
 		e := w.nodes["c1"].core
@@ -385,15 +388,16 @@
 	want := map[string]string{wire.JobDone: wire.JobDone, wire.JobAborted: wire.JobAborted}[got]
 	for id, all := range w2.whole(ids) {
 		if want == "" || !slices.Equal(all, []string{want}) {
-			t.Errorf("moment %d: told %q, and %s is %v", k, got, id, all)
+			t.Errorf("moment %d: the user got %q, but %s is %v", k, got, id, all)
 		}
 	}
 	return got
 }
 
-// Three hundred jobs of three teams await one, a few of them through others, and thirty follow each
-// other, under the limits to come. The one is cancelled, and all controllers end: what hangs on it
-// is cancelled at once, cleared in the end, and the thirty run one after the other.
+// Three hundred jobs of three teams depend on one job, some of them indirectly, and thirty jobs
+// form a chain, under small limits of value size, transaction size and write rate. The one job is
+// cancelled and all controllers restart: its dependents are cancelled at once and their entries
+// are eventually removed, and the thirty jobs run one after the other.
 func TestManyDependentsAndALongChain(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 940, 1, func(w *world) {
@@ -401,7 +405,7 @@
 		w.runS = 2 * sec
 	})
 	teams := []string{"red", "blue", "green"}
-	w.submit(spec("job-001000", "red", wire.ShapeBatch, 500)) // has not ended when it is cancelled
+	w.submit(spec("job-001000", "red", wire.ShapeBatch, 500)) // still runs when it is cancelled
 	w.run(2 * sec)
 	var needs []string
 	for i := 1; i <= 300; i++ {
@@ -422,7 +426,7 @@
 		w.run(300 * time.Millisecond)
 	}
 	if n := len(w.nodes["c1"].core.waitingJobs); n < 300 {
-		t.Fatalf("%d jobs wait", n)
+		t.Fatalf("%d jobs wait, want at least 300", n)
 	}
 	told := false
 	w.cancelAt("c1", "job-001000", func() {
@@ -432,7 +436,7 @@
 				for _, n := range sortedKeys(w.nodes) {
 					w.ask(n, func(q uint64) any { return Poll{Req: q, ID: needs[i]} }, func(a Answer) {
 						if st, _ := a.Body.(wire.JobStatus); a.Status != 503 && st.Status != wire.JobAborted {
-							t.Errorf("%s says %d %s of %s", n, a.Status, st.Status, needs[i])
+							t.Errorf("%s answers %d %s for %s", n, a.Status, st.Status, needs[i])
 						}
 					})
 				}
@@ -446,16 +450,16 @@
 	}
 	for id, got := range w.whole(needs) {
 		if !slices.Equal(got, []string{wire.JobAborted}) {
-			t.Errorf("%s: %v when the time for cancellations is over", id, got)
+			t.Errorf("%s: status %v after cancel_s, want aborted", id, got)
 		}
 	}
 	w.until(400*sec, func() bool { return w.check.Final(last) != "" && len(w.nodes["c0"].core.waitingJobs) == 0 })
 	if got := w.check.Final(last); got != wire.JobDone {
-		t.Errorf("the last of thirty is %q", got)
+		t.Errorf("the last of the thirty jobs is %q, want done", got)
 	}
 	for _, n := range sortedKeys(w.nodes) {
 		if left := w.nodes[n].core.waitingJobs; len(left) > 0 {
-			t.Errorf("%s: %d jobs still stand as waiting", n, len(left))
+			t.Errorf("%s: %d jobs are still listed as waiting", n, len(left))
 		}
 	}
 }
