--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -11,23 +11,24 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// gap is one form of the meeting: the state service refuses the leader alone, others confirm
-// cancellations, then the state service is down for all, for longer than cancel_s.
+// gap is one variant of this combination of faults: the state service refuses only the leader,
+// other controllers confirm cancellations, then the state service is down for all controllers for
+// longer than cancel_s.
 type gap struct {
 	name          string
-	lease, cancel time.Duration // 0: 10 s and 40 s
-	alone         time.Duration // the lone refusal, before the outage
-	holder        bool          // not the leader is refused, but a holder beside it
-	hang          bool          // its calls hang instead of being refused
-	noWays        bool          // no calls go through peers
-	from          time.Duration // the first cancellation, after the lone refusal began
-	every         time.Duration // between them
+	lease, cancel time.Duration // WorkerLease and CancelTimeout; 0 means 10 s and 40 s
+	alone         time.Duration // how long only one controller is refused before the outage
+	holder        bool          // refuses a shard holder that does not lead, instead of the leader
+	hang          bool          // its calls to the state service hang instead of being refused
+	noWays        bool          // no calls are relayed by peers
+	from          time.Duration // time of the first cancellation, relative to the start of the refusal
+	every         time.Duration // interval between cancellations
 	before        func(w *world, leader string, others []string)
-	after         func(w *world, leader, by, job string) // a cancellation has been confirmed
-	keeps         bool                                   // all leases live on: what is not cancelled does not stop
+	after         func(w *world, leader, by, job string) // called after each confirmed cancellation
+	keeps         bool                                   // no worker lease may expire: tasks that are not cancelled keep running
 }
 
-// cancelled asks a controller to cancel a job until it says so, and tells when it has.
+// cancelAt asks a controller to cancel a job, repeats that until it is confirmed, then calls told.
 func (w *world) cancelAt(node, id string, told func()) {
 	w.check.Aborting(id)
 	asked, settled := w.now, false
@@ -52,7 +53,7 @@
 	})
 }
 
-// finals lists the jobs of which users have been told a final state.
+// finals lists the jobs whose users got the given final status.
 func (w *world) finals(status string) (out []string) {
 	for _, id := range sortedKeys(w.jobs) {
 		if w.check.Final(id) == status {
@@ -62,9 +63,9 @@
 	return out
 }
 
-// play brings the meeting about and returns the world after it, with how many jobs that the
-// leader holds were confirmed before the outage although its mirror did not have that, and the
-// machines that lost a lease.
+// play runs the faults of a variant. It returns the world after them, the number of cancellations
+// of the leader's jobs that were confirmed before the outage and missing in the leader's mirror,
+// and the machines that lost their lease.
 func (g gap) play(t *testing.T, seed uint64) (w *world, unknown int, lapsed []string) {
 	w = newWorld(t, seed, 3, func(w *world) {
 		if g.lease > 0 {
@@ -81,7 +82,7 @@
 	for i := range 24 {
 		s := spec(fmt.Sprintf("job-%06d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeService, 1)
 		s.DueS, s.Priority = nil, ptr("urgent")
-		if i%4 == 1 { // a task that saves
+		if i%4 == 1 { // a task that saves checkpoints
 			s.CheckpointEvery, s.SaveS = ptr(2.0), ptr(3.0)
 		}
 		w.submit(s)
@@ -120,7 +121,7 @@
 	}
 	began := max(0, -g.from)
 	w.at(began, cut)
-	// Those of the one that is refused go first.
+	// The jobs of the refused controller are cancelled first.
 	slices.SortStableFunc(all, func(a, b string) int {
 		of := func(id string) int {
 			if w.shardRec(*w.jobs[id].spec.Team).Holder == leader {
@@ -150,7 +151,7 @@
 	delete(w.hung, leader)
 	w.run(w.cancelS + 8*sec)
 	for _, n := range w.order {
-		// One that came up meanwhile, in no block yet, has nothing to lose.
+		// A machine that came up meanwhile and was in no block had no lease to lose.
 		if m := w.machines[n]; !m.gone && session[n] > 0 && w.session(m) != session[n] {
 			lapsed = append(lapsed, n)
 		}
@@ -158,42 +159,42 @@
 	return w, unknown, lapsed
 }
 
-// Tasks of cancelled jobs are gone within cancel_s of the confirmation, which the checker
-// judges, whoever confirmed it and whatever the old leader knows.
+// Tasks of cancelled jobs are gone within cancel_s of the confirmation, whichever controller
+// confirmed it and whatever the old leader has received. The checker verifies this.
 func TestCancelledBesideALoneLeaderThenAnOutage(t *testing.T) {
 	t.Parallel()
 	ms := time.Millisecond
 	bounce := func(w *world, _, by, _ string) { w.at(ms, func() { w.bounce(200*ms, by) }) }
 	for _, g := range []gap{
-		{name: "in the seconds of the refusal", alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "no ways around", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
+		{name: "cancelled during the refusal", alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
+		{name: "no relay by peers", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
 		{name: "calls hang", hang: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "calls hang, no ways", hang: true, noWays: true, alone: 2 * sec, from: 50 * ms, every: 150 * ms, keeps: true},
-		{name: "before, in and after", noWays: true, alone: 900 * ms, from: -500 * ms, every: 150 * ms, keeps: true},
+		{name: "calls hang, no relay by peers", hang: true, noWays: true, alone: 2 * sec, from: 50 * ms, every: 150 * ms, keeps: true},
+		{name: "cancelled before, during and after the refusal", noWays: true, alone: 900 * ms, from: -500 * ms, every: 150 * ms, keeps: true},
 		{name: "a long refusal", noWays: true, alone: 14 * sec, from: 11 * sec, every: 240 * ms},
-		{name: "confirmed and ended, back in 0.2 s", noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
-		{name: "confirmed and ended, back in the outage", noWays: true, alone: sec, from: 960 * ms, every: 5 * ms, after: bounce},
-		{name: "ended, with ways", alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
+		{name: "confirming controller restarts in 0.2 s", noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
+		{name: "confirming controller returns in the outage", noWays: true, alone: sec, from: 960 * ms, every: 5 * ms, after: bounce},
+		{name: "confirming controller restarts, with relay by peers", alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
 		{name: "no answer to the write, read back", noWays: true, alone: 5 * sec, from: 100 * ms, every: 100 * ms, keeps: true, before: func(w *world, _ string, _ []string) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 				return 0, len(v.Txn.Then) == 2 && strings.HasPrefix(v.Txn.Then[1].Put, "final/")
 			}
 		}},
-		{name: "said again from memory in the outage", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true, after: func(w *world, _, by, job string) {
+		{name: "status repeated from memory in the outage", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true, after: func(w *world, _, by, job string) {
 			w.at(20*sec, func() { w.poll(by, job) })
 		}},
 		{name: "a holder that does not lead is refused", holder: true, noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "the same, calls hang, with ways", holder: true, hang: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		// Its machines' reports have to prove themselves, and the answers to that renew leases too.
+		{name: "a holder that does not lead, calls hang, with relay by peers", holder: true, hang: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
+		// The machines' reports have to be verified first, and the answers to that renew leases too.
 		{name: "a shard has just been taken over", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, others []string) {
 			w.bounce(6*sec, others[0])
 			w.until(8*sec, func() bool { return w.nodes[others[0]].core != nil && w.nodes[others[0]].core.loaded })
 		}},
-		{name: "peers cut from each other", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, leader string, others []string) {
+		{name: "peers cannot reach each other", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, leader string, others []string) {
 			w.mute[[2]string{others[0], leader}] = true
 			w.at(30*sec, func() { w.silence(leader, false) })
 		}},
-		{name: "pings answered before, their answers late", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "answers to pings are late", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
 			w.peerDelay = func(_ string, v PeerSend) time.Duration {
 				if v.Msg.Reply {
 					return 1500 * ms
@@ -201,11 +202,11 @@
 				return 0
 			}
 		}},
-		{name: "workers hear nothing", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "workers receive nothing", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
 			w.at(2*sec, func() { w.deafen(true, w.order...) })
 			w.at(50*sec, func() { w.deafen(false, w.order...) })
 		}},
-		{name: "machines hang, and go on within their lease", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "machines hang and resume within their lease", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
 			for i := range 6 {
 				w.at(time.Duration(i)*8*sec, func() {
 					for _, n := range w.order {
@@ -219,35 +220,35 @@
 		}},
 		{name: "stops are lost or late", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) { w.unsure = 60 }},
 		{name: "cancel_s close to the lease", lease: 10 * sec, cancel: 14 * sec, noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms},
-		{name: "cancel_s close to the lease, with ways", lease: 10 * sec, cancel: 13 * sec, alone: 2 * sec, from: 100 * ms, every: 140 * ms},
-		{name: "cancel_s close to the lease, a confirmer back", lease: 10 * sec, cancel: 14 * sec, noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
+		{name: "cancel_s close to the lease, with relay by peers", lease: 10 * sec, cancel: 13 * sec, alone: 2 * sec, from: 100 * ms, every: 140 * ms},
+		{name: "cancel_s close to the lease, confirming controller restarts", lease: 10 * sec, cancel: 14 * sec, noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
 	} {
 		t.Run(g.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(300); seed < 302; seed++ {
 				w, unknown, lapsed := g.play(t, seed)
 				if g.noWays && unknown == 0 && g.alone < 10*sec {
-					t.Errorf("seed %d: the leader knew of all cancellations", seed)
+					t.Errorf("seed %d: the leader had received all cancellations", seed)
 				}
 				if g.keeps && len(lapsed) > 0 {
-					t.Errorf("seed %d: leases of %v have run out", seed, lapsed)
+					t.Errorf("seed %d: leases of %v have expired", seed, lapsed)
 				}
-				t.Logf("seed %d: %d confirmed before the outage and unknown to the leader", seed, unknown)
+				t.Logf("seed %d: %d cancellations confirmed before the outage and missing at the leader", seed, unknown)
 				w.unsure, w.noAnswer, w.peerDelay = 0, nil, nil
 				if took := w.until(60*sec, func() bool { return w.up() == 12 }); took > 50*sec {
 					t.Errorf("seed %d: %d replicas run %v after the outage, want 12", seed, w.up(), took)
 				}
 				w.calm(t)
 				if len(w.finals(wire.JobAborted)) != 12 {
-					t.Errorf("seed %d: only %v were cancelled in the end", seed, w.finals(wire.JobAborted))
+					t.Errorf("seed %d: only %v were cancelled, want 12 jobs", seed, w.finals(wire.JobAborted))
 				}
 			}
 		})
 	}
 }
 
-// What a controller says of itself names the grants that it knows, of shards and of blocks, and
-// no mark, which gives nothing to anybody.
+// A controller's statement lists the newest revision of the shards and blocks whose assignment it
+// knows. A write that only sets a mark assigns nothing to anyone, so it does not count.
 func TestStatementsNameGrants(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec})
@@ -279,27 +280,28 @@
 		do   func(ver uint64)
 		new  bool
 	}{
-		{"a shard is made", func(ver uint64) { put(shardKey(0), shard, ver) }, true},
+		{"a shard is created", func(ver uint64) { put(shardKey(0), shard, ver) }, true},
 		{"a block is formed", func(ver uint64) { put(blockKey("x"), block, ver) }, true},
-		{"a shard is settled", func(ver uint64) { shard.Settled = true; put(shardKey(0), shard, ver) }, false},
+		{"a shard is reconciled", func(ver uint64) { shard.Settled = true; put(shardKey(0), shard, ver) }, false},
 		{"a block is marked idle", func(ver uint64) { block.Idle = true; put(blockKey("x"), block, ver) }, false},
 		{"a block moves", func(ver uint64) { block.Shard = 1; put(blockKey("x"), block, ver) }, true},
-		{"a shard goes to another life", func(ver uint64) { shard.Boot = 6; put(shardKey(0), shard, ver) }, true},
+		{"a shard goes to another incarnation", func(ver uint64) { shard.Boot = 6; put(shardKey(0), shard, ver) }, true},
 		{"a shard gains a team", func(ver uint64) { shard.Teams = []string{"red", "blue"}; put(shardKey(0), shard, ver) }, true},
-		{"a shard goes to another", func(ver uint64) { shard.Holder = "a"; put(shardKey(0), shard, ver) }, true},
+		{"a shard goes to another controller", func(ver uint64) { shard.Holder = "a"; put(shardKey(0), shard, ver) }, true},
 	} {
 		before := said()
 		ver := c.mirrorRevision + 10
 		c.mirrorRevision = ver
 		s.do(ver)
 		if got := said(); s.new && got != ver || !s.new && got != before {
-			t.Errorf("%s at %d: said %d, before %d", s.what, ver, got, before)
+			t.Errorf("%s at revision %d: the statement names %d, before it named %d", s.what, ver, got, before)
 		}
 	}
 }
 
-// The other side: an outage that all share comes amid work, and the last changes before it
-// have not reached every mirror. It costs no lease, and so no task.
+// The opposite case: the state service is down for all controllers while work arrives, and the last
+// changes before the outage have not reached every mirror. No worker lease expires, so no task is
+// lost.
 func TestSharedOutageAmidWorkCostsNoLease(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(310); seed < 314; seed++ {
@@ -325,11 +327,11 @@
 		w.noAnswer = nil
 		w.run(59 * sec)
 		if lags == 0 {
-			t.Errorf("seed %d: no mirror lacks anything", seed)
+			t.Errorf("seed %d: every mirror has all changes", seed)
 		}
 		for _, n := range w.order {
 			if m := w.machines[n]; session[n] > 0 && !m.gone && w.session(m) != session[n] {
-				t.Errorf("seed %d: %s has lost its lease", seed, n)
+				t.Errorf("seed %d: %s lost its lease", seed, n)
 			}
 		}
 		if w.up() < 18 {
@@ -339,8 +341,8 @@
 	}
 }
 
-// News of a peer stands against us only if it gives away what we hold; an end of a job is taken
-// like any news of it.
+// An update from a peer counts against this controller only if it may assign away a shard or block
+// that it holds. An update that a job is over is applied like any other.
 func TestNewsAgainstUs(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -367,31 +369,31 @@
 	}
 	put(jobKey("job-000001"), rec, 65)
 	if !c.holdsShard(0) || c.jobs["job-000001"] == nil {
-		t.Fatal("the shard should be held, and the job be there")
+		t.Fatal("the shard is not held, or the job is missing")
 	}
 	for _, n := range []struct {
 		what string
 		e    membership.Entry
 		want bool
 	}{
-		{"our block, moved", membership.Entry{Key: blockKey("x"), Revision: 90}, true},
-		{"our shard, given away", membership.Entry{Key: shardKey(0), Revision: 90}, true},
-		{"our shard, as we have it", membership.Entry{Key: shardKey(0), Revision: 50}, false},
-		{"our block, as our mirror has passed it", membership.Entry{Key: blockKey("x"), Revision: 69}, false},
-		{"another's block", membership.Entry{Key: blockKey("y"), Revision: 90}, false},
-		{"a block that we do not know", membership.Entry{Key: blockKey("z"), Revision: 90}, false},
-		{"another's shard", membership.Entry{Key: shardKey(1), Revision: 90}, false},
-		{"what is no shard", membership.Entry{Key: "live/other", Revision: 90}, true},
+		{"a held block, moved", membership.Entry{Key: blockKey("x"), Revision: 90}, true},
+		{"a held shard, reassigned", membership.Entry{Key: shardKey(0), Revision: 90}, true},
+		{"a held shard, unchanged", membership.Entry{Key: shardKey(0), Revision: 50}, false},
+		{"a held block, older than the mirror", membership.Entry{Key: blockKey("x"), Revision: 69}, false},
+		{"a block of another holder", membership.Entry{Key: blockKey("y"), Revision: 90}, false},
+		{"an unknown block", membership.Entry{Key: blockKey("z"), Revision: 90}, false},
+		{"a shard of another holder", membership.Entry{Key: shardKey(1), Revision: 90}, false},
+		{"a key that is neither shard nor block", membership.Entry{Key: "live/other", Revision: 90}, true},
 		{"a job that is over", membership.Entry{Key: jobKey("job-000001"), Revision: 90}, false},
 	} {
 		if got := c.applyPeerUpdates([]membership.Entry{n.e}); got != n.want {
-			t.Errorf("%s: against us: %v", n.what, got)
+			t.Errorf("%s: counts against this controller: %v", n.what, got)
 		}
 	}
 	if c.jobs["job-000001"] != nil {
-		t.Error("a job that is over lives on")
+		t.Error("a job that is over was not removed")
 	}
-	// What was vouched for before we gained a block says nothing of that.
+	// A confirmation from before this controller gained a block does not cover that block.
 	c.pingNonce++
 	c.confirmation.PingSent(90*sec, c.pingNonce)
 	c.sure(80 * sec)
@@ -400,6 +402,6 @@
 	before := c.confirmation.ConfirmedUntil()
 	put(blockKey("y"), block(0, "n-2"), 71)
 	if before != 90*sec || c.confirmation.ConfirmedUntil() != 0 {
-		t.Errorf("vouched until %v, and %v once another block is ours", before, c.confirmation.ConfirmedUntil())
+		t.Errorf("confirmed until %v, and until %v after gaining another block; want 90 s, then 0", before, c.confirmation.ConfirmedUntil())
 	}
 }
