--- a/internal/core/meeting_late_test.go
+++ b/internal/core/meeting_late_test.go
@@ -10,8 +10,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// kindOfWrite names a transaction of this program by what it does. Each has its line in the
-// table of design.md that says what fences it, or why it needs no fence.
+// kindOfWrite returns the kind of a transaction by what it writes, "" for other calls. The table in
+// design.md has a line for each kind that says what fences it, or why it needs no fence.
 func kindOfWrite(v StateCall) string {
 	if v.Op != OpCommit || len(v.Txn.Then) == 0 {
 		return ""
@@ -19,7 +19,7 @@
 	ch := v.Txn.Then[0]
 	key := ch.Put + ch.Delete
 	of := func(prefix string) bool { return strings.HasPrefix(key, prefix) }
-	made := slices.Contains(v.Txn.If, wire.Condition{Key: key}) // it must not stand there
+	made := slices.Contains(v.Txn.If, wire.Condition{Key: key}) // the key must not exist yet
 	switch {
 	case of(wire.PrefixJob) && made, of(wire.PrefixWaiting) && made:
 		return "acceptance"
@@ -72,8 +72,8 @@
 	return "another: " + key
 }
 
-// lateWrites has, of the writes of some kinds, a share get no answer and be executed 2 to 12 s
-// later, after newer ones. It counts them.
+// lateWrites lets a share (percent) of the writes of the given kinds, of all kinds if none is given,
+// get no answer and be executed 2 to 12 s later, after newer writes. It counts them by kind in late.
 func (w *world) lateWrites(share int, late map[string]int, kinds ...string) {
 	w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 		k := kindOfWrite(v)
@@ -85,8 +85,8 @@
 	}
 }
 
-// eventful plays a minute in which every kind of write is made: work comes and is cancelled,
-// machines are rented, hang and are returned, controllers end and are back at once.
+// eventful runs a little over a minute in which every kind of write is made: jobs are submitted and
+// cancelled, machines are rented, hang and are returned, controllers restart at once.
 func (w *world) eventful(t *testing.T) {
 	names := sortedKeys(w.nodes)
 	for i := range 30 {
@@ -122,7 +122,7 @@
 	w.run(70 * sec)
 }
 
-// allPresent tells which controllers that run are not present in the state as their life.
+// absentNodes lists the running controllers whose current incarnation is not registered in the state.
 func (w *world) absentNodes() (out []string) {
 	for _, n := range sortedKeys(w.nodes) {
 		var r wire.Node
@@ -133,9 +133,9 @@
 	return out
 }
 
-// Each kind of write, executed late and after newer ones, changes nothing that it should not:
-// no rule breaks, each machine is in one block, each controller is present as the life it
-// is, and what is told of reach and wants is what was told last.
+// A write of any kind that is executed late, after newer ones, has no wrong effect: no rule is
+// broken, each machine is in one block, each controller is registered with its current incarnation,
+// and the reachability reports and demand in the state are the ones published last.
 func TestWritesExecutedLate(t *testing.T) {
 	t.Parallel()
 	kinds := []string{"acceptance", "abort", "end", "progress", "starts slot", "block formed", "machines out of blocks, or a block moved",
@@ -144,8 +144,8 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			late := map[string]int{}
-			// Two days at least, and more of them until such a write was made: whether one is
-			// hangs on the seed.
+			// Two runs at least, and more until such a write was made: whether one is made depends on
+			// the seed.
 			for seed := uint64(400); seed < 402 || len(late) == 0 && seed < 420; seed++ {
 				w := staffed(t, seed, 4)
 				if share := 40; kind == "" {
@@ -157,18 +157,18 @@
 				w.noAnswer = nil
 				w.run(30 * sec)
 				if a := w.absentNodes(); a != nil {
-					t.Errorf("seed %d: %v are up and not present", seed, a)
+					t.Errorf("seed %d: %v run but are not registered", seed, a)
 				}
 				for _, n := range sortedKeys(w.nodes) {
-					r := wire.ReachReport{Boot: w.nodes[n].core.presence.Boot()} // none: nothing to tell
+					r := wire.ReachReport{Boot: w.nodes[n].core.presence.Boot()} // no report: nothing to publish
 					_ = wire.Unmarshal(w.key(wire.PrefixReach+n).Value, &r)
 					if own := w.nodes[n].core.ownReach(); !wire.EqualEncoding(r, own) {
-						t.Errorf("seed %d: the word of %s is %+v, it says %+v", seed, n, r, own)
+						t.Errorf("seed %d: the stored reachability report of %s is %+v, its own view is %+v", seed, n, r, own)
 					}
 				}
 				w.calm(t)
 				if b := w.check.FinishDay(w.now); len(b) > 0 {
-					t.Errorf("seed %d: the day fails: %v", seed, b)
+					t.Errorf("seed %d: rules broken over the whole run: %v", seed, b)
 				}
 				if u := w.unfinished(); u != nil {
 					t.Errorf("seed %d: not done: %v", seed, u)
@@ -180,16 +180,16 @@
 			}
 			for k := range late {
 				if strings.HasPrefix(k, "another") || kind == "" && !slices.Contains(kinds, k) && k != "leader makes way" && k != "estimates" {
-					t.Errorf("a kind of write that is in no list: %s", k)
+					t.Errorf("unknown kind of write: %s", k)
 				}
 			}
 		})
 	}
 }
 
-// Blocks are formed of the same machines again and again while most of those writes get no
-// answer and come late, after machines have gone: none is ever in two blocks, which every
-// world judges.
+// Blocks are formed from the same machines repeatedly while most of those writes get no answer and
+// are executed late, after machines have gone. No machine is ever in two blocks; every test world
+// checks that.
 func TestBlocksFormedLate(t *testing.T) {
 	t.Parallel()
 	teams := map[string]Team{}
@@ -216,7 +216,7 @@
 	}
 }
 
-// A cordon whose write got no answer, and is executed after it was lifted, does not come back.
+// A cordon whose write got no answer and is executed after the cordon was lifted has no effect.
 func TestACordonExecutedLateIsNoNews(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 420, 4)
@@ -232,27 +232,28 @@
 		return status
 	}
 	if s := order(&wire.Cordon{Drain: true}); s != 503 {
-		t.Errorf("a cordon without an answer: %d", s)
+		t.Errorf("a cordon whose write got no answer: status %d, want 503", s)
 	}
 	if s := order(&wire.Cordon{}); s != 200 {
-		t.Errorf("a second one: %d", s)
+		t.Errorf("a second cordon: status %d, want 200", s)
 	}
 	if s := order(nil); s != 200 {
-		t.Errorf("lifted: %d", s)
+		t.Errorf("cordon lifted: status %d, want 200", s)
 	}
 	w.run(10 * sec)
 	if first {
-		t.Error("the first write was not held back")
+		t.Error("the first write was not delayed")
 	}
 	for _, n := range sortedKeys(w.nodes) {
 		if _, on := w.nodes[n].core.cordons[at]; on {
-			t.Errorf("%s has a cordon after it was lifted", n)
+			t.Errorf("%s still has the cordon after it was lifted", n)
 		}
 	}
 }
 
-// The presence of a life that ended at once is written late, after that of the next one: it does
-// not take its place, nor go with the earlier grant and leave nobody.
+// The presence of an incarnation that ended at once is written late, after that of the next one. It
+// does not replace the newer presence, and the end of the earlier incarnation's state lease does
+// not leave the controller without one.
 func TestPresenceOfAnEarlierLifeExecutedLate(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{400, 1500, 2500} {
@@ -271,17 +272,17 @@
 			w.run(200 * time.Millisecond)
 			var r wire.Node
 			if err := wire.Unmarshal(w.key(wire.PrefixNode+"c1").Value, &r); w.nodes["c1"].core.presence.Registered() && (err != nil || r.Boot != w.nodes["c1"].core.presence.Boot()) {
-				t.Errorf("%v late: at %v another life is present, or none: %+v", late, w.now, r)
+				t.Errorf("%v late: at %v another incarnation is registered, or none: %+v", late, w.now, r)
 				break
 			}
 		}
 		if a := w.absentNodes(); a != nil || hits == 0 {
-			t.Errorf("%v late: %v are up and not present, %d writes were held back", late, a, hits)
+			t.Errorf("%v late: %v run but are not registered, %d writes were delayed", late, a, hits)
 		}
 	}
 }
 
-// A word on what is reached that is executed after a newer one does not replace it.
+// A reachability report whose write is executed after that of a newer one does not replace it.
 func TestAWordExecutedLateIsNoNews(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 422, 4)
@@ -296,9 +297,9 @@
 	apart := func(from string) {
 		w.mute[[2]string{"c1", from}], w.mute[[2]string{from, "c1"}] = true, true
 	}
-	apart("c2") // the word that says so is on its way for long
+	apart("c2") // the write of the report on this is delayed
 	w.until(20*sec, func() bool { return holds > 0 })
-	apart("c0") // and another follows
+	apart("c0") // a second report follows
 	var r wire.ReachReport
 	w.until(11*sec, func() bool {
 		_ = wire.Unmarshal(w.key(wire.PrefixReach+"c1").Value, &r)
@@ -307,6 +308,6 @@
 	second := w.key(wire.PrefixReach + "c1").Version
 	w.run(15 * sec)
 	if now := w.key(wire.PrefixReach + "c1").Version; holds != 1 || len(r.UnreachableNodes) != 2 || now != second {
-		t.Errorf("%d words were held back; the one at %d, of %v, was replaced at %d", holds, second, r.UnreachableNodes, now)
+		t.Errorf("%d reports were delayed; the one at version %d, naming %v, was replaced at version %d", holds, second, r.UnreachableNodes, now)
 	}
 }
