--- a/internal/core/meeting_beliefs_test.go
+++ b/internal/core/meeting_beliefs_test.go
@@ -10,10 +10,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Each test here rests on one line of design.md, "What is believed", that no other test was
-// found to need: it fails with that line taken out.
+// Each test here covers one line of design.md, "What is believed", that no other test was found to
+// depend on: it fails when the code of that line is removed.
 
-// longWork has one job of one team run tasks of minutes, and returns the world once all of them run.
+// longWork submits one job of one team with tasks that run for minutes, and returns the world once
+// all of them run.
 func longWork(t *testing.T, seed uint64, tasks int, cpus float64, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.capacity, w.lease, w.runS = 0, 22*sec, 400*sec
@@ -36,7 +37,7 @@
 	return w
 }
 
-// sitesOf maps each task of job-000001 that runs to its machine.
+// sitesOf maps each running task of job-000001 to its machine.
 func (w *world) sitesOf() map[string]string {
 	at := map[string]string{}
 	for _, n := range w.order {
@@ -49,10 +50,10 @@
 	return at
 }
 
-// A shard is granted away from a holder that is present in the state, and at that moment a cut
-// leaves it alone with its zone: it may answer its workers until it has gone unconfirmed for
-// too long. Only a later life of it, not that it stood in the state, proves it dead. Fails (ran_twice) without
-// the comparison of lives in allIncarnationsDead.
+// A shard is assigned away from a holder that is present in the state, while a partition leaves the
+// holder alone with its zone: it may answer its workers until it has gone unconfirmed for too long.
+// Only a later incarnation proves the earlier one dead; that it is present in the state does not.
+// Fails (ran_twice) without the comparison of incarnations in allIncarnationsDead.
 func TestAHolderThatIsPresentIsNotTakenForDead(t *testing.T) {
 	t.Parallel()
 	for _, tasks := range []int{3, 9} {
@@ -70,7 +71,7 @@
 				}
 			}
 			if rec := w.shardRec("red"); apart == 0 || rec.Holder != lone || !rec.Settled {
-				t.Fatalf("not the meeting: %d tasks in the zone, held by %s", apart, rec.Holder)
+				t.Fatalf("faults did not coincide: %d tasks in the zone, shard held by %s", apart, rec.Holder)
 			}
 			w.apart[[2]string{"n", "s"}] = true
 			w.hung[lone] = true
@@ -85,7 +86,7 @@
 	}
 }
 
-// grantTo gives a team's shard to a controller that is present, as a leader does.
+// grantTo assigns a team's shard to a controller that is present, as a leader does.
 func (w *world) grantTo(team, to string) {
 	w.store.Scan(wire.PrefixShard, func(it wire.Item) {
 		var rec wire.Shard
@@ -94,7 +95,7 @@
 		}
 		var node wire.Node
 		if err := wire.Unmarshal(w.key(wire.PrefixNode+to).Value, &node); err != nil {
-			w.t.Fatalf("%s is not present: %v", to, err)
+			w.t.Fatalf("%s is not registered: %v", to, err)
 		}
 		rec.Past, rec.Known = append(rec.Past, wire.Incarnation{Node: rec.Holder, Boot: rec.Boot}), rec.Known || rec.Settled
 		rec.Holder, rec.Boot, rec.Settled = to, node.Boot, false
@@ -103,10 +104,11 @@
 	w.run(20 * time.Millisecond)
 }
 
-// The task of a small job goes to another machine, and its holder ends while that one cannot be
-// asked: the successor waits for the machine of the last start, which was written before it. Fails
-// (ran_twice) if a start is neither written with its machine (placementChanged) nor held back until it is
-// (startable); with one of the two alone it is not sent at all.
+// The task of a small job moves to another machine, and its holder ends while that machine cannot
+// be queried. The successor waits for the machine of the last start, which was written before the
+// start was sent. Fails (ran_twice) if a start is neither written with its machine
+// (placementChanged) nor held back until it is (startable); with one of the two alone the start is
+// not sent at all.
 func TestASmallJobWaitsForTheMachineOfItsLastStart(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(940); seed < 943; seed++ {
@@ -119,7 +121,7 @@
 		w.run(4 * sec)
 		second := w.runsOn(task)
 		if second == "" || second == first || len(w.machines[first].tasks()) > 0 {
-			t.Fatalf("not the meeting: the task was on %s, is on %q", first, second)
+			t.Fatalf("faults did not coincide: the task was on %s, is on %q", first, second)
 		}
 		w.hang(w.machines[second])
 		w.bounce(3*sec, w.shardRec("red").Holder)
@@ -132,9 +134,10 @@
 	}
 }
 
-// A machine with work on it is drained, its worker hears nothing, and the cloud cannot be reached: its name stays in its block until the cloud has said that it is gone, and it is not
-// promised empty, also for whoever takes its holder's place. Fails (ran_twice) if a name leaves its block as its deletion
-// is asked for, and if a machine is called empty with work on it.
+// A machine with work on it is drained while its worker receives nothing and the cloud cannot be
+// reached. Its name stays in its block until the cloud has confirmed that it is gone, and it is not
+// marked empty, also under a successor of its holder. Fails (ran_twice) if a name leaves its block
+// when its deletion is requested, and if a machine is marked empty with work on it.
 func TestAMachineThatIsToBeReturnedMayStillRun(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -154,11 +157,11 @@
 			w.run(14 * sec)
 			_, rec := w.blockRec(x)
 			if i := slices.IndexFunc(rec.Machines, func(m wire.BlockMachine) bool { return m.Name == x }); i < 0 {
-				t.Errorf("%s has left its block, and the cloud has not deleted it", x)
+				t.Errorf("%s has left its block, but the cloud has not deleted it", x)
 			} else if m := rec.Machines[i]; m.Empty {
-				t.Errorf("%s is promised empty: %+v", x, m)
+				t.Errorf("%s is marked empty: %+v", x, m)
 			} else if len(w.machines[x].tasks()) == 0 {
-				t.Fatal("not the meeting: nothing is on the machine")
+				t.Fatal("faults did not coincide: no task is on the machine")
 			}
 			w.run(30 * sec)
 			w.deafen(false, x)
@@ -169,9 +172,9 @@
 	}
 }
 
-// A holder's mark that a block is idle gets no answer, its holder ends, and the mark arrives once the
-// successor has work there: it fails on the shard. Fails (work on an idle block) without the comparison of the shard
-// in the holder's writes.
+// A holder's write that marks a block idle gets no answer, the holder ends, and the write is executed
+// once the successor has work there: the write fails its condition on the shard. The test fails
+// (work on an idle block) without the comparison of the shard in the holder's writes.
 func TestAMarkOfAnEarlierHolderArrivesLate(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(960); seed < 963; seed++ {
@@ -195,25 +198,25 @@
 		if err := wire.Unmarshal(w.key(shardKey(marked.Shard)).Value, &rec); err != nil || marked.Machines == nil {
 			t.Fatalf("no block was marked: %v", err)
 		}
-		s = spec("job-000003", rec.Teams[0], wire.ShapeBatch, 40) // wants each place that its shard has
+		s = spec("job-000003", rec.Teams[0], wire.ShapeBatch, 40) // fills all capacity of its shard
 		s.CPUs, s.DueS, s.ImageGB = ptr(1.0), nil, ptr(0.01)
 		w.submit(s)
 		at := marked.Machines[0].Name
 		w.run(13 * sec)
 		if _, now := w.blockRec(at); len(w.machines[at].tasks()) == 0 || now.Idle {
-			t.Fatalf("not the meeting: nothing is on %s, or the mark was executed: %+v", at, now)
+			t.Fatalf("faults did not coincide: no task is on %s, or the mark was written: %+v", at, now)
 		}
 		w.run(20 * sec)
-		w.abort("job-000002") // there is more work than room, and its tasks run for minutes
+		w.abort("job-000002") // there is more work than capacity, and its tasks run for minutes
 		w.abort("job-000003")
 		w.run(20 * sec)
 		w.calm(t)
 	}
 }
 
-// Blocks of a shard beyond its guarantees are emptied for another's, and what is stopped there saves for
-// seconds: no block is marked idle before the last of it has gone. Fails (work on an idle block) if blocks
-// are marked with work on them.
+// Blocks that a shard has beyond its guarantees are emptied for another shard, and the tasks stopped
+// there save checkpoints for seconds. No block is marked idle before the last task has gone. Fails
+// (work on an idle block) if blocks are marked with work on them.
 func TestABlockThatIsEmptiedIsNotIdleWhileTasksSave(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 970, 3, func(w *world) {
@@ -246,10 +249,10 @@
 		}
 	}
 	if saving == 0 {
-		t.Fatal("not the meeting: no task saved")
+		t.Fatal("faults did not coincide: no task saved a checkpoint")
 	}
 	w.until(60*sec, func() bool { return w.running("job-000002") == 4 })
 	if n := w.running("job-000002"); n != 4 {
-		t.Errorf("%d of 4 tasks within a guarantee run", n)
+		t.Errorf("%d of 4 tasks within the guarantee run", n)
 	}
 }
