--- a/internal/core/meeting_hands_test.go
+++ b/internal/core/meeting_hands_test.go
@@ -9,32 +9,34 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// settledUp waits until all replicas that are wanted run again, and then for quiet time.
+// backTo ends all delays and losses, waits until the expected number of replicas runs again, and then
+// checks the world at rest.
 func (w *world) backTo(t *testing.T, replicas int, within time.Duration) {
 	t.Helper()
 	w.noAnswer, w.holdOrders, w.copies, w.unsure, w.slowState = nil, 0, 0, 0, 0
 	if took := w.until(within+10*sec, func() bool { return w.up() == replicas }); took > within {
-		t.Errorf("%d of %d replicas run after %v", w.up(), replicas, took)
+		t.Errorf("%d of %d replicas run after %v of waiting", w.up(), replicas, took)
 	}
 	w.calm(t)
 	if b := w.check.FinishDay(w.now); len(b) > 0 {
-		t.Errorf("the day fails: %v", b)
+		t.Errorf("rules broken over the whole run: %v", b)
 	}
 }
 
-// Two changes of hands of a shard or of leadership, one within a second of the other, while a
-// third of all writes is executed late; each life back after 50 to 900 ms. Tokens of each
-// machine rise with each change, nothing runs twice, and all is as before in the end. A shard that
-// comes home by its new holder's own write is taken up only once the mirror has reached that: it fails
-// without `c.rev < c.shards[i].ver` in startHoldingShards (ran_twice, in "home by its own write").
+// A shard or the leadership changes holder twice within about a second while 30 % of all writes are
+// executed late, and each controller restarts after 50 to 900 ms. The tokens of each machine rise
+// with each change, nothing runs twice, and all replicas run again in the end. A holder that takes
+// a shard back by its own write starts to hold it only once its mirror has reached that write:
+// without the comparison of the mirror's revision with the shard's version in startHoldingShards
+// the first subtest fails (ran_twice).
 func TestHandsThereAndBack(t *testing.T) {
 	t.Parallel()
-	t.Run("home by its own write", comesHome)
+	t.Run("shard taken back by its own write", comesHome)
 	changes := []trouble{
-		{"the holder ends", func(w *world, d time.Duration) { w.bounce(d, w.shardRec("red").Holder) }},
-		{"the leader ends", func(w *world, d time.Duration) { w.bounce(d, w.leaderOr()) }},
-		{"all end", func(w *world, d time.Duration) { w.bounce(d, sortedKeys(w.nodes)...) }},
-		{"all end, one is back", func(w *world, d time.Duration) {
+		{"the holder restarts", func(w *world, d time.Duration) { w.bounce(d, w.shardRec("red").Holder) }},
+		{"the leader restarts", func(w *world, d time.Duration) { w.bounce(d, w.leaderOr()) }},
+		{"all restart", func(w *world, d time.Duration) { w.bounce(d, sortedKeys(w.nodes)...) }},
+		{"all restart, one before the others", func(w *world, d time.Duration) {
 			names := sortedKeys(w.nodes)
 			w.bounce(d, names[0])
 			w.bounce(6*sec, names[1:]...)
@@ -61,7 +63,7 @@
 							_ = wire.Unmarshal(it.Value, &s)
 							key := fmt.Sprint(it.Key, s.Holder, s.Boot)
 							if old, ok := grants[it.Key]; ok && it.Version < old {
-								t.Fatalf("the token of %s falls from %d to %d", it.Key, old, it.Version)
+								t.Fatalf("the token of %s fell from %d to %d", it.Key, old, it.Version)
 							}
 							if grants[key] == 0 {
 								grants[key] = it.Version
@@ -79,12 +81,12 @@
 						watch()
 					}
 					if rose == first && !strings.Contains(a.name+b.name, "hears") {
-						t.Errorf("back after %v ms: no shard has changed hands", int64(back))
+						t.Errorf("restart after %v ms: no shard changed holder", int64(back))
 					}
 					w.run(10 * sec)
 					w.backTo(t, 12, 45*sec)
 					if x := w.absentNodes(); x != nil {
-						t.Errorf("%v are up and not present", x)
+						t.Errorf("%v run but are not registered", x)
 					}
 				}
 			})
@@ -92,10 +94,10 @@
 	}
 }
 
-// Calls of workers are held for up to a minute, while shards and blocks change hands there and
-// back and sessions end, and are delivered then; their answers come late too. Stops of
-// tasks that were moved, preempted and cancelled are under way. What no sender may order is
-// refused, which checkOrder and the rules judge.
+// Calls to workers are held for up to a minute while shards and blocks change holder and change back
+// and sessions end; then they are delivered, and their answers are late too. Among them are stops of
+// tasks that were moved, preempted and cancelled. A worker refuses what the sender has no authority
+// to order; checkOrder and the rules verify that.
 func TestCallsHeldWhileMachinesMove(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(700); seed < 712; seed++ {
@@ -107,13 +109,13 @@
 				id = w.newWork(id)
 			}
 			n := w.shardRec([]string{"red", "blue", "green"}[w.rng.IntN(3)]).Holder
-			w.oneWay[n] = "reports" // its shard goes to another, and back when it hears again
+			w.oneWay[n] = "reports" // its shard goes to another controller, and back once it receives reports again
 			w.at(5*sec, func() { delete(w.oneWay, n) })
 			if w.rng.IntN(2) == 0 {
 				w.bounce(300*time.Millisecond, w.anyNode())
 			}
 			m := w.machines[w.order[w.rng.IntN(len(w.order))]]
-			w.hang(m) // its calls wait, and are read when it goes on, in its next session perhaps
+			w.hang(m) // calls to it wait and are read once it resumes, perhaps in its next session
 			w.at(time.Duration(4+w.rng.IntN(14))*sec, func() { w.resume(m) })
 			w.run(9 * sec)
 		}
@@ -130,9 +132,9 @@
 	}
 }
 
-// A call that was held while its machine went to another holder and back is refused: what it
-// stops may be wanted again. A worker that hung meanwhile has seen no token since, so it is the
-// attempt's number that says what is stopped.
+// A call that was held while its machine went to another holder and back is refused: the task that
+// it stops may have to run again. A worker that hung meanwhile has seen no newer token, so there the
+// attempt number decides what is stopped.
 func TestAHeldStopStopsNothingElse(t *testing.T) {
 	t.Parallel()
 	for _, hang := range []bool{false, true} {
@@ -158,25 +160,26 @@
 		}
 		status, r, _ := m.Orders(w.now, stop.Orders)
 		if !hang && (status != 409 || r.Token <= stop.Orders.Token) {
-			t.Errorf("the stop of an earlier holder is answered %d, the worker has seen %d, it names %d", status, r.Token, stop.Orders.Token)
+			t.Errorf("the stop of an earlier holder got status %d; the worker has seen token %d, the stop has token %d", status, r.Token, stop.Orders.Token)
 		}
 		w.backTo(t, 12, 40*sec)
 	}
 }
 
-// A leader ends, and those of its own machines that run long tasks cannot be reached, hang, or do
-// not hear the next one, for a part of their lease up to three; one of them has its notice meanwhile,
-// and deletions fail for long. Where the lease lived, the tasks are found again, none was started
-// anew. The leader is back once others have taken its shard over, which proves its earlier life dead:
-// from then on a lease is counted from the change of hands. Before, it was back sooner, there was no
-// room, and the machines were those of the other zone: a lease counted as one second passed.
+// A leader ends, and those of its own machines that run tasks cannot be reached, hang, or do not
+// receive calls of the next one, for part of their lease or up to three leases. Meanwhile one of them
+// gets its notice of reclamation, and deletions fail for long. Where the lease did not expire, the
+// tasks are found again and none is started anew. The leader restarts once others have taken its
+// shard over, which proves its earlier incarnation dead: from then on a lease is counted from the
+// change of holder. An earlier form of this test, in which the leader returned sooner, no capacity
+// was free and the machines were those of the other zone, passed with a lease counted as one second.
 func TestMachinesUnreachedWhenALeaderEnds(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"apart", "hang", "deaf"} {
 		for _, d := range []time.Duration{8 * sec, 16 * sec, 40 * sec} {
 			t.Run(fmt.Sprint(how, " for ", d), func(t *testing.T) {
 				w := staffed(t, 720, 4, func(w *world) { w.lease = 14 * sec })
-				for i := range 6 { // room for what would be started anew
+				for i := range 6 { // free capacity for tasks that would be started anew
 					w.addMachine([]string{"n", "s"}[i%2], false, sec)
 				}
 				w.run(15 * sec)
@@ -213,8 +216,8 @@
 				w.bounce(4*sec, leader)
 				w.at(3*sec, func() { w.machines[at[0]].Notice(w.now + 8*sec) })
 				if d < w.lease {
-					// Reports come each 2 s, give or take a quarter, and try another controller a second
-					// after one that is gone: 8 s leave a lease of 14.
+					// Reports are sent every 2 s, give or take a quarter, and go to another controller
+					// one second after one that is gone: 8 s leave time within a lease of 14 s.
 					w.run(d + 9*sec)
 					lost := 0
 					for _, n := range at[1:] {
@@ -223,9 +226,9 @@
 						}
 					}
 					if lost > 0 {
-						t.Errorf("%d leases have run out", lost)
+						t.Errorf("%d leases have expired", lost)
 					}
-					moved := 4 // of the machine with a notice, and of one whose replicas were alone
+					moved := 4 // tasks of the machine with a notice, and of one whose replicas had no others
 					if n := w.check.Started() - before; n > moved {
 						t.Errorf("%d tasks were started anew, want at most %d", n, moved)
 					}
