--- a/internal/core/meeting_zones_test.go
+++ b/internal/core/meeting_zones_test.go
@@ -9,19 +9,19 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A zone with workers and a controller is cut off for longer than a lease, from the others
-// alone or from the state service too. Users cancel and submit meanwhile, machines hang, and
-// the leader ends. All is as before in the end.
+// A zone with workers and a controller is partitioned for longer than a lease, from the other zone
+// only or from the state service too. Meanwhile users cancel and submit, machines hang, and the
+// leader may restart. In the end all jobs are finished and all services run.
 func TestAZoneCutOffForLongerThanALease(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name  string
 		cut   time.Duration
-		state bool // from the state service too
-		ends  bool // the leader ends meanwhile
+		state bool // also partitioned from the state service
+		ends  bool // the leader restarts meanwhile
 	}{
 		{"15 s", 15 * sec, false, false}, {"45 s", 45 * sec, false, true},
-		{"15 s, from the state", 15 * sec, true, true}, {"45 s, from the state", 45 * sec, true, false}, {"90 s, from the state", 90 * sec, true, true},
+		{"15 s, from the state service too", 15 * sec, true, true}, {"45 s, from the state service too", 45 * sec, true, false}, {"90 s, from the state service too", 90 * sec, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -46,9 +46,9 @@
 	}
 }
 
-// Jobs bound to one zone, by name or to whichever they begin in, arrays and small ones, lose
-// machines: one after the other, half a zone at once, or a block that hangs, while the leader
-// or their holder ends. No task goes to another zone, and all are done.
+// Jobs bound to one zone, a named one or the one in which they start, small or with many tasks, lose
+// machines: one after the other, several of a zone at once, or by hanging, while the leader or the
+// holder of a shard restarts. No task goes to another zone, and all jobs are done.
 func TestJobsOfOneZoneLoseMachines(t *testing.T) {
 	t.Parallel()
 	for _, ends := range []string{"nobody", "the leader", "the holder"} {
@@ -65,12 +65,12 @@
 					}
 					w.at(time.Duration(i)*2*sec, func() { w.submit(s) })
 				}
-				big := spec("job-300000", "red", wire.ShapeBatch, 40) // some of it always waits
+				big := spec("job-300000", "red", wire.ShapeBatch, 40) // some of its tasks always wait
 				big.OneZone, big.CPUs, big.DueS, big.ImageGB = ptr(true), ptr(2.0), nil, ptr(0.01)
 				w.submit(big)
 				for k := range 5 {
 					w.run(time.Duration(4+w.rng.IntN(4)) * sec)
-					for _, n := range w.order { // those it is on can't be asked by the next holder
+					for _, n := range w.order { // the next holder cannot query the machines of the large job
 						for _, a := range w.machines[n].tasks() {
 							if m := w.machines[n]; ends == "the holder" && strings.HasPrefix(a.Task, "job-300000/") && !m.Fault.Hung {
 								w.hang(m)
@@ -102,8 +102,8 @@
 	}
 }
 
-// There is more work than room, urgent and not, over slow links. No
-// team goes beyond its limit, urgent work begins within bounds, and all is done in the end.
+// There is more work than capacity, urgent and not, and the links are slow. No team exceeds its
+// limit, urgent jobs start within a bound, and all jobs are done in the end.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{40, 120, 240} {
@@ -119,7 +119,7 @@
 				for i := range 40 {
 					s := spec(fmt.Sprintf("job-3%05d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeBatch, 2+i%4)
 					if s.DueS, s.ImageGB = nil, ptr(0.01); i%4 == 3 {
-						s.Priority, s.Tasks, s.CPUs = ptr("urgent"), ptr(int64(1)), ptr(3.0) // lesser work has to give way
+						s.Priority, s.Tasks, s.CPUs = ptr("urgent"), ptr(int64(1)), ptr(3.0) // lower priorities have to be preempted
 						w.at(time.Duration(i)*sec, func() { asked[*s.ID] = w.now })
 					}
 					w.at(time.Duration(i)*sec, func() { w.submit(s) })
@@ -135,9 +135,9 @@
 				}
 				for _, id := range sortedKeys(asked) {
 					if took := began[id] - asked[id]; began[id] == 0 {
-						t.Errorf("seed %d: %s, urgent, has not begun", seed, id)
-					} else if took > 50*sec { // 40 s was seen, once, at 240 ms
-						t.Errorf("seed %d: %s, urgent, begins after %v", seed, id, took)
+						t.Errorf("seed %d: urgent job %s has not started", seed, id)
+					} else if took > 50*sec { // one run took 40 s, at 240 ms
+						t.Errorf("seed %d: urgent job %s started after %v, want at most 50 s", seed, id, took)
 					}
 				}
 				w.slowLinks = 0
@@ -148,10 +148,10 @@
 	}
 }
 
-// Workers of some machines, of a zone or of all open connections to no controller, while direct
-// calls reach them: for less than a lease, or for several. Jobs are cancelled, and the leader ends,
-// or the holder. What is cancelled is stopped by call before the lease would end it, and what
-// they ran goes on elsewhere or again.
+// The workers of three machines, of a zone, or all workers cannot open connections to any controller,
+// while calls from controllers still reach them, for less than a lease or for several leases. A job
+// is cancelled, and the leader or a holder may restart. The cancelled job is stopped by a call
+// before its lease would end it, and other tasks continue elsewhere or start again.
 func TestWorkersWithoutAVoice(t *testing.T) {
 	t.Parallel()
 	for _, who := range []string{"three", "a zone", "all"} {
@@ -185,7 +185,7 @@
 					w.abort(*off.ID)
 					w.run(4 * sec)
 					if on := w.check.On(*off.ID, w.now); seed%3 == 2 && on != nil {
-						t.Errorf("seed %d: 4 s after it was cancelled, %v", seed, on)
+						t.Errorf("seed %d: 4 s after the cancellation the job still runs on %v", seed, on)
 					}
 					w.run(d - 5*sec)
 					w.speechless = nil
@@ -197,9 +197,9 @@
 	}
 }
 
-// No controller is entitled to act for longer than a silent machine is waited for: the state
-// service is down, and the controllers cannot speak to each other. They took no reports
-// themselves, so afterwards that is held against no machine.
+// The state service is down and the controllers cannot reach each other, so no controller has the
+// authority to act, for longer than the time after which a silent machine is returned. They accepted
+// no reports in that time, so afterwards no machine may be returned for its missing reports.
 func TestMachinesAreNotGivenBackForOurOwnSilence(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 896, 4)
@@ -211,14 +211,14 @@
 	w.run(80 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		if w.nodes[n].core.authorized() {
-			t.Fatalf("%s is sure to be entitled", n)
+			t.Fatalf("%s has authority to act", n)
 		}
 		w.silence(n, false)
 	}
 	w.run(20 * sec)
 	for _, n := range standing {
 		if w.machines[n].gone {
-			t.Errorf("%s was given back", n)
+			t.Errorf("%s was returned to the cloud", n)
 		}
 	}
 	w.backTo(t, 12, 40*sec)
