--- a/internal/core/meeting_reports_test.go
+++ b/internal/core/meeting_reports_test.go
@@ -8,12 +8,12 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// hand gives a report to a controller as if it came just now; nobody hears the answer.
+// hand delivers a report to a controller as if it had just arrived, and discards the answer.
 func (w *world) hand(node string, r wire.Report) {
 	w.ask(node, func(q uint64) any { return WorkerReport{Req: q, Report: r} }, func(Answer) {})
 }
 
-// runsOn names the machine that a task runs on, "" if none.
+// runsOn returns the machine on which a task runs, "" if there is none or it hangs.
 func (w *world) runsOn(task string) string {
 	for _, n := range w.order {
 		for _, a := range w.machines[n].tasks() {
@@ -25,7 +25,7 @@
 	return ""
 }
 
-// blockRec is the record of a machine's block.
+// blockRec returns the key and the stored record of a machine's block.
 func (w *world) blockRec(machine string) (id string, rec wire.Block) {
 	w.store.Scan(wire.PrefixBlock, func(it wire.Item) {
 		var b wire.Block
@@ -39,10 +39,10 @@
 	return id, rec
 }
 
-// A report is held back until a new holder has acted, and arrives there before any other of its
-// machine: it names a task that has gone to another machine since, which nobody can ask now. Its
-// own machine has been promised empty, so nothing was asked of it before. That the task is not
-// in the machine's next report does not say that it is nowhere.
+// A report is delayed until a new holder has taken over, and arrives there before any other report of
+// its machine. It names a task that has since moved to another machine, which cannot be queried now.
+// The reporting machine was marked empty, so the new holder did not query it. That the task is
+// missing from this machine's next report does not prove that it runs nowhere.
 func TestAReportHeldForTheNextHolder(t *testing.T) {
 	t.Parallel()
 	for _, tasks := range []int{1, 5} {
@@ -111,10 +111,10 @@
 			w.until(20*sec, func() bool { return c.machines[x] != nil && c.machines[y] != nil })
 			w.run(300 * time.Millisecond)
 			if mx, my := c.machines[x], c.machines[y]; !rec.Idle || len(held.Attempts) == 0 || mx == nil || my == nil || mx.inherited || mx.reported || !my.inherited || my.accounted || w.runsOn(task) != "" {
-				t.Fatalf("not the meeting: %s is to be empty and unheard %+v, the task is to be on %s, of which nobody knows %+v", x, mx, y, my)
+				t.Fatalf("faults did not coincide: %s must be empty and not have reported %+v, the task must be on %s, which must be unaccounted for %+v", x, mx, y, my)
 			}
 			w.hand(next, held)
-			hangBlock(x, false) // its own reports follow
+			hangBlock(x, false) // the machine's own reports follow
 			w.run(9 * sec)
 			w.resume(w.machines[y])
 			for _, n := range sortedKeys(w.nodes) {
@@ -124,20 +124,20 @@
 			}
 			w.run(5 * sec)
 			if on := w.runsOn(task); on != y {
-				t.Errorf("the task runs on %q, it was on %s all the time", on, y)
+				t.Errorf("the task runs on %q, but it was on %s all the time", on, y)
 			}
 			w.calm(t)
 		})
 	}
 }
 
-// Old reports of all machines, of this session and of earlier ones, reach every controller just
-// as a new leader begins, or as it has taken a shard over, or a while after, while some machines
-// can't be asked within their leases. Tasks have moved between machines before, and empty
-// blocks between shards. No task runs twice, and all is as before in the end.
+// Old reports of all machines, from the current session and earlier ones, reach every controller just
+// as a new leader starts, and again when a shard has been taken over or some time later, while some
+// machines cannot be queried within their leases. Tasks have moved between machines before, and
+// empty blocks between shards. No task runs twice, and all jobs are done in the end.
 func TestOldReportsReachEverybodyAsALeaderBegins(t *testing.T) {
 	t.Parallel()
-	for _, after := range []time.Duration{0, 30, 300, 1500, 4000} { // ms after a shard has been taken over
+	for _, after := range []time.Duration{0, 30, 300, 1500, 4000} { // ms after a shard was taken over
 		t.Run(fmt.Sprint(int64(after), " ms after"), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(820); seed < 826; seed++ {
@@ -169,7 +169,7 @@
 							w.at(d, func() { w.resume(m) })
 						}
 					}
-					for range 6 { // what they run goes elsewhere
+					for range 6 { // their tasks move to other machines
 						hang(w.lease + 12*sec)
 					}
 					w.run(w.lease + 14*sec)
@@ -177,7 +177,7 @@
 					for n, list := range w.keep {
 						old[n] = list
 					}
-					for range 4 { // and these can't be asked
+					for range 4 { // these cannot be queried
 						hang(w.lease - 3*sec)
 					}
 					began := map[string]bool{w.leaderNode(): true}
@@ -214,10 +214,10 @@
 					}
 				}
 				w.run(60 * sec)
-				w.until(120*sec, func() bool { return w.unfinished() == nil }) // tasks run for up to 70 s, some of them again
+				w.until(120*sec, func() bool { return w.unfinished() == nil }) // tasks run for up to 70 s, and some run again
 				w.calm(t)
 				if u := w.unfinished(); u != nil || handed < 100 {
-					t.Errorf("seed %d: not done: %v; %d old reports came", seed, u, handed)
+					t.Errorf("seed %d: not done: %v; %d old reports were delivered, want at least 100", seed, u, handed)
 				}
 			}
 		})
