--- a/internal/core/meeting_ends_test.go
+++ b/internal/core/meeting_ends_test.go
@@ -10,11 +10,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A cancellation, a question or a repeated submission meets the end of a job's last task, with no
-// other trouble: sent from 400 ms before the end to 1.6 s after it, at each controller. The job
-// is done or cancelled for everybody, and the cancellation is confirmed by the first request.
-// It fails without the conditions of the abort's write on the job's two records (one of them is
-// enough), and without that of the end's (addJob).
+// A cancellation, a poll or a repeated submission coincides with the end of a job's last task, with
+// no other fault: it is sent from 400 ms before the end to 1.6 s after it, at each controller. All
+// controllers agree that the job is done or cancelled, and the first request for cancellation is
+// answered with the final status. The test fails without the conditions of the abort's write on the
+// job's two records (one of them is enough), and without the condition of the end's write (addJob).
 func TestCancelledAtTheLastEnd(t *testing.T) {
 	t.Parallel()
 	for _, tasks := range []int{1, 2} {
@@ -49,18 +49,18 @@
 				w.run(60 * sec)
 				w.calm(t)
 				if u := w.unfinished(); u != nil {
-					t.Errorf("seed %d: not over: %v", seed, u)
+					t.Errorf("seed %d: not finished: %v", seed, u)
 				}
 			}
 			if outcomes[wire.JobDone] < 5 || outcomes[wire.JobAborted] < 5 {
-				t.Errorf("cancellations met no end: %v", outcomes)
+				t.Errorf("cancellations did not coincide with ends: %v, want 5 done and 5 aborted at least", outcomes)
 			}
 			t.Logf("cancellations at the end were answered: %v", outcomes)
 		})
 	}
 }
 
-// atEnd calls f some time after the last of a job's tasks has begun to run.
+// atEnd calls f the given time after the last of a job's tasks has started to run.
 func (u *closeUsers) atEnd(id string, tasks int, after time.Duration, f func()) {
 	if len(u.w.check.On(id, u.w.now))+u.w.check.DoneTasks(id) < tasks {
 		u.w.at(5*time.Millisecond, func() { u.atEnd(id, tasks, after, f) })
@@ -69,7 +69,8 @@
 	u.w.at(after, f)
 }
 
-// cancelOnce cancels a job by one request, which has to be answered done or cancelled.
+// cancelOnce cancels a job by a single request, which must be answered with status 200, and counts
+// the job statuses in outcomes.
 func (u *closeUsers) cancelOnce(n, id string, outcomes map[string]int) {
 	u.w.check.Aborting(id)
 	asked := u.w.now
@@ -77,16 +78,16 @@
 		u.w.aborted(id, a, asked)
 		st, _ := a.Body.(wire.JobStatus)
 		if outcomes[st.Status]++; a.Status != 200 {
-			u.t.Errorf("%v: a cancellation of %s at its end is answered %d", u.w.now, id, a.Status)
+			u.t.Errorf("%v: a cancellation of %s at its end got status %d, want 200", u.w.now, id, a.Status)
 		}
 		u.heard(id, "cancelled at the end", a)
 	})
 }
 
-// A transaction is carried out at once and only its answer is lost, while other controllers read
-// what it wrote: acceptances, ends, aborts, starts, changes of hands. Nobody is told anything older
-// meanwhile, nothing starts twice, and who asked for it is told by the same request. It fails without
-// the read back of an acceptance or an abort (`case 409, 0` in acceptJob and abortJob).
+// A transaction is executed at once and only its answer is lost, while other controllers read what it
+// wrote: acceptances, ends, aborts, starts, changes of holder. No answer meanwhile is older than what
+// was written, nothing starts twice, and the request behind the write still gets its answer. The
+// test fails if an acceptance or an abort is not read back (`case 409, 0` in acceptJob and abortJob).
 func TestOnlyTheAnswerIsLost(t *testing.T) {
 	t.Parallel()
 	for _, kinds := range [][]string{{"acceptance"}, {"abort"}, {"end"}, {"starts slot"}, {"progress"}, {"block formed", "block marked", "machines out of blocks, or a block moved"},
@@ -126,7 +127,7 @@
 				w.run(15 * sec)
 				w.calm(t)
 				if n := len(w.finals(wire.JobAborted)); n < 2 || w.unfinished() != nil {
-					t.Errorf("seed %d: %d jobs are cancelled, not over: %v", seed, n, w.unfinished())
+					t.Errorf("seed %d: %d jobs are cancelled, not finished: %v", seed, n, w.unfinished())
 				}
 			}
 			if t.Logf("%d answers lost", lost); lost == 0 {
@@ -136,18 +137,19 @@
 	}
 }
 
-// startsOnce counts the starts of each task that a worker takes: no trouble stops any, so each
+// startsOnce counts the starts of each task that workers accept. No fault stops a task here, so each
 // is started once.
 func startsOnce(t *testing.T, w *world, starts map[string]int) func(*host, worker.Ordered) {
 	return func(_ *host, o worker.Ordered) {
 		if starts[o.Task]++; starts[o.Task] > 1 {
-			t.Errorf("%v: %s is started again", w.now, o.Task)
+			t.Errorf("%v: %s was started more than once", w.now, o.Task)
 		}
 	}
 }
 
-// A machine falls silent while many jobs have ends to write, so that each waits for up to ten seconds: what this
-// machine has told stands in the state seconds before its lease is over. Fails without silent in refreshMachine.
+// A machine falls silent while many jobs have ends to write, so that each write waits for up to ten
+// seconds. The ends that this machine has reported must be in the state seconds before its lease
+// expires. Fails without silent in refreshMachine.
 func TestEndsOfASilentMachineAreWritten(t *testing.T) {
 	t.Parallel()
 	kept := 0
@@ -171,23 +173,23 @@
 		for _, m := range c.heldMachines()[:4] {
 			w.hang(w.machines[m.name])
 		}
-		owed := map[*attempt]bool{}
+		unwritten := map[*attempt]bool{}
 		for _, m := range c.heldMachines()[:4] {
 			for _, a := range m.attempts {
-				owed[a] = c.hasUnwrittenEnd(a)
+				unwritten[a] = c.hasUnwrittenEnd(a)
 			}
 		}
-		w.run(6500 * time.Millisecond) // it is silent after 5 s
-		for a, owes := range owed {
-			if owes {
+		w.run(6500 * time.Millisecond) // a machine counts as silent after 5 s
+		for a, wasUnwritten := range unwritten {
+			if wasUnwritten {
 				kept++
 			}
-			if owes && c.hasUnwrittenEnd(a) {
-				t.Errorf("seed %d: the end of %s, told before its machine fell silent, is not written", seed, a.key.task)
+			if wasUnwritten && c.hasUnwrittenEnd(a) {
+				t.Errorf("seed %d: the end of %s, reported before its machine fell silent, is not written", seed, a.key.task)
 			}
 		}
 	}
 	if kept == 0 {
-		t.Error("not the meeting: nothing was told and not written")
+		t.Error("faults did not coincide: no reported end was still unwritten")
 	}
 }
