--- a/internal/core/meeting_leaders_test.go
+++ b/internal/core/meeting_leaders_test.go
@@ -9,8 +9,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// busy is a deployment with services, small jobs and arrays of every team, whose blocks move
-// between shards as work comes. It adds a job every two seconds for so long.
+// busy returns a deployment with services, small jobs and larger jobs of every team, whose blocks
+// move between shards as jobs arrive. A job is submitted every two seconds for the duration d.
 func busy(t *testing.T, seed uint64, d time.Duration, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.capacity = 3
@@ -44,7 +44,7 @@
 	return w
 }
 
-// hangSome has machines that run something hang for so long.
+// hangSome picks n machines at random and lets those that are up hang for the duration d.
 func (w *world) hangSome(n int, d time.Duration) {
 	for range n {
 		if m := w.machines[w.order[w.rng.IntN(len(w.order))]]; !m.gone && m.up && !m.Fault.Hung {
@@ -54,7 +54,7 @@
 	}
 }
 
-// served looks at the end whether all work is done and all services run.
+// served checks at the end of a test that all jobs are done and all services run.
 func (w *world) served(t *testing.T, seed uint64) {
 	t.Helper()
 	if took := w.until(200*sec, func() bool { return w.unfinished() == nil && w.up() == 6 }); took >= 200*sec {
@@ -62,23 +62,23 @@
 	}
 	w.calm(t)
 	if a := w.absentNodes(); a != nil {
-		t.Errorf("seed %d: %v are up and not present", seed, a)
+		t.Errorf("seed %d: %v run but are not registered", seed, a)
 	}
 	if b := w.check.FinishDay(w.now); len(b) > 0 {
-		t.Errorf("seed %d: the day fails: %v", seed, b)
+		t.Errorf("seed %d: rules broken over the whole run: %v", seed, b)
 	}
 }
 
-// The leader ends ten times in two minutes, back at once or later, while machines hang for a
-// part of their lease or for longer, and old reports come; in some days within an outage, in
-// which no leader can be chosen and those that were there end all the same.
+// The leader ends ten times in two minutes and returns after 0.2 to 7.2 s, while machines hang for
+// part of their lease or longer and old reports arrive. In some variants this happens during an
+// outage of the state service, in which no leader can be elected and controllers still end.
 func TestTenLeadersInTwoMinutes(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
 		outage time.Duration
-		with   bool // its holders end with it
-	}{{"", 0, false}, {"and a holder", 0, true}, {"in an outage", 50 * sec, false}, {"in an outage, and a holder", 25 * sec, true}} {
+		with   bool // another controller ends with the leader
+	}{{"", 0, false}, {"with another controller", 0, true}, {"in an outage", 50 * sec, false}, {"in an outage, with another controller", 25 * sec, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(830); seed < 833; seed++ {
@@ -103,7 +103,7 @@
 				}
 				w.copies = 0
 				if n := len(leaders); n < 10 && c.outage == 0 {
-					t.Errorf("seed %d: only %d leaders", seed, n)
+					t.Errorf("seed %d: only %d leaders were elected, want at least 10", seed, n)
 				}
 				w.served(t, seed)
 			}
@@ -111,20 +111,21 @@
 	}
 }
 
-// All controllers are away for longer than a lease: every task ends with its worker's session.
-// They come back together, one by one, or one alone for long; each task that was not done is
-// started once more and no more often, whatever old reports say.
+// All controllers are down for longer than a lease, so every task ends with its worker's session.
+// They return together, one by one, or one alone for long. Each task that was not done is started
+// exactly once more, whatever old reports say. In the last variant one controller returns within the
+// lease.
 func TestAllControllersAwayForLongerThanALease(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
 		back []time.Duration
 	}{
-		{"just longer", []time.Duration{11 * sec, 11 * sec, 11 * sec}},
+		{"slightly longer than a lease", []time.Duration{11 * sec, 11 * sec, 11 * sec}},
 		{"one by one", []time.Duration{12 * sec, 15 * sec, 24 * sec}},
-		{"one alone", []time.Duration{60 * sec, 14 * sec, 60 * sec}},
-		{"for long", []time.Duration{70 * sec, 70 * sec, 71 * sec}},
-		{"just shorter, one alone", []time.Duration{40 * sec, 40 * sec, 7 * sec}},
+		{"one returns long before the others", []time.Duration{60 * sec, 14 * sec, 60 * sec}},
+		{"much longer than a lease", []time.Duration{70 * sec, 70 * sec, 71 * sec}},
+		{"slightly shorter than a lease, one returns first", []time.Duration{40 * sec, 40 * sec, 7 * sec}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -144,8 +145,8 @@
 	}
 }
 
-// New machines are up within two seconds and get work at once, while writes lag or are carried
-// out late, and the leader ends, the holder, or both, at any moment of it.
+// New machines are up within two seconds and get work at once, while writes are slow or executed
+// late, and the leader, the holder or both restart at random moments.
 func TestNewMachinesWorkAtOnceWhileWritesLag(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
