--- a/internal/core/meeting_copies_test.go
+++ b/internal/core/meeting_copies_test.go
@@ -9,23 +9,24 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// set writes a record by hand.
+// set writes a record directly to the state service, without a controller.
 func (w *world) set(key string, v any) {
 	w.t.Helper()
 	w.callStore("hand", StateCall{Op: OpCommit, Txn: wire.Txn{Then: []wire.Change{{Put: key, Value: v}}}}, func(r StateReply) {
 		if r.Status != 200 {
-			w.t.Errorf("%s not written: %d", key, r.Status)
+			w.t.Errorf("%s was not written: status %d", key, r.Status)
 		}
 	})
 }
 
-// A task was on a machine, and is on another since. Its holder marks the block of the first,
-// which is empty, as idle, and ends. The second hangs for a while within its lease. Of the first
-// a copy of an old report reaches the successor before any other: it names the task. That the
-// next report does not says nothing of where it is: it waits for the machine that hangs.
+// A task has moved from one machine to another. The holder marks the now empty block of the first
+// machine as idle, and ends. The second machine hangs for a while within its lease. A copy of an old
+// report of the first machine, which names the task, reaches the successor before any other report.
+// That the next report does not name the task proves nothing about where it runs, so the successor
+// waits for the machine that hangs.
 func TestCopyOfAnOldReportNamesATaskOnAnIdleMachine(t *testing.T) {
 	t.Parallel()
-	for _, tasks := range []int{1, 6} { // where each is is written; that of a larger job is not
+	for _, tasks := range []int{1, 6} { // the machine of each task is written for a small job, but not for a larger one
 		t.Run(fmt.Sprint(tasks, " tasks"), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, 730, 3, func(w *world) {
@@ -51,14 +52,14 @@
 			}
 			old := w.keep[a][len(w.keep[a])-1]
 			if len(old.Attempts) == 0 {
-				t.Fatal("nothing runs")
+				t.Fatal("no task runs")
 			}
 			w.hang(w.machines[a])
-			w.run(16 * sec) // its lease is over, all is on the other
+			w.run(16 * sec) // its lease has expired, all tasks are on the other machine
 			w.resume(w.machines[a])
 			w.run(3 * sec)
 			if named(a) != 0 || named(b) != tasks {
-				t.Fatalf("%d tasks on the one, %d on the other", named(a), named(b))
+				t.Fatalf("%d tasks on the first machine, %d on the second", named(a), named(b))
 			}
 			w.kill(w.holderOf(a))
 			var rec wire.Block
@@ -82,7 +83,7 @@
 				}
 			}
 			if !copied {
-				t.Fatal("the copy found no successor")
+				t.Fatal("the copy reached no successor")
 			}
 			w.run(20 * sec)
 			if n := named(a) + named(b); n != tasks {
@@ -92,10 +93,10 @@
 	}
 }
 
-// A shard goes to another controller and comes back, and its holder reads the last record
-// before its watch tells of the one between: after a write without an answer it reads the key,
-// and a slow watch tells of both later. It takes the shard up anew: what the other has started
-// meanwhile is not known here.
+// A shard goes to another controller and back, and its holder reads the last record before its watch
+// delivers the one in between: after a write without an answer it reads the key, and a slow watch
+// delivers both records later. The holder must take the shard over anew, because it does not know
+// what the other controller has started meanwhile.
 func TestShardGoneAndBackBetweenTwoReads(t *testing.T) {
 	t.Parallel()
 	w, _ := runningServices(t, 740)
@@ -103,7 +104,7 @@
 	holder := w.nodes[rec.Holder].core
 	i := holder.shardOfTeam("red")
 	if !holder.heldShards[i] || holder.unreconciledShards[i] {
-		t.Fatal("the shard should be held, and settled")
+		t.Fatal("the shard is not held, or not reconciled")
 	}
 	entered := holder.shardHeldSince[i]
 	other := rec
@@ -114,13 +115,13 @@
 	w.set(shardKey(i), back)
 	holder.applyRead(shardKey(i), StateReply{Status: 200, Item: w.key(shardKey(i))})
 	if holder.heldShards[i] {
-		t.Error("acts for the shard as if nobody else had held it")
+		t.Error("acts for the shard as if no other controller had held it")
 	}
 	w.run(sec / 2)
 	if !holder.heldShards[i] || holder.shardHeldSince[i] == entered {
-		t.Errorf("held %v since %v, before since %v", holder.heldShards[i], holder.shardHeldSince[i], entered)
+		t.Errorf("held: %v, since %v; before the change since %v", holder.heldShards[i], holder.shardHeldSince[i], entered)
 	}
-	w.run(20 * sec) // the world judges what runs where
+	w.run(20 * sec) // the test world checks what runs where
 
 	us, them := wire.Incarnation{Node: "c0", Boot: 1}, wire.Incarnation{Node: "c1", Boot: 2}
 	held := wire.Shard{Holder: "c0", Boot: 1, Teams: []string{"red"}, Past: []wire.Incarnation{them}, Known: true}
@@ -128,26 +129,27 @@
 		old, now func(*wire.Shard)
 		grant    bool
 	}{
-		"settled by us":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Settled = true }, false},
-		"another team":               {func(*wire.Shard) {}, func(s *wire.Shard) { s.Teams = []string{"red", "blue"} }, false},
-		"another team, settled":      {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Settled, s.Teams = true, []string{"red", "blue"} }, false},
-		"gone and back":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Past = []wire.Incarnation{them, us, them} }, true},
-		"gone and back when settled": {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Past = []wire.Incarnation{us, them} }, true},
-		"too many lives to name":     {func(*wire.Shard) {}, func(s *wire.Shard) { s.Known = false }, true},
-		"too many before":            {func(s *wire.Shard) { s.Known = false }, func(s *wire.Shard) { s.Known = false }, true},
+		"reconciled by us":              {func(*wire.Shard) {}, func(s *wire.Shard) { s.Settled = true }, false},
+		"another team":                  {func(*wire.Shard) {}, func(s *wire.Shard) { s.Teams = []string{"red", "blue"} }, false},
+		"another team, reconciled":      {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Settled, s.Teams = true, []string{"red", "blue"} }, false},
+		"gone and back":                 {func(*wire.Shard) {}, func(s *wire.Shard) { s.Past = []wire.Incarnation{them, us, them} }, true},
+		"gone and back when reconciled": {func(s *wire.Shard) { s.Settled = true }, func(s *wire.Shard) { s.Past = []wire.Incarnation{us, them} }, true},
+		"too many incarnations to list": {func(*wire.Shard) {}, func(s *wire.Shard) { s.Known = false }, true},
+		"too many incarnations before":  {func(s *wire.Shard) { s.Known = false }, func(s *wire.Shard) { s.Known = false }, true},
 	} {
 		old, now := held, held
 		x.old(&old)
 		x.now(&now)
 		if assignment.Reacquired(old, now) != x.grant {
-			t.Errorf("%s: taken for a grant: %v", what, !x.grant)
+			t.Errorf("%s: treated as reacquired: %v", what, !x.grant)
 		}
 	}
 }
 
-// A controller takes its shards back only once it is present as the life that it is. Until then
-// the record of an earlier life stands in its place, and to whoever takes the shard over then a
-// record of another life says that this one is dead, and answers no worker any more.
+// A controller takes its shards back only once its current incarnation is registered. Until then the
+// state has the record of an earlier incarnation, and a controller that takes the shard over then
+// would conclude from a record of another incarnation that this one is dead and no longer answers
+// any worker.
 func TestPresentBeforeItsShardsAreTakenBack(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 745, 2)
@@ -160,7 +162,7 @@
 			}
 			var there wire.Node
 			if err := wire.Unmarshal(w.key(wire.PrefixNode+node).Value, &there); err != nil || there.Boot != rec.Boot {
-				t.Errorf("%v: %s takes a shard as life %d, present is %d", w.now, node, rec.Boot, there.Boot)
+				t.Errorf("%v: %s takes a shard as incarnation %d, registered is %d", w.now, node, rec.Boot, there.Boot)
 			}
 			taken++
 		}
