--- a/internal/core/meeting_chains_test.go
+++ b/internal/core/meeting_chains_test.go
@@ -53,8 +53,8 @@
 	return ids
 }
 
-// whole polls every node and returns the distinct statuses reported for each job of a chain.
-func (w *world) whole(ids []string) map[string][]string {
+// statusesAtAllNodes polls every node and returns the distinct statuses reported for each job.
+func (w *world) statusesAtAllNodes(ids []string) map[string][]string {
 	var all []*string
 	for _, id := range ids {
 		for _, n := range sortedKeys(w.nodes) {
@@ -101,7 +101,7 @@
 			ids := w.chain()
 			w.run(140 * sec)
 			w.calm(t)
-			for id, got := range w.whole(ids) {
+			for id, got := range w.statusesAtAllNodes(ids) {
 				if !slices.Equal(got, []string{wire.JobDone}) {
 					t.Errorf("%s: status %v, want done at all nodes", id, got)
 				}
@@ -148,7 +148,7 @@
 		return out
 	}
 	before := look("with slack", "normal")
-	for id, got := range w.whole(ids[1:]) {
+	for id, got := range w.statusesAtAllNodes(ids[1:]) {
 		if !slices.Equal(got, []string{wire.JobQueued}) {
 			t.Errorf("%s: status %v, want queued at all nodes", id, got)
 		}
@@ -180,28 +180,28 @@
 // starts, and jobs that do not depend on it continue.
 func TestACancellationTakesThoseAfterIt(t *testing.T) {
 	t.Parallel()
-	troubles := map[string]func(w *world, told time.Duration){
+	troubles := map[string]func(w *world, confirmed time.Duration){
 		"nothing": func(*world, time.Duration) {},
-		"watches delayed": func(w *world, told time.Duration) { // the lag is set before the cancellation, below
+		"watches delayed": func(w *world, confirmed time.Duration) { // the lag is set before the cancellation, below
 			w.at(20*sec, func() { w.watchLag = 0 })
 		},
-		"all restart at once": func(w *world, told time.Duration) {
+		"all restart at once": func(w *world, confirmed time.Duration) {
 			w.bounce(4*sec, sortedKeys(w.nodes)...)
 		},
-		"an outage one second later": func(w *world, told time.Duration) {
+		"an outage one second later": func(w *world, confirmed time.Duration) {
 			w.at(sec, func() { w.outage(50 * sec) })
 		},
-		"the leader is refused, then an outage": func(w *world, told time.Duration) {
+		"the leader is refused, then an outage": func(w *world, confirmed time.Duration) {
 			n := w.leaderNode()
 			w.cutFrom[n] = true
 			w.at(sec, func() { w.outage(50 * sec) })
 			w.at(51*sec, func() { delete(w.cutFrom, n) })
 		},
-		"leaders restart": func(w *world, told time.Duration) {
+		"leaders restart": func(w *world, confirmed time.Duration) {
 			w.bounce(300*time.Millisecond, w.leaderNode())
 			w.at(2*sec, func() { w.bounce(sec, w.leaderOr()) })
 		},
-		"writes executed late": func(w *world, told time.Duration) {
+		"writes executed late": func(w *world, confirmed time.Duration) {
 			w.lateWrites(40, map[string]int{})
 			w.at(40*sec, func() { w.noAnswer = nil })
 		},
@@ -217,7 +217,7 @@
 					w.watchLag = 1500 * time.Millisecond
 				}
 				needs := [][]string{ids, {ids[1], ids[3], ids[4]}, {ids[2], ids[3], ids[4]}, {ids[3], ids[4]}}[k]
-				told := false
+				confirmed := false
 				older := func(when string) {
 					if what == "watches delayed" && when != "repeated" {
 						return // a poll would make the controller read what its watch has not delivered yet
@@ -241,7 +241,7 @@
 					}
 				}
 				w.cancelAt(sortedKeys(w.nodes)[k%3], ids[k], func() {
-					told = true
+					confirmed = true
 					older("at once")
 					for _, ms := range []int{1, 7, 40, 300, 900} {
 						w.at(time.Duration(ms)*time.Millisecond, func() { older("soon") })
@@ -251,11 +251,11 @@
 					troubles[what](w, w.now)
 				})
 				w.run(130 * sec)
-				if !told {
+				if !confirmed {
 					t.Fatal("the cancellation was not confirmed")
 				}
 				w.calm(t)
-				for id, got := range w.whole(ids) {
+				for id, got := range w.statusesAtAllNodes(ids) {
 					want := wire.JobDone
 					if slices.Contains(needs, id) {
 						want = wire.JobAborted
@@ -338,7 +338,7 @@
 	}
 	w.run(40 * sec)
 	for _, id := range []string{"job-000030", "job-000031", "job-000033"} {
-		if got := w.whole([]string{id})[id]; !slices.Equal(got, []string{wire.JobDone}) {
+		if got := w.statusesAtAllNodes([]string{id})[id]; !slices.Equal(got, []string{wire.JobDone}) {
 			t.Errorf("%s: %v", id, got)
 		}
 	}
@@ -348,18 +348,18 @@
 // moments. The status that the user gets stays valid, and the dependents run only if it is done.
 func TestCancelledAsThePredecessorEnds(t *testing.T) {
 	t.Parallel()
-	told := make([]string, 24)
+	confirmed := make([]string, 24)
 	t.Run("moments", func(t *testing.T) {
-		for k := range told {
+		for k := range confirmed {
 			t.Run(fmt.Sprint(k), func(t *testing.T) {
 				t.Parallel()
-				told[k] = cancelledAtTheEnd(t, k)
+				confirmed[k] = cancelledAtTheEnd(t, k)
 			})
 		}
 	})
-	t.Logf("statuses confirmed: %v", told)
-	if !slices.Contains(told, wire.JobDone) || !slices.Contains(told, wire.JobAborted) {
-		t.Errorf("the moments do not cover both done and aborted: %v", told)
+	t.Logf("statuses confirmed: %v", confirmed)
+	if !slices.Contains(confirmed, wire.JobDone) || !slices.Contains(confirmed, wire.JobAborted) {
+		t.Errorf("the moments do not cover both done and aborted: %v", confirmed)
 	}
 }
 
@@ -386,7 +386,7 @@
 	})
 	w2.run(100 * sec)
 	want := map[string]string{wire.JobDone: wire.JobDone, wire.JobAborted: wire.JobAborted}[got]
-	for id, all := range w2.whole(ids) {
+	for id, all := range w2.statusesAtAllNodes(ids) {
 		if want == "" || !slices.Equal(all, []string{want}) {
 			t.Errorf("moment %d: the user got %q, but %s is %v", k, got, id, all)
 		}
@@ -428,9 +428,9 @@
 	if n := len(w.nodes["c1"].core.waitingJobs); n < 300 {
 		t.Fatalf("%d jobs wait, want at least 300", n)
 	}
-	told := false
+	confirmed := false
 	w.cancelAt("c1", "job-001000", func() {
-		told = true
+		confirmed = true
 		w.at(time.Millisecond, func() {
 			for i := 0; i < 300; i += 7 {
 				for _, n := range sortedKeys(w.nodes) {
@@ -445,10 +445,10 @@
 		})
 	})
 	w.run(w.cancelS)
-	if !told {
+	if !confirmed {
 		t.Fatal("the cancellation was not confirmed")
 	}
-	for id, got := range w.whole(needs) {
+	for id, got := range w.statusesAtAllNodes(needs) {
 		if !slices.Equal(got, []string{wire.JobAborted}) {
 			t.Errorf("%s: status %v after cancel_s, want aborted", id, got)
 		}
--- a/internal/core/meeting_gap_test.go
+++ b/internal/core/meeting_gap_test.go
@@ -11,31 +11,32 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// gap is one variant of this combination of faults: the state service refuses only the leader,
-// other controllers confirm cancellations, then the state service is down for all controllers for
-// longer than cancel_s.
-type gap struct {
+// refusalVariant is one variant of this combination of faults: the state service refuses only the
+// leader, other controllers confirm cancellations, then the state service is down for all
+// controllers for longer than cancel_s.
+type refusalVariant struct {
 	name          string
 	lease, cancel time.Duration // WorkerLease and CancelTimeout; 0 means 10 s and 40 s
-	alone         time.Duration // how long only one controller is refused before the outage
-	holder        bool          // refuses a shard holder that does not lead, instead of the leader
-	hang          bool          // its calls to the state service hang instead of being refused
-	noWays        bool          // no calls are relayed by peers
-	from          time.Duration // time of the first cancellation, relative to the start of the refusal
-	every         time.Duration // interval between cancellations
-	before        func(w *world, leader string, others []string)
-	after         func(w *world, leader, by, job string) // called after each confirmed cancellation
-	keeps         bool                                   // no worker lease may expire: tasks that are not cancelled keep running
+	refusedFor    time.Duration // how long only one controller is refused before the outage
+	refuseHolder  bool          // refuses a shard holder that does not lead, instead of the leader
+	callsHang     bool          // its calls to the state service hang instead of being refused
+	noRelay       bool          // no calls are relayed by peers
+	firstCancel   time.Duration // time of the first cancellation, relative to the start of the refusal
+	cancelEvery   time.Duration // interval between cancellations
+	beforeRefusal func(w *world, leader string, others []string)
+	afterCancel   func(w *world, leader, by, job string) // called after each confirmed cancellation
+	keepsLeases   bool                                   // no worker lease may expire: tasks that are not cancelled keep running
 }
 
-// cancelAt asks a controller to cancel a job, repeats that until it is confirmed, then calls told.
-func (w *world) cancelAt(node, id string, told func()) {
+// cancelAt asks a controller to cancel a job, repeats that until it answers 200, then calls
+// confirmed.
+func (w *world) cancelAt(node, id string, confirmed func()) {
 	w.check.Aborting(id)
 	asked, settled := w.now, false
 	again := func() {
 		if !settled {
 			settled = true
-			w.cancelAt(node, id, told)
+			w.cancelAt(node, id, confirmed)
 		}
 	}
 	w.at(5*sec, again)
@@ -46,7 +47,7 @@
 		w.aborted(id, a, asked)
 		if a.Status == 200 {
 			settled = true
-			told()
+			confirmed()
 			return
 		}
 		w.at(200*time.Millisecond, again)
@@ -66,12 +67,12 @@
 // play runs the faults of a variant. It returns the world after them, the number of cancellations
 // of the leader's jobs that were confirmed before the outage and missing in the leader's mirror,
 // and the machines that lost their lease.
-func (g gap) play(t *testing.T, seed uint64) (w *world, unknown int, lapsed []string) {
+func (g refusalVariant) play(t *testing.T, seed uint64) (w *world, unknown int, lapsed []string) {
 	w = newWorld(t, seed, 3, func(w *world) {
 		if g.lease > 0 {
 			w.lease, w.cancelS = g.lease, g.cancel
 		}
-		w.noWays = g.noWays
+		w.noWays = g.noRelay
 	})
 	for i := range 8 {
 		w.addMachine([]string{"n", "s"}[i%2], false, sec)
@@ -93,7 +94,7 @@
 		t.Fatalf("%d of 24 replicas run", n)
 	}
 	leader := w.leaderNode()
-	if g.holder {
+	if g.refuseHolder {
 		names := sortedKeys(w.nodes)
 		leader = names[(slices.Index(names, leader)+1)%len(names)]
 	}
@@ -103,8 +104,8 @@
 			others = append(others, n)
 		}
 	}
-	if g.before != nil {
-		g.before(w, leader, others)
+	if g.beforeRefusal != nil {
+		g.beforeRefusal(w, leader, others)
 	}
 	session := map[string]uint64{}
 	for _, n := range w.order {
@@ -113,13 +114,13 @@
 		}
 	}
 	cut := func() {
-		if g.hang {
+		if g.callsHang {
 			w.hung[leader] = true
 		} else {
 			w.cutFrom[leader] = true
 		}
 	}
-	began := max(0, -g.from)
+	began := max(0, -g.firstCancel)
 	w.at(began, cut)
 	// The jobs of the refused controller are cancelled first.
 	slices.SortStableFunc(all, func(a, b string) int {
@@ -133,18 +134,18 @@
 	})
 	for i, id := range all[:12] {
 		by := others[i%2]
-		w.at(began+g.from+time.Duration(i)*g.every, func() {
+		w.at(began+g.firstCancel+time.Duration(i)*g.cancelEvery, func() {
 			w.cancelAt(by, id, func() {
 				if l := w.nodes[leader].core; w.stateUp() && l.jobs[id] != nil && l.jobs[id].run != nil {
 					unknown++
 				}
-				if g.after != nil {
-					g.after(w, leader, by, id)
+				if g.afterCancel != nil {
+					g.afterCancel(w, leader, by, id)
 				}
 			})
 		})
 	}
-	w.run(began + g.alone)
+	w.run(began + g.refusedFor)
 	w.outage(w.cancelS + 20*sec)
 	w.run(12 * sec)
 	delete(w.cutFrom, leader)
@@ -165,36 +166,36 @@
 	t.Parallel()
 	ms := time.Millisecond
 	bounce := func(w *world, _, by, _ string) { w.at(ms, func() { w.bounce(200*ms, by) }) }
-	for _, g := range []gap{
-		{name: "cancelled during the refusal", alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "no relay by peers", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "calls hang", hang: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "calls hang, no relay by peers", hang: true, noWays: true, alone: 2 * sec, from: 50 * ms, every: 150 * ms, keeps: true},
-		{name: "cancelled before, during and after the refusal", noWays: true, alone: 900 * ms, from: -500 * ms, every: 150 * ms, keeps: true},
-		{name: "a long refusal", noWays: true, alone: 14 * sec, from: 11 * sec, every: 240 * ms},
-		{name: "confirming controller restarts in 0.2 s", noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
-		{name: "confirming controller returns in the outage", noWays: true, alone: sec, from: 960 * ms, every: 5 * ms, after: bounce},
-		{name: "confirming controller restarts, with relay by peers", alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
-		{name: "no answer to the write, read back", noWays: true, alone: 5 * sec, from: 100 * ms, every: 100 * ms, keeps: true, before: func(w *world, _ string, _ []string) {
+	for _, g := range []refusalVariant{
+		{name: "cancelled during the refusal", refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true},
+		{name: "no relay by peers", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true},
+		{name: "calls hang", callsHang: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true},
+		{name: "calls hang, no relay by peers", callsHang: true, noRelay: true, refusedFor: 2 * sec, firstCancel: 50 * ms, cancelEvery: 150 * ms, keepsLeases: true},
+		{name: "cancelled before, during and after the refusal", noRelay: true, refusedFor: 900 * ms, firstCancel: -500 * ms, cancelEvery: 150 * ms, keepsLeases: true},
+		{name: "a long refusal", noRelay: true, refusedFor: 14 * sec, firstCancel: 11 * sec, cancelEvery: 240 * ms},
+		{name: "confirming controller restarts in 0.2 s", noRelay: true, refusedFor: 2 * sec, firstCancel: 900 * ms, cancelEvery: 40 * ms, afterCancel: bounce},
+		{name: "confirming controller returns in the outage", noRelay: true, refusedFor: sec, firstCancel: 960 * ms, cancelEvery: 5 * ms, afterCancel: bounce},
+		{name: "confirming controller restarts, with relay by peers", refusedFor: 2 * sec, firstCancel: 900 * ms, cancelEvery: 40 * ms, afterCancel: bounce},
+		{name: "no answer to the write, read back", noRelay: true, refusedFor: 5 * sec, firstCancel: 100 * ms, cancelEvery: 100 * ms, keepsLeases: true, beforeRefusal: func(w *world, _ string, _ []string) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 				return 0, len(v.Txn.Then) == 2 && strings.HasPrefix(v.Txn.Then[1].Put, "final/")
 			}
 		}},
-		{name: "status repeated from memory in the outage", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true, after: func(w *world, _, by, job string) {
+		{name: "status repeated from memory in the outage", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true, afterCancel: func(w *world, _, by, job string) {
 			w.at(20*sec, func() { w.poll(by, job) })
 		}},
-		{name: "a holder that does not lead is refused", holder: true, noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
-		{name: "a holder that does not lead, calls hang, with relay by peers", holder: true, hang: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, keeps: true},
+		{name: "a holder that does not lead is refused", refuseHolder: true, noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true},
+		{name: "a holder that does not lead, calls hang, with relay by peers", refuseHolder: true, callsHang: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, keepsLeases: true},
 		// The machines' reports have to be verified first, and the answers to that renew leases too.
-		{name: "a shard has just been taken over", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, others []string) {
+		{name: "a shard has just been taken over", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, _ string, others []string) {
 			w.bounce(6*sec, others[0])
 			w.until(8*sec, func() bool { return w.nodes[others[0]].core != nil && w.nodes[others[0]].core.loaded })
 		}},
-		{name: "peers cannot reach each other", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, leader string, others []string) {
+		{name: "peers cannot reach each other", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, leader string, others []string) {
 			w.mute[[2]string{others[0], leader}] = true
 			w.at(30*sec, func() { w.silence(leader, false) })
 		}},
-		{name: "answers to pings are late", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "answers to pings are late", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, _ string, _ []string) {
 			w.peerDelay = func(_ string, v PeerSend) time.Duration {
 				if v.Msg.Reply {
 					return 1500 * ms
@@ -202,11 +203,11 @@
 				return 0
 			}
 		}},
-		{name: "workers receive nothing", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "workers receive nothing", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, _ string, _ []string) {
 			w.at(2*sec, func() { w.deafen(true, w.order...) })
 			w.at(50*sec, func() { w.deafen(false, w.order...) })
 		}},
-		{name: "machines hang and resume within their lease", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) {
+		{name: "machines hang and resume within their lease", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, _ string, _ []string) {
 			for i := range 6 {
 				w.at(time.Duration(i)*8*sec, func() {
 					for _, n := range w.order {
@@ -218,19 +219,19 @@
 				})
 			}
 		}},
-		{name: "stops are lost or late", noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms, before: func(w *world, _ string, _ []string) { w.unsure = 60 }},
-		{name: "cancel_s close to the lease", lease: 10 * sec, cancel: 14 * sec, noWays: true, alone: 2 * sec, from: 100 * ms, every: 140 * ms},
-		{name: "cancel_s close to the lease, with relay by peers", lease: 10 * sec, cancel: 13 * sec, alone: 2 * sec, from: 100 * ms, every: 140 * ms},
-		{name: "cancel_s close to the lease, confirming controller restarts", lease: 10 * sec, cancel: 14 * sec, noWays: true, alone: 2 * sec, from: 900 * ms, every: 40 * ms, after: bounce},
+		{name: "stops are lost or late", noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms, beforeRefusal: func(w *world, _ string, _ []string) { w.unsure = 60 }},
+		{name: "cancel_s close to the lease", lease: 10 * sec, cancel: 14 * sec, noRelay: true, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms},
+		{name: "cancel_s close to the lease, with relay by peers", lease: 10 * sec, cancel: 13 * sec, refusedFor: 2 * sec, firstCancel: 100 * ms, cancelEvery: 140 * ms},
+		{name: "cancel_s close to the lease, confirming controller restarts", lease: 10 * sec, cancel: 14 * sec, noRelay: true, refusedFor: 2 * sec, firstCancel: 900 * ms, cancelEvery: 40 * ms, afterCancel: bounce},
 	} {
 		t.Run(g.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(300); seed < 302; seed++ {
 				w, unknown, lapsed := g.play(t, seed)
-				if g.noWays && unknown == 0 && g.alone < 10*sec {
+				if g.noRelay && unknown == 0 && g.refusedFor < 10*sec {
 					t.Errorf("seed %d: the leader had received all cancellations", seed)
 				}
-				if g.keeps && len(lapsed) > 0 {
+				if g.keepsLeases && len(lapsed) > 0 {
 					t.Errorf("seed %d: leases of %v have expired", seed, lapsed)
 				}
 				t.Logf("seed %d: %d cancellations confirmed before the outage and missing at the leader", seed, unknown)
