--- a/internal/core/meeting_users_test.go
+++ b/internal/core/meeting_users_test.go
@@ -11,8 +11,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// The answer to a call that was made under an earlier grant comes when the machine has gone to
-// another holder and back. It accounts for nothing: what was started since is not in it.
+// An answer to a call that was made under an earlier takeover token arrives after the machine has
+// moved to another holder and back. It must not account for the machine, because it does not include
+// what has been started since.
 func TestALateAnswerAccountsForNothing(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 730, 4)
@@ -27,28 +28,29 @@
 	if x == nil || x.accounted || before.Token >= x.takeoverToken {
 		t.Fatalf("the machine should have been taken over and not be accounted for: %+v", x)
 	}
-	before.Seq += 50 // it is newer than all that has been heard here
+	before.Seq += 50 // newer than every report received here
 	done := WorkerCallDone{Machine: name, Token: before.Token, Session: before.Session, Status: 200, Report: before}
 	if w.step(w.nodes[c.params.Node], done); x.accounted {
-		t.Error("an answer given under an earlier grant accounts for the machine")
+		t.Error("an answer with an earlier takeover token accounts for the machine")
 	}
 	before.Token, done.Token = x.takeoverToken, x.takeoverToken
 	done.Report = before
 	if w.step(w.nodes[c.params.Node], done); !x.accounted {
-		t.Error("an answer that names our grant does not account for the machine")
+		t.Error("an answer with the current takeover token does not account for the machine")
 	}
 }
 
-// A leader is without the state service and its peers, in a zone that nobody else reaches:
-// its workers and users have it alone. What is cancelled with the others is gone in time, users
-// that ask it are told 503, and nothing goes back when it is heard again.
+// The leader loses the state service and its peers in a zone that no other controller reaches, so
+// it is the only controller for the workers and users there. Jobs cancelled at the other controllers
+// must stop in time, users that ask the isolated leader must get 503, and no state may go backwards
+// when it is reachable again.
 func TestLeaderAloneInItsZone(t *testing.T) {
 	t.Parallel()
 	for _, cut := range []time.Duration{5 * sec, 45 * sec, 120 * sec} {
 		for _, hold := range []bool{false, true} {
 			t.Run(fmt.Sprint(cut, " held ", hold), func(t *testing.T) {
 				w := staffed(t, 740, 6)
-				const lone = "c1" // alone in zone s
+				const lone = "c1" // the only controller in zone s
 				for w.leaderNode() != lone {
 					w.bounce(8*sec, w.leaderNode())
 					w.run(30 * sec)
@@ -62,14 +64,14 @@
 				for i, team := range []string{"red", "blue", "green"} {
 					if w.shardRec(team).Holder == lone {
 						id := fmt.Sprintf("job-%06d", i)
-						w.at(tuning.WatchMaxWait+sec, func() { w.cancelAt("c0", id, func() {}) }) // its open watch has ended
+						w.at(tuning.WatchMaxWait+sec, func() { w.cancelAt("c0", id, func() {}) }) // the leader's open watch has ended by then
 					}
 				}
 				asked, refused := 0, 0
 				for i := range int(cut / (500 * time.Millisecond)) {
 					w.at(4*sec+time.Duration(i)*500*time.Millisecond, func() {
 						if asked++; !w.hung[lone] {
-							refused++ // it is over: any fresh answer will do
+							refused++ // the fault is over: any up-to-date answer counts
 							return
 						}
 						w.ask(lone, func(q uint64) any { return Poll{Req: q, ID: "job-000000"} }, func(a Answer) {
@@ -85,10 +87,10 @@
 				w.apart = map[[2]string]bool{}
 				w.run(8 * sec)
 				if refused < asked {
-					t.Errorf("%d of %d polls of the lone one were answered otherwise than 503", asked-refused, asked)
+					t.Errorf("%d of %d polls at the isolated leader were not answered with 503", asked-refused, asked)
 				}
 				if n := len(w.finals(wire.JobAborted)); n != 1 {
-					t.Errorf("%d jobs are cancelled, want 1", n)
+					t.Errorf("%d jobs were cancelled, want 1", n)
 				}
 				w.backTo(t, 12, 60*sec)
 			})
@@ -96,13 +98,14 @@
 	}
 }
 
-// Jobs of three tasks that end after 2, 20 and 45 s. Their holder ends when the first end is
-// only at its worker, on its way to the state, written, or cleared; it is back at once or later;
-// the first one's machine goes, or not. Each end counts once, nothing runs again but what ran on that
-// machine, and the job is done within 3 s of the last end.
+// Jobs have three tasks that end after 2, 20 and 45 s. Their holder is killed when the first end is
+// known only to its worker, is being written to the state service, has been written, or has been
+// cleared. The holder restarts at once or later, and the machine of the first task is lost or not.
+// Each end must count once, only tasks that ran on the lost machine may run again, and the job must
+// be done within 3 s of the last end.
 func TestEndsFarApart(t *testing.T) {
 	t.Parallel()
-	for _, at := range []time.Duration{5, 30, 60, 400, 1500, 4000, 12000} { // ms after the first end
+	for _, at := range []time.Duration{5, 30, 60, 400, 1500, 4000, 12000} { // milliseconds after the first end
 		for _, gone := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d ms after, machine gone %v", int64(at), gone), func(t *testing.T) {
 				for n, back := range []time.Duration{200, 6000} {
@@ -141,7 +144,7 @@
 					}
 					w.run(200 * time.Millisecond)
 					if d := w.finals(wire.JobDone); len(d) != 2 {
-						t.Errorf("3 s after the last end only %v are done", d)
+						t.Errorf("only %v are done 3 s after the last end", d)
 					}
 					for task, k := range starts {
 						if most := 1; k > most && !(gone && was[task] == lost) {
@@ -154,17 +157,17 @@
 	}
 }
 
-// One user asks all controllers in turn, and cancels, again and again, while the state service
-// is slow, or refuses the leader and then all. No answer is older than one given before,
-// which the checker judges, and a repeated cancellation is answered alike or with 503. It fails
-// without cacheFinal in finishJob (ran_cancelled).
+// One user polls and cancels repeatedly at all controllers in turn while the state service is slow,
+// refuses the leader, and then refuses every controller. No answer may be older than an earlier one
+// (the checker verifies this), and a repeated cancellation must get the same answer or 503. The test
+// fails without cacheFinal in finishJob (ran_cancelled).
 func TestOneUserAsksEverybody(t *testing.T) {
 	t.Parallel()
 	for _, slow := range []time.Duration{0, 200 * time.Millisecond, sec, 3 * sec} {
 		t.Run(fmt.Sprint("slow by ", slow), func(t *testing.T) {
 			for seed := uint64(760); seed < 764; seed++ {
 				w := staffed(t, seed, 4)
-				w.slowState, w.noWays = slow, seed > 761 // in two of them nobody helps who is refused
+				w.slowState, w.noWays = slow, seed > 761 // with two of the seeds, peers do not relay for a refused controller
 				answers := map[int]int{}
 				names := sortedKeys(w.nodes)
 				for i := range 9 {
@@ -191,7 +194,7 @@
 							answers[a.Status]++
 							w.aborted(id, a, asked)
 							if a.Status != 200 && a.Status != 503 {
-								t.Errorf("a repeated cancellation is answered %d", a.Status)
+								t.Errorf("a repeated cancellation was answered with %d", a.Status)
 							}
 						})
 					})
@@ -200,7 +203,7 @@
 				w.slowState = 0
 				w.run(20 * sec)
 				if len(w.finals(wire.JobAborted)) != 9 || answers[200] == 0 {
-					t.Errorf("seed %d: %v are cancelled, repeated cancellations were answered %v", seed, w.finals(wire.JobAborted), answers)
+					t.Errorf("seed %d: cancelled jobs: %v; answers to repeated cancellations by status: %v", seed, w.finals(wire.JobAborted), answers)
 				}
 				w.backTo(t, 12, 60*sec)
 			}
@@ -208,16 +211,16 @@
 	}
 }
 
-// Reports of an earlier session, of an earlier attempt, and older ones of this session come
-// after newer ones, through any controller, before and after a change of hands: no task is
-// lost or found by them, nothing ends, and no lease is counted longer.
+// Reports from an earlier session, from an earlier attempt, and older ones from the current session
+// arrive after newer ones, through any controller, before and after a change of the holder. They must
+// not lose or add a task, end anything, or extend a lease.
 func TestOldReportsAfterNewerOnes(t *testing.T) {
 	t.Parallel()
 	for _, taken := range []bool{false, true} {
 		w := staffed(t, 770, 4, func(w *world) { w.keep = map[string][]wire.Report{} })
 		name := w.order[0]
 		m := w.machines[name]
-		w.hang(m) // its lease ends, its tasks are started anew, with new numbers
+		w.hang(m) // its lease expires and its tasks restart as new attempts
 		w.run(14 * sec)
 		w.resume(m)
 		w.until(40*sec, func() bool { return w.up() == 12 })
@@ -245,19 +248,19 @@
 		}
 		for _, r := range old[:len(old)-1] {
 			if x.session == r.Session && x.seq < r.Seq {
-				continue // it is newer than what is known here
+				continue // newer than the last report known here
 			}
 			was := state()
 			for _, n := range sortedKeys(w.nodes) {
 				at := w.now
 				w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: r} }, func(a Answer) {
 					if a.Status == 200 && w.now == at {
-						t.Errorf("%s answers an old report with 200", n)
+						t.Errorf("%s answered an old report with 200", n)
 					}
 				})
 			}
 			if now := state(); now != was {
-				t.Fatalf("taken over %v: a report of session %d, number %d, changes what is known:\n%s\n%s", taken, r.Session, r.Seq, was, now)
+				t.Fatalf("taken over %v: the report of session %d with sequence number %d changed the known state:\n%s\n%s", taken, r.Session, r.Seq, was, now)
 			}
 		}
 		w.run(tuning.RelayTimeout + sec)
