--- a/internal/core/meeting_asking_test.go
+++ b/internal/core/meeting_asking_test.go
@@ -8,17 +8,17 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// closeUsers are users who ask every controller within milliseconds of each answer that counts:
-// an acceptance, an end, a confirmed cancellation. They poll, cancel again and repeat the
-// submission, also with a body that lacks a field or fits no machine. What each is told
-// the checker judges; a repeat is never refused.
+// closeUsers simulates users who query every controller within milliseconds of each significant
+// answer: an acceptance, an end, or a confirmed cancellation. They poll, cancel again and repeat the
+// submission, also with a body that lacks a field or fits no machine. The checker verifies each
+// answer; a repeated submission must never be refused.
 type closeUsers struct {
 	w     *world
 	t     testing.TB
-	told  map[string]string // the state that a job's burst was last made for
-	got   map[string]int    // answers, by what was asked and status
-	again []time.Duration   // after an answer that counts
-	once  bool              // each submission and cancellation is to be answered by the request that asked
+	told  map[string]string // by job: the state for which all controllers were last queried
+	got   map[string]int    // counts of answers by request kind and status
+	again []time.Duration   // delays of the queries after a significant answer
+	once  bool              // each submission and cancellation must succeed at the first request
 }
 
 func newCloseUsers(t testing.TB, w *world) *closeUsers {
@@ -29,14 +29,15 @@
 	return u
 }
 
-// oddBodies are repeats of a submission that would be refused were the job not known.
+// oddBodies returns variants of a submission that would be refused if the job were not known.
 func oddBodies(s wire.JobSpec) map[string]wire.JobSpec {
 	lacks, large, stray, wide, none := s, s, s, s, s
 	lacks.CPUs, large.CPUs, stray.Team, wide.Zone, none.Tasks = nil, ptr(99.0), ptr("nobody"), ptr("elsewhere"), ptr(int64(0))
-	return map[string]wire.JobSpec{"lacks a field": lacks, "fits no machine": large, "names a team that is not": stray, "names a zone that is not": wide, "has no tasks": none}
+	return map[string]wire.JobSpec{"lacks a field": lacks, "fits no machine": large, "names an unknown team": stray, "names an unknown zone": wide, "has no tasks": none}
 }
 
-// heard takes an answer: if it says something that counts, everybody is asked.
+// heard counts an answer. If it reports a new significant state, heard schedules queries to all
+// controllers.
 func (u *closeUsers) heard(id, what string, a Answer) {
 	u.got[fmt.Sprint(what, " ", a.Status)]++
 	st, _ := a.Body.(wire.JobStatus)
@@ -48,7 +49,7 @@
 		say = st.Status
 	}
 	if was := u.told[id]; was != "" && (was != "accepted" || say == was) {
-		return // a final state is told once; what contradicts it the checker finds
+		return // react to a final state once; the checker finds contradictions
 	}
 	u.told[id] = say
 	for _, d := range u.again {
@@ -56,7 +57,7 @@
 	}
 }
 
-// everywhere asks each controller all that a user may ask.
+// everywhere sends each kind of user request for the job to every controller.
 func (u *closeUsers) everywhere(id, say string) {
 	for _, n := range sortedKeys(u.w.nodes) {
 		u.poll(n, id)
@@ -87,7 +88,7 @@
 		st, _ := a.Body.(wire.JobStatus)
 		u.w.check.Submitted(u.w.now, asked, *s.ID, a.Status, st)
 		if a.Status != 200 && a.Status != 503 {
-			u.t.Errorf("%v: a %s at %s of %s, which was accepted, is answered %d", u.w.now, what, n, *s.ID, a.Status)
+			u.t.Errorf("%v: a %s at %s of the accepted job %s was answered with %d", u.w.now, what, n, *s.ID, a.Status)
 		}
 		u.heard(*s.ID, "repeat", a)
 	})
@@ -99,13 +100,13 @@
 	u.w.ask(n, func(q uint64) any { return Abort{Req: q, ID: id} }, func(a Answer) {
 		u.w.aborted(id, a, asked)
 		if a.Status != 200 && (a.Status != 503 || u.once) {
-			u.t.Errorf("%v: %s, which was accepted, %s at %s is answered %d", u.w.now, id, what, n, a.Status)
+			u.t.Errorf("%v: accepted job %s, %s at %s, was answered with %d", u.w.now, id, what, n, a.Status)
 		}
 		u.heard(id, what, a)
 	})
 }
 
-// submit brings a job in, at any controller, until it is accepted; then is called at once.
+// submit sends a job to any controller and retries until it is accepted, then calls then at once.
 func (u *closeUsers) submit(s wire.JobSpec, then func()) {
 	u.w.upload(s)
 	u.w.send(func(id uint64) any { return Submit{Req: id, Spec: s} }, func(a Answer, asked time.Duration) bool {
@@ -113,7 +114,7 @@
 		u.w.check.Submitted(u.w.now, asked, *s.ID, a.Status, st)
 		u.heard(*s.ID, "submission", a)
 		if a.Status > 201 && (a.Status < 429 || u.once) {
-			u.t.Errorf("%v: the submission of %s is answered %d", u.w.now, *s.ID, a.Status)
+			u.t.Errorf("%v: the submission of %s was answered with %d", u.w.now, *s.ID, a.Status)
 		}
 		if a.Status <= 201 {
 			then()
@@ -122,7 +123,7 @@
 	})
 }
 
-// watch polls a job at any controller, again and again, until it is over.
+// watch polls a job at random controllers at the given interval until the job has ended.
 func (u *closeUsers) watch(id string, every time.Duration) {
 	if u.w.check.Final(id) != "" {
 		return
@@ -131,8 +132,8 @@
 	u.w.at(every, func() { u.watch(id, every) })
 }
 
-// day brings 24 jobs of one or two short tasks, four a second at most; every third is cancelled,
-// some of them at once, some at about their end.
+// day submits 24 jobs of one or two short tasks, at 700 ms intervals. Every third job is cancelled,
+// some at once and some at about their end.
 func (u *closeUsers) day() {
 	w := u.w
 	for i := range 24 {
@@ -144,7 +145,7 @@
 				switch i % 6 {
 				case 0:
 					u.cancel(w.anyNode(), *s.ID, "cancelled at once")
-					w.at(sec, func() { u.watchCancel(*s.ID) }) // again, as long as nobody has said so
+					w.at(sec, func() { u.watchCancel(*s.ID) }) // retry until an answer reports a final state
 				case 3:
 					w.at(time.Duration(w.rng.IntN(9000))*time.Millisecond, func() { u.watchCancel(*s.ID) })
 				}
@@ -153,6 +154,7 @@
 	}
 }
 
+// watchCancel cancels a job once a second until it has ended.
 func (u *closeUsers) watchCancel(id string) {
 	if u.w.check.Final(id) == "" {
 		u.cancel(u.w.anyNode(), id, "cancelled")
@@ -160,36 +162,37 @@
 	}
 }
 
-// Users ask all controllers again and again within milliseconds, and repeat the submission, also
-// as one that would get 400 or 422, right after a job was accepted, ended or confirmed as
-// cancelled. No answer is older than one given before. It fails without the read behind a refusal
-// (`unlessKnown` in onSubmit), without the call in front of an answer (onPoll, from the mirror alone), and
-// without the read of what has left the mirror (`readJobForPoll` in answerPolls); with one refused also with
-// polls answered from the mirror where the look at the changes fails (`default` in answerPolls).
+// Users query all controllers repeatedly within milliseconds after a job was accepted, ended or
+// confirmed as cancelled, and repeat the submission, also with bodies that would get 400 or 422. No
+// answer may be older than an earlier one. The test fails without the read before a refusal
+// (`unlessKnown` in onSubmit), without the call before an answer (onPoll answering from the mirror
+// alone), and without the read of jobs that have left the mirror (`readJobForPoll` in answerPolls).
+// With one controller refused, it also fails if polls are answered from the mirror when the read of
+// the changes fails (`default` in answerPolls).
 func TestAskedEverywhereWithinMilliseconds(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
 		name string
 		do   func(w *world)
 	}{
-		{"nothing else", func(*world) {}},
+		{"no other fault", func(*world) {}},
 		{"mirrors lag", func(w *world) { w.watchLag = 1500 * time.Millisecond }},
 		{"the state is slow", func(w *world) { w.slowState = 300 * time.Millisecond }},
-		{"one goes through a peer", func(w *world) { w.cutFrom["c2"] = true; w.at(14*sec, func() { delete(w.cutFrom, "c2") }) }},
-		{"one is refused, nobody helps", func(w *world) {
+		{"one controller uses a peer's relay", func(w *world) { w.cutFrom["c2"] = true; w.at(14*sec, func() { delete(w.cutFrom, "c2") }) }},
+		{"one controller is refused and not relayed", func(w *world) {
 			w.noWays = true
-			for i := range 5 { // it knows the jobs that end meanwhile
+			for i := range 5 { // it knows the jobs that end in the meantime
 				w.at(time.Duration(3+i*4)*sec, func() { w.cutFrom["c2"] = true })
 				w.at(time.Duration(5+i*4)*sec, func() { delete(w.cutFrom, "c2") })
 			}
 		}},
 		{"calls are lost or late", func(w *world) { w.unsure = 15; w.at(25*sec, func() { w.unsure = 0 }) }},
-		{"controllers end and are back", func(w *world) {
+		{"controllers restart", func(w *world) {
 			for i := range 5 {
 				w.at(time.Duration(3+i*4)*sec, func() { w.bounce(300*time.Millisecond, w.anyNode()) })
 			}
 		}},
-		{"one stands still", func(w *world) {
+		{"one controller is paused", func(w *world) {
 			for i := range 4 {
 				w.at(time.Duration(3+i*5)*sec, func() { w.stand(w.anyNode(), 1500*time.Millisecond) })
 			}
@@ -206,10 +209,10 @@
 				w.watchLag, w.slowState = 0, 0
 				w.calm(t)
 				if n := len(w.finals(wire.JobAborted)); n < 4 || w.unfinished() != nil {
-					t.Errorf("seed %d: %d jobs are cancelled, not over: %v", seed, n, w.unfinished())
+					t.Errorf("seed %d: %d jobs were cancelled, not ended: %v", seed, n, w.unfinished())
 				}
 				if u.got["repeat 200"] < 1000 || u.got["cancelled again 200"] < 500 {
-					t.Errorf("seed %d: too little was answered: %v", seed, u.got)
+					t.Errorf("seed %d: too few requests were answered: %v", seed, u.got)
 				}
 				t.Logf("seed %d: %v", seed, u.got)
 			}
