--- a/internal/core/meeting_chosen_test.go
+++ b/internal/core/meeting_chosen_test.go
@@ -8,19 +8,21 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// chosenPairs are played on every run of TestPairsOfTroubles: of each, one trouble alone shows nothing
-// where the pair breaks a rule with the line taken out that it names.
+// chosenPairs are run by every TestPairsOfTroubles. With the line named in the comment removed, the
+// pair breaks a rule, while either fault alone breaks none.
 var chosenPairs = []struct {
 	a, b string
 	gap  time.Duration
 }{
-	// The lone one goes on answering the machines that nobody else reaches, for as long as it may go
-	// unconfirmed: their leases end that much later (`+ c.maxUnconfirmed()` in checkLeases).
-	{"one is without state and peers", "zones are apart", 200 * time.Millisecond},
-	{"zones are apart", "one is without state and peers", 500 * time.Millisecond},
-	{"the state refuses one", "zones are apart", time.Second},
+	// The isolated controller continues to answer the machines that no other controller reaches for as
+	// long as it may act unconfirmed, so their leases end that much later (`+ c.maxUnconfirmed()` in
+	// checkLeases).
+	{"one controller loses the state service and its peers", "zones are partitioned", 200 * time.Millisecond},
+	{"zones are partitioned", "one controller loses the state service and its peers", 500 * time.Millisecond},
+	{"the state service refuses one controller", "zones are partitioned", time.Second},
 }
 
+// playChosenPair injects the fault a, and the fault b after the gap, while jobs are submitted.
 func playChosenPair(t *testing.T, a, b string, gap time.Duration) {
 	t.Parallel()
 	do := func(w *world, name string, d time.Duration) {
@@ -30,7 +32,7 @@
 				return
 			}
 		}
-		t.Fatalf("no such trouble: %s", name)
+		t.Fatalf("unknown fault: %s", name)
 	}
 	for seed := uint64(940); seed < 946; seed++ {
 		w := staffed(t, seed, 3, func(w *world) { w.runS = 15 * sec })
