--- a/internal/core/meeting_home_test.go
+++ b/internal/core/meeting_home_test.go
@@ -8,15 +8,16 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// homeByOwnWrite brings about that a leader takes its own shard home from a controller that lives
-// and starts tasks all the time, while what the leader sees of the state is over a second old: its own
-// write tells it of the grant before the other's last writes reach it. It tells who that is.
+// homeByOwnWrite makes a leader take its home shard back from a running controller that starts tasks
+// continuously, while the leader's mirror of the state is more than a second old. The leader's own write
+// thus informs it of the assignment before it receives the previous holder's last writes. It returns the
+// leader's name.
 func (w *world) homeByOwnWrite(t *testing.T) (home string) {
 	home = "c0"
 	shard := func() (s wire.Shard) { _ = wire.Unmarshal(w.key(shardKey(0)).Value, &s); return s }
 	w.bounce(7*sec, home)
 	w.run(8 * sec)
-	for _, n := range sortedKeys(w.nodes) { // who has no cloud is not to lead
+	for _, n := range sortedKeys(w.nodes) { // a controller without the cloud does not lead
 		w.noCloud[n] = n != home
 	}
 	for range 4 {
@@ -31,10 +32,10 @@
 	}
 	clear(w.noCloud)
 	if s := shard(); w.leaderNode() != home || s.Home != home || s.Holder == home {
-		t.Fatalf("%s leads; the shard of %s is with %s", w.leaderNode(), s.Home, s.Holder)
+		t.Fatalf("%s leads; the shard with home %s is held by %s", w.leaderNode(), s.Home, s.Holder)
 	}
 	w.watchLag = 1400 * time.Millisecond
-	for j := range 160 { // each takes a machine of its own, most of them fresh
+	for j := range 160 { // each needs a whole machine, mostly a new one
 		w.at(time.Duration(j)*250*time.Millisecond, func() {
 			if shard().Holder != home {
 				s := spec(fmt.Sprintf("job-%06d", 1300+j), shard().Teams[0], wire.ShapeBatch, 1)
@@ -45,14 +46,14 @@
 	}
 	w.until(40*sec, func() bool { return shard().Holder == home })
 	if shard().Holder != home {
-		t.Fatal("the shard has not come home")
+		t.Fatal("the shard did not return to its home controller")
 	}
 	return home
 }
 
-// comesHome plays that with work that takes fresh machines all the time: what the mirror does not show
-// yet is that these have been used. Taken up before the mirror has reached the grant, the shard's
-// tasks there are believed to be nowhere.
+// comesHome runs homeByOwnWrite with jobs that continuously use new machines, which the mirror does not
+// show as used yet. It guards against a holder that takes up the shard before its mirror has reached the
+// revision of the assignment: it would conclude that the tasks on these machines run nowhere.
 func comesHome(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(920); seed < 928; seed++ {
