--- a/internal/core/meeting_limits_test.go
+++ b/internal/core/meeting_limits_test.go
@@ -8,19 +8,19 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Every team is at its limit, with work waiting for it, while jobs are cancelled whose machines are cut
-// off, hang or hear nothing, and the leader, a holder or all of them change, before the
-// cancellation or after it. A place counts against its team until what was there is surely
-// gone, also for a holder who never knew the job: the checker judges the limits. Once the
-// trouble is over, what waited is done. It fails without `n++` in refreshMachine (anything may run on
-// a machine that is not accounted for), and with jobRemoved dropping all attempts.
+// Every team is at its limit and has waiting jobs. Jobs are cancelled whose machines are cut off, hang
+// or receive nothing, and the leader, a holder or all controllers restart before or after the
+// cancellation. A task must count against its team's limit until it is certainly gone, also at a holder
+// that never knew the job; the checker verifies the limits. After the faults, the waiting jobs must
+// finish. The test fails without `n++` in refreshMachine (anything may run on a machine that is not
+// accounted for), and if jobRemoved drops all attempts.
 func TestAtTheirLimitsWhileCancelled(t *testing.T) {
 	t.Parallel()
-	hows := []string{"hang", "deaf", "apart", "cut off"}
-	whos := []string{"the leader", "a holder", "all"}
-	for i, how := range hows {
-		for k, who := range whos {
-			t.Run(how+", "+who, func(t *testing.T) {
+	faults := []string{"hang", "deaf", "apart", "cut off"}
+	restarts := []string{"the leader", "a holder", "all"}
+	for i, how := range faults {
+		for k, restart := range restarts {
+			t.Run(how+", "+restart, func(t *testing.T) {
 				t.Parallel()
 				for n, d := range []time.Duration{7 * sec, 25 * sec} {
 					w := newWorld(t, uint64(880+i*10+k), 3, func(w *world) { w.cancelS = 25 * sec })
@@ -44,13 +44,13 @@
 					w.run(4 * sec)
 					for _, team := range teams {
 						if used := w.using(team); used != 12 {
-							t.Fatalf("%s uses %g of its 12", team, used)
+							t.Fatalf("%s uses %g CPUs, want its limit of 12", team, used)
 						}
 					}
 					w.strike(how, d)
-					change := time.Duration(500+2000*((i+k+n)%2)) * time.Millisecond // the cancellations come at 1.2 s
+					change := time.Duration(500+2000*((i+k+n)%2)) * time.Millisecond // the cancellations start at 1.2 s
 					w.at(change, func() {
-						switch who {
+						switch restart {
 						case "the leader":
 							w.bounce(6*sec, w.leaderOr())
 						case "a holder":
@@ -59,15 +59,15 @@
 							w.bounce(400*time.Millisecond, sortedKeys(w.nodes)...)
 						}
 					})
-					told := 0
+					confirmed := 0
 					for j := range 6 {
 						w.at(1200*time.Millisecond+time.Duration(j)*30*time.Millisecond, func() {
-							w.cancelSoon(fmt.Sprintf("job-0011%02d", j), func() { told++ })
+							w.cancelSoon(fmt.Sprintf("job-0011%02d", j), func() { confirmed++ })
 						})
 					}
 					w.run(d + 30*sec)
-					if told != 6 {
-						t.Errorf("%d of 6 cancellations are confirmed", told)
+					if confirmed != 6 {
+						t.Errorf("%d of 6 cancellations were confirmed", confirmed)
 					}
 					w.calm(t)
 					if u := w.unfinished(); u != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// strike has the machines of zone s hang, hear nothing, be cut off from the other zone's
-// controllers, or from all controllers, for a while.
+// strike makes the machines of zone s hang, receive nothing, or lose the connection to the other zone's
+// controllers or to all controllers, for the duration d.
 func (w *world) strike(how string, d time.Duration) {
 	at := w.in("s")
 	switch how {
@@ -101,13 +101,13 @@
 	}
 }
 
-// cancelSoon cancels a job at any controller that runs.
-func (w *world) cancelSoon(id string, told func()) {
+// cancelSoon cancels a job at the first running controller. If none runs, it retries every 100 ms.
+func (w *world) cancelSoon(id string, confirmed func()) {
 	for _, n := range sortedKeys(w.nodes) {
 		if w.nodes[n].core != nil {
-			w.cancelAt(n, id, told)
+			w.cancelAt(n, id, confirmed)
 			return
 		}
 	}
-	w.at(100*time.Millisecond, func() { w.cancelSoon(id, told) })
+	w.at(100*time.Millisecond, func() { w.cancelSoon(id, confirmed) })
 }
