--- a/internal/core/meeting_odd_test.go
+++ b/internal/core/meeting_odd_test.go
@@ -8,9 +8,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Jobs that can't run, or lack a field, are refused by every controller, at once, again and while
-// controllers come back, and are unknown afterwards: their users are told 404 and nobody
-// cancels them. It fails without `impossibleReason` or `Validate` in onSubmit.
+// Jobs that cannot run or lack a field must be refused by every controller, also when they are submitted
+// repeatedly and while controllers restart. They must be unknown afterwards: polls and cancellations get
+// 404. The test fails without `impossibleReason` or `Validate` in onSubmit.
 func TestOddJobsAreRefused(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"calm", "bounced", "slow"} {
@@ -38,12 +38,12 @@
 							})
 							w.ask(n, func(q uint64) any { return Abort{Req: q, ID: *s.ID} }, func(a Answer) {
 								if a.Status != 404 && a.Status != 503 {
-									t.Errorf("%s: %s, which was refused, is cancelled: %d", how, *s.ID, a.Status)
+									t.Errorf("%s: the cancellation of the refused job %s was answered with %d", how, *s.ID, a.Status)
 								}
 							})
 							w.ask(n, func(q uint64) any { return Poll{Req: q, ID: *s.ID} }, func(a Answer) {
 								if a.Status != 404 && a.Status != 503 {
-									t.Errorf("%s: %s, which was refused, is known: %d", how, *s.ID, a.Status)
+									t.Errorf("%s: the poll of the refused job %s was answered with %d", how, *s.ID, a.Status)
 								}
 							})
 						})
@@ -53,18 +53,19 @@
 		}
 		w.run(20 * sec)
 		if got[400] < 50 || got[422] < 50 || got[200]+got[201] > 0 {
-			t.Errorf("%s: odd jobs were answered %v", how, got)
+			t.Errorf("%s: answers to invalid jobs by status: %v", how, got)
 		}
-		t.Logf("%s: odd jobs were answered %v", how, got)
+		t.Logf("%s: answers to invalid jobs by status: %v", how, got)
 	}
 }
 
-// A job that one of many machine types can hold is never refused, whatever part of them a controller
-// knows: while it reads the state page by page, and while the first leader writes them down.
+// A job that fits only one of many machine types must never be refused by a controller that knows only a
+// part of the types, because it is reading the state page by page or because the first leader is still
+// writing the types.
 func TestNoRefusalByTypesHalfRead(t *testing.T) {
 	t.Parallel()
 	var many []wire.MachineType
-	for i := range 45 { // more than two pages of the state, and many transactions
+	for i := range 45 { // more than two pages of a state read, and many transactions
 		many = append(many, wire.MachineType{Name: fmt.Sprintf("t%02d", i), CPUs: 2, MemoryGB: 8, FetchGBps: 1, Price: 1, SpotPrice: 1, BootS: 5, Zones: []string{"n", "s"}})
 	}
 	many[44].CPUs, many[44].MemoryGB = 8, 32
@@ -79,7 +80,7 @@
 			n := sortedKeys(w.nodes)[id%3]
 			w.ask(n, func(q uint64) any { return Submit{Req: q, Spec: s} }, func(a Answer) {
 				if got[a.Status]++; a.Status != 201 && a.Status != 503 && a.Status != 200 {
-					t.Errorf("seed %d: %v: %s is answered %d at %s: %+v", seed, w.now, *s.ID, a.Status, n, a.Body)
+					t.Errorf("seed %d: %v: %s was answered with %d at %s: %+v", seed, w.now, *s.ID, a.Status, n, a.Body)
 				}
 			})
 			if id < 600 {
@@ -92,8 +93,8 @@
 		}
 		w.run(20 * sec)
 		if got[201] < 50 {
-			t.Errorf("seed %d: answered %v", seed, got)
+			t.Errorf("seed %d: answers by status: %v", seed, got)
 		}
-		t.Logf("seed %d: answered %v", seed, got)
+		t.Logf("seed %d: answers by status: %v", seed, got)
 	}
 }
