--- a/internal/core/meeting_stream_test.go
+++ b/internal/core/meeting_stream_test.go
@@ -13,7 +13,7 @@
 // while they run, or at their end. The test runs without other faults and with one transient fault. All
 // other jobs must finish, 9 of 10 within p90, and ended jobs must leave nothing behind on a machine, in
 // a record or in an index. The test fails without `!live` before the clear in commandsFor (ended attempts
-// of ended jobs remain), and without delete(c.counts, id) in remove.
+// of ended jobs remain), and without delete(c.peerJobCounts, id) in applyDelete.
 func TestOneTaskJobsFourASecond(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct {
