--- a/internal/core/meeting_ahead_test.go
+++ b/internal/core/meeting_ahead_test.go
@@ -7,9 +7,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A wide stage is about to follow another, and its tasks would be late if machines were asked for only
-// then: they are up as it begins. If its holder has just ended it waits for a boot at most. For what is cancelled
-// before it could run nothing is kept. Fails (6 s instead of 4) without startingSoon in unmetNeeds.
+// A wide stage follows another one, and its tasks would start late if machines were requested only when
+// it begins. The machines must be up when it begins. If the holder has just restarted, the stage may wait
+// for one boot at most. No machines may be kept for a job that is cancelled before it could run. The test
+// fails (6 s instead of 4) without startingSoon in unmetNeeds.
 func TestMachinesAreUpAsAStageBegins(t *testing.T) {
 	t.Parallel()
 	for _, how := range []string{"", "its holder ends", "cancelled"} {
@@ -24,7 +25,7 @@
 			old := w.params
 			w.params = func(n string) Params {
 				p := old(n)
-				p.Objectives.StartWithinS = map[string]float64{"wide": 9} // a boot of 5 s may take 7.5, and a fetch takes 1
+				p.Objectives.StartWithinS = map[string]float64{"wide": 9} // a boot of 5 s may take 7.5 s, and a fetch takes 1 s
 				return p
 			}
 			for _, n := range sortedKeys(w.nodes) {
@@ -43,12 +44,12 @@
 			w.submit(wide)
 			w.run(12 * sec)
 			if n := len(w.order); n > 2 {
-				t.Errorf("%d machines long before the stage begins", n)
+				t.Errorf("%d machines were rented long before the stage begins", n)
 			}
 			most := 4 * sec
 			switch how {
 			case "its holder ends":
-				most = 8 * sec // who comes after it does not know since when tasks run
+				most = 8 * sec // the next holder does not know when the tasks started
 				w.bounce(2*sec, w.shardRec("red").Holder)
 			case "cancelled":
 				w.run(6 * sec)
@@ -61,12 +62,12 @@
 					}
 				}
 				if up > 1 {
-					t.Errorf("%d machines are kept for a job that was cancelled", up)
+					t.Errorf("%d machines were kept for a cancelled job", up)
 				}
 				return
 			}
 			if w.until(40*sec, func() bool { return w.nodes["c0"].core.jobs["job-000002"] != nil }); w.nodes["c0"].core.jobs["job-000002"] == nil {
-				t.Fatal("the stage does not begin")
+				t.Fatal("the stage did not begin")
 			}
 			if took := w.until(30*sec, func() bool { return w.running("job-000002") == 24 }); took > most {
 				t.Errorf("%d of 24 tasks have machines after %v", w.running("job-000002"), took)
@@ -77,8 +78,9 @@
 	}
 }
 
-// An array beyond its team's guarantee has as many machines asked for as it needs to be done in time, not one
-// place for each task; within the guarantee each task has one. Fails without the pace in requestedTasks.
+// An array beyond its team's guarantee must request as many machines as it needs to meet its deadline, not
+// free capacity for each task; within the guarantee, capacity is requested for each task. The test fails
+// without the limit by the deadline in requestedTasks.
 func TestArraysRentByTheirDeadline(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -101,7 +103,7 @@
 		w.run(180 * sec)
 		w.askAll()
 		if w.check.Final("job-000001") != wire.JobDone {
-			t.Errorf("guarantee %v: not done in time, %d of 80 tasks are", c.guarantee, w.check.DoneTasks("job-000001"))
+			t.Errorf("guarantee %v: not done in time, %d of 80 tasks done", c.guarantee, w.check.DoneTasks("job-000001"))
 		}
 	}
 }
