--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -12,9 +12,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// weighty is a world of whole-machine replicas that all want one image of 6 GB, from a store that gives two
-// machines their full rate: so many at once, with what is switched on.
-func weighty(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
+// newWeightsWorld returns a world in which a service of whole-machine replicas needs one image of 6 GB from a store
+// that can serve two machines at their full rate, with the given switches.
+func newWeightsWorld(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.lease, w.reportS, w.capacity = 12*sec, sec, 60
 		w.teams = map[string]Team{"red": {CPUs: 200, CPUsMax: 260}, "blue": {CPUs: 40, CPUsMax: 60}}
@@ -29,7 +29,7 @@
 		p.Weights = s
 		return p
 	}
-	for i := range 3 { // the first lives began without it
+	for i := range 3 { // restart, because the first incarnations began without the switches
 		w.kill(fmt.Sprintf("c%d", i))
 		w.start(fmt.Sprintf("c%d", i))
 	}
@@ -56,7 +56,7 @@
 	return n
 }
 
-// allUp is how long it takes until so many replicas run, or so long.
+// allUp runs the world until n replicas run, for most at the longest, and returns the time it took.
 func (w *world) allUp(job string, n int, most time.Duration) time.Duration {
 	began := w.now
 	for w.now < began+most && w.replicas(job) < n {
@@ -67,27 +67,27 @@
 
 var bothOn = weights.Switches{PeerTransfer: true, PaceFetches: true}
 
-// Twenty machines that all fetch 6 GB from a store of two machines' rate need a minute. Handed on, all have it
-// in little more than one of them alone would, which is 6 s.
+// Twenty machines that each fetch 6 GB from a store with the rate of two machines need a minute. With peer
+// transfer, all must have the image in little more than the 6 s that a single machine needs.
 func TestWeightsAreHandedOn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2100); seed < 2103; seed++ {
-		alone := weighty(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
-		w := weighty(t, seed, 20, bothOn)
+		alone := newWeightsWorld(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
+		w := newWeightsWorld(t, seed, 20, bothOn)
 		handed := w.allUp("job-000001", 20, 2*time.Minute)
-		t.Logf("seed %d: all up %v after the submission from the store, %v handed on", seed, alone, handed)
+		t.Logf("seed %d: all up %v after the submission from the store, %v with peer transfer", seed, alone, handed)
 		if alone < 55*sec || handed > 16*sec {
-			t.Errorf("seed %d: all up after %v from the store, %v handed on", seed, alone, handed)
+			t.Errorf("seed %d: all up after %v from the store, %v with peer transfer", seed, alone, handed)
 		}
-		w.run(3 * sec) // until all have reported it
+		w.run(3 * sec) // until all machines have reported the image
 		view := w.weightsOf("w-1")
 		if len(view.Holders) != 20 {
-			t.Errorf("seed %d: %d holders are told of", seed, len(view.Holders))
+			t.Errorf("seed %d: %d machines are listed with the image, want 20", seed, len(view.Holders))
 		}
 	}
 }
 
-// weightsOf is what all controllers together tell of an image.
+// weightsOf returns what all controllers together report about an image.
 func (w *world) weightsOf(image string) (all wire.WeightsImageView) {
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return AdminWeights{Req: q, Image: image} }, func(a Answer) {
@@ -100,21 +100,21 @@
 	return all
 }
 
-// A store that binds nobody, a machine's own rate that does: nothing is held back, and nothing is learned that
-// would be. One that binds is found out, and is then asked by as many as use it up: half of them are up in
-// little over half of the time, not all at the end.
+// If the machines' own rates are the limit and not the store's, no fetch may be delayed and no limit of the
+// store may be learned. If the store is the limit, its rate is learned, and then only as many machines fetch
+// at once as use it fully: half of them are up in little over half of the time, instead of all at the end.
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
 	pace := weights.Switches{PaceFetches: true}
-	free := weighty(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
+	free := newWeightsWorld(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
 	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
-		t.Errorf("own rates bind, and all are up after %v", took)
+		t.Errorf("the machines' rates are the limit, and all were up after %v", took)
 	}
 	free.model("job-000002", "red", "w-2", 20)
 	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // machines are rented for them
-		t.Errorf("the second model is up after %v", took)
+		t.Errorf("the second model was up after %v", took)
 	}
-	bound := weighty(t, 2111, 20, pace)
+	bound := newWeightsWorld(t, 2111, 20, pace)
 	bound.allUp("job-000001", 20, 2*time.Minute)
 	bound.model("job-000002", "red", "w-2", 20)
 	began := bound.now
@@ -125,12 +125,13 @@
 	}
 }
 
-// Whatever ends, is cut, deaf, slow or late while weights are on their way: no rule breaks, no replica begins with
-// a part of them, and all are up within what the trouble and one fetch from the store cost.
+// Controllers, machines, links and services fail while weights are being transferred. No invariant may break,
+// no replica may start with a part of the weights, and all must be up within the time of the fault and one
+// fetch from the store.
 func TestWeightsWithTroubles(t *testing.T) {
 	t.Parallel()
 	holder := func(w *world) string { return w.shardRec("red").Holder }
-	source := func(w *world) *host { // the one that hands on the most, of those that have all of it or most
+	source := func(w *world) *host { // the machine that has fetched most of the image, and so can send the most
 		var best *host
 		for _, n := range w.order {
 			if m := w.machines[n]; !m.gone && m.up && (best == nil || m.Fetched("w-1") > best.Fetched("w-1")) {
@@ -144,11 +145,11 @@
 		within  time.Duration
 		trouble func(w *world)
 	}{
-		{"the planner dies with half of a tree under way", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
-		{"all controllers end", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
-		{"the leader ends", 15 * sec, func(w *world) { w.bounce(8*sec, w.leaderNode()) }},
+		{"the planner fails in the middle of a transfer tree", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
+		{"all controllers restart", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
+		{"the leader restarts", 15 * sec, func(w *world) { w.bounce(8*sec, w.leaderNode()) }},
 		{"two models", 15 * sec, func(w *world) { w.model("job-000003", "blue", "w-3", 8) }},
-		{"the only finished copy dies", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
+		{"the machine with the only complete copy is lost", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
 		{"a source hangs", 30 * sec, func(w *world) {
 			m := source(w)
 			w.hang(m)
@@ -158,7 +159,7 @@
 			w.apart[[2]string{"n", "s"}] = true
 			w.at(15*sec, func() { clear(w.apart) })
 		}},
-		{"the state is down", 15 * sec, func(w *world) {
+		{"the state service is down", 15 * sec, func(w *world) {
 			w.store.Trouble.Down = true
 			w.at(10*sec, func() { w.store.Trouble.Down = false })
 		}},
@@ -166,7 +167,7 @@
 			w.unsure = 20
 			w.at(15*sec, func() { w.unsure = 0 })
 		}},
-		{"alarms burst", 15 * sec, func(w *world) {
+		{"a burst of alarms", 15 * sec, func(w *world) {
 			for j := range 30 {
 				w.at(time.Duration(j)*200*time.Millisecond, func() {
 					s := spec(fmt.Sprintf("job-%06d", 500+j), "blue", wire.ShapeBatch, 1)
@@ -191,14 +192,14 @@
 		t.Run(strings.ReplaceAll(c.what, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(2120); seed < 2123; seed++ {
-				w := weighty(t, seed, 20, bothOn)
-				w.run(6 * sec) // first copies are there or nearly, the others on their way
+				w := newWeightsWorld(t, seed, 20, bothOn)
+				w.run(6 * sec) // the first copies are complete or nearly, the others in transfer
 				if n := w.replicas("job-000001"); n == 20 {
-					t.Fatalf("seed %d: not the meeting: %d replicas are up", seed, n)
+					t.Fatalf("seed %d: setup failed: all %d replicas are up", seed, n)
 				}
 				c.trouble(w)
 				if took := w.allUp("job-000001", 20, 3*time.Minute); took > c.within {
-					t.Errorf("seed %d: all up %v after the trouble", seed, took)
+					t.Errorf("seed %d: all up %v after the fault", seed, took)
 				}
 				w.run(30 * sec)
 			}
@@ -206,37 +207,38 @@
 	}
 }
 
-// A new version follows on an old one that is cancelled. What a late report tells of an image long given up names
-// no source.
+// A new version replaces an old one that is cancelled. A late report that still lists the old image must not
+// cause further fetches of it.
 func TestNewVersionOverAnOldOne(t *testing.T) {
 	t.Parallel()
-	w := weighty(t, 2130, 12, bothOn)
+	w := newWeightsWorld(t, 2130, 12, bothOn)
 	w.run(9 * sec)
 	old := w.order[0]
 	late, _ := w.machines[old].Inspect(w.now)
 	w.cancelSoon("job-000001", func() {})
 	w.run(20 * sec)
-	w.model("job-000002", "red", "w-2", 12) // a new version over the old
+	w.model("job-000002", "red", "w-2", 12) // the new version
 	w.run(3 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: late} }, func(Answer) {})
 	}
 	if took := w.allUp("job-000002", 12, 2*time.Minute); took > 30*sec {
-		t.Errorf("the new version is up after %v", took)
+		t.Errorf("the new version was up after %v", took)
 	}
 	if v := w.weightsOf("w-1"); len(v.Fetches) > 0 {
-		t.Errorf("the old version is being fetched: %+v", v.Fetches)
+		t.Errorf("the old version is still being fetched: %+v", v.Fetches)
 	}
 }
 
-// The plan is one change an image and stage, whoever holds the shard; it names who fetches from the store, and goes
-// when all is done. Switched off, nothing is written or told.
+// A transfer plan takes one write per image and stage, whichever controller holds the shard. It names the
+// machines that fetch from the store, and is removed when all transfers are done. With peer transfer
+// switched off, nothing may be written or published.
 func TestPlansAreFewChanges(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
 		s := weights.Switches{PeerTransfer: on}
 		writes, named := 0, false
-		w := weighty(t, 2140, 40, s, func(w *world) {
+		w := newWeightsWorld(t, 2140, 40, s, func(w *world) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 				for _, ch := range v.Txn.Then {
 					if strings.HasPrefix(ch.Put, wire.PrefixWeights) {
@@ -251,10 +253,10 @@
 		w.allUp("job-000001", 40, 3*time.Minute)
 		w.run(10 * sec)
 		if v := w.weightsOf("w-1"); len(v.Holders) != 40 {
-			t.Errorf("on %v: %d holders", on, len(v.Holders))
+			t.Errorf("on %v: %d machines are listed with the image, want 40", on, len(v.Holders))
 		}
 		if on && (!named || writes < 2 || writes > 6) || !on && writes > 0 {
-			t.Errorf("on %v: %d plans written, roots named %v", on, writes, named)
+			t.Errorf("on %v: %d plan writes, roots named %v", on, writes, named)
 		}
 	}
 }
