--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -22,12 +22,12 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// writer writes records to a state service of lower limits, and notes the largest of each kind.
+// writer writes records to a state service with low limits and records the largest size of each kind.
 type writer struct {
 	t       *testing.T
 	store   *state.Store
 	id      uint64
-	bytes   map[string]int // of the largest, by kind
+	bytes   map[string]int // size of the largest record, by kind
 	records map[string]int
 }
 
@@ -35,6 +35,7 @@
 	return &writer{t: t, store: state.New(l, rand.New(rand.NewPCG(1, 1))), bytes: map[string]int{}, records: map[string]int{}}
 }
 
+// put writes a value under the key and reports an error if the state service refuses it.
 func (w *writer) put(key string, value any) {
 	w.t.Helper()
 	raw, err := wire.Marshal(value)
@@ -56,8 +57,8 @@
 	w.records[kind]++
 }
 
-// Every kind of record at its largest is taken by a state service whose values have 2 KiB.
-// The table of docs/design.md has the figures that -v shows.
+// A state service with a value limit of 2 KiB must accept the largest record of every kind. The table in
+// docs/design.md has the figures that -v prints.
 func TestLargestRecords(t *testing.T) {
 	t.Parallel()
 	const bytes = 2048
@@ -66,13 +67,13 @@
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
-			// A third of the machines is one shard's.
-			book, each := startlog.New(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
+			// One shard has a third of the machines.
+			starts, each := startlog.New(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []startlog.Entry
 			for k := range each {
 				entries = append(entries, startlog.Entry{Name: machineEntryPrefix + long(k)})
 			}
-			for k := range each { // services, and arrays of 250 small and 400 tasks
+			for k := range each { // services, and arrays of 400 tasks
 				e := startlog.Entry{Name: fmt.Sprintf("job-%06d", k), Start: wire.Start{Started: 400, Bad: true}}
 				if k%2 == 0 {
 					e.Start = wire.Start{Started: 4, On: []string{long(k), long(k + 1), long(k + 2), long(k + 3)}}
@@ -80,9 +81,9 @@
 				entries = append(entries, e)
 			}
 			for ver := uint64(1); len(entries) > 0; ver++ {
-				x := book.Plan(0, entries, func(string) bool { return true })
+				x := starts.Plan(0, entries, func(string) bool { return true })
 				w.put(x.Key, x.Record)
-				if _, err := book.Put(x.Key, ver, x.Record); err != nil {
+				if _, err := starts.Put(x.Key, ver, x.Record); err != nil {
 					t.Fatal(err)
 				}
 				entries = entries[x.Included:]
@@ -136,7 +137,7 @@
 			}
 			rec, _ := tr.NextRecord(time.Hour, 1<<40)
 			if len(rec.Events) < 4 {
-				t.Errorf("%d events in the trail's record", len(rec.Events))
+				t.Errorf("%d events in the trail record, want at least 4", len(rec.Events))
 			}
 			w.put(wire.PrefixTrail+"c0", rec)
 			w.others(bytes, machines, long)
@@ -147,7 +148,7 @@
 	}
 }
 
-// others are the kinds that hang little on how many machines there are.
+// others writes the kinds of records whose size depends little on the number of machines.
 func (w *writer) others(bytes, machines int, long func(int) string) {
 	t := w.t
 	shard := wire.Shard{Holder: "controller-of-a-long-name-0", Boot: 1 << 40, Home: "controller-of-a-long-name-0", Known: true}
@@ -184,7 +185,7 @@
 	}
 	bias = limits.Fit(bias, bytes, forecast.DropLeastKnownClass)
 	if len(bias.Classes) < 20 || bias.Classes["class-of-a-long-name-59"][0] == 0 {
-		t.Errorf("%d classes are left, of which most is known is not among them", len(bias.Classes))
+		t.Errorf("%d classes are left, or the best-known class is not among them", len(bias.Classes))
 	}
 	w.put(biasKey(0), bias)
 
@@ -192,7 +193,7 @@
 	w.progress(bytes)
 }
 
-// operators' records are those that they write.
+// operators writes the records that operators change: crews and the tier order.
 func (w *writer) operators(bytes, machines int) {
 	crew := wire.Crew{Name: "crew-of-a-long-name", Team: "team-of-a-long-name", Zone: "zone-of-a-long-name", Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Leaves: "2026-12-03T06:30", TimeZone: "Africa/Dakar", Rule: "FREQ=DAILY"}
 	for k := range tuning.CrewHistoryEntries {
@@ -209,25 +210,25 @@
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
-	lad := wire.TierOrder{}
+	order := wire.TierOrder{}
 	for k := range 6 {
-		lad.Tiers = append(lad.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
+		order.Tiers = append(order.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
 	for k := range tuning.TierHistoryChanges {
 		c := wire.TierOrderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
-		for _, r := range lad.Tiers {
+		for _, r := range order.Tiers {
 			c.Tiers = append(c.Tiers, r.Name)
 		}
-		lad.History = append(lad.History, c)
+		order.History = append(order.History, c)
 	}
-	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
+	w.put(wire.KeyTierOrder, limits.Fit(order, bytes, tiers.DropOldestChange))
 }
 
-// progress is that of a job with the longest description that is accepted.
+// progress writes the progress record of a job with the longest accepted description.
 func (w *writer) progress(bytes int) {
 	job := wire.Job{ID: "job-000001", Class: "any", Team: "red", Shape: wire.ShapeBatch, Tasks: 400, Image: strings.Repeat("x", 700), Started: 400}
 	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, bytes-1024) {
-		w.t.Errorf("the description is longer than what is accepted (%v)", err)
+		w.t.Errorf("the description is longer than the accepted maximum (%v)", err)
 	}
 	for k := 0; k < 400; k += 2 {
 		job.Done = append(job.Done, [2]int{k, k + 1})
