--- a/internal/core/meeting_asking_test.go
+++ b/internal/core/meeting_asking_test.go
@@ -13,16 +13,16 @@
 // submission, also with a body that lacks a field or fits no machine. The checker verifies each
 // answer; a repeated submission must never be refused.
 type closeUsers struct {
-	w     *world
-	t     testing.TB
-	told  map[string]string // by job: the state for which all controllers were last queried
-	got   map[string]int    // counts of answers by request kind and status
-	again []time.Duration   // delays of the queries after a significant answer
-	once  bool              // each submission and cancellation must succeed at the first request
+	w       *world
+	t       testing.TB
+	queried map[string]string // by job: the state for which all controllers were last queried
+	got     map[string]int    // counts of answers by request kind and status
+	again   []time.Duration   // delays of the queries after a significant answer
+	once    bool              // each submission and cancellation must succeed at the first request
 }
 
 func newCloseUsers(t testing.TB, w *world) *closeUsers {
-	u := &closeUsers{w: w, t: t, told: map[string]string{}, got: map[string]int{}}
+	u := &closeUsers{w: w, t: t, queried: map[string]string{}, got: map[string]int{}}
 	for _, ms := range []time.Duration{0, 1, 2, 4, 7, 11, 16, 25, 60, 150, 400, 1200} {
 		u.again = append(u.again, ms*time.Millisecond)
 	}
@@ -44,21 +44,21 @@
 	if a.Status != 200 && a.Status != 201 {
 		return
 	}
-	say := "accepted"
+	state := "accepted"
 	if st.Status == wire.JobDone || st.Status == wire.JobAborted {
-		say = st.Status
+		state = st.Status
 	}
-	if was := u.told[id]; was != "" && (was != "accepted" || say == was) {
+	if was := u.queried[id]; was != "" && (was != "accepted" || state == was) {
 		return // react to a final state once; the checker finds contradictions
 	}
-	u.told[id] = say
+	u.queried[id] = state
 	for _, d := range u.again {
-		u.w.at(d, func() { u.everywhere(id, say) })
+		u.w.at(d, func() { u.everywhere(id, state) })
 	}
 }
 
 // everywhere sends each kind of user request for the job to every controller.
-func (u *closeUsers) everywhere(id, say string) {
+func (u *closeUsers) everywhere(id, state string) {
 	for _, n := range sortedKeys(u.w.nodes) {
 		u.poll(n, id)
 		s := u.w.jobs[id].spec
@@ -67,7 +67,7 @@
 		for _, k := range sortedKeys(odd) {
 			u.repeat(n, odd[k], "repeat that "+k)
 		}
-		if say != "accepted" {
+		if state != "accepted" {
 			u.cancel(n, id, "cancelled again")
 		}
 	}
--- a/internal/core/meeting_chosen_test.go
+++ b/internal/core/meeting_chosen_test.go
@@ -22,11 +22,11 @@
 	{"the state service refuses one controller", "zones are partitioned", time.Second},
 }
 
-// playChosenPair injects the fault a, and the fault b after the gap, while jobs are submitted.
-func playChosenPair(t *testing.T, a, b string, gap time.Duration) {
+// runChosenPair injects the fault a, and the fault b after the gap, while jobs are submitted.
+func runChosenPair(t *testing.T, a, b string, gap time.Duration) {
 	t.Parallel()
 	do := func(w *world, name string, d time.Duration) {
-		for _, x := range everyTrouble {
+		for _, x := range allFaults {
 			if x.name == name {
 				x.do(w, d)
 				return
--- a/internal/core/meeting_pairs_test.go
+++ b/internal/core/meeting_pairs_test.go
@@ -14,8 +14,8 @@
 	do   func(w *world, d time.Duration)
 }
 
-// everyTrouble lists all kinds of faults that the test world can inject.
-var everyTrouble = []trouble{
+// allFaults lists all kinds of faults that the test world can inject.
+var allFaults = []trouble{
 	{"a controller restarts", func(w *world, d time.Duration) { w.bounce(d, w.anyNode()) }},
 	{"the leader restarts", func(w *world, d time.Duration) { w.bounce(d, w.leaderOr()) }},
 	{"all controllers restart, one at once", func(w *world, d time.Duration) {
@@ -120,7 +120,7 @@
 func TestPairsOfTroubles(t *testing.T) {
 	t.Parallel()
 	for _, x := range chosenPairs {
-		t.Run(x.a+", "+x.b, func(t *testing.T) { playChosenPair(t, x.a, x.b, x.gap) })
+		t.Run(x.a+", "+x.b, func(t *testing.T) { runChosenPair(t, x.a, x.b, x.gap) })
 	}
 	for seed := uint64(30000); seed < 30000+schedules; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -136,7 +136,7 @@
 				for k := range 5 {
 					w.at(time.Duration(k)*3*sec+time.Duration(w.rng.IntN(2000))*time.Millisecond, func() { id = w.newWork(id) })
 				}
-				a, b := everyTrouble[w.rng.IntN(len(everyTrouble))], everyTrouble[w.rng.IntN(len(everyTrouble))]
+				a, b := allFaults[w.rng.IntN(len(allFaults))], allFaults[w.rng.IntN(len(allFaults))]
 				gap := time.Duration(w.rng.IntN(int(w.lease)))
 				long := func() time.Duration {
 					return time.Duration(500+w.rng.IntN(int(w.cancelS/time.Millisecond)*5/4)) * time.Millisecond
--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -72,12 +72,12 @@
 func TestWeightsAreHandedOn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2100); seed < 2103; seed++ {
-		alone := newWeightsWorld(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
+		fromStore := newWeightsWorld(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
 		w := newWeightsWorld(t, seed, 20, bothOn)
-		handed := w.allUp("job-000001", 20, 2*time.Minute)
-		t.Logf("seed %d: all up %v after the submission from the store, %v with peer transfer", seed, alone, handed)
-		if alone < 55*sec || handed > 16*sec {
-			t.Errorf("seed %d: all up after %v from the store, %v with peer transfer", seed, alone, handed)
+		withPeers := w.allUp("job-000001", 20, 2*time.Minute)
+		t.Logf("seed %d: all up %v after the submission from the store, %v with peer transfer", seed, fromStore, withPeers)
+		if fromStore < 55*sec || withPeers > 16*sec {
+			t.Errorf("seed %d: all up after %v from the store, %v with peer transfer", seed, fromStore, withPeers)
 		}
 		w.run(3 * sec) // until all machines have reported the image
 		view := w.weightsOf("w-1")
@@ -106,21 +106,21 @@
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
 	pace := weights.Switches{PaceFetches: true}
-	free := newWeightsWorld(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
-	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
+	unlimited := newWeightsWorld(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
+	if took := unlimited.allUp("job-000001", 20, time.Minute); took > 12*sec {
 		t.Errorf("the machines' rates are the limit, and all were up after %v", took)
 	}
-	free.model("job-000002", "red", "w-2", 20)
-	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // machines are rented for them
+	unlimited.model("job-000002", "red", "w-2", 20)
+	if took := unlimited.allUp("job-000002", 20, time.Minute); took > 25*sec { // machines are rented for them
 		t.Errorf("the second model was up after %v", took)
 	}
-	bound := newWeightsWorld(t, 2111, 20, pace)
-	bound.allUp("job-000001", 20, 2*time.Minute)
-	bound.model("job-000002", "red", "w-2", 20)
-	began := bound.now
-	half := bound.allUp("job-000002", 10, 3*time.Minute)
-	bound.allUp("job-000002", 20, 3*time.Minute)
-	if all := bound.now - began; half > all*7/10 || all > 100*sec {
+	limited := newWeightsWorld(t, 2111, 20, pace)
+	limited.allUp("job-000001", 20, 2*time.Minute)
+	limited.model("job-000002", "red", "w-2", 20)
+	began := limited.now
+	half := limited.allUp("job-000002", 10, 3*time.Minute)
+	limited.allUp("job-000002", 20, 3*time.Minute)
+	if all := limited.now - began; half > all*7/10 || all > 100*sec {
 		t.Errorf("the second model: half up after %v, all after %v", half, all)
 	}
 }
@@ -141,9 +141,9 @@
 		return best
 	}
 	for _, c := range []struct {
-		what    string
-		within  time.Duration
-		trouble func(w *world)
+		what   string
+		within time.Duration
+		fault  func(w *world)
 	}{
 		{"the planner fails in the middle of a transfer tree", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
 		{"all controllers restart", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
@@ -197,7 +197,7 @@
 				if n := w.replicas("job-000001"); n == 20 {
 					t.Fatalf("seed %d: setup failed: all %d replicas are up", seed, n)
 				}
-				c.trouble(w)
+				c.fault(w)
 				if took := w.allUp("job-000001", 20, 3*time.Minute); took > c.within {
 					t.Errorf("seed %d: all up %v after the fault", seed, took)
 				}
