--- a/internal/core/meeting_limits_test.go
+++ b/internal/core/meeting_limits_test.go
@@ -12,7 +12,7 @@
 // or receive nothing, and the leader, a holder or all controllers restart before or after the
 // cancellation. A task must count against its team's limit until it is certainly gone, also at a holder
 // that never knew the job; the checker verifies the limits. After the faults, the waiting jobs must
-// finish. The test fails without `n++` in refreshMachine (anything may run on a machine that is not
+// finish. The test fails without `unknown++` in refreshMachine (anything may run on a machine that is not
 // accounted for), and if jobRemoved drops all attempts.
 func TestAtTheirLimitsWhileCancelled(t *testing.T) {
 	t.Parallel()
