--- a/cmd/barrowbridge/chain.go
+++ b/cmd/barrowbridge/chain.go
@@ -15,7 +15,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// addAwaits adds the jobs named by a flag to those that a job's file names.
+// addAwaits appends the predecessors given with --awaits to those in the job specification.
 func addAwaits(spec map[string]any, more []string) error {
 	if len(more) == 0 {
 		return nil
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// withChain adds what the controllers tell of a job's chain; a job that is alone, or controllers
-// that do not tell, add nothing.
+// withChain fills in the dependency fields of a queued or aborted job from the chain endpoint. The view
+// is returned unchanged if the job has no chain or the controllers do not return it.
 func (c *client) withChain(v jobView) jobView {
 	if v.Status != wire.JobQueued && v.Status != wire.JobAborted {
 		return v
@@ -66,8 +66,8 @@
 	return v
 }
 
-// chained is the lines about a job's chain.
-func (v jobView) chained() string {
+// chainLines returns the printed lines about a job's dependencies, or "" if there are none.
+func (v jobView) chainLines() string {
 	switch {
 	case v.CancelledBy == v.Job && v.Job != "":
 		return "\n  cancelled by its user"
@@ -83,7 +83,7 @@
 	return out
 }
 
-// clock is a time of day, "-" for none.
+// clock formats a Unix time in milliseconds as a local time of day; 0 gives "-".
 func clock(ms int64) string {
 	if ms == 0 {
 		return "-"
@@ -93,12 +93,12 @@
 
 func (c *client) chainCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "chain JOB", Short: "Draw the jobs that a job awaits and those that await it", Args: cobra.ExactArgs(1),
-		Long: "Draw the jobs that a job awaits and those that await it, directly or through others.\n\n" +
-			"A job stands in the stage after the last of those that it awaits. * marks the critical\n" +
-			"path, > the job that was asked for. A due time in brackets is inherited: by then a job\n" +
-			"has to be done so that those after it can meet their deadlines. Slack is what is left\n" +
-			"between the expected end and the due time; negative: late by so much.",
+		Use: "chain JOB", Short: "Print the dependency graph of a job", Args: cobra.ExactArgs(1),
+		Long: "Print the jobs that a job awaits and those that await it, directly or indirectly.\n\n" +
+			"A job is in the stage after the last of the jobs that it awaits. * marks the critical\n" +
+			"path, > the requested job. A due time in parentheses is inherited: the job has to be\n" +
+			"done by then so that the jobs that await it can meet their deadlines. Slack is the time\n" +
+			"between the expected end and the due time; a negative value means that the job is late.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			if !wire.ValidJobID(args[0]) {
 				return &exitError{exitFailed, fmt.Sprintf("%q: must look like job-000412", args[0])}
@@ -115,7 +115,7 @@
 	}
 }
 
-// stages puts each job in the stage after the last of those that it awaits.
+// stages groups jobs by stage: a job is in the stage after the last of the jobs that it awaits.
 func stages(jobs []wire.ChainJob) (out [][]wire.ChainJob) {
 	at := map[string]int{}
 	for _, j := range jobs {
@@ -167,7 +167,7 @@
 
 func tasks(j wire.ChainJob) string {
 	if j.Tasks == 0 {
-		return "" // of a job that is over its record may be gone
+		return "" // the record of a finished job may have been deleted
 	}
 	return fmt.Sprintf("%d/%d", j.Done, j.Tasks)
 }
@@ -207,7 +207,7 @@
 	return fmt.Sprintf("%.0f s", *j.SlackS)
 }
 
-// critical is the line about the critical path.
+// critical returns the line that describes the critical path.
 func critical(jobs []wire.ChainJob) string {
 	i := slices.IndexFunc(jobs, func(j wire.ChainJob) bool { return j.Critical })
 	if i < 0 {
--- a/cmd/barrowbridge/chain_test.go
+++ b/cmd/barrowbridge/chain_test.go
@@ -17,14 +17,14 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// answer is what an emulated controller says to a path.
+// answer is the response of the emulated controller to a path.
 type answer struct {
 	status int
 	body   any
 }
 
-// command runs the program against a controller that gives these answers, and returns what it
-// prints, the submissions that the controller got, and its error.
+// command runs the program against an emulated controller with the given responses. It returns the output, the
+// job specifications that were submitted, and the error.
 func command(t *testing.T, answers map[string]answer, args ...string) (string, []wire.JobSpec, error) {
 	t.Helper()
 	var got []wire.JobSpec
@@ -57,7 +57,8 @@
 	return out.String(), got, err
 }
 
-// A job's predecessors come from its file and from the flag; a malformed one is refused in one line.
+// The predecessors of a submitted job are those of its file followed by those of --awaits; a malformed one is
+// rejected with a one-line error and nothing is submitted.
 func TestSubmitAwaits(t *testing.T) {
 	accepted := map[string]answer{"/v1/jobs": {201, wire.JobStatus{ID: "job-000009", Status: wire.JobQueued}}}
 	for _, x := range []struct {
@@ -96,9 +97,10 @@
 	}
 }
 
-const at = int64(1764648000000) // some time of day
+const at = int64(1764648000000) // an arbitrary Unix time in milliseconds
 
-// pipeline is a diamond: job-1, then job-2 and job-3, then job-4 with the deadline.
+// pipeline returns a diamond of dependencies: job-2 and job-3 await job-1, and job-4, which has the deadline,
+// awaits them.
 func pipeline() wire.Chain {
 	slack, late := 12.4, -3.0
 	return wire.Chain{Job: "job-3", Node: "c0", Jobs: []wire.ChainJob{
@@ -112,8 +114,8 @@
 	}}
 }
 
-// A job's status tells what it waits for, since when, when it is expected to start, and on whose
-// account it was cancelled; when the controllers do not tell, the status alone.
+// A job's status shows what it waits for and since when, its expected start, and the job whose cancellation
+// cancelled it. Without an answer about the chain, only the status is printed.
 func TestStatusOfAJobInAChain(t *testing.T) {
 	k := pipeline()
 	gone := wire.Chain{Job: "job-4", Jobs: []wire.ChainJob{{ID: "job-4", Status: wire.JobAborted, CancelledBy: "job-2", WaitingSinceMS: at}}}
@@ -129,9 +131,9 @@
 		"cancelled itself": {wire.JobAborted, answer{200, own}, "job-4 aborted (0 done, 0 running)\n  cancelled by its user\n"},
 		"cancelled itself, old record": {wire.JobAborted, answer{200, wire.Chain{Job: "job-4", Jobs: []wire.ChainJob{{ID: "job-4", Status: wire.JobAborted}}}},
 			"job-4 aborted (0 done, 0 running)\n  cancelled by its user\n"},
-		"not told": {wire.JobQueued, answer{404, wire.Problem{Error: "Not Found"}}, "job-4 queued (0 done, 0 running)\n"},
-		"not now":  {wire.JobQueued, answer{503, wire.Problem{Error: "not now"}}, "job-4 queued (0 done, 0 running)\n"},
-		"runs":     {wire.JobRunning, answer{200, gone}, "job-4 running (0 done, 0 running)\n"},
+		"chain unknown":     {wire.JobQueued, answer{404, wire.Problem{Error: "Not Found"}}, "job-4 queued (0 done, 0 running)\n"},
+		"chain unavailable": {wire.JobQueued, answer{503, wire.Problem{Error: "not now"}}, "job-4 queued (0 done, 0 running)\n"},
+		"runs":              {wire.JobRunning, answer{200, gone}, "job-4 running (0 done, 0 running)\n"},
 	} {
 		answers := map[string]answer{"/v1/jobs/job-4": {200, wire.JobStatus{ID: "job-4", Status: x.status}}, "/admin/v1/chain/job-4": x.chain}
 		for _, verb := range []string{"status", "get"} {
@@ -152,7 +154,8 @@
 	}
 }
 
-// The graph shows stages, times, slack and the critical path; an unknown job is one line and status 1.
+// The printed graph shows stages, times, slack and the critical path. An unknown job gives a one-line error and
+// exit code 1.
 func TestAdminChain(t *testing.T) {
 	answers := map[string]answer{"/admin/v1/chain/job-3": {200, pipeline()}, "/admin/v1/chain/job-9": {404, wire.Problem{Error: "no such job"}}}
 	out, _, err := command(t, answers, "admin", "chain", "job-3")
@@ -200,7 +203,7 @@
 	}
 }
 
-// The shipped jobs are right, and those of the chain name each other in order.
+// The example jobs are valid, and each job of the example chain awaits only jobs that are submitted before it.
 func TestExampleJobs(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*.json")
 	before := map[string]bool{}
--- a/cmd/barrowbridge/client.go
+++ b/cmd/barrowbridge/client.go
@@ -19,10 +19,10 @@
 
 // Exit codes of the client commands.
 const (
-	exitFailed      = 1 // usage, or an answer that could not be read
+	exitFailed      = 1 // wrong usage, or a response that cannot be decoded
 	exitRefused     = 2 // 400, 409 or 422
 	exitUnknown     = 3 // 404
-	exitUnavailable = 4 // no controller answered in time
+	exitUnavailable = 4 // no controller responded in time
 )
 
 // exitError carries an exit code with its message.
@@ -33,7 +33,7 @@
 
 func (e *exitError) Error() string { return e.msg }
 
-// client talks to the first controller that answers.
+// client sends requests to the configured controllers, in order, until one responds.
 type client struct {
 	servers []string
 	timeout time.Duration
@@ -43,12 +43,13 @@
 
 func (c *client) flags(cmd *cobra.Command) {
 	cmd.PersistentPreRun = func(cmd *cobra.Command, _ []string) { c.out = cmd.OutOrStdout() }
-	cmd.PersistentFlags().StringSliceVar(&c.servers, "server", []string{"127.0.0.1:8080"}, "controllers to ask, ip:port, in this order")
-	cmd.PersistentFlags().DurationVar(&c.timeout, "timeout", time.Minute, "how long to try")
+	cmd.PersistentFlags().StringSliceVar(&c.servers, "server", []string{"127.0.0.1:8080"}, "controllers to try in this order, as ip:port")
+	cmd.PersistentFlags().DurationVar(&c.timeout, "timeout", time.Minute, "how long to retry")
 	cmd.PersistentFlags().BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// call tries the controllers in turn until one gives a definite answer.
+// call sends a request to the controllers in turn until one succeeds or rejects it, and decodes a successful
+// response into the given value. Other failures are retried every second until the timeout.
 func (c *client) call(method, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
@@ -66,7 +67,7 @@
 				last = err.Error()
 			case status == http.StatusOK || status == http.StatusCreated:
 				if err := wire.Unmarshal(raw, into); err != nil {
-					return &exitError{exitFailed, "answer not readable: " + err.Error()}
+					return &exitError{exitFailed, "cannot decode the response: " + err.Error()}
 				}
 				return nil
 			case status == http.StatusNotFound:
@@ -98,14 +99,14 @@
 	return err
 }
 
-// jobView is how a job's status is printed. What comes after Running is told of chains only.
+// jobView is the printed form of a job's status. The fields after Running are set only for jobs in a chain.
 type jobView struct {
 	Job     string `json:"job"`
 	Status  string `json:"status"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
 
-	Awaits          []string `json:"awaits,omitempty"` // those that are not done yet
+	Awaits          []string `json:"awaits,omitempty"` // predecessors that are not done yet
 	WaitingSinceMS  int64    `json:"waiting_since_ms,omitempty"`
 	ExpectedStartMS int64    `json:"expected_start_ms,omitempty"`
 	CancelledBy     string   `json:"cancelled_by,omitempty"`
@@ -125,7 +126,7 @@
 }
 
 func (c *client) printView(v jobView) error {
-	return c.print(v, fmt.Sprintf("%s %s (%d done, %d running)", v.Job, v.Status, v.Done, v.Running)+v.chained())
+	return c.print(v, fmt.Sprintf("%s %s (%d done, %d running)", v.Job, v.Status, v.Done, v.Running)+v.chainLines())
 }
 
 func jobCommand() *cobra.Command {
@@ -154,10 +155,10 @@
 			return c.printJob(s)
 		},
 	}
-	submit.Flags().StringSliceVar(&awaits, "awaits", nil, "jobs that have to be done before any task starts, beside those that FILE names")
+	submit.Flags().StringSliceVar(&awaits, "awaits", nil, "jobs that have to be done before any task starts, in addition to those in FILE")
 	cmd.AddCommand(submit, &cobra.Command{
 		Use: "status JOB", Aliases: []string{"get"}, Args: cobra.ExactArgs(1),
-		Short: "Print a job's state: what it waits for, and on whose account it was cancelled",
+		Short: "Print a job's state, what it waits for, and which job's cancellation cancelled it",
 		RunE: func(_ *cobra.Command, args []string) error {
 			s, err := get(args[0])
 			if err != nil {
@@ -196,7 +197,8 @@
 	return cmd
 }
 
-// readSpec reads a job's fields, named as on the wire, from a JSON file.
+// readSpec reads a job specification with the field names of the wire protocol from a JSON file, or from
+// standard input if path is "-".
 func readSpec(path string) (map[string]any, error) {
 	var b []byte
 	var err error
@@ -232,10 +234,10 @@
 
 func adminCommand() *cobra.Command {
 	c := &client{}
-	cmd := &cobra.Command{Use: "admin", Short: "Look into and steer a running cluster"}
+	cmd := &cobra.Command{Use: "admin", Short: "Inspect and control a running cluster"}
 	c.flags(cmd)
 	overview := &cobra.Command{
-		Use: "overview", Short: "Leader, shards, blocks, machines and teams as the asked controller sees them", Args: cobra.NoArgs,
+		Use: "overview", Short: "Print leader, shards, blocks, machines and teams as one controller sees them", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var o wire.Overview
 			if err := c.call(http.MethodGet, "/admin/v1/overview", nil, &o); err != nil {
@@ -245,7 +247,7 @@
 		},
 	}
 	why := &cobra.Command{
-		Use: "why JOB", Short: "Tell why a job waits", Args: cobra.ExactArgs(1),
+		Use: "why JOB", Short: "Print why a job waits", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var w wire.Why
 			if err := c.call(http.MethodGet, "/admin/v1/jobs/"+args[0]+"/why", nil, &w); err != nil {
@@ -285,7 +287,7 @@
 			return c.print(v, fmt.Sprintf("version %d\nidle_return_s %g\nsilent_drop_s %g\nspot %v", v.Version, s.IdleReturnS, s.SilentDropS, s.Spot))
 		},
 	}
-	settings.Flags().Float64Var(&idle, "idle-return-s", 0, "an empty rented machine is given back after so many seconds")
+	settings.Flags().Float64Var(&idle, "idle-return-s", 0, "seconds after which an empty rented machine is returned")
 	settings.Flags().Float64Var(&silent, "silent-drop-s", 0, "a silent standing machine is given up after so many seconds")
 	settings.Flags().BoolVar(&spot, "spot", true, "whether spot machines may be rented")
 	cordon := func(use, short string, v *wire.Cordon) *cobra.Command {
@@ -307,7 +309,7 @@
 	}
 	cmd.AddCommand(overview, why, c.chainCommand(), settings, c.trailCommand(), c.machineCommand(), c.reachCommand(), c.weightsCommand(), c.versionCommand(), c.ladderCommand(), c.crewCommand(),
 		cordon("cordon", "Start nothing more on a machine", &wire.Cordon{}),
-		cordon("drain", "Stop what runs on a machine and give it back", &wire.Cordon{Drain: true}),
+		cordon("drain", "Stop the tasks on a machine and return it to the cloud", &wire.Cordon{Drain: true}),
 		cordon("uncordon", "Let a cordoned machine be used again", nil))
 	return cmd
 }
@@ -354,7 +356,7 @@
 	return strings.TrimRight(b.String(), "\n")
 }
 
-// exitCode maps an error to the process's exit code.
+// exitCode returns the process's exit code for an error.
 func exitCode(err error) int {
 	var e *exitError
 	if errors.As(err, &e) {
--- a/cmd/barrowbridge/crew.go
+++ b/cmd/barrowbridge/crew.go
@@ -12,11 +12,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// crewCommand shows and changes the crews' calendar.
+// crewCommand returns the commands that print and change the crew calendar.
 func (c *client) crewCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "crew", Short: "When crews roll out, and what is done before"}
+	cmd := &cobra.Command{Use: "crew", Short: "Print and change crew departures and the work planned before them"}
 	var dry bool
-	cmd.PersistentFlags().BoolVar(&dry, "dry-run", false, "judge only, change nothing")
+	cmd.PersistentFlags().BoolVar(&dry, "dry-run", false, "validate only, change nothing")
 	cmd.AddCommand(c.crewAdd(&dry), c.crewMove(&dry), c.crewCancel(&dry), c.crewWatch(),
 		c.crewShow("list", "Print all crews and their next departures", cobra.NoArgs, func(v wire.CrewView) string {
 			return fmt.Sprintf("%s  team %s  %s  %s: %s", v.Crew.Name, v.Crew.Team, v.Plan.Leaves, strings.Join(v.Crew.Classes, ","), v.Plan.Say)
@@ -27,7 +27,7 @@
 	return cmd
 }
 
-// crews reads all, or the one of a name.
+// crews returns all crews, or only the named one if name is not empty.
 func (c *client) crews(name string) ([]wire.CrewView, error) {
 	var list []wire.CrewView
 	if err := c.call(http.MethodGet, "/admin/v1/crews", nil, &list); err != nil || name == "" {
@@ -103,7 +103,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// putCrew writes a crew, or has it judged.
+// putCrew writes a crew; with dry, the controller only validates it.
 func (c *client) putCrew(v wire.CrewView, dry bool) error {
 	var out wire.CrewView
 	if err := c.call(http.MethodPut, "/admin/v1/crews/"+url.PathEscape(v.Crew.Name), wire.CrewPatch{Version: v.Version, Crew: v.Crew, DryRun: dry}, &out); err != nil {
@@ -119,26 +119,26 @@
 		return c.putCrew(wire.CrewView{Crew: k}, *dry)
 	}}
 	f := cmd.Flags()
-	f.StringVar(&k.Team, "team", "", "team whose work it is")
+	f.StringVar(&k.Team, "team", "", "team that owns the work")
 	f.StringVar(&k.Zone, "zone", "", "zone of the work; any if not given")
-	f.StringSliceVar(&k.Classes, "class", nil, "classes of jobs to be finished before")
-	f.StringVar(&k.Leaves, "leaves", "", "hour of the first departure, as 2026-12-03T06:30")
-	f.StringVar(&k.TimeZone, "time-zone", "UTC", "name of the place's time, as Europe/Copenhagen")
-	f.StringVar(&k.Rule, "rule", "", "recurrence of RFC 5545, as FREQ=WEEKLY;BYDAY=MO,WE")
-	f.IntVar(&k.Expect.Tasks, "expect-tasks", 0, "tasks that come before a departure, if known")
-	f.IntVar(&k.Expect.Jobs, "expect-jobs", 0, "jobs that they belong to")
-	f.Float64Var(&k.Expect.Seconds, "expect-seconds", 0, "run time of one")
-	f.Float64Var(&k.Expect.CPUs, "expect-cpus", 0, "CPUs of one")
-	f.Float64Var(&k.Expect.MemoryGB, "expect-memory-gb", 0, "memory of one")
-	f.BoolVar(&k.Expect.Spot, "expect-spot", false, "whether they may use spot machines")
+	f.StringSliceVar(&k.Classes, "class", nil, "classes of jobs that have to finish before the departure")
+	f.StringVar(&k.Leaves, "leaves", "", "local time of the first departure, such as 2026-12-03T06:30")
+	f.StringVar(&k.TimeZone, "time-zone", "UTC", "time zone name, such as Europe/Copenhagen")
+	f.StringVar(&k.Rule, "rule", "", "RFC 5545 recurrence rule, such as FREQ=WEEKLY;BYDAY=MO,WE")
+	f.IntVar(&k.Expect.Tasks, "expect-tasks", 0, "expected tasks before each departure, if known")
+	f.IntVar(&k.Expect.Jobs, "expect-jobs", 0, "expected jobs that the tasks belong to")
+	f.Float64Var(&k.Expect.Seconds, "expect-seconds", 0, "expected run time of a task, in seconds")
+	f.Float64Var(&k.Expect.CPUs, "expect-cpus", 0, "CPUs of a task")
+	f.Float64Var(&k.Expect.MemoryGB, "expect-memory-gb", 0, "memory of a task, in GB")
+	f.BoolVar(&k.Expect.Spot, "expect-spot", false, "the expected tasks may use spot machines")
 	return cmd
 }
 
 func (c *client) crewMove(dry *bool) *cobra.Command {
 	var zone, rule string
 	cmd := &cobra.Command{Use: "move NAME HOUR", Short: "Change when a crew leaves", Args: cobra.ExactArgs(2)}
-	cmd.Flags().StringVar(&zone, "time-zone", "", "name of the place's time, if it changes")
-	cmd.Flags().StringVar(&rule, "rule", "", "recurrence, if it changes")
+	cmd.Flags().StringVar(&zone, "time-zone", "", "new time zone name")
+	cmd.Flags().StringVar(&rule, "rule", "", "new recurrence rule")
 	cmd.RunE = func(cmd *cobra.Command, a []string) error {
 		list, err := c.crews(a[0])
 		if err != nil {
@@ -158,7 +158,7 @@
 }
 
 func (c *client) crewCancel(dry *bool) *cobra.Command {
-	return &cobra.Command{Use: "cancel NAME", Short: "Take a crew out of the calendar", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, a []string) error {
+	return &cobra.Command{Use: "cancel NAME", Short: "Remove a crew from the calendar", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, a []string) error {
 		list, err := c.crews(a[0])
 		if err != nil {
 			return err
--- a/cmd/barrowbridge/dev.go
+++ b/cmd/barrowbridge/dev.go
@@ -20,15 +20,15 @@
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&o.Controllers, "controllers", 3, "controllers, each a process of its own")
-	f.IntVar(&o.Machines, "machines", 8, "standing machines; more are rented as needed")
-	f.IntVar(&o.Zones, "zones", 2, "zones they are spread over")
-	f.DurationVar(&o.For, "for", 0, "end after this time (0: when interrupted)")
-	f.StringVar(&o.Addresses, "addresses", "", "write the addresses to this file, as JSON, once all is ready")
-	f.BoolVar(&o.Demo, "demo", false, "lose a machine and the leading controller under work, tell what happens, and end")
-	f.StringVar(&o.Dir, "dir", "", "folder for settings and logs, which is kept (default: a temporary one)")
-	f.Float64Var(&o.StoreGBps, "store-gb-per-s", 0, "what all fetches of images share (0: each machine gets its own rate)")
-	f.StringVar(&o.Switches, "switches", "", "file that turns on what is off by default, see deploy/weights.toml")
+	f.IntVar(&o.Controllers, "controllers", 3, "number of controllers, each in its own process")
+	f.IntVar(&o.Machines, "machines", 8, "permanent machines; more are rented as needed")
+	f.IntVar(&o.Zones, "zones", 2, "zones that the machines are spread over")
+	f.DurationVar(&o.For, "for", 0, "stop after this time (0: run until interrupted)")
+	f.StringVar(&o.Addresses, "addresses", "", "write the addresses to this file as JSON once the cluster is ready")
+	f.BoolVar(&o.Demo, "demo", false, "run jobs, kill a machine and the leader, print the recovery, and exit")
+	f.StringVar(&o.Dir, "dir", "", "folder for settings and logs, kept after exit (default: a temporary folder)")
+	f.Float64Var(&o.StoreGBps, "store-gb-per-s", 0, "total bandwidth of the image store in GB/s (0: only each machine's own rate applies)")
+	f.StringVar(&o.Switches, "switches", "", "file that enables features that are off by default, see deploy/weights.toml")
 	f.StringVar(&o.LogLevel, "log", "info", "the controllers' log level: error, info or debug")
 	return cmd
 }
--- a/cmd/barrowbridge/ladder.go
+++ b/cmd/barrowbridge/ladder.go
@@ -13,9 +13,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// ladderCommand shows and changes the order in which work is served.
+// ladderCommand returns the commands that print and change the tier order.
 func (c *client) ladderCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "ladder", Short: "The rungs on which work is served, top down"}
+	cmd := &cobra.Command{Use: "ladder", Short: "Print and change the tier order in which work is scheduled"}
 	show := func(v wire.TierOrderView) string {
 		lines := []string{fmt.Sprintf("version %d", v.Version)}
 		for i, r := range v.All {
@@ -23,7 +23,7 @@
 			if i >= len(v.Order.Tiers) {
 				from = ", by priority"
 			}
-			lines = append(lines, fmt.Sprintf("%d. %s%s%s", i+1, r.Name, chosen(r), from))
+			lines = append(lines, fmt.Sprintf("%d. %s%s%s", i+1, r.Name, selectors(r), from))
 		}
 		return strings.Join(lines, "\n")
 	}
@@ -32,7 +32,7 @@
 		return v, err
 	}
 	change := func(file string, check bool) error {
-		rungs, err := readRungs(file)
+		tiers, err := readTiers(file)
 		if err != nil {
 			return err
 		}
@@ -40,13 +40,13 @@
 		if err != nil {
 			return err
 		}
-		if err := c.call(http.MethodPut, "/admin/v1/ladder", wire.TierOrderPatch{Version: v.Version, Tiers: rungs, Check: check}, &v); err != nil {
+		if err := c.call(http.MethodPut, "/admin/v1/ladder", wire.TierOrderPatch{Version: v.Version, Tiers: tiers, Check: check}, &v); err != nil {
 			return err
 		}
 		return c.print(v, show(v))
 	}
 	cmd.AddCommand(&cobra.Command{
-		Use: "show", Short: "Print all rungs", Args: cobra.NoArgs,
+		Use: "show", Short: "Print all tiers, highest first", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			v, err := read()
 			if err != nil {
@@ -55,10 +55,10 @@
 			return c.print(v, show(v))
 		},
 	}, &cobra.Command{
-		Use: "set FILE", Short: "Replace the rungs by those of a TOML file", Args: cobra.ExactArgs(1),
+		Use: "set FILE", Short: "Replace the tiers with those of a TOML file", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return change(args[0], false) },
 	}, &cobra.Command{
-		Use: "check FILE", Short: "Judge a file without changing anything", Args: cobra.ExactArgs(1),
+		Use: "check FILE", Short: "Validate a file without changing anything", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error { return change(args[0], true) },
 	}, &cobra.Command{
 		Use: "order", Short: "Print the live jobs in order, with a digest that all controllers share", Args: cobra.NoArgs,
@@ -74,7 +74,7 @@
 			return c.print(o, strings.Join(lines, "\n"))
 		},
 	}, &cobra.Command{
-		Use: "history", Short: "Print what the ladder was before", Args: cobra.NoArgs,
+		Use: "history", Short: "Print earlier versions of the tier order", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			v, err := read()
 			if err != nil {
@@ -90,8 +90,8 @@
 	return cmd
 }
 
-// chosen tells what a rung selects by.
-func chosen(r wire.Tier) string {
+// selectors formats the classes, teams, priorities and shapes that a tier selects.
+func selectors(r wire.Tier) string {
 	var parts []string
 	for _, p := range []struct {
 		what string
@@ -104,8 +104,8 @@
 	return " (" + strings.Join(parts, "; ") + ")"
 }
 
-// readRungs reads a ladder's file: [[rung]] tables, top down.
-func readRungs(file string) ([]wire.Tier, error) {
+// readTiers reads a tier order file: a [[rung]] table for each tier, highest first.
+func readTiers(file string) ([]wire.Tier, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
--- a/cmd/barrowbridge/load.go
+++ b/cmd/barrowbridge/load.go
@@ -20,11 +20,11 @@
 	var out string
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "load FILE", Short: "Offer load at set rates and measure what users wait for", Args: cobra.ExactArgs(1),
-		Long: "Offer load at set rates and measure what users wait for.\n\n" +
-			"Jobs arrive at their times however long answers take, and every time is measured from\n" +
-			"the moment at which a job was meant to be submitted. Exits 2 if jobs were lost or\n" +
-			"refused, 3 if it was interrupted.",
+		Use: "load FILE", Short: "Submit jobs at configured rates and measure what users wait for", Args: cobra.ExactArgs(1),
+		Long: "Submit jobs at configured rates and measure what users wait for.\n\n" +
+			"Jobs are submitted on schedule regardless of response times, and every duration is\n" +
+			"measured from the scheduled submission time of a job. Exits with 2 if jobs were lost\n" +
+			"or refused, with 3 if interrupted.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			b, err := os.ReadFile(args[0])
 			if err != nil {
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			if first == 0 { // ids are for ever; the time of day has not been used before
+			if first == 0 { // job ids are never reused; ids derived from the current time are new
 				first = uint64(time.Now().Unix()) * 1000000
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
@@ -65,15 +65,15 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&servers, "server", []string{"127.0.0.1:8080"}, "controllers, ip:port, used in turn")
-	f.Uint64Var(&seed, "seed", 1, "seed of arrivals and sizes")
+	f.StringSliceVar(&servers, "server", []string{"127.0.0.1:8080"}, "controllers as ip:port, used in turn")
+	f.Uint64Var(&seed, "seed", 1, "seed for arrivals and sizes")
 	f.Uint64Var(&first, "first-id", 0, "number of the first job id (default: from the time of day)")
-	f.StringVar(&out, "out", "", "folder to keep the result in, for rehearse compare")
+	f.StringVar(&out, "out", "", "folder to store the result in, for rehearse compare")
 	f.BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// loadResult is an outcome in the form that folders of results have.
+// loadResult converts the outcome of a load run to the format of stored rehearsal results.
 func loadResult(p *load.Plan, seed uint64, o *load.Outcome) *rehearse.Result {
 	r := &rehearse.Result{Scenario: "load " + p.Name, Seed: seed, Result: rehearse.Passed, Faults: []rehearse.FaultResult{}, Objectives: []rehearse.Objective{},
 		Waits: []rehearse.Wait{}, Rules: rehearse.Rules{Broken: []rehearse.Broken{}}}
--- a/cmd/barrowbridge/main.go
+++ b/cmd/barrowbridge/main.go
@@ -1,4 +1,4 @@
-// Command barrowbridge is a controller of the cluster scheduler, and its client.
+// Command barrowbridge runs a controller of the cluster scheduler and contains the command-line client.
 package main
 
 import (
@@ -24,7 +24,7 @@
 	var path, switches string
 	cmd := &cobra.Command{
 		Use:           "barrowbridge --config FILE",
-		Short:         "A cluster scheduler that keeps going while nobody watches",
+		Short:         "A fault-tolerant cluster scheduler",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -48,8 +48,8 @@
 			return node.Run(context.Background(), cfg, log)
 		},
 	}
-	cmd.Flags().StringVar(&path, "config", "", "settings file; serve as a controller")
-	cmd.Flags().StringVar(&switches, "switches", "", "file that turns on what is off by default, see deploy/weights.toml")
+	cmd.Flags().StringVar(&path, "config", "", "settings file; runs a controller")
+	cmd.Flags().StringVar(&switches, "switches", "", "file that enables features that are off by default, see deploy/weights.toml")
 	cmd.AddCommand(devCommand(), rehearseCommand(), loadCommand(), jobCommand(), adminCommand(), &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "barrowbridge", node.Version()) },
@@ -66,7 +66,7 @@
 	return cmd
 }
 
-// logger writes to standard error at the level that LOG_LEVEL names.
+// logger returns a logger to standard error with the given level: error, info (also for "") or debug.
 func logger(level string) (*slog.Logger, error) {
 	var l slog.Level
 	switch level {
--- a/cmd/barrowbridge/reach.go
+++ b/cmd/barrowbridge/reach.go
@@ -13,11 +13,11 @@
 
 func (c *client) reachCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "reach", Short: "Print who reaches whom, as each controller believes it", Args: cobra.NoArgs,
-		Long: "Print who reaches whom, as each controller believes it.\n\n" +
-			"All controllers named with --server are asked; one that does not answer is said to\n" +
-			"be out of reach from here. What a controller has said of itself to the others is\n" +
-			"printed as they have heard it.",
+		Use: "reach", Short: "Print the connectivity that each controller sees", Args: cobra.NoArgs,
+		Long: "Print the connectivity that each controller sees.\n\n" +
+			"All controllers named with --server are queried; those that do not respond are listed\n" +
+			"as not reached from here. The reachability reports of a controller are printed as the\n" +
+			"other controllers received them.",
 		RunE: func(*cobra.Command, []string) error {
 			views, silent, err := askEach[wire.ReachView](c, "/admin/v1/reach")
 			if err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// askEach asks all controllers named with --server, and tells what those said that do not answer; an error if
-// none does.
+// askEach queries every controller named with --server. It returns the responses, and a line with the error of
+// each controller that failed; it returns an error if all of them failed.
 func askEach[T any](c *client, path string) (views []T, silent []string, err error) {
 	for _, s := range c.servers {
 		one := &client{servers: []string{s}, timeout: min(askWait, c.timeout)}
@@ -55,7 +55,7 @@
 	return views, silent, nil
 }
 
-// showReach prints a line a link, and one for each word that says something.
+// showReach returns a line for each link and one for each reachability report that contains a problem.
 func showReach(views []wire.ReachView, silent []string) string {
 	var b strings.Builder
 	for _, v := range views {
@@ -73,7 +73,7 @@
 			b.WriteString("\n")
 		}
 		for _, w := range v.Reports {
-			if s := wordOf(w); s != "" {
+			if s := describeReport(w); s != "" {
 				fmt.Fprintf(&b, "%-10s has heard from %s: %s\n", v.Node, w.Node, s)
 			}
 		}
@@ -84,7 +84,7 @@
 	return b.String()
 }
 
-func wordOf(w wire.ReachReportView) string {
+func describeReport(w wire.ReachReportView) string {
 	var out []string
 	if w.NoWorkers {
 		out = append(out, "workers do not reach it")
--- a/cmd/barrowbridge/rehearse.go
+++ b/cmd/barrowbridge/rehearse.go
@@ -17,7 +17,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/rehearse"
 )
 
-// Exit codes of rehearse, beside 1 for usage.
+// Exit codes of rehearse and load, in addition to exitFailed for wrong usage.
 const (
 	exitRehearsalFailed = 2
 	exitInterrupted     = 3
@@ -31,12 +31,12 @@
 	json  bool
 	jobs  int
 
-	repo, commit string // of the version that an upgrade begins with; "": here, as deploy/service.toml says
-	build        string // where that was built
+	repo, commit string // of the version to upgrade from; "": this repository, and the commit in deploy/service.toml
+	build        string // temporary folder that it is built in
 }
 
 func rehearseCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "rehearse", Short: "Stage failures on this machine and prove that the cluster comes back"}
+	cmd := &cobra.Command{Use: "rehearse", Short: "Inject failures into a local cluster and verify that it recovers"}
 	cmd.AddCommand(&cobra.Command{
 		Use: "list", Short: "List the shipped scenarios", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -50,7 +50,7 @@
 			return nil
 		},
 	}, &cobra.Command{
-		Use: "show NAME", Short: "Print a scenario, to make one's own of", Args: cobra.ExactArgs(1),
+		Use: "show NAME", Short: "Print a scenario, as a template for new ones", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			_, b, err := rehearse.Source(args[0])
 			if err != nil {
@@ -60,7 +60,7 @@
 			return err
 		},
 	}, &cobra.Command{
-		Use: "check FILE...", Short: "Check scenarios", Args: cobra.MinimumNArgs(1),
+		Use: "check FILE...", Short: "Validate scenario files", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, a := range args {
 				if _, err := rehearse.Load(a); err != nil {
@@ -71,7 +71,7 @@
 			return nil
 		},
 	}, rehearseRun(), rehearseUpgrade(), rehearseResume(), &cobra.Command{
-		Use: "report DIR", Short: "Write a folder's report again, from its results", Args: cobra.ExactArgs(1),
+		Use: "report DIR", Short: "Regenerate the report of a results folder", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			results, err := rehearse.ReadResults(args[0])
 			if err != nil {
@@ -92,7 +92,7 @@
 
 func (f *rehearseFlags) common(cmd *cobra.Command) {
 	cmd.Flags().BoolVar(&f.json, "json", false, "print the results as JSON")
-	cmd.Flags().IntVar(&f.jobs, "jobs", max(1, min(4, runtime.NumCPU()/2)), "scenarios at once")
+	cmd.Flags().IntVar(&f.jobs, "jobs", max(1, min(4, runtime.NumCPU()/2)), "number of scenarios to run in parallel")
 }
 
 func rehearseRun() *cobra.Command {
@@ -117,24 +117,24 @@
 			for i := range f.seeds {
 				p.Seeds = append(p.Seeds, f.seed+uint64(i))
 			}
-			return f.carryOut(cmd, p, rehearse.Run)
+			return f.execute(cmd, p, rehearse.Run)
 		},
 	}
 	f.common(cmd)
 	cmd.Flags().BoolVar(&f.all, "all", false, "run every shipped scenario")
-	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "first seed of what is random: times of tasks, boots and reports")
-	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds")
-	cmd.Flags().StringVar(&f.out, "out", "", "folder for the results (default: a new one among the temporary files)")
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "first random seed, for the times of tasks, boots and reports")
+	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds")
+	cmd.Flags().StringVar(&f.out, "out", "", "folder for the results (default: a new temporary folder)")
 	return cmd
 }
 
 func rehearseResume() *cobra.Command {
 	var f rehearseFlags
 	cmd := &cobra.Command{
-		Use: "resume DIR", Short: "End what an interrupted run has left, and run what is missing", Args: cobra.ExactArgs(1),
+		Use: "resume DIR", Short: "Clean up after an interrupted run and run the missing scenarios", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			f.out = args[0]
-			return f.carryOut(cmd, f.plan(cmd), rehearse.Resume)
+			return f.execute(cmd, f.plan(cmd), rehearse.Resume)
 		},
 	}
 	f.common(cmd)
@@ -145,8 +145,8 @@
 	return rehearse.Plan{Jobs: f.jobs, Dir: f.out, Out: cmd.ErrOrStderr(), Earlier: f.earlier}
 }
 
-// carryOut runs a plan, prints what came of it and maps that to an exit code.
-func (f *rehearseFlags) carryOut(cmd *cobra.Command, p rehearse.Plan, run func(context.Context, rehearse.Plan) ([]rehearse.Result, error)) error {
+// execute runs a plan, prints the results and returns an error with the matching exit code.
+func (f *rehearseFlags) execute(cmd *cobra.Command, p rehearse.Plan, run func(context.Context, rehearse.Plan) ([]rehearse.Result, error)) error {
 	ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
 	defer func() { _ = os.RemoveAll(f.build) }()
@@ -167,15 +167,15 @@
 	case n[rehearse.Failed] > 0:
 		code = exitRehearsalFailed
 	}
-	word := fmt.Sprintf("%d passed, %d failed, %d interrupted; report: %s", n[rehearse.Passed], n[rehearse.Failed], n[rehearse.Interrupted], filepath.Join(p.Dir, "index.html"))
+	summary := fmt.Sprintf("%d passed, %d failed, %d interrupted; report: %s", n[rehearse.Passed], n[rehearse.Failed], n[rehearse.Interrupted], filepath.Join(p.Dir, "index.html"))
 	if code == 0 {
-		fmt.Fprintln(cmd.ErrOrStderr(), word)
+		fmt.Fprintln(cmd.ErrOrStderr(), summary)
 		return nil
 	}
 	if code == exitInterrupted {
-		word += "; go on with: rehearse resume " + p.Dir
+		summary += "; go on with: rehearse resume " + p.Dir
 	}
-	return &exitError{code, word}
+	return &exitError{code, summary}
 }
 
 func (f *rehearseFlags) print(out io.Writer, results []rehearse.Result) error {
@@ -186,7 +186,7 @@
 		return nil
 	}
 	for i := range results {
-		results[i].Timeline = nil // it is in the folder
+		results[i].Timeline = nil // the timeline is stored in the results folder
 	}
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
@@ -196,7 +196,7 @@
 func rehearseCompare() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "compare DIR DIR", Short: "Put the results of two folders side by side, over their seeds", Args: cobra.ExactArgs(2),
+		Use: "compare DIR DIR", Short: "Compare the results of two folders across their seeds", Args: cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			rows, err := rehearse.Compare(args[0], args[1])
 			if err != nil {
--- a/cmd/barrowbridge/trail.go
+++ b/cmd/barrowbridge/trail.go
@@ -18,19 +18,19 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// askWait bounds the question to one controller, which may be dead.
+// askWait is the timeout of a request to one controller, which may be down.
 const askWait = 3 * time.Second
 
-// followEvery is how often --follow asks.
+// followEvery is the polling interval of --follow.
 const followEvery = time.Second
 
-// trailLine is one event with the controller that believed it.
+// trailLine is one event with the controller that recorded it.
 type trailLine struct {
 	By string `json:"by"`
 	wire.TrailEvent
 }
 
-// trailQuery is what the flags select.
+// trailQuery holds the filters given as flags.
 type trailQuery struct {
 	node, machine, job string
 	follow             bool
@@ -49,11 +49,11 @@
 func (c *client) trailCommand() *cobra.Command {
 	var q trailQuery
 	cmd := &cobra.Command{
-		Use: "trail", Short: "Print what the controllers decided and learned, and what led to it", Args: cobra.NoArgs,
-		Long: "Print what the controllers decided and learned, and what led to it.\n\n" +
-			"All controllers named with --server are asked and their trails are put in order of\n" +
-			"their times of day. --node reads what one controller, which may be dead, left in the\n" +
-			"state service.",
+		Use: "trail", Short: "Print the events that the controllers recorded, with their causes", Args: cobra.NoArgs,
+		Long: "Print the events that the controllers recorded, with their causes.\n\n" +
+			"All controllers named with --server are queried and their events are sorted by wall\n" +
+			"clock time. --node reads the trail that one controller, which may be down, stored in\n" +
+			"the state service.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
@@ -61,19 +61,19 @@
 		},
 	}
 	f := cmd.Flags()
-	f.BoolVar(&q.follow, "follow", false, "go on printing what comes")
+	f.BoolVar(&q.follow, "follow", false, "keep printing new events")
 	f.StringVar(&q.job, "job", "", "only events of this job")
 	f.StringVar(&q.machine, "machine", "", "only events of this machine")
-	f.StringVar(&q.node, "node", "", "read this controller's stored trail")
+	f.StringVar(&q.node, "node", "", "read the stored trail of this controller")
 	return cmd
 }
 
-// trail asks every server, from where the last answer ended.
+// trail queries every server for the events after the last one that it returned, and prints them.
 func (c *client) trail(ctx context.Context, q trailQuery) error {
-	after, lives := map[string]uint64{}, map[string]uint64{}
+	after, incarnations := map[string]uint64{}, map[string]uint64{}
 	for {
 		var lines []trailLine
-		heard, more, last := 0, false, error(nil)
+		responses, more, last := 0, false, error(nil)
 		for _, s := range c.servers {
 			one := &client{servers: []string{s}, timeout: min(askWait, c.timeout)}
 			var t wire.Trail
@@ -83,12 +83,12 @@
 				}
 				continue
 			}
-			heard++
-			if lives[s] != 0 && lives[s] != t.Boot { // restarted: its numbers begin again
-				after[s], lives[s], more = 0, t.Boot, true
+			responses++
+			if incarnations[s] != 0 && incarnations[s] != t.Boot { // the controller restarted, so its event numbers start over
+				after[s], incarnations[s], more = 0, t.Boot, true
 				continue
 			}
-			lives[s], more = t.Boot, more || t.Next > after[s] && len(t.Events) > 0 && !t.Stored
+			incarnations[s], more = t.Boot, more || t.Next > after[s] && len(t.Events) > 0 && !t.Stored
 			after[s] = t.Next
 			for _, e := range t.Events {
 				lines = append(lines, trailLine{t.Node, e})
@@ -97,7 +97,7 @@
 				break
 			}
 		}
-		if heard == 0 {
+		if responses == 0 {
 			return &exitError{exitUnavailable, fmt.Sprint("no controller answered: ", last)}
 		}
 		if err := c.printTrail(lines); err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-// printTrail prints one JSON object, or one line, an event.
+// printTrail prints one line for each event, ordered by wall clock time: text, or a JSON object with --json.
 func (c *client) printTrail(lines []trailLine) error {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].WallMS < lines[j].WallMS })
 	for _, l := range lines {
@@ -165,11 +165,11 @@
 
 func (c *client) machineCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "machine NAME", Short: "Print a machine as its holder believes it to be now", Args: cobra.ExactArgs(1),
+		Use: "machine NAME", Short: "Print a machine's current state as its shard's holder sees it", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var best *wire.MachineDetail
 			var last error
-			for _, s := range c.servers { // the holder knows most, whoever it is
+			for _, s := range c.servers { // prefer the answer of the shard's holder, which knows the most
 				one := &client{servers: []string{s}, timeout: min(askWait, c.timeout)}
 				var m wire.MachineDetail
 				if err := one.call(http.MethodGet, "/admin/v1/machines/"+url.PathEscape(args[0]), nil, &m); err != nil {
--- a/cmd/barrowbridge/upgrade.go
+++ b/cmd/barrowbridge/upgrade.go
@@ -18,11 +18,11 @@
 	var short, masks bool
 	var random int
 	cmd := &cobra.Command{
-		Use: "upgrade", Short: "Roll controllers from the version in production to this one, and see what it costs", Args: cobra.NoArgs,
-		Long: "Roll controllers from the version in production to this one, and see what it costs.\n\n" +
-			"The version in production is the commit that deploy/service.toml names; it is built from\n" +
-			"the repository's own history. Each scenario is run as an upgrade and once more with this\n" +
-			"version on both sides, and both are put side by side.",
+		Use: "upgrade", Short: "Rehearse a rolling upgrade from the production version and measure its cost", Args: cobra.NoArgs,
+		Long: "Rehearse a rolling upgrade from the production version and measure its cost.\n\n" +
+			"The production version is the commit that deploy/service.toml names; it is built from\n" +
+			"the repository's own history. Each scenario runs once as an upgrade and once with this\n" +
+			"version on both sides, and the results are compared.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if f.seeds < 1 || f.seeds > 1000 || f.jobs < 1 || f.jobs > 64 || random < 0 || random > 1000 {
 				return fmt.Errorf("--seeds must be from 1 to 1000, --jobs from 1 to 64 and --random from 0 to 1000")
@@ -51,22 +51,23 @@
 				fmt.Fprint(cmd.ErrOrStderr(), rehearse.RollTable(costs))
 				return results, os.WriteFile(filepath.Join(p.Dir, "upgrade.json"), append(b, '\n'), 0o644)
 			}
-			return f.carryOut(cmd, p, run)
+			return f.execute(cmd, p, run)
 		},
 	}
 	f.common(cmd)
-	cmd.Flags().BoolVar(&short, "short", false, "the plain roll, the one that changes hands and the one with chains and lowered limits, not beside rolls of one version")
-	cmd.Flags().BoolVar(&masks, "masks", false, "also each link between controllers and to the state service cut in turn, both ways and in either direction")
-	cmd.Flags().IntVar(&random, "random", 0, "also so many upgrades with troubles drawn from seeds, from --seed on")
-	cmd.Flags().StringVar(&f.repo, "repo", ".", "a folder in a checkout of this program with its history")
-	cmd.Flags().StringVar(&f.commit, "commit", "", "begin with this commit instead of the one in production")
-	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "first seed of what is random: times of tasks, boots and reports")
-	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds")
-	cmd.Flags().StringVar(&f.out, "out", "", "folder for the results (default: a new one among the temporary files)")
+	cmd.Flags().BoolVar(&short, "short", false, "only the scenarios upgrade-roll, upgrade-hands and upgrade-chains, without comparison runs of a single version")
+	cmd.Flags().BoolVar(&masks, "masks", false, "also cut each link between controllers and to the state service in turn, in both directions and in each alone")
+	cmd.Flags().IntVar(&random, "random", 0, "number of additional upgrades with random faults, with seeds from --seed on")
+	cmd.Flags().StringVar(&f.repo, "repo", ".", "a folder in a checkout of this repository with its history")
+	cmd.Flags().StringVar(&f.commit, "commit", "", "upgrade from this commit instead of the production version")
+	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "first random seed, for the times of tasks, boots and reports")
+	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds")
+	cmd.Flags().StringVar(&f.out, "out", "", "folder for the results (default: a new temporary folder)")
 	return cmd
 }
 
-// earlier builds the version that an upgrade begins with, in a folder that goes with this process.
+// earlier builds the version to upgrade from in a temporary folder that is removed when the command ends, and
+// returns the path of the program.
 func (f *rehearseFlags) earlier(ctx context.Context) (string, error) {
 	root, commit, err := rehearse.Production(f.repo)
 	if err != nil {
@@ -81,7 +82,8 @@
 	return rehearse.BuildCommit(ctx, root, commit, f.build)
 }
 
-// upgrades are the scenarios to run: those that stand in no file with their text.
+// upgrades returns the names of the scenarios to run, and the source text of those that are generated rather
+// than read from a file.
 func upgrades(short, masks bool, seed uint64, random int) (names []string, sources map[string]string, err error) {
 	sources = map[string]string{}
 	add := func(name, source string, err error) error {
--- a/cmd/barrowbridge/version.go
+++ b/cmd/barrowbridge/version.go
@@ -12,27 +12,27 @@
 
 func (c *client) versionCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print which version each controller runs, and what is held back for whom", Args: cobra.NoArgs,
-		Long: "Print which version each controller runs, and what is held back for whom.\n\n" +
-			"A feature that not all versions understand is used for new things once every controller\n" +
-			"of the settings is known to understand it; until then it is held back. One that is down\n" +
-			"counts as the version that it last ran. The first of the controllers named with --server\n" +
-			"that knows the question is asked: an earlier version does not.",
+		Use: "version", Short: "Print each controller's version and the features that are held back", Args: cobra.NoArgs,
+		Long: "Print each controller's version and the features that are held back.\n\n" +
+			"A feature that not all versions support is used for new objects only once every\n" +
+			"configured controller is known to support it; until then it is held back. A controller\n" +
+			"that is down counts with the version that it last ran. The answer comes from the first\n" +
+			"controller named with --server that supports the request; earlier versions do not.",
 		RunE: func(*cobra.Command, []string) error {
 			var last error
-			for _, s := range c.servers { // an earlier version does not know the question
+			for _, s := range c.servers { // earlier versions do not support the request
 				one := &client{servers: []string{s}, timeout: min(askWait, c.timeout)}
 				var v wire.VersionView
 				if last = one.call(http.MethodGet, "/admin/v1/version", nil, &v); last == nil {
 					return c.print(v, strings.TrimSuffix(showVersions(v), "\n"))
 				}
 			}
-			return fmt.Errorf("no controller that was asked tells versions, name others with --server: %w", last)
+			return fmt.Errorf("no queried controller reports versions; name others with --server: %w", last)
 		},
 	}
 }
 
-// showVersions prints a line a controller, and one a feature.
+// showVersions returns a line for each controller and one for each feature.
 func showVersions(v wire.VersionView) string {
 	var b strings.Builder
 	for _, n := range v.Controllers {
--- a/cmd/barrowbridge/weights.go
+++ b/cmd/barrowbridge/weights.go
@@ -13,10 +13,10 @@
 
 func (c *client) weightsCommand() *cobra.Command {
 	return &cobra.Command{
-		Use: "weights [IMAGE]", Short: "Print which machines have an image, or fetch it, and from whom", Args: cobra.MaximumNArgs(1),
-		Long: "Print which machines have an image, or fetch it, and from whom.\n\n" +
-			"All controllers named with --server are asked: each knows the machines of the shards it holds.\n" +
-			"Without IMAGE all images that machines have are listed, a line each.",
+		Use: "weights [IMAGE]", Short: "Print which machines have an image or are fetching it, and from which sources", Args: cobra.MaximumNArgs(1),
+		Long: "Print which machines have an image or are fetching it, and from which sources.\n\n" +
+			"All controllers named with --server are queried: each knows the machines of the shards it holds.\n" +
+			"Without IMAGE, all images on machines are listed, one per line.",
 		RunE: func(_ *cobra.Command, args []string) error {
 			image := ""
 			if len(args) > 0 {
@@ -47,7 +47,8 @@
 	}
 }
 
-// showWeights prints a line an image and controller; of one image a line a machine too.
+// showWeights returns a line for each image and controller and, with each, one for each machine that has or
+// fetches the image.
 func showWeights(views []wire.WeightsView, silent []string, each bool) string {
 	var b strings.Builder
 	for _, v := range views {
