--- a/internal/dev/demo.go
+++ b/internal/dev/demo.go
@@ -14,29 +14,29 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// demoTime is the most that a demonstration takes.
+// demoTime is the time limit of the demo.
 const demoTime = 58 * time.Second
 
-// demo tells what it does as it goes.
+// demo runs the demonstration and prints each step with the time since its start.
 type demo struct {
 	site  *site.Site
 	users *load.Client
 	out   io.Writer
-	begun time.Time
+	start time.Time
 }
 
-func (d *demo) say(format string, a ...any) {
-	fmt.Fprintf(d.out, "%5.1f s  %s\n", time.Since(d.begun).Seconds(), fmt.Sprintf(format, a...))
+func (d *demo) printf(format string, a ...any) {
+	fmt.Fprintf(d.out, "%5.1f s  %s\n", time.Since(d.start).Seconds(), fmt.Sprintf(format, a...))
 }
 
-// Demo loses a machine and the leading controller under work, and is satisfied
-// only if all of it comes back and no rule breaks.
+// Demo kills a machine and the leading controller while jobs run. It returns an error unless the cluster recovers
+// and all jobs complete within demoTime without violating a rule of the checker.
 func Demo(ctx context.Context, s *site.Site, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTime)
 	defer cancel()
-	d := &demo{site: s, users: load.NewClient(s.Public(), load.SiteUsers{Site: s}), out: out, begun: time.Now()}
-	if err := d.play(ctx); err != nil {
-		d.say("FAILED: %v", err)
+	d := &demo{site: s, users: load.NewClient(s.Public(), load.SiteUsers{Site: s}), out: out, start: time.Now()}
+	if err := d.run(ctx); err != nil {
+		d.printf("FAILED: %v", err)
 		return errors.New("the demonstration failed")
 	}
 	return nil
@@ -44,7 +44,7 @@
 
 func ptr[T any](v T) *T { return &v }
 
-// job describes a job of the demonstration.
+// job returns the specification of a job of the demo. runS is the estimated run time of a task, in seconds.
 func job(id, team, shape, priority string, tasks int64, runS float64) wire.JobSpec {
 	return wire.JobSpec{ID: &id, Class: ptr("demo"), Team: &team, Shape: &shape, Priority: &priority, Tasks: &tasks,
 		CPUs: ptr(1.0), GPUs: ptr(0.0), MemoryGB: ptr(2.0), OneZone: ptr(false), Spread: ptr(shape == wire.ShapeService), Spot: ptr(false),
@@ -63,12 +63,12 @@
 	return err
 }
 
-// until waits for a condition.
+// until polls a condition until it holds or the context ends.
 func (d *demo) until(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("waited in vain until %s", what)
+			return fmt.Errorf("timed out waiting until %s", what)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -80,22 +80,23 @@
 	serviceJob, replicas = "job-000002", 2
 )
 
+// up returns a condition that holds while at least n replicas of the service run.
 func (d *demo) up(n int) func() bool {
 	return func() bool { return len(d.site.Running(serviceJob)) >= n }
 }
 
-func (d *demo) play(ctx context.Context) error {
+func (d *demo) run(ctx context.Context) error {
 	if err := d.submit(ctx, job(arrayJob, "red", wire.ShapeBatch, "normal", arrayTasks, 12)); err != nil {
 		return fmt.Errorf("submitting the array: %w", err)
 	}
 	if err := d.submit(ctx, job(serviceJob, "blue", wire.ShapeService, "urgent", replicas, 0)); err != nil {
 		return fmt.Errorf("submitting the service: %w", err)
 	}
-	d.say("submitted %s, an array of %d tasks, and %s, a service of %d replicas", arrayJob, arrayTasks, serviceJob, replicas)
+	d.printf("submitted %s, an array of %d tasks, and %s, a service of %d replicas", arrayJob, arrayTasks, serviceJob, replicas)
 	if err := d.until(ctx, "the service runs", d.up(replicas)); err != nil {
 		return err
 	}
-	d.say("the service runs on %v, the array has %d tasks running", d.site.Running(serviceJob), len(d.site.Running(arrayJob)))
+	d.printf("the service runs on %v, the array has %d tasks running", d.site.Running(serviceJob), len(d.site.Running(arrayJob)))
 	if err := d.loseMachine(ctx); err != nil {
 		return err
 	}
@@ -106,34 +107,34 @@
 }
 
 func (d *demo) loseMachine(ctx context.Context) error {
-	victim := d.site.Running(serviceJob)[0]
-	lost := time.Now()
-	if _, err := d.site.Stage(site.Fault{Kind: "machine_die", Target: victim}); err != nil {
+	machine := d.site.Running(serviceJob)[0]
+	lostAt := time.Now()
+	if _, err := d.site.Stage(site.Fault{Kind: "machine_die", Target: machine}); err != nil {
 		return err
 	}
-	d.say("machine %s stops for good, with a replica of the service on it; nobody is told", victim)
-	d.say("its worker's lease of %v must run out before its tasks may run elsewhere", d.site.Spec.Lease)
+	d.printf("machine %s, which runs a replica of the service, dies without notice", machine)
+	d.printf("its tasks may run elsewhere only after its worker's lease of %v has expired", d.site.Spec.Lease)
 	if err := d.until(ctx, "the lost replica runs again", d.up(replicas)); err != nil {
 		return err
 	}
-	d.say("%d replicas run again, on %v: %.1f s after the loss", replicas, d.site.Running(serviceJob), time.Since(lost).Seconds())
+	d.printf("%d replicas run again, on %v: %.1f s after the loss", replicas, d.site.Running(serviceJob), time.Since(lostAt).Seconds())
 	return nil
 }
 
 func (d *demo) loseLeader(ctx context.Context) error {
 	leader := d.site.Leader()
-	lost := time.Now()
+	lostAt := time.Now()
 	killed, err := d.site.Stage(site.Fault{Kind: "controller_kill", Target: leader})
 	if err != nil {
 		return err
 	}
-	d.say("controller %s, which leads, is killed", leader)
+	d.printf("the leading controller, %s, is killed", leader)
 	if err := d.until(ctx, "another controller leads", func() bool { l := d.site.Leader(); return l != "" && l != leader }); err != nil {
 		return err
 	}
-	d.say("%s leads now, %.1f s later; %d replicas never stopped", d.site.Leader(), time.Since(lost).Seconds(), len(d.site.Running(serviceJob)))
+	d.printf("%s leads now, %.1f s later; %d replicas never stopped", d.site.Leader(), time.Since(lostAt).Seconds(), len(d.site.Running(serviceJob)))
 	d.site.Lift(killed.ID)
-	d.say("%s is started again", leader)
+	d.printf("%s is restarted", leader)
 	return nil
 }
 
@@ -145,7 +146,7 @@
 	if st.Status != wire.JobDone {
 		return fmt.Errorf("%s is %s", arrayJob, st.Status)
 	}
-	d.say("%s is done: all %d tasks completed", arrayJob, arrayTasks)
+	d.printf("%s is done: all %d tasks completed", arrayJob, arrayTasks)
 	if !d.up(replicas)() {
 		return fmt.Errorf("%d of %d replicas run", len(d.site.Running(serviceJob)), replicas)
 	}
@@ -155,16 +156,16 @@
 	if err := d.until(ctx, "the cancelled service is gone", func() bool { return len(d.site.Running(serviceJob)) == 0 }); err != nil {
 		return err
 	}
-	d.say("%s was cancelled and is gone from every machine", serviceJob)
-	var broken []checker.Violation
+	d.printf("%s was cancelled and is gone from every machine", serviceJob)
+	var violations []checker.Violation
 	started := 0
-	d.site.Check(func(now time.Duration, c *checker.Checker) { broken, started = c.Finish(now), c.Started() })
-	for _, v := range broken {
-		d.say("rule broken: %s", v)
+	d.site.Check(func(now time.Duration, c *checker.Checker) { violations, started = c.Finish(now), c.Started() })
+	for _, v := range violations {
+		d.printf("rule violated: %s", v)
 	}
-	if len(broken) > 0 {
-		return fmt.Errorf("%d rules broken", len(broken))
+	if len(violations) > 0 {
+		return fmt.Errorf("%d rules violated", len(violations))
 	}
-	d.say("%d task starts watched, no rule broken", started)
+	d.printf("%d task starts checked, no rule violated", started)
 	return nil
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,4 +1,4 @@
-// Package dev is the product's first command: a live cluster on one machine.
+// Package dev implements the dev command, which runs a whole cluster on one machine.
 package dev
 
 import (
@@ -17,21 +17,21 @@
 	"github.com/barrowbridge/barrowbridge/internal/standin/site"
 )
 
-// Options are the command's flags.
+// Options holds the flags of the dev command.
 type Options struct {
 	Controllers int
 	Machines    int
 	Zones       int
-	For         time.Duration // 0: until interrupted
-	Addresses   string        // file for the addresses; "": none
+	For         time.Duration // 0: run until interrupted
+	Addresses   string        // file to write the addresses to; "": none
 	Demo        bool
-	Dir         string // for logs and settings; "": a temporary one
+	Dir         string // folder for logs and settings; "": a temporary folder
 	LogLevel    string
-	StoreGBps   float64 // that all fetches of images share; 0: no bound
-	Switches    string  // file of what is off by default; "": none
+	StoreGBps   float64 // total bandwidth of the image store, shared by all fetches; 0: unlimited
+	Switches    string  // file that enables features that are off by default; "": none
 }
 
-// Check tells in one line which flag is out of its range.
+// Check returns a one-line error that names the first flag whose value is out of range, or nil.
 func (o Options) Check() error {
 	switch {
 	case o.Controllers < 1 || o.Controllers > 9:
@@ -45,12 +45,12 @@
 	case !(o.StoreGBps >= 0 && o.StoreGBps <= 1e6):
 		return fmt.Errorf("--store-gb-per-s: must be from 0 to 1e6, got %g", o.StoreGBps)
 	case o.Demo && o.Controllers < 2:
-		return errors.New("--demo: takes the leading controller away and needs another, --controllers must be at least 2")
+		return errors.New("--demo: kills the leading controller and needs another, --controllers must be at least 2")
 	}
 	return nil
 }
 
-// Addresses is what --addresses writes.
+// Addresses is the content of the file that --addresses names.
 type Addresses struct {
 	Controllers []string `json:"controllers"`
 	State       string   `json:"state"`
@@ -59,10 +59,11 @@
 	Logs        string   `json:"logs"`
 }
 
-// readyWithin bounds the start.
+// readyWithin is the time limit for the cluster to become ready.
 const readyWithin = 30 * time.Second
 
-// Run brings a cluster up and serves until the context ends.
+// Run starts a cluster and serves until the context ends or Options.For has passed; with Options.Demo, it runs
+// the demo instead. The cluster is stopped before Run returns.
 func Run(ctx context.Context, o Options, out io.Writer) error {
 	if err := o.Check(); err != nil {
 		return err
@@ -90,7 +91,7 @@
 	if spec.Program, err = os.Executable(); err != nil {
 		return err
 	}
-	begun := time.Now()
+	start := time.Now()
 	s := site.New(spec, slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelError})), nil)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,7 +114,7 @@
 	if err := writeAddresses(o.Addresses, a); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "ready after %.1f s: %d controllers, %d machines in %d zones\n", time.Since(begun).Seconds(), o.Controllers, o.Machines, o.Zones)
+	fmt.Fprintf(out, "ready after %.1f s: %d controllers, %d machines in %d zones\n", time.Since(start).Seconds(), o.Controllers, o.Machines, o.Zones)
 	if o.Demo {
 		return Demo(ctx, s, out)
 	}
@@ -126,17 +127,19 @@
 	} else {
 		<-ctx.Done()
 	}
-	fmt.Fprintln(out, "ending all that was started")
+	fmt.Fprintln(out, "stopping the cluster")
 	return nil
 }
 
+// interrupted returns nil if the context has ended, and err otherwise.
 func interrupted(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return nil // told to end before it was up
+		return nil // interrupted before the cluster was ready
 	}
 	return err
 }
 
+// workDir creates the folder for logs and settings and returns its absolute path.
 func workDir(o *Options) (string, error) {
 	if o.Dir == "" {
 		return os.MkdirTemp("", "barrowbridge-dev-")
@@ -148,8 +151,8 @@
 	return abs, os.MkdirAll(abs, 0o755)
 }
 
-// scale fits limits and teams to the number of machines: the platform of a
-// larger fleet takes more, and its teams have more.
+// scale adjusts the quotas of teams, the number of rentable machines and the write rate of the state service to
+// the number of machines, since the platform of a larger fleet accepts more.
 func scale(s *site.Spec) {
 	k := max(1, float64(s.Machines)/8)
 	for n, t := range s.Teams {
@@ -161,7 +164,7 @@
 	}
 }
 
-// writeAddresses writes the file whole or not at all.
+// writeAddresses writes the addresses atomically, so that readers never see a partial file.
 func writeAddresses(path string, a Addresses) error {
 	if path == "" {
 		return nil
@@ -177,7 +180,7 @@
 	return os.Rename(tmp, path)
 }
 
-// self is how this program is called again.
+// self returns the command that starts this program, for the printed examples.
 func self() string {
 	path, err := os.Executable()
 	if err != nil || strings.Contains(path, "go-build") {
@@ -186,6 +189,7 @@
 	return path
 }
 
+// hints prints the addresses of the cluster and commands to try.
 func hints(out io.Writer, a Addresses, o Options) {
 	servers := strings.Join(a.Controllers, ",")
 	fmt.Fprintf(out, `
@@ -202,8 +206,8 @@
   curl -d '{"kind":"controller_kill","target":"leader","for_s":20}' -H 'Content-Type: application/json' http://%[4]s/faults
 `, servers, a.State, a.Cloud, a.Faults, a.Logs, self())
 	if o.For > 0 {
-		fmt.Fprintf(out, "\nEnds after %v, or with Ctrl-C.\n", o.For)
+		fmt.Fprintf(out, "\nStops after %v, or with Ctrl-C.\n", o.For)
 	} else {
-		fmt.Fprint(out, "\nCtrl-C ends all of it.\n")
+		fmt.Fprint(out, "\nCtrl-C stops the cluster.\n")
 	}
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -20,7 +20,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/node/nodetest"
 )
 
-// TestMain lets the test binary be a controller, and a cluster to be killed.
+// TestMain lets the test binary run as a controller, or as a dev cluster that a test stops.
 func TestMain(m *testing.M) {
 	nodetest.ServeIfAsked()
 	if dir := os.Getenv("BARROWBRIDGE_TEST_DEV"); dir != "" {
@@ -33,12 +33,12 @@
 	os.Exit(m.Run())
 }
 
-// controllers lists the processes that were given settings in a folder.
+// controllers returns the ids of the controller processes whose settings file is in dir.
 func controllers(t *testing.T, dir string) (out []int) {
 	t.Helper()
 	all, err := procfs.AllProcs()
 	if err != nil {
-		t.Skipf("no list of processes here: %v", err)
+		t.Skipf("cannot list processes: %v", err)
 	}
 	for _, p := range all {
 		args, err := p.CmdLine()
@@ -49,17 +49,18 @@
 	return out
 }
 
+// until polls a condition and fails the test if it does not hold within 20 s.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 20 s: %s", what)
+			t.Fatalf("timed out after 20 s waiting until %s", what)
 		}
 	}
 }
 
-// The addresses appear once all is ready, every one of them answers, and however the
-// cluster's process ends, interrupted or killed, its controllers end with it.
+// The addresses file appears once the cluster is ready, and every address in it responds. The controllers exit
+// with the cluster's process, whether that is interrupted or killed.
 func TestClusterEndsWithItsProcess(t *testing.T) {
 	for _, sig := range []os.Signal{os.Interrupt, syscall.SIGKILL} {
 		t.Run(sig.String(), func(t *testing.T) {
@@ -76,7 +77,7 @@
 				return err == nil && json.Unmarshal(b, &a) == nil
 			})
 			if len(a.Controllers) != 3 {
-				t.Fatalf("addresses %+v", a)
+				t.Fatalf("got addresses %+v, want 3 controllers", a)
 			}
 			for _, url := range []string{"http://" + a.Controllers[0] + "/ready", "http://" + a.Controllers[2] + "/ready", "http://" + a.State + "/store?starts=live/",
 				"http://" + a.Cloud + "/machine_types", "http://" + a.Faults + "/faults"} {
@@ -90,21 +91,21 @@
 				}
 			}
 			if n := len(controllers(t, dir)); n != 3 {
-				t.Errorf("%d controllers run", n)
+				t.Errorf("%d controllers are running, want 3", n)
 			}
 			if err := cmd.Process.Signal(sig); err != nil {
 				t.Fatal(err)
 			}
 			err := cmd.Wait()
 			if sig == os.Interrupt && err != nil {
-				t.Errorf("interrupted: %v", err)
+				t.Errorf("exit after interrupt: %v", err)
 			}
 			until(t, "no controller is left", func() bool { return len(controllers(t, dir)) == 0 })
 		})
 	}
 }
 
-// A flag out of its range is named in one line.
+// A flag value out of range is rejected with an error that names the flag.
 func TestOptions(t *testing.T) {
 	good := Options{Controllers: 3, Machines: 8, Zones: 2}
 	if err := good.Check(); err != nil {
@@ -117,7 +118,7 @@
 		o := good
 		change(&o)
 		if err := o.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("got error %v, want prefix %s", err, want)
 		}
 	}
 }
