--- a/cmd/barrowbridge/client.go
+++ b/cmd/barrowbridge/client.go
@@ -288,7 +288,7 @@
 		},
 	}
 	settings.Flags().Float64Var(&idle, "idle-return-s", 0, "seconds after which an empty rented machine is returned")
-	settings.Flags().Float64Var(&silent, "silent-drop-s", 0, "a silent standing machine is given up after so many seconds")
+	settings.Flags().Float64Var(&silent, "silent-drop-s", 0, "seconds after which a permanent machine that does not report is given up")
 	settings.Flags().BoolVar(&spot, "spot", true, "whether spot machines may be rented")
 	cordon := func(use, short string, v *wire.Cordon) *cobra.Command {
 		return &cobra.Command{Use: use + " MACHINE", Short: short, Args: cobra.ExactArgs(1),
@@ -308,9 +308,9 @@
 			}}
 	}
 	cmd.AddCommand(overview, why, c.chainCommand(), settings, c.trailCommand(), c.machineCommand(), c.reachCommand(), c.weightsCommand(), c.versionCommand(), c.ladderCommand(), c.crewCommand(),
-		cordon("cordon", "Start nothing more on a machine", &wire.Cordon{}),
+		cordon("cordon", "Start no more tasks on a machine", &wire.Cordon{}),
 		cordon("drain", "Stop the tasks on a machine and return it to the cloud", &wire.Cordon{Drain: true}),
-		cordon("uncordon", "Let a cordoned machine be used again", nil))
+		cordon("uncordon", "Allow tasks to start on a cordoned machine again", nil))
 	return cmd
 }
 
@@ -321,10 +321,10 @@
 		fmt.Fprintf(&b, "shard %d: holder %s (home %s), token %d, settled %v, teams %s\n", s.Shard, s.Holder, s.Home, s.Token, s.Settled, strings.Join(s.Teams, " "))
 	}
 	if o.Limits.Stuck {
-		b.WriteString("no start can be written: the state service refuses them\n")
+		b.WriteString("no task start can be written: the state service rejects the writes\n")
 	}
 	for _, r := range o.Limits.Refused {
-		fmt.Fprintf(&b, "refused for its form: %s, %d times, the last with %d bytes and %d changes: %s (writes keep to %d bytes and %d changes now)\n",
+		fmt.Fprintf(&b, "rejected as malformed: %s, %d times, most recently with %d bytes and %d changes: %s (writes are now limited to %d bytes and %d changes)\n",
 			r.Kind, r.Count, r.Bytes, r.Changes, r.Why, o.Limits.ValueBytes, o.Limits.TxnOps)
 	}
 	for _, t := range o.Teams {
--- a/cmd/barrowbridge/crew.go
+++ b/cmd/barrowbridge/crew.go
@@ -77,7 +77,7 @@
 	}
 	s := fmt.Sprintf("%s leaves %s: %s", p.Crew, p.Leaves, p.Say)
 	if p.Jobs > 0 {
-		s += fmt.Sprintf("\n  %d tasks, begun by %s at the latest, %.0f cpus needed, %.0f there", p.Tasks, time.UnixMilli(p.StartMS).UTC().Format(time.RFC3339), p.CPUs, p.Have)
+		s += fmt.Sprintf("\n  %d tasks, to be started by %s at the latest, %.0f cpus needed, %.0f available", p.Tasks, time.UnixMilli(p.StartMS).UTC().Format(time.RFC3339), p.CPUs, p.Have)
 	}
 	if p.Pressed {
 		s += ", ahead of other routine work"
--- a/cmd/barrowbridge/reach.go
+++ b/cmd/barrowbridge/reach.go
@@ -74,7 +74,7 @@
 		}
 		for _, w := range v.Reports {
 			if s := describeReport(w); s != "" {
-				fmt.Fprintf(&b, "%-10s has heard from %s: %s\n", v.Node, w.Node, s)
+				fmt.Fprintf(&b, "%-10s received from %s: %s\n", v.Node, w.Node, s)
 			}
 		}
 	}
@@ -90,19 +90,19 @@
 		out = append(out, "workers do not reach it")
 	}
 	for _, i := range w.SilentShards {
-		out = append(out, fmt.Sprintf("the machines of its shard %d are silent", i))
+		out = append(out, fmt.Sprintf("the machines of its shard %d do not report", i))
 	}
 	for _, h := range w.SampledShards {
-		out = append(out, fmt.Sprintf("%d of %d machines of shard %d answer it", h.Answered, h.Called, h.Shard))
+		out = append(out, fmt.Sprintf("%d of %d queried machines of shard %d respond to it", h.Answered, h.Called, h.Shard))
 	}
 	for _, i := range w.DegradedShards {
-		out = append(out, fmt.Sprintf("many machines of its shard %d are silent", i))
+		out = append(out, fmt.Sprintf("many machines of its shard %d do not report", i))
 	}
 	for _, n := range w.UnreachableNodes {
-		out = append(out, n+" does not answer it")
+		out = append(out, n+" does not respond to it")
 	}
 	if w.NoCloud {
-		out = append(out, "the cloud does not answer it")
+		out = append(out, "the cloud does not respond to it")
 	}
 	return strings.Join(out, "; ")
 }
--- a/cmd/barrowbridge/trail.go
+++ b/cmd/barrowbridge/trail.go
@@ -201,7 +201,7 @@
 	}
 	fmt.Fprintf(&b, "\nsession %d, %g cpus free", m.Session, m.FreeCPUs)
 	if m.ReportedS != nil {
-		fmt.Fprintf(&b, ", reported %.1f s ago, its lease is surely over in %.1f s", *m.ReportedS, *m.LeaseLeftS)
+		fmt.Fprintf(&b, ", reported %.1f s ago, its lease expires in %.1f s at the latest", *m.ReportedS, *m.LeaseLeftS)
 	}
 	if m.Inherited {
 		fmt.Fprintf(&b, ", inherited, accounted for: %v", m.Accounted)
--- a/cmd/barrowbridge/version.go
+++ b/cmd/barrowbridge/version.go
@@ -41,14 +41,14 @@
 			state = "present"
 		}
 		if runs == "" {
-			runs = "unknown, or one that does not say"
+			runs = "unknown or not reported"
 		}
 		fmt.Fprintf(&b, "%-10s %-8s version %s", n.Node, state, runs)
 		if n.Boot != 0 {
 			fmt.Fprintf(&b, ", boot %d", n.Boot)
 		}
 		if len(n.Features) > 0 {
-			fmt.Fprintf(&b, ", understands %s", strings.Join(n.Features, ", "))
+			fmt.Fprintf(&b, ", supports %s", strings.Join(n.Features, ", "))
 		}
 		b.WriteString("\n")
 	}
--- a/cmd/barrowbridge/weights.go
+++ b/cmd/barrowbridge/weights.go
@@ -53,7 +53,7 @@
 	var b strings.Builder
 	for _, v := range views {
 		if v.StoreGBps > 0 {
-			fmt.Fprintf(&b, "%-10s measures that the store gives %.1f GB/s in all; %d machines use it up\n", v.Node, v.StoreGBps, v.Most)
+			fmt.Fprintf(&b, "%-10s measures a total store bandwidth of %.1f GB/s, which %d concurrent fetches saturate\n", v.Node, v.StoreGBps, v.Most)
 		}
 		for _, x := range v.Images {
 			fmt.Fprintf(&b, "%-10s %-20s on %d machines, fetched by %d", v.Node, x.Image, len(x.Holders), len(x.Fetches))
@@ -76,7 +76,7 @@
 				if len(f.Sources) > 0 {
 					from = strings.Join(f.Sources, " and ")
 				}
-				fmt.Fprintf(&b, "  %-12s zone %-6s fetches it from %s since %.0f s, expected in %.0f s\n", f.Machine, f.Zone, from, f.ForS, f.LeftS)
+				fmt.Fprintf(&b, "  %-12s zone %-6s has been fetching it from %s for %.0f s, expected in %.0f s\n", f.Machine, f.Zone, from, f.ForS, f.LeftS)
 			}
 		}
 	}
