--- a/cmd/barrowbridge/client.go
+++ b/cmd/barrowbridge/client.go
@@ -288,7 +288,7 @@
 		},
 	}
 	settings.Flags().Float64Var(&idle, "idle-return-s", 0, "seconds after which an empty rented machine is returned")
-	settings.Flags().Float64Var(&silent, "silent-drop-s", 0, "seconds after which a permanent machine that does not report is given up")
+	settings.Flags().Float64Var(&silent, "silent-drop-s", 0, "seconds after which a standing machine that does not report is given up")
 	settings.Flags().BoolVar(&spot, "spot", true, "whether spot machines may be rented")
 	cordon := func(use, short string, v *wire.Cordon) *cobra.Command {
 		return &cobra.Command{Use: use + " MACHINE", Short: short, Args: cobra.ExactArgs(1),
--- a/cmd/barrowbridge/dev.go
+++ b/cmd/barrowbridge/dev.go
@@ -21,7 +21,7 @@
 	}
 	f := cmd.Flags()
 	f.IntVar(&o.Controllers, "controllers", 3, "number of controllers, each in its own process")
-	f.IntVar(&o.Machines, "machines", 8, "permanent machines; more are rented as needed")
+	f.IntVar(&o.Machines, "machines", 8, "standing machines; more are rented as needed")
 	f.IntVar(&o.Zones, "zones", 2, "zones that the machines are spread over")
 	f.DurationVar(&o.For, "for", 0, "stop after this time (0: run until interrupted)")
 	f.StringVar(&o.Addresses, "addresses", "", "write the addresses to this file as JSON once the cluster is ready")
--- a/cmd/barrowbridge/ladder.go
+++ b/cmd/barrowbridge/ladder.go
@@ -67,7 +67,7 @@
 			if err := c.call(http.MethodGet, "/admin/v1/ladder/order", nil, &o); err != nil {
 				return err
 			}
-			lines := []string{fmt.Sprintf("%s at revision %d, ladder %d: %d jobs, digest %s", o.Node, o.Revision, o.Version, o.Count, o.Digest)}
+			lines := []string{fmt.Sprintf("%s at revision %d, tier order version %d: %d jobs, digest %s", o.Node, o.Revision, o.Version, o.Count, o.Digest)}
 			for _, j := range o.Jobs {
 				lines = append(lines, fmt.Sprintf("%s  %d  %s", j.Job, j.Number, j.Tier))
 			}
