--- a/internal/core/troubles_test.go
+++ b/internal/core/troubles_test.go
@@ -10,7 +10,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// staffed is a deployment with standing machines in both zones and a service of each team.
+// staffed returns a deployment with six owned machines in two zones and one running service
+// per team.
 func staffed(t *testing.T, seed uint64, replicas int, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, opts...)
 	for i := range 6 {
@@ -27,7 +28,7 @@
 	return w
 }
 
-// up counts the replicas that run on machines that hear.
+// up counts the running replicas on machines that receive answers.
 func (w *world) up() (n int) {
 	for _, name := range w.order {
 		if m := w.machines[name]; !w.deaf[name] {
@@ -41,7 +42,8 @@
 	return n
 }
 
-// until runs until a condition holds, at most for so long, and tells how long it took.
+// until runs the world until a condition holds, at most for the given time, and returns the
+// time that passed.
 func (w *world) until(most time.Duration, ok func() bool) time.Duration {
 	began := w.now
 	for w.now < began+most && !ok() {
@@ -50,17 +52,17 @@
 	return w.now - began
 }
 
-// A worker whose reports arrive, and that hears no answer, is known within two of the
-// intervals at which it reports then, is given nothing more, and is used again when it hears.
-// Its tasks run elsewhere: a few rented machines are given back for that, many, or standing
-// ones, go to their next session.
+// A worker whose reports arrive but that receives no answers must be detected within two of
+// the intervals at which it then reports. It is assigned nothing more until it receives
+// answers again, and its tasks run elsewhere: a few rented machines are returned to the cloud
+// for that; if there are many, or they are owned, their workers start a new session.
 func TestDeafMachines(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
 		hit    func(w *world, rented []string) []string
-		within time.Duration // all replicas run on others
-		stay   bool          // the machines are not given back
+		within time.Duration // by then all replicas run on other machines
+		stay   bool          // the machines must not be returned to the cloud
 		kill   func(w *world, at []string) string
 	}{
 		{"a rented one", func(w *world, rented []string) []string { return rented[:1] }, 16 * sec, false, nil},
@@ -78,7 +80,7 @@
 				}
 			}
 			if w.up() != 30 || len(rented) < 2 {
-				t.Fatalf("%d replicas run, %d machines are rented", w.up(), len(rented))
+				t.Fatalf("%d replicas run, want 30; %d machines are rented, want at least 2", w.up(), len(rented))
 			}
 			at := c.hit(w, rented)
 			w.deafen(true, at...)
@@ -86,24 +88,24 @@
 				w.bounce(5*sec, c.kill(w, at))
 			}
 			took := w.until(60*sec, func() bool { return w.up() == 30 })
-			if t.Logf("all run elsewhere after %v, %d starts lost", took, w.runsLost); took > c.within {
-				t.Errorf("all replicas run elsewhere after %v, want %v", took, c.within)
+			if t.Logf("all replicas run elsewhere after %v; %d start commands were lost", took, w.runsLost); took > c.within {
+				t.Errorf("all replicas run elsewhere after %v, want at most %v", took, c.within)
 			}
 			lost := w.runsLost
 			if lost > 4*len(at) {
-				t.Errorf("%d starts were sent to %d deaf machines", lost, len(at))
+				t.Errorf("%d start commands were sent to %d machines that receive no answers", lost, len(at))
 			}
 			w.run(30 * sec)
 			if w.runsLost > lost+len(at) {
-				t.Errorf("known deaf, and sent %d more starts", w.runsLost-lost)
+				t.Errorf("%d more start commands were sent after the machines were detected", w.runsLost-lost)
 			}
 			w.deafen(false, at...)
 			w.run(15 * sec)
 			for _, n := range at {
 				if gone := w.machines[n].gone; gone && c.stay && slices.Contains(w.order[:6], n) {
-					t.Errorf("%s was given back", n)
+					t.Errorf("%s was returned to the cloud", n)
 				} else if m := w.nodes[w.holderOf(n)]; !gone && (m == nil || m.core == nil || !m.core.usable(m.core.machines[n])) {
-					t.Errorf("%s hears again and is not used", n)
+					t.Errorf("%s receives answers again and is not used", n)
 				}
 			}
 		})
@@ -125,9 +127,9 @@
 	return l.Node
 }
 
-// Copies of the reports of a machine that is gone come for a minute, to a controller that
-// has taken its shard over or has just started. They account for nothing, put off the end
-// of its lease by little, and form no block.
+// Late copies of the reports of a machine that is gone arrive for a minute at a controller
+// that has taken over its shard or has just started. They must not make the machine accounted
+// for, may delay the end of its lease only a little, and must not form a block.
 func TestLateCopiesProveNothing(t *testing.T) {
 	t.Parallel()
 	for _, back := range []time.Duration{0, 300 * time.Millisecond, 20 * sec} {
@@ -135,7 +137,7 @@
 			w := staffed(t, 62, 6, func(w *world) { w.stale = map[string]int{} })
 			w.copies, w.copyLate = 100, 60*sec
 			w.run(20 * sec)
-			w.copies = 0 // what has been copied is on its way
+			w.copies = 0 // copies made so far are still in transit
 			name := w.order[0]
 			old := w.holderOf(name)
 			w.kill(old)
@@ -143,11 +145,11 @@
 			if back > 0 {
 				w.at(back, func() { w.start(old) })
 			}
-			// The cloud lists it for a while; then its deletion accounts for it.
+			// The cloud still lists it for a while. Its deletion then makes it accounted for.
 			took := w.until(60*sec, func() bool { return w.up() == 18 })
-			t.Logf("all run after %v, %d copies came by then", took, w.stale[name])
+			t.Logf("all replicas run after %v; %d late copies had arrived by then", took, w.stale[name])
 			if limit := 45 * sec; took > limit {
-				t.Errorf("replicas of a machine that is gone run again after %v, want %v", took, limit)
+				t.Errorf("replicas of a machine that is gone run again after %v, want at most %v", took, limit)
 			}
 			for range 60 {
 				w.run(sec)
@@ -156,22 +158,22 @@
 						continue
 					}
 					if m := n.core.machines[name]; m != nil && n.core.usable(m) {
-						t.Fatalf("%v: %s, which is gone, takes tasks at %s", w.now, name, n.name)
+						t.Fatalf("%v: %s is gone, but usable for tasks at %s", w.now, name, n.name)
 					}
 				}
 			}
 			if h := w.holderOf(name); h != "" {
-				t.Errorf("%s, which is gone, is in a block of %s", name, h)
+				t.Errorf("%s is gone, but in a block of %s", name, h)
 			}
 			if w.stale[name] < 10 {
-				t.Errorf("only %d copies came", w.stale[name])
+				t.Errorf("only %d late copies arrived", w.stale[name])
 			}
 		})
 	}
 }
 
-// Copies of the last reports of a machine that hangs for good come in their order, one each
-// second, to a controller that has just taken it over: they do not keep its lease open.
+// A machine hangs for good, and copies of its last reports arrive in their order, one each
+// second, at the controller that has just taken it over. They must not extend its lease.
 func TestCopiesInOrderRenewNothing(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 64, 6, func(w *world) { w.keep = map[string][]wire.Report{} })
@@ -188,20 +190,22 @@
 		}
 		return w.up() == 18+len(w.machines[name].tasks())
 	})
-	// What the earlier holder may have answered last, a lease, and two answers that were tried.
-	if t.Logf("all run after %v", took); took > 50*sec || len(copies) == 0 {
+	// The limit covers the last answer that the previous holder may have given, one worker lease,
+	// and two attempted answers.
+	if t.Logf("all replicas run after %v", took); took > 50*sec || len(copies) == 0 {
 		t.Errorf("replicas of a machine that hangs run again after %v, %d copies left", took, len(copies))
 	}
 }
 
-// A controller loses the state service and the other controllers, not its workers, at any
-// moment of a takeover, for a short or a long time. What its users cancel with the others, it
-// cannot hear of: it stops answering its workers in time. No rule breaks, and all runs again.
+// A controller loses the state service and the other controllers, but not its workers, at
+// different moments of a takeover, for a short or a long time. It cannot learn what users
+// cancel at the other controllers, so it must stop answering its workers in time. No rule may
+// break, and all replicas must run again.
 func TestAloneWithItsWorkers(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		lone, at time.Duration
-		only     bool // its workers reach nobody else: nothing but its own silence ends what they run
+		only     bool // its workers reach no other controller: their tasks end only because it stops answering
 	}{
 		{5 * sec, 0, false}, {20 * sec, 400 * time.Millisecond, false}, {20 * sec, 2 * sec, false}, {45 * sec, 3500 * time.Millisecond, false}, {45 * sec, 5 * sec, false}, {120 * sec, sec, false},
 		{60 * sec, 0, true}, {60 * sec, 2 * sec, true}, {120 * sec, sec, true},
@@ -227,25 +231,25 @@
 				}
 			}
 			if gone == "" {
-				t.Fatal("the lone controller holds nothing")
+				t.Fatal("the lone controller holds no shard")
 			}
-			// Its open watch would tell it of what is cancelled at once: with that, this passed with a
-			// lone controller that never stops.
+			// Cancels only after its open watch has ended. The watch would report the cancellation at
+			// once, and then the test passed even with a lone controller that never stops answering.
 			w.at(min(c.lone/2, tuning.WatchMaxWait+sec), func() { w.abort(gone) })
 			w.run(c.lone)
 			w.hung[lone] = false
 			w.silence(lone, false)
 			clear(w.lost)
 			if took := w.until(60*sec, func() bool { return w.up() == 12 && w.check.Final(gone) == wire.JobAborted }); took > 30*sec {
-				t.Errorf("the others run %v after it is back", took)
+				t.Errorf("the other replicas run only %v after the controller is reconnected", took)
 			}
 			w.calm(t)
 		})
 	}
 }
 
-// Controllers are back within a fraction of a second, one, two or three at once, again and
-// again, at any moment of an election. It costs no worker its lease.
+// One, two or three controllers at once restart within a fraction of a second, several times,
+// at different moments of an election. No worker may lose its lease.
 func TestBackAtOnce(t *testing.T) {
 	t.Parallel()
 	for i, after := range []time.Duration{50, 200, 450, 900} {
@@ -260,7 +264,7 @@
 				}
 				for k := range 6 {
 					w.bounce(after*time.Millisecond, at...)
-					w.run(time.Duration(700+k*530) * time.Millisecond) // before, amid and after what follows
+					w.run(time.Duration(700+k*530) * time.Millisecond) // before, during and after the election that follows
 				}
 				w.run(15 * sec)
 				if w.up() != 18 {
@@ -268,7 +272,7 @@
 				}
 				for _, m := range w.order {
 					if s := w.session(w.machines[m]); s != 1 {
-						t.Errorf("%s has lost its lease, session %d", m, s)
+						t.Errorf("%s has lost its lease: session %d, want 1", m, s)
 					}
 				}
 				w.calm(t)
@@ -277,7 +281,7 @@
 	}
 }
 
-// calm runs on with no trouble left: each job is known to everybody then.
+// calm runs the world without faults, after which each controller must know each job.
 func (w *world) calm(t *testing.T) {
 	w.check.Calm(w.now)
 	w.run(90 * sec)
@@ -285,7 +289,7 @@
 		for _, n := range sortedKeys(w.nodes) {
 			w.ask(n, func(q uint64) any { return Poll{Req: q, ID: id} }, func(a Answer) {
 				if a.Status != 200 {
-					t.Errorf("%s at %s: %d", id, n, a.Status)
+					t.Errorf("status of %s at %s: got %d, want 200", id, n, a.Status)
 				}
 			})
 		}
@@ -293,8 +297,9 @@
 	w.run(3 * sec)
 }
 
-// A block is offered to another shard, and the write that marks it is on its way while work
-// for it comes: nothing is placed there until the outcome is known.
+// A block is offered to another shard, and work for its own shard arrives while the write that
+// marks the block idle is still in progress. Nothing may be placed there until the outcome of
+// the write is known.
 func TestNothingIsPlacedOnABlockBeingOffered(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 6 * sec} {
@@ -310,21 +315,21 @@
 			s.DueS, s.ImageGB = nil, ptr(0.01)
 			w.submit(s)
 		}
-		job("job-000000", "red", 12) // more than its shard has: the others' empty blocks are offered
+		job("job-000000", "red", 12) // more than its shard has, so the others offer their empty blocks
 		for range 500 {
 			if w.run(10 * time.Millisecond); w.marking != nil {
 				break
 			}
 		}
 		if w.marking == nil {
-			t.Fatal("no block is offered")
+			t.Fatal("no block was offered")
 		}
-		for _, team := range []string{"blue", "green"} { // one of them has just offered its block
+		for _, team := range []string{"blue", "green"} { // one of these teams has just offered its block
 			job("job-0001"+fmt.Sprintf("%02d", len(team)), team, 8)
 		}
 		w.run(120 * sec)
 		if u := w.unfinished(); u != nil {
-			t.Errorf("marks %v late: not done: %v", late, u)
+			t.Errorf("marks %v late: unfinished jobs: %v", late, u)
 		}
 	}
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -17,8 +17,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// world is a scripted deployment around real cores, on one fake clock and one seed: the
-// emulator's state service, cloud, workers and users. The checker judges the rules.
+// world is a simulated deployment around real cores: the emulator's state service, cloud and
+// workers, and scripted users. Everything runs on one fake clock and one seed. The checker
+// verifies the rules.
 type world struct {
 	t     testing.TB
 	now   time.Duration
@@ -30,43 +31,43 @@
 	calls    map[uint64]func(StateReply)
 	callID   uint64
 	limits   state.Limits
-	reached  map[string]int      // calls of the state service that arrived, by node
-	tried    map[string]int      // and that were made
-	spent    func(time.Duration) // told what each input of a core took of real time; nil: nobody
-	watchLag time.Duration       // answers to held watches come so much later
-	cutFrom  map[string]bool     // nodes alone without the state service
-	unsure   int                 // of a hundred calls of the state service, so many are lost, not answered, or executed or answered late
+	reached  map[string]int      // calls to the state service that arrived, by node
+	tried    map[string]int      // calls to the state service that were made, by node
+	spent    func(time.Duration) // receives the real time that a core took for each input; may be nil
+	watchLag time.Duration       // extra delay of answers to long-poll watches
+	cutFrom  map[string]bool     // nodes whose calls the state service refuses
+	unsure   int                 // percentage of state service calls that are lost, not answered, or executed or answered late
 
 	cloud    *cloud.Cloud
-	capacity int // of a kind in a zone
+	capacity int // machines of a type in a zone that can be rented
 	machines map[string]*host
 	order    []string
 	work     *worker.Work
-	reportS  time.Duration // workers report so often
+	reportS  time.Duration // interval of the workers' reports
 	lease    time.Duration
-	runS     time.Duration   // tasks run so long, up to 4 s more
-	bootS    time.Duration   // machines boot so long
-	absent   int             // of a hundred rented machines, so many never come up
-	fails    map[string]bool // jobs submitted with a mistake
+	runS     time.Duration   // least run time of a task; up to 4 s are added
+	bootS    time.Duration   // boot time of a machine
+	absent   int             // percentage of rented machines that never come up
+	fails    map[string]bool // jobs whose tasks fail
 
 	nodes   map[string]*ctrl
 	params  func(node string) Params
 	teams   map[string]Team
 	jobs    map[string]*userJob
 	cancelS time.Duration
-	slow    time.Duration      // when machines and cancelled tasks are looked at next
+	slow    time.Duration      // when machines and cancelled tasks are checked next
 	apart   map[[2]string]bool // zone pairs that cannot reach each other
-	lost    map[string]bool    // controllers that no worker reaches
-	kept    map[string]bool    // but for the workers of these machines
-	called  bool               // and whose calls the others answer all the same
-	oneWay  map[string]string  // controllers that no report reaches ("reports"), or that reach no worker ("calls")
-	noCloud map[string]bool    // controllers whose calls of the cloud arrive nowhere
-	hung    map[string]bool    // controllers whose calls of the state service arrive nowhere
-	mute    map[[2]string]bool // controllers that cannot speak to each other, each pair both ways round
-	noWays  bool               // controllers make no calls for each other, as those of earlier versions
+	lost    map[string]bool    // controllers that no worker can reach
+	kept    map[string]bool    // machines whose workers can reach the lost controllers nevertheless
+	called  bool               // workers still receive and answer the calls of lost controllers
+	oneWay  map[string]string  // controllers that receive no reports ("reports"), or whose calls reach no worker ("calls")
+	noCloud map[string]bool    // controllers whose calls to the cloud get lost
+	hung    map[string]bool    // controllers whose calls to the state service get lost
+	mute    map[[2]string]bool // ordered pairs (from, to) of controllers whose messages get lost
+	noWays  bool               // controllers relay no calls for each other, like those of earlier versions
 	check   *checker.Checker
 	troubles
-	asked *effects // nil: not digested
+	asked *effects // effects for the digest; nil if no digest is written
 }
 
 type ctrl struct {
@@ -76,20 +77,21 @@
 	life    int
 	reqs    uint64
 	waiting map[uint64]func(Answer)
-	still   time.Duration // stands still until then: what comes waits
+	still   time.Duration // paused until then; inputs that arrive before are queued in held
 	held    []any
 }
 
-// host is a machine whose worker is up, or will be.
+// host is a machine and its worker, which may not have started yet.
 type host struct {
 	*worker.Worker
 	info wire.MachineInfo
 	gone bool
 	up   bool
 	sick bool
-	wake time.Duration // when its next event is due
-	// lapsed: it goes on after a hang that outlasted its lease, so what it now says to have
-	// killed has not run since. Its new session has a lease again before it says so.
+	wake time.Duration // time of its next scheduled event
+	// lapsed is set while the worker resumes after a hang that outlasted its lease: the tasks
+	// that it now reports as killed have not run since the lease ended. Its new session holds
+	// a lease again before it reports them.
 	lapsed bool
 }
 
@@ -117,11 +119,36 @@
 }
 
 func newWorld(t testing.TB, seed uint64, nodes int, opts ...func(*world)) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), calls: map[uint64]func(StateReply){}, capacity: 10, runS: 4 * time.Second, bootS: 3 * time.Second, fails: map[string]bool{}, reportS: 2 * time.Second, lease: 10 * time.Second,
-		limits:   state.Limits{ValueBytes: 8192, TxnOps: 8, PageItems: 20}, // short pages, to be crossed
-		machines: map[string]*host{}, work: worker.NewWork(), cutFrom: map[string]bool{}, reached: map[string]int{}, tried: map[string]int{},
-		nodes: map[string]*ctrl{}, jobs: map[string]*userJob{}, apart: map[[2]string]bool{}, lost: map[string]bool{}, hung: map[string]bool{}, noCloud: map[string]bool{}, oneWay: map[string]string{}, mute: map[[2]string]bool{}, cancelS: 40 * time.Second,
-		teams: map[string]Team{"red": {CPUs: 8, CPUsMax: 12}, "blue": {CPUs: 8, CPUsMax: 12}, "green": {CPUs: 8, CPUsMax: 12}},
+	w := &world{
+		t:        t,
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		calls:    map[uint64]func(StateReply){},
+		capacity: 10,
+		runS:     4 * time.Second,
+		bootS:    3 * time.Second,
+		fails:    map[string]bool{},
+		reportS:  2 * time.Second,
+		lease:    10 * time.Second,
+		limits:   state.Limits{ValueBytes: 8192, TxnOps: 8, PageItems: 20}, // short pages, so that lists take several
+		machines: map[string]*host{},
+		work:     worker.NewWork(),
+		cutFrom:  map[string]bool{},
+		reached:  map[string]int{},
+		tried:    map[string]int{},
+		nodes:    map[string]*ctrl{},
+		jobs:     map[string]*userJob{},
+		apart:    map[[2]string]bool{},
+		lost:     map[string]bool{},
+		hung:     map[string]bool{},
+		noCloud:  map[string]bool{},
+		oneWay:   map[string]string{},
+		mute:     map[[2]string]bool{},
+		cancelS:  40 * time.Second,
+		teams: map[string]Team{
+			"red":   {CPUs: 8, CPUsMax: 12},
+			"blue":  {CPUs: 8, CPUsMax: 12},
+			"green": {CPUs: 8, CPUsMax: 12},
+		},
 	}
 	for _, o := range opts {
 		o(w)
@@ -159,7 +186,7 @@
 	return w
 }
 
-// clock lets time pass for what does not call: grants, machines, cancelled tasks.
+// clock advances what depends on time alone: state leases, machines and cancelled tasks.
 func (w *world) clock() {
 	w.answers(w.store.Advance(w.now))
 	if w.now >= w.slow {
@@ -214,7 +241,8 @@
 	w.at(50*time.Millisecond, func() { w.tick(n, life) })
 }
 
-// stand has a controller stand still: what comes meanwhile is worked on in order afterwards.
+// stand pauses a controller for the duration d. Inputs that arrive meanwhile are processed in
+// order afterwards.
 func (w *world) stand(name string, d time.Duration) {
 	n := w.nodes[name]
 	life := n.life
@@ -223,7 +251,7 @@
 		if n.life == life && w.now >= n.still {
 			held := n.held
 			n.held = nil
-			w.step(n, Tick{}) // clocks are seen before what waits in sockets
+			w.step(n, Tick{}) // a process notices the time before the input that waits in its sockets
 			for _, in := range held {
 				w.step(n, in)
 			}
@@ -295,14 +323,14 @@
 	}
 }
 
-// silence cuts a controller from its peers, or joins it to them again.
+// silence cuts a controller off from its peers, or reconnects it.
 func (w *world) silence(name string, cut bool) {
 	for n := range w.nodes {
 		w.mute[[2]string{name, n}], w.mute[[2]string{n, name}] = cut, cut
 	}
 }
 
-// ask puts a request to a node; f gets its answer unless the node dies.
+// ask sends a request to a node and calls f with the answer, unless the node ends before.
 func (w *world) ask(node string, in func(req uint64) any, f func(Answer)) {
 	n := w.nodes[node]
 	if n.core == nil {
@@ -315,12 +343,13 @@
 
 // ---- state service
 
-// storeOps maps the core's calls to the service's.
+// storeOps maps the core's operations to those of the state service.
 var storeOps = map[int]state.Op{OpGet: state.Get, OpList: state.List, OpCommit: state.Commit, OpGrant: state.Grant, OpExtend: state.Extend, OpWatch: state.Watch}
 
-// reach brings a call to the service. Of calls it is unsure about, a quarter is lost, a
-// quarter executed with its answer lost, a quarter executed long after the caller gave
-// up, and a quarter answered so late that the watch has long gone on.
+// reach delivers a call to the state service. The percentage unsure of the calls fails in one
+// of four ways, equally often: the call is lost, it is executed and its answer is lost, it is
+// executed up to 8 s late (possibly long after the caller timed out) and never answered, or
+// its answer arrives so late that the watch has already reported later changes.
 func (w *world) reach(node string, v StateCall, reply func(StateReply)) {
 	lag := w.lag() + w.slowState/2
 	if slow, answer := w.slowState/2, reply; slow > 0 {
@@ -333,7 +362,7 @@
 	}
 	w.reached[node]++
 	lag += w.lateMark(node, v, lag)
-	if late, hit := w.unanswered(node, v); hit { // executed, late, and never answered
+	if late, hit := w.unanswered(node, v); hit { // executed late and never answered
 		w.at(lag+late, func() { w.callStore(node, v, func(StateReply) {}) })
 		w.at(tuning.StateCallTimeout, func() { reply(StateReply{}) })
 		return
@@ -387,7 +416,7 @@
 	w.answers(w.store.Do(w.now, w.callID, call))
 }
 
-// answers hands the service's answers to who waits for them.
+// answers passes the state service's answers to the callers that wait for them.
 func (w *world) answers(list []state.Answer) {
 	for _, a := range list {
 		f := w.calls[a.ID]
@@ -409,9 +438,9 @@
 		case wire.Problem:
 			if r.Err = b.Error; a.Status == 400 && b.Error != "no such lease" {
 				if w.malformed++; w.untold {
-					break // its limits are lower than anybody was told
+					break // the controllers do not know the service's lowered limits
 				}
-				w.t.Fatalf("%v: the state service refuses a call as malformed: %s", w.now, b.Error)
+				w.t.Fatalf("%v: the state service refused a call as malformed: %s", w.now, b.Error)
 			}
 		}
 		f(r)
@@ -471,7 +500,7 @@
 	}
 }
 
-// addMachine adds one of the operator's own.
+// addMachine adds a machine of the operator's own, which is not rented, and returns its name.
 func (w *world) addMachine(zone string, spot bool, boot time.Duration) string {
 	h := w.cloud.Stand(w.now, cloud.Place{Type: "std", Zone: zone, Spot: spot}, boot)
 	w.newHost(h.MachineInfo)
@@ -486,7 +515,7 @@
 	}
 }
 
-// vanish takes a machine without a word.
+// vanish removes a machine without notice.
 func (w *world) vanish(name string) {
 	w.cloud.Take(w.now, name, false)
 	w.cloudEvents(w.cloud.Advance(w.now))
@@ -498,7 +527,7 @@
 		Type: wire.MachineType{CPUs: 4, MemoryGB: 16, FetchGBps: 1}}, w.work, w.rng)
 }
 
-// drive carries out a worker's effects, and comes back.
+// drive carries out a worker's effects and schedules its next event.
 func (w *world) drive(m *host, list []any) {
 	w.effects(m, list)
 	at, ok := m.Next()
@@ -531,8 +560,8 @@
 	}
 }
 
-// post brings a report to its node and the answer back, as far as they are in
-// reach of each other.
+// post delivers a report to its node and the answer to the worker, if they can reach each
+// other.
 func (w *world) post(m *host, s worker.Send) {
 	w.copyOf(s)
 	back := func(o worker.Outcome) func() {
@@ -543,7 +572,7 @@
 		}
 	}
 	if w.nodes[s.Node].core == nil || w.speechless[m.info.Name] {
-		w.at(w.lag(), back(worker.Outcome{})) // refused
+		w.at(w.lag(), back(worker.Outcome{})) // connection refused
 		return
 	}
 	if w.outOfReach(s.Node, m.info.Name) || w.oneWay[s.Node] == "reports" {
@@ -565,7 +594,7 @@
 	})
 }
 
-// tasks are the attempts that a worker names, ended ones included; none if it
+// tasks returns the attempts that a worker reports, including ended ones; none if the machine
 // is gone.
 func (m *host) tasks() []wire.TaskReport {
 	if m.gone {
@@ -574,10 +603,10 @@
 	return m.Attempts()
 }
 
-// session is the worker's session as its report has it.
+// session returns the worker's session, as in its reports.
 func (w *world) session(m *host) uint64 { r, _ := m.Inspect(w.now); return r.Session }
 
-// shardRec is a team's shard as the state has it.
+// shardRec returns the stored record of a team's shard.
 func (w *world) shardRec(team string) (r wire.Shard) {
 	found := false
 	w.store.Scan(wire.PrefixShard, func(it wire.Item) {
