--- a/internal/core/schedules_test.go
+++ b/internal/core/schedules_test.go
@@ -12,8 +12,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// schedules is how many seeded days TestRandomSchedules plays; the variable
-// BARROWBRIDGE_SCHEDULES asks for more.
+// schedules is the number of seeds that TestRandomSchedules runs in each of its two seed ranges.
+// The environment variable BARROWBRIDGE_SCHEDULES overrides the default.
 var schedules = func() uint64 {
 	n, err := strconv.ParseUint(os.Getenv("BARROWBRIDGE_SCHEDULES"), 10, 64)
 	if err != nil {
@@ -22,12 +22,12 @@
 	return n
 }()
 
-// Random days: crashes, hangs, outages, cuts, controllers that stand still, answers
-// that are lost, writes that come late, and aborts, at seeded moments. The
-// world checks the rules; at the end everything accepted is done.
+// Random schedules of crashes, hangs, outages, network cuts, paused controllers, lost answers,
+// late writes and aborts at seeded moments. The world checks the rules, and at the end all
+// accepted jobs must be done.
 func TestRandomSchedules(t *testing.T) {
 	t.Parallel()
-	seeds := []uint64{182, 243, 507, 578} // a block moved between two shards of one holder
+	seeds := []uint64{182, 243, 507, 578} // seeds in which a block moves between two shards of one holder
 	for s := uint64(100); s < 100+schedules; s++ {
 		seeds = append(seeds, s, s+10000)
 	}
@@ -49,7 +49,7 @@
 				w.run(time.Duration(w.rng.IntN(6000)) * time.Millisecond)
 				w.recount()
 			}
-			// Services are cancelled while others ask for them, and answers come late.
+			// Cancels the services while others poll them and answers arrive late.
 			w.unsure = 30
 			for _, id := range sortedKeys(w.jobs) {
 				if j := w.jobs[id]; *j.spec.Shape == wire.ShapeService || w.fails[id] {
@@ -60,22 +60,22 @@
 				}
 			}
 			w.run(5 * sec)
-			w.unsure = 0 // all is well again: what was accepted gets done
+			w.unsure = 0 // no faults from now on, so all accepted jobs must complete
 			w.run(40 * sec)
 			w.check.Calm(w.now)
 			w.run(200 * sec)
 			if b := w.check.FinishDay(w.now); len(b) > 0 {
-				t.Fatalf("the day fails: %v", b)
+				t.Fatalf("rules broken at the end of the run: %v", b)
 			}
 			if u := w.unfinished(); u != nil {
-				t.Fatalf("accepted and not done: %v", u)
+				t.Fatalf("accepted jobs that are not done: %v", u)
 			}
 		})
 	}
 }
 
-// A seed plays the same day each time, to the last call: only so a fault that is found can
-// be looked at.
+// A seed must produce exactly the same run each time, down to the last call. Otherwise a fault
+// that a random schedule finds could not be reproduced.
 func TestASeedRepeats(t *testing.T) {
 	t.Parallel()
 	play := func(seed uint64) string {
@@ -99,7 +99,8 @@
 			t.Fatalf("seed %d:\n%s", seed, diff)
 		}
 	}
-	// Services of several replicas are cancelled: the workers were called in the order of a map.
+	// Cancels services of several replicas, because the workers were once called in the random
+	// order of a map.
 	cancel := func() string {
 		w := staffed(t, 400, 4)
 		w.lateWrites(40, map[string]int{}, "machines out of blocks, or a block moved")
@@ -109,12 +110,13 @@
 	first := cancel()
 	for range 6 {
 		if again := cancel(); again != first {
-			t.Fatalf("the same day: %s and %s", first, again)
+			t.Fatalf("repeated runs differ: %s and %s", first, again)
 		}
 	}
 }
 
-// mishap does one thing of a random day; id is the number of the next job.
+// mishap injects one random fault or submits or cancels jobs. id is the number of the next job;
+// mishap returns the one after that.
 func (w *world) mishap(id int) int {
 	switch w.rng.IntN(13) {
 	case 12:
@@ -153,7 +155,8 @@
 			w.abort(fmt.Sprintf("job-%06d", w.rng.IntN(id)))
 		}
 	case 6:
-		// Machines come late, at once or never while the cloud is in trouble, and after.
+		// The cloud is down for a while. Meanwhile and afterwards machines boot slowly, at once or
+		// never.
 		w.bootS, w.absent = []time.Duration{200 * time.Millisecond, 3 * sec, 25 * sec}[id%3], []int{0, 30, 90}[id/3%3]
 		w.at(40*sec, func() { w.bootS, w.absent = 3*sec, 0 })
 		w.cloud.Trouble.Down = true
@@ -169,7 +172,7 @@
 		case shape == wire.ShapeService:
 			s.Priority = ptr("urgent")
 			s.DueS = nil
-		case id%5 == 3: // a guest's
+		case id%5 == 3: // a job of the guest team
 			s.Priority, s.DueS, s.Team = ptr("idle"), nil, ptr("guest")
 			s.Tasks = ptr(int64(1 + id%40))
 		}
--- a/internal/core/world_chains_test.go
+++ b/internal/core/world_chains_test.go
@@ -7,16 +7,17 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Users of job chains. The checker hears of the predecessors with each submission.
+// Scripted users of job chains. The checker learns the predecessors with each submission.
 
-// newPipeline submits a random pipeline over several teams, numbered from id: one to three jobs
-// first, up to three after some of these, and a last one that needs all that nothing else needs
-// and alone has priority and deadline. Some first ones need an earlier job of anybody's, some last
-// ones are submitted only when the others are over, and of some pipelines one job is cancelled. It
-// returns the number of the next job, and the last job's id.
+// newPipeline submits a random pipeline of jobs of several teams, numbered from id: one to three
+// first jobs, up to three jobs that depend on some of these, and a last job that depends on all
+// jobs that no other job depends on. Only the last job has a raised priority and a deadline.
+// Some first jobs depend on an earlier job of any team, some last jobs are submitted only when
+// their predecessors have ended, and in some pipelines one job is cancelled. newPipeline returns
+// the number of the next job and the ID of the last job.
 func (w *world) newPipeline(id int) (next int, last string) {
 	var jobs []wire.JobSpec
-	open := map[string]bool{} // not needed by any job yet
+	open := map[string]bool{} // jobs that no other job depends on yet
 	add := func(tasks int, needs ...string) {
 		s := spec(fmt.Sprintf("job-%06d", id+len(jobs)), []string{"red", "blue", "green"}[w.rng.IntN(3)], wire.ShapeBatch, tasks)
 		s.Spot, s.DueS, s.Predecessors = ptr(w.rng.IntN(2) == 0), nil, needs
@@ -36,7 +37,7 @@
 	}
 	first := len(jobs)
 	for range w.rng.IntN(4) {
-		a, b := w.rng.IntN(first), w.rng.IntN(len(jobs)) // the same one, too
+		a, b := w.rng.IntN(first), w.rng.IntN(len(jobs)) // both may be the same job
 		add(1+w.rng.IntN(10), *jobs[a].ID, *jobs[b].ID)
 	}
 	add(1+w.rng.IntN(3), sortedKeys(open)...)
@@ -57,7 +58,7 @@
 	return id + len(jobs), *end.ID
 }
 
-// earlierBatch lists the accepted jobs that others may need.
+// earlierBatch lists the accepted batch jobs, on which others may depend.
 func (w *world) earlierBatch() (out []string) {
 	for _, id := range sortedKeys(w.jobs) {
 		if *w.jobs[id].spec.Shape == wire.ShapeBatch && w.check.Accepted(id) {
@@ -67,7 +68,8 @@
 	return out
 }
 
-// submitAfter submits a job as soon as those that it needs are accepted, or when they are over.
+// submitAfter submits a job as soon as its predecessors are accepted, or, if over is true, when
+// they have ended.
 func (w *world) submitAfter(s wire.JobSpec, over bool) {
 	for _, p := range s.Predecessors {
 		if !w.check.Accepted(p) || over && w.check.Final(p) == "" {
--- a/internal/core/world_orders_test.go
+++ b/internal/core/world_orders_test.go
@@ -7,13 +7,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// checkOrder judges a direct call by the state as it stands: nothing may be started by
-// it, and once another holder has been granted the machine, no token of ours may reach
-// that holder's. Only a call that carries no command may name the other's own token.
+// checkOrder verifies a direct call against the current state. A direct call may carry only stop
+// commands. Once another holder has been granted the machine, the caller's token must be lower
+// than that holder's; only a call without commands may carry a token equal to it.
 func (w *world) checkOrder(n *ctrl, v WorkerCall) {
 	for _, cmd := range v.Orders.Commands {
 		if cmd.Verb != wire.VerbStop {
-			w.t.Fatalf("%v: %s calls %s to %s", w.now, n.name, v.Machine, cmd.Verb)
+			w.t.Fatalf("%v: %s sent %s a direct command to %s", w.now, n.name, v.Machine, cmd.Verb)
 		}
 	}
 	if v.ProbeOnly {
@@ -35,19 +35,20 @@
 		return
 	}
 	if shard.Holder == n.name && shard.Boot == n.core.presence.Boot() {
-		// Ours still; but a token that our mirror has not reached may be a successor's.
+		// The caller still holds the machine. But a token beyond the revision of its mirror could
+		// be that of a successor.
 		if v.Orders.Token > max(granted, n.core.mirrorRevision) {
-			w.t.Fatalf("%v: %s calls %s with token %d, its mirror is at %d", w.now, n.name, v.Machine, v.Orders.Token, n.core.mirrorRevision)
+			w.t.Fatalf("%v: %s calls %s with token %d, but its mirror is only at revision %d", w.now, n.name, v.Machine, v.Orders.Token, n.core.mirrorRevision)
 		}
 		return
 	}
 	if t := v.Orders.Token; t > granted || t == granted && len(v.Orders.Commands) > 0 {
-		w.t.Fatalf("%v: %s calls %s with token %d, granted to %s at %d", w.now, n.name, v.Machine, t, shard.Holder, granted)
+		w.t.Fatalf("%v: %s calls %s with token %d, but it was granted to %s with token %d", w.now, n.name, v.Machine, t, shard.Holder, granted)
 	}
 }
 
-// deliver brings direct commands to a worker. Some are lost, some come late; those for a
-// machine that hangs are read when it goes on.
+// deliver delivers direct commands to a worker. Some are lost and some arrive late; a machine
+// that hangs reads them when it resumes.
 func (w *world) deliver(n *ctrl, v WorkerCall, lag time.Duration) {
 	life := n.life
 	told := func(status int, r wire.Report) {
@@ -66,7 +67,7 @@
 		}
 		lag += time.Duration(w.rng.IntN(8000)) * time.Millisecond
 	}
-	if w.holdOrders > 0 { // the sender gives up, the packets are delivered when the cut ends
+	if w.holdOrders > 0 { // the sender's call times out, but its packets are delivered when the cut ends
 		lag += time.Duration(w.rng.Int64N(int64(w.holdOrders)))
 		if answered := told; lag > tuning.WorkerCallTimeout {
 			w.at(tuning.WorkerCallTimeout, func() { answered(0, wire.Report{}) })
--- a/internal/core/world_troubles_test.go
+++ b/internal/core/world_troubles_test.go
@@ -10,38 +10,41 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// troubles are those that strike between workers and controllers.
+// troubles holds the injected faults between workers, controllers and the state service, and
+// what is recorded about them.
 type troubles struct {
-	deaf     map[string]bool             // machines whose reports arrive, and that no answer or call reaches
-	runsLost int                         // start commands answered to them
-	copies   int                         // of a hundred reports, so many come again, to anybody
-	copyLate time.Duration               // and at most so late
-	markLate time.Duration               // blocks are marked idle so much later
-	ordered  func(*host, worker.Ordered) // told of each start that a worker takes
-	marking  *wire.Block                 // the last such
-	keep     map[string][]wire.Report    // by machine, if not nil
-	stale    map[string]int              // machines that are gone: copies of their reports that have come
+	deaf     map[string]bool             // machines whose reports arrive, but that receive no answers and no calls
+	runsLost int                         // start commands in answers that these machines did not receive
+	copies   int                         // percentage of reports of which a copy arrives later, at any controller
+	copyLate time.Duration               // greatest delay of these copies
+	markLate time.Duration               // delay of writes that mark a block idle
+	ordered  func(*host, worker.Ordered) // called for each start command that a worker accepts
+	marking  *wire.Block                 // the last block of which such a write was delayed
+	keep     map[string][]wire.Report    // all reports by machine; nil: not kept
+	stale    map[string]int              // number of late copies that arrived, by machine that is gone; nil: not counted
 
-	untold    bool // the state service has lower limits than anybody was told
-	malformed int  // calls that it refused as malformed
+	untold    bool // the state service has lower limits than the controllers were given
+	malformed int  // number of calls that it refused as malformed
 
-	refusing func(StateCall) string // calls that it refuses as malformed whatever its limits; nil: none
+	refusing func(StateCall) string // returns the error with which a call is refused as malformed, or ""; may be nil
 
-	speechless map[string]bool // machines that open connections to no controller; calls reach them
-	slowLinks  time.Duration   // each message between any two takes so much longer
-	completed  map[string]bool // tasks
-	told       map[string]bool // those whose end a worker has told in a report that was answered 200
-	repeated   []string        // tasks that started after they had completed, as often as they did
-	forgotten  []string        // those of them that had been told before
+	speechless map[string]bool // machines that can open no connection to a controller; they still receive calls
+	slowLinks  time.Duration   // extra delay of each message
+	completed  map[string]bool // tasks that completed
+	told       map[string]bool // completed tasks that a worker has reported in a report that was answered with 200
+	repeated   []string        // tasks that started after they had completed, once per such start
+	forgotten  []string        // the starts among these of tasks that had been reported as completed
 
-	taskRuns   func(index int) time.Duration // how long tasks run; nil: runS and a little
-	holdOrders time.Duration                 // calls of workers are held for up to so long, then delivered
-	slowState  time.Duration                 // the state service answers so much later
-	moreTypes  []wire.MachineType            // of the cloud, beside std
+	taskRuns   func(index int) time.Duration // run time of a task; nil: runS and up to 4 s more
+	holdOrders time.Duration                 // greatest time for which calls to workers are delayed before they are delivered
+	slowState  time.Duration                 // extra delay of the state service's answers
+	moreTypes  []wire.MachineType            // types that the cloud offers besides std
 
-	// noAnswer picks calls of the state service that are executed so much later and never
-	// answered; peerDelay has messages between controllers come so much later.
-	noAnswer  func(node string, v StateCall) (late time.Duration, hit bool)
+	// noAnswer selects calls to the state service (hit) that are executed after the delay late
+	// and never answered. May be nil.
+	noAnswer func(node string, v StateCall) (late time.Duration, hit bool)
+
+	// peerDelay returns the extra delay of a message between controllers. May be nil.
 	peerDelay func(from string, v PeerSend) time.Duration
 }
 
@@ -63,7 +66,7 @@
 	}
 }
 
-// noteTold notes the ends that an answered report names.
+// noteTold records the completed tasks in a report that was answered with 200.
 func (w *world) noteTold(r wire.Report) {
 	for _, a := range r.Attempts {
 		if a.Status == wire.TaskEnded && a.Cause == wire.CauseDone {
@@ -89,7 +92,8 @@
 	return w.peerDelay(from, v)
 }
 
-// copyOf has copies of a report come late, some of them several times and out of order.
+// copyOf schedules up to three late copies of a report, each to a random controller and after
+// a random delay, so that they may arrive out of order.
 func (w *world) copyOf(s worker.Send) {
 	if w.keep != nil {
 		w.keep[s.Report.Machine] = append(w.keep[s.Report.Machine], s.Report)
@@ -115,7 +119,7 @@
 	}
 }
 
-// wasted counts starts that a deaf machine is answered with.
+// wasted counts the start commands in an answer to a machine that does not receive it.
 func (w *world) wasted(m *host, r wire.ReportReply) {
 	for _, c := range r.Commands {
 		if w.deaf[m.info.Name] && c.Verb == wire.VerbRun {
@@ -124,7 +128,7 @@
 	}
 }
 
-// deafen has machines hear nothing, or hear again.
+// deafen sets whether machines receive no answers and calls.
 func (w *world) deafen(v bool, names ...string) {
 	if w.deaf == nil {
 		w.deaf = map[string]bool{}
@@ -134,7 +138,7 @@
 	}
 }
 
-// bounce ends controllers and starts them again within moments.
+// bounce ends controllers and restarts each after the given time.
 func (w *world) bounce(after time.Duration, names ...string) {
 	for _, n := range names {
 		if w.nodes[n].core != nil {
@@ -144,13 +148,13 @@
 	}
 }
 
-// newTrouble does one thing that a random day of the first kind has not.
+// newTrouble injects one random fault of the kinds that mishap does not have.
 func (w *world) newTrouble() {
 	some := time.Duration(1+w.rng.IntN(25)) * sec
 	c := fmt.Sprintf("c%d", w.rng.IntN(3))
 	w.markLate = time.Duration(w.rng.IntN(3)) * 400 * time.Millisecond
 	switch w.rng.IntN(5) {
-	case 0: // a machine, or a whole zone, hears nothing
+	case 0: // a machine or a whole zone receives no answers and calls
 		var at []string
 		if n := w.rng.IntN(len(w.order)); w.rng.IntN(3) > 0 {
 			at = w.order[n : n+1]
@@ -159,14 +163,14 @@
 		}
 		w.deafen(true, at...)
 		w.at(some, func() { w.deafen(false, at...) })
-	case 1:
+	case 1: // late copies of reports
 		w.copies, w.copyLate = 10+w.rng.IntN(90), some*3
 		w.at(some, func() { w.copies = 0 })
-	case 2: // without the state service and the others, not without its workers
+	case 2: // a controller loses the state service and its peers, but not its workers
 		w.hung[c] = true
 		w.silence(c, true)
 		w.at(some, func() { w.hung[c] = false; w.silence(c, false) })
-	default: // back at once, some together
+	default: // controllers restart at once, some of them together
 		names := sortedKeys(w.nodes)[:1+w.rng.IntN(3)]
 		for k := range 1 + w.rng.IntN(3) {
 			again := time.Duration(50+w.rng.IntN(850)) * time.Millisecond
@@ -175,8 +179,9 @@
 	}
 }
 
-// lateMark is by how much a write comes late that marks a block idle. As it is executed its
-// holder keeps the promise: it has reserved nothing there.
+// lateMark returns the delay of a write that marks a block idle, and zero for other writes. It
+// verifies just after the execution of the write that the holder has assigned nothing to the
+// block's machines, as the mark promises.
 func (w *world) lateMark(node string, v StateCall, lag time.Duration) time.Duration {
 	for _, ch := range v.Txn.Then {
 		b, ok := ch.Value.(wire.Block)
@@ -186,12 +191,12 @@
 		if w.markLate > 0 {
 			w.marking = &b
 		}
-		w.at(lag+w.markLate+time.Microsecond, func() { // just after
+		w.at(lag+w.markLate+time.Microsecond, func() { // just after its execution
 			var now wire.Block
 			_ = wire.Unmarshal(w.key(ch.Put).Value, &now)
 			for _, bm := range now.Machines {
 				if c := w.nodes[node].core; c != nil && now.Idle && c.machines[bm.Name] != nil && len(c.machines[bm.Name].attempts) > 0 {
-					w.t.Fatalf("%v: %s has work on %s, whose block is marked idle", w.now, node, bm.Name)
+					w.t.Fatalf("%v: %s has attempts on %s, whose block is marked idle", w.now, node, bm.Name)
 				}
 			}
 		})
@@ -200,8 +205,8 @@
 	return 0
 }
 
-// checkIdle judges the promise of a block that is marked idle: nothing is on it. No machine
-// is in two blocks.
+// checkIdle verifies that no task is on the machines of a block that is marked idle, and that
+// no machine is in two blocks.
 func (w *world) checkIdle() {
 	in := map[string]string{}
 	w.store.Scan(wire.PrefixBlock, func(it wire.Item) {
@@ -227,7 +232,7 @@
 	})
 }
 
-// outOfReach tells whether a controller and a machine cannot speak to each other.
+// outOfReach reports whether a controller and a machine cannot reach each other.
 func (w *world) outOfReach(node, machine string) bool {
 	a, b := w.params(node).Zone, w.machines[machine].info.Zone
 	return w.lost[node] && !w.kept[machine] || w.apart[[2]string{a, b}] || w.apart[[2]string{b, a}]
@@ -235,21 +240,22 @@
 
 func (w *world) hang(m *host) { m.Fault.Hung = true }
 func (w *world) resume(m *host) {
-	if !m.gone && m.up { // while it boots there is no worker
+	if !m.gone && m.up { // a machine that boots has no worker yet
 		m.lapsed = m.Fault.Hung && !m.Leased(w.now)
 		w.drive(m, m.Resume(w.now))
 		m.lapsed = false
 	}
 }
 
-// lower gives the state service lower limits from now on. If they were told, no write may be
-// refused for its form any more.
+// lower sets lower limits of the state service from now on. If told is true the controllers
+// know them, so no write may be refused as malformed.
 func (w *world) lower(l state.Limits, told bool) {
 	l.PageItems, w.untold = w.limits.PageItems, !told
 	w.store.Limit(w.now, l)
 }
 
-// rooms lists the machines that take tasks, and what their workers say is left on them.
+// rooms lists the machines that can take tasks, with the free capacity and the tasks that
+// follow from their workers' attempts.
 func (w *world) rooms(now time.Duration) (list []checker.Room) {
 	for _, n := range w.order {
 		m := w.machines[n]
@@ -268,7 +274,7 @@
 	return list
 }
 
-// outage takes the state service from everybody.
+// outage makes the state service unavailable to all controllers for the duration d.
 func (w *world) outage(d time.Duration) {
 	w.store.Trouble.Down = true
 	w.at(d, func() { w.store.Trouble.Down = false })
--- a/internal/core/world_users_test.go
+++ b/internal/core/world_users_test.go
@@ -15,7 +15,7 @@
 		Image: ptr("img"), ImageGB: ptr(1.0), EstimateS: ptr(5.0), CheckpointEvery: ptr(0.0), SaveS: ptr(0.0), DueS: ptr(120.0)}
 }
 
-// upload makes a job known to workers and checker.
+// upload makes a job known to the workers and the checker.
 func (w *world) upload(s wire.JobSpec) {
 	w.jobs[*s.ID] = &userJob{spec: s}
 	w.check.Submitting(s)
@@ -33,8 +33,8 @@
 	w.work.Upload(*s.ID, job)
 }
 
-// submit repeats a submission, from node to node, until it is answered; then comes after it was
-// accepted.
+// submit repeats a submission, at a random node each time, until it gets a final answer. It
+// calls then after the job was accepted.
 func (w *world) submit(s wire.JobSpec, then ...func()) {
 	w.upload(s)
 	w.send(func(id uint64) any { return Submit{Req: id, Spec: s} }, func(a Answer, asked time.Duration) bool {
@@ -45,13 +45,15 @@
 				f()
 			}
 		}
-		if len(s.Predecessors) > 0 && (a.Status == 400 || a.Status == 422) { // it names accepted jobs only
-			w.t.Errorf("%v: %s, which needs %v, gets %d: %v", w.now, *s.ID, s.Predecessors, a.Status, a.Body)
+		if len(s.Predecessors) > 0 && (a.Status == 400 || a.Status == 422) { // its predecessors are accepted jobs, so it is valid
+			w.t.Errorf("%v: submission of %s with predecessors %v was refused with %d: %v", w.now, *s.ID, s.Predecessors, a.Status, a.Body)
 		}
 		return a.Status < 429
 	})
 }
 
+// send repeats a request, at a random node each time, until ok accepts its answer. It repeats it
+// 1 s after another answer and 5 s after no answer. ok also gets the time of the request.
 func (w *world) send(in func(uint64) any, ok func(Answer, time.Duration) bool) {
 	names := sortedKeys(w.nodes)
 	n := names[w.rng.IntN(len(names))]
@@ -74,12 +76,12 @@
 
 func (w *world) abort(id string) {
 	w.send(func(q uint64) any {
-		w.check.Aborting(id) // each time: at first there may be no such job
+		w.check.Aborting(id) // on each attempt: at the first one the job may not exist yet
 		return Abort{Req: q, ID: id}
 	}, func(a Answer, asked time.Duration) bool {
 		w.aborted(id, a, asked)
-		// 404 comes, too, while the job's submission is still being repeated; taken as
-		// the end, it left a service running for ever that held its team's limit.
+		// The answer is 404 also while the job's submission is still being repeated. If that
+		// were accepted as final, a service could run forever and use up its team's limit.
 		return a.Status == 200 || a.Status == 404 && w.jobs[id] == nil
 	})
 }
@@ -89,6 +91,7 @@
 	w.check.Aborted(w.now, asked, id, a.Status, st)
 }
 
+// poll asks a node for the status of a job and passes the answer to the checker.
 func (w *world) poll(node, id string) {
 	asked := w.now
 	w.ask(node, func(q uint64) any { return Poll{Req: q, ID: id} }, func(a Answer) {
@@ -97,6 +100,7 @@
 	})
 }
 
+// pollAll polls a random third of all pairs of jobs and nodes, now and every 3 s.
 func (w *world) pollAll() {
 	for _, id := range sortedKeys(w.jobs) {
 		for _, n := range sortedKeys(w.nodes) {
@@ -108,7 +112,7 @@
 	w.at(3*time.Second, w.pollAll)
 }
 
-// askAll has each user ask each controller once, and be answered.
+// askAll polls each job at each controller once and waits 1 s for the answers.
 func (w *world) askAll() {
 	for _, id := range sortedKeys(w.jobs) {
 		for _, n := range sortedKeys(w.nodes) {
@@ -118,6 +122,7 @@
 	w.run(sec)
 }
 
+// unfinished lists the batch jobs that have no final status yet.
 func (w *world) unfinished() (out []string) {
 	for _, id := range sortedKeys(w.jobs) {
 		if j := w.jobs[id]; *j.spec.Shape == wire.ShapeBatch && w.check.Final(id) == "" {
@@ -127,7 +132,7 @@
 	return out
 }
 
-// holderOf names the holder of a machine's block as the state has it.
+// holderOf returns the holder of the shard that a machine's stored block belongs to, or "".
 func (w *world) holderOf(machine string) (holder string) {
 	w.store.Scan(wire.PrefixBlock, func(it wire.Item) {
 		var b wire.Block
