--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,8 +10,8 @@
 
 const sec = time.Second
 
-// Jobs of three teams run to their end on rented machines, over three
-// controllers, and the machines are given back afterwards.
+// Jobs of three teams complete on rented machines with three controllers, and the machines are
+// returned to the cloud afterwards.
 func TestQuietDay(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 1, 3)
@@ -22,12 +22,12 @@
 	w.pollAll()
 	w.run(90 * sec)
 	if u := w.unfinished(); u != nil {
-		t.Fatalf("not done after 90 s: %v", u)
+		t.Fatalf("unfinished jobs after 90 s: %v", u)
 	}
 	w.run(60 * sec)
 	for _, n := range w.order {
 		if !w.machines[n].gone {
-			t.Errorf("%s is idle and still rented", n)
+			t.Errorf("%s is idle, but was not returned to the cloud", n)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 	want("new", code, 201)
 	broken := spec("job-000001", "red", "heap", 0)
 	code, _ = status("c1", sub(broken))
-	want("known id goes before validation", code, 200)
+	want("known ID is answered before validation", code, 200)
 	broken.ID = ptr("job-000002")
 	code, _ = status("c1", sub(broken))
 	want("invalid", code, 400)
@@ -80,11 +80,11 @@
 	big := spec("job-000002", "red", wire.ShapeBatch, 1)
 	big.MemoryGB = ptr(17.0)
 	code, _ = status("c1", sub(big))
-	want("no machine holds a task", code, 422)
+	want("task larger than any machine", code, 422)
 	code, _ = status("c2", func(q uint64) any { return Poll{Req: q, ID: "job-000099"} })
 	want("never accepted", code, 404)
 	code, _ = status("c2", func(q uint64) any { return Abort{Req: q, ID: "job-000099"} })
-	want("abort of nothing", code, 404)
+	want("abort of an unknown job", code, 404)
 	w.check.Aborting("job-000001")
 	code, st := status("c1", func(q uint64) any { return Abort{Req: q, ID: "job-000001"} })
 	if code != 200 || st != wire.JobAborted {
@@ -94,7 +94,7 @@
 	if code != 200 || st != wire.JobAborted {
 		t.Errorf("late retry of an aborted job: %d %s", code, st)
 	}
-	for _, n := range sortedKeys(w.nodes) { // final states survive every controller
+	for _, n := range sortedKeys(w.nodes) { // final states must survive the restart of all controllers
 		w.kill(n)
 		w.at(2*sec, func() { w.start(n) })
 	}
@@ -105,43 +105,44 @@
 	}
 }
 
-// Machines found at the very first start are the operator's and stay; a stray
-// one that turns up when nothing is held is returned like any other.
+// Machines found at the very first start belong to the operator and are kept. An unknown
+// machine that appears when the controllers hold none is adopted, and returned to the cloud
+// when idle like any other.
 func TestStandingMachinesStayStraysGo(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 11, 1)
 	standing := w.addMachine("n", false, sec)
 	w.run(60 * sec)
 	if w.machines[standing].gone {
-		t.Error("the standing machine was returned")
+		t.Error("the operator's machine was returned to the cloud")
 	}
 	v := newWorld(t, 12, 1)
 	v.run(20 * sec)
 	stray := v.addMachine("n", false, sec)
 	v.run(20 * sec)
 	if v.holderOf(stray) == "" {
-		t.Error("the stray machine was not adopted")
+		t.Error("the unknown machine was not adopted")
 	}
 	v.run(40 * sec)
 	if !v.machines[stray].gone {
-		t.Error("the stray machine is paid for ever")
+		t.Error("the unknown machine is idle, but was not returned to the cloud")
 	}
 }
 
-// A replica left alone on a rented machine moves to one in use that has its
-// image, and the machine goes back; nothing runs twice on the way.
+// A replica that is left alone on a rented machine moves to a machine in use that has its
+// image, and the emptied machine is returned. Nothing may run twice meanwhile.
 func TestLoneReplicaMovesOff(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 13, 1)
 	w.run(4 * sec)
 	for i := range 2 {
 		s := spec(fmt.Sprintf("job-%06d", i), "red", wire.ShapeService, 1)
-		s.CPUs = ptr(3.0) // one a machine
+		s.CPUs = ptr(3.0) // one per machine
 		w.submit(s)
 		w.run(8 * sec)
 	}
 	w.abort("job-000000")
-	for i := 2; i < 4; i++ { // fill up beside and instead, then leave one alone
+	for i := 2; i < 4; i++ { // fills the free capacity, so that one replica is left alone on its machine
 		w.submit(spec(fmt.Sprintf("job-%06d", i), "red", wire.ShapeService, 1))
 		w.run(8 * sec)
 	}
@@ -158,8 +159,8 @@
 	}
 }
 
-// Zone, one-zone, spread, spot and team limits hold for every start; the world
-// checks them. Without its guard this fleet breaks each of them.
+// Every start must satisfy the zone, one-zone, spread, spot and team limits, which the world
+// checks. Without the check of a constraint in the code, this fleet violates it.
 func TestPlacesAllowed(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 14, 1)
@@ -175,15 +176,15 @@
 		w.submit(s)
 	}
 	w.run(20 * sec)
-	w.submit(spec("job-000004", "red", wire.ShapeBatch, 30)) // room for 30, a limit of 12
+	w.submit(spec("job-000004", "red", wire.ShapeBatch, 30)) // capacity for 30 tasks, but a team limit of 12
 	w.pollAll()
 	w.run(60 * sec)
 	if u := w.unfinished(); u != nil {
-		t.Fatalf("not done: %v", u)
+		t.Fatalf("unfinished jobs: %v", u)
 	}
 }
 
-// A drained machine is emptied and given back, a cordoned one gets nothing new.
+// A drained machine is emptied and returned to the cloud; a cordoned machine gets no new tasks.
 func TestCordonAndDrain(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 15, 1)
@@ -197,18 +198,18 @@
 	w.submit(spec("job-000001", "red", wire.ShapeService, 3))
 	w.run(10 * sec)
 	if len(w.machines[a].tasks()) != 0 || len(w.machines[b].tasks()) != 3 {
-		t.Fatalf("cordoned machine has %d tasks, the other %d", len(w.machines[a].tasks()), len(w.machines[b].tasks()))
+		t.Fatalf("the cordoned machine has %d tasks, want 0; the other %d, want 3", len(w.machines[a].tasks()), len(w.machines[b].tasks()))
 	}
 	set(a, nil)
 	set(b, &wire.Cordon{Drain: true})
 	w.run(15 * sec)
 	if !w.machines[b].gone || len(w.machines[a].tasks()) != 3 {
-		t.Errorf("drained machine gone: %v; %d tasks on the other", w.machines[b].gone, len(w.machines[a].tasks()))
+		t.Errorf("drained machine gone: %v, want true; %d tasks on the other, want 3", w.machines[b].gone, len(w.machines[a].tasks()))
 	}
 }
 
-// A job of the largest size is served like any other: its record stays small and
-// passes over it stay cheap enough for a small share of a processor.
+// A job of the largest allowed size is scheduled like any other. Its record must stay small, and
+// it must not delay other jobs.
 func TestLargestJob(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 16, 1)
@@ -218,26 +219,26 @@
 	w.pollAll()
 	w.run(60 * sec)
 	if w.check.Final("job-000002") != wire.JobDone {
-		t.Error("the small job waits behind the large one")
+		t.Error("the small job waits for the large one")
 	}
 	if n := w.check.DoneTasks("job-000001"); n < 60 {
-		t.Errorf("%d tasks of the large job done in a minute", n)
+		t.Errorf("%d tasks of the large job are done after a minute, want at least 60", n)
 	}
 	if it := w.key(jobKey("job-000001")); len(it.Value) > 2048 {
-		t.Errorf("its record has %d bytes", len(it.Value))
+		t.Errorf("the record of the large job has %d bytes, want at most 2048", len(it.Value))
 	}
 	w.kill("c0")
 	w.at(4*sec, func() { w.start("c0") })
 	before := w.check.DoneTasks("job-000001")
 	w.run(40 * sec)
 	if n := w.check.DoneTasks("job-000001"); n <= before {
-		t.Error("the large job does not go on after a restart")
+		t.Error("the large job makes no progress after a restart")
 	}
 }
 
-// Found with the emulated state service, which counts a value's bytes as the
-// protocol does, in JSON form: records near the limit were counted as encoded, half
-// as long, and a job whose progress was scattered could be written no more.
+// The state service limits the size of a value in its JSON form. When the controller compared
+// the encoded form, which is half as long, the record of a job with scattered progress exceeded
+// the limit and could no longer be written.
 func TestScatteredProgressStaysWithinTheLimit(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 18, 1, func(w *world) { w.limits.ValueBytes = 4096 })
@@ -249,14 +250,14 @@
 	for i := 1000; i < 2000; i += 2 {
 		e.run.done = e.run.done.Add(i)
 	}
-	w.run(15 * sec) // the world ends the test when a write is refused as malformed
+	w.run(15 * sec) // the world fails the test when a write is refused as malformed
 	if w.key(jobKey("job-000001")).Version == before {
 		t.Error("the job's progress was not written")
 	}
 }
 
-// A watch that is too old is answered 410: the keys are read again, and what
-// vanished meanwhile leaves the mirror.
+// A watch whose revision is too old is answered with 410. The controller then lists the keys
+// again, and must remove keys from its mirror that were deleted meanwhile.
 func TestWatchTooOld(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 17, 1)
@@ -266,29 +267,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.applyPut(wire.PrefixNode+"ghost", raw, 1) // seen once, removed unseen
+	c.applyPut(wire.PrefixNode+"ghost", raw, 1) // the mirror has seen this key, but not its removal
 	w.store.Trouble.TooOld = true
 	w.run(6 * sec)
 	if _, ok := c.nodes["ghost"]; ok {
-		t.Error("a key removed before the mirror was read again is still there")
+		t.Error("a key removed before the keys were listed again is still in the mirror")
 	}
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 2))
 	w.pollAll()
 	w.run(40 * sec)
-	w.poll("c0", "job-000001") // by chance none of the polls above may have come after its end
+	w.poll("c0", "job-000001") // the random polls above may all have come before its end
 	w.run(sec)
 	if u := w.unfinished(); u != nil {
-		t.Errorf("not done: %v", u)
+		t.Errorf("unfinished jobs: %v", u)
 	}
 }
 
-// born gives a core that no world drives its first grant.
+// born gives a core that is not driven by a world its first state lease.
 func (c *Core) born(boot uint64) {
 	c.presence.StartLeaseRequest(0)
 	c.presence.LeaseAnswered(0, 0, boot)
 }
 
-// sure has the state service confirm a core at a time.
+// sure has the state service confirm the core's state lease and watch at a given time.
 func (c *Core) sure(at Time) {
 	if g := c.presence.StateLease(); g != 0 {
 		c.presence.RenewNow(at)
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -17,8 +17,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// recount counts afresh, the plain way, what the cores keep up as they go: the
-// fast way must never choose otherwise than the plain one would.
+// recount computes from scratch, with a simple implementation, what the cores maintain
+// incrementally, and fails the test if the results differ.
 func (w *world) recount() {
 	for _, name := range sortedKeys(w.nodes) {
 		c := w.nodes[name].core
@@ -65,7 +65,7 @@
 			}
 			w.same(name+" free "+mn, free, c.freeCapacity(m), cmpopts.EquateApprox(0, 1e-9))
 			if unknown {
-				use = nil // counted as all of the machine; see usage
+				use = nil // the whole machine counts as used; see usageOf
 				break
 			}
 		}
@@ -89,7 +89,8 @@
 	}
 }
 
-// recountRoom compares the ledger, and what hangs on machines, with the machines.
+// recountRoom compares the capacity ledger, and other data derived from the machines, with the
+// machines.
 func (w *world) recountRoom(name string, c *Core) {
 	used, spare, open, most, coming := c.plainUsage(), map[int]int{}, map[int]int{}, map[int]placement.Size{}, map[string]bool{}
 	for _, m := range c.heldMachines() {
@@ -98,7 +99,7 @@
 			w.t.Fatalf("%v: %s: %s is not in the ledger", w.now, name, m.name)
 		}
 		w.same(name+" usable "+m.name, c.usable(m), f.Usable)
-		w.same(name+" room of "+m.name, c.unreservedFree(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
+		w.same(name+" free capacity of "+m.name, c.unreservedFree(m), f.Free, cmpopts.EquateApprox(0, 1e-9))
 		w.same(name+" kind of "+m.name, ledger.Kind{Shard: m.shard, Type: m.machineType, Zone: m.zone, Spot: m.spot, EmptyRental: !m.base && len(m.attempts) == 0}, f.Kind)
 		if c.usable(m) {
 			s := most[m.shard]
@@ -119,8 +120,8 @@
 		w.same(name+" used by "+t, used[t], c.capacity.Used(t, c.shardOfTeam(t)), cmpopts.EquateApprox(0, 1e-6))
 	}
 	for _, i := range c.shardIDs() {
-		w.same(name+" spare room", spare[i], c.capacity.UrgentSlots(i))
-		w.same(name+" most room", most[i], c.capacity.MaxFree(i))
+		w.same(name+" urgent slots", spare[i], c.capacity.UrgentSlots(i))
+		w.same(name+" largest free capacity", most[i], c.capacity.MaxFree(i))
 		w.same(name+" machines not accounted for", open[i], c.unaccountedMachines[i])
 		newest, cpus := uint64(0), 0.0
 		for _, b := range c.blocks {
@@ -135,11 +136,11 @@
 	for m := range c.comingMachines {
 		got[m.name] = true
 	}
-	w.same(name+" machines to come", coming, got)
+	w.same(name+" coming machines", coming, got)
 }
 
-// recountOrder compares the order of service with one that is sorted afresh, and what is
-// to be written with the jobs.
+// recountOrder compares the job queue with a newly sorted one, and the sets of jobs with pending
+// writes with the jobs.
 func (w *world) recountOrder(name string, c *Core) {
 	delete(c.notBefore, "judge")
 	c.refreshLateness()
@@ -151,7 +152,7 @@
 		got = append(got, fmt.Sprint(p.Job.ID, " ", p.Job.Pending, " ", p.WithinGuarantee, " ", p.Late, " ", p.Overdue))
 		return true
 	})
-	w.same(name+" order of service", want, got)
+	w.same(name+" job queue", want, got)
 	owed, behind := map[string]bool{}, map[string]bool{}
 	for _, e := range c.jobsByAge() {
 		if e.run == nil {
@@ -178,13 +179,13 @@
 
 func (w *world) same(what string, want, got any, opts ...cmp.Option) {
 	if diff := cmp.Diff(want, got, opts...); diff != "" {
-		w.t.Fatalf("%v: %s: counted afresh (-), kept up (+):\n%s", w.now, what, diff)
+		w.t.Fatalf("%v: %s: computed from scratch (-), maintained (+):\n%s", w.now, what, diff)
 	}
 }
 
-// plainUsage is what each team's tasks may use at this moment, at the most. Each
-// team is homed in one shard and runs on that shard's machines only, so that a
-// shard can change hands without leaving tasks behind, uncounted.
+// plainUsage returns an upper bound of what each team's tasks use now. Each team belongs to one
+// shard and runs on that shard's machines only, so that a takeover of a shard leaves no tasks
+// uncounted.
 func (c *Core) plainUsage() map[string]placement.Size {
 	u := map[string]placement.Size{}
 	strangers := map[int]placement.Size{}
@@ -192,7 +193,7 @@
 		x := c.usageOf(m)
 		n := x.unknownAttempts
 		if m.inherited && !m.accounted {
-			n++ // anything may run there, for any team
+			n++ // unknown tasks of any team may run there
 		}
 		if n > 0 {
 			full, _ := c.machineSize(m.machineType)
@@ -212,7 +213,8 @@
 	return u
 }
 
-// plainInherited is what the jobs that wait for one ask of it, directly or through others.
+// plainInherited returns the priority, tier rank and due time that a job inherits from the jobs
+// that depend on it, directly or indirectly.
 func (c *Core) plainInherited(id string) (prio, rank int, due float64) {
 	prio, rank, due = -1, -1, math.Inf(1)
 	for _, e := range c.waitingJobs {
@@ -225,9 +227,9 @@
 	return prio, rank, due
 }
 
-// plainlyRanked tells whether a job stands where those that wait for it want it: on their rung
-// with little slack, as normal work at the most before. What is little is looked at every few
-// seconds.
+// plainlyRanked reports whether a job has the priority and tier rank that follow from the jobs
+// that depend on it: their tier if the slack is small, and at most that of normal work before.
+// The slack is estimated only every few seconds, so near the limit both are correct.
 func (c *Core) plainlyRanked(e *jobEntry, prio, rank int, due float64) bool {
 	as := e.record
 	as.Priority = "normal"
@@ -247,21 +249,22 @@
 	return little || much
 }
 
-// placing is one job in a placement pass.
+// placing is one job of the queue.
 type placing struct {
 	e       *jobEntry
 	within  bool
-	due     float64 // seconds of the day's time; +Inf without a deadline
+	due     float64 // wall time in seconds; +Inf without a deadline
 	work    float64 // CPU seconds left
 	strict  int
 	pending int
-	late    bool // cannot be on time without making more jobs late
+	late    bool // given up: it could be on time only if more other jobs were late
 	overdue bool // has waited too long for its first task
 }
 
-// plainQueue lists this controller's jobs with tasks to start, in the order they
-// are served: priority, work within its team's guarantee, the strictest
-// closeness (Pogonip's order), what can be on time, deadline, age.
+// plainQueue lists this controller's jobs with tasks to start, in the order in which they are
+// placed: tier rank, jobs that have waited too long for their first task, work within the team's
+// guarantee, the strictest placement constraint (Pogonip's order), jobs that can be on time,
+// deadline, age.
 func (c *Core) plainQueue() []placing {
 	var q []placing
 	demand := map[string]placement.Size{}
@@ -276,7 +279,7 @@
 		}
 		rest := e.record.Tasks - e.run.done.Count()
 		pending := len(e.run.retryIndexes) + e.record.Tasks - e.run.nextIndex
-		if c.taskHealth.OnTrial(e.record.ID) { // counts as one task, of which one is tried at a time
+		if c.taskHealth.OnTrial(e.record.ID) { // counts as one task, and only one runs at a time
 			rest = min(rest, 1)
 			if e.record.Shape != wire.ShapeGang {
 				pending = min(pending, max(0, 1-len(e.run.active)))
@@ -292,14 +295,14 @@
 		p.work = float64(rest) * e.record.EstimateS * s.CPUs
 		if e.record.DueS > 0 {
 			p.due = float64(e.record.AcceptedMS)/1000 + e.record.DueS
-			if ready := float64(e.record.ReadyMS) / 1000; ready > 0 { // in the steps of objectiveWork, to the last bit
+			if ready := float64(e.record.ReadyMS) / 1000; ready > 0 { // the same operations as in objectiveWork, so that rounding is identical
 				p.due = ready + max(math.SmallestNonzeroFloat64, e.record.DueS-ready+float64(e.record.AcceptedMS)/1000)
 			}
 		}
 		prio, rank, due := c.plainInherited(e.record.ID)
 		p.due = min(p.due, due)
 		if !c.plainlyRanked(e, prio, rank, due) {
-			p.strict = -1 // shows as a difference
+			p.strict = -1 // makes the comparison fail
 		}
 		if e.record.Zone != "" || e.record.OneZone {
 			p.strict = 1
@@ -352,20 +355,21 @@
 		case turn(a.e) != turn(b.e):
 			return turn(a.e) < turn(b.e)
 		}
-		return false // by age already
+		return false // already sorted by age
 	})
 	return q
 }
 
-// turn orders jobs due at the same time: those with less work need not wait for long.
+// turn returns the sort key of jobs that are due at the same time: smaller jobs go before larger
+// ones that are not much older.
 func turn(e *jobEntry) float64 {
 	return float64(e.record.ReadySince())/1000 + float64(e.record.Tasks)*e.record.EstimateS*e.record.CPUs/tuning.ReferenceCPUs
 }
 
-// markLate finds the jobs of one team to give up being on time for, so that as
-// many others as possible are (Moore and Hodgson): in order of deadline, and
-// whenever one would be late, the largest so far is left out. Plain order of
-// deadline lets one hopeless job make all after it late.
+// markLate marks the jobs of one team that are given up, so that as many others as possible are
+// on time (the algorithm of Moore and Hodgson): it goes through the jobs in order of their
+// deadlines, and whenever one would be late, it drops the largest so far. If jobs simply ran in
+// order of their deadlines, one hopeless job would make all later ones late.
 func markLate(ps []*placing, now, cpus float64) {
 	sort.SliceStable(ps, func(i, j int) bool {
 		if ps[i].due != ps[j].due {
--- a/internal/core/takeover_test.go
+++ b/internal/core/takeover_test.go
@@ -8,7 +8,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Only the holder of a machine's block says 200; others name it.
+// Only the holder of a machine's block answers its reports with 200; other controllers redirect
+// to the holder.
 func TestOnlyTheHolderAnswers(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 3, 3)
@@ -16,43 +17,43 @@
 	w.run(10 * sec)
 	holder := w.holderOf(name)
 	if holder == "" {
-		t.Fatal("machine in no block")
+		t.Fatal("the machine is in no block")
 	}
 	for _, n := range sortedKeys(w.nodes) {
 		var got Answer
 		c := w.nodes[n].core
 		for p := range w.nodes {
-			c.assignments.PingAnswered(c.now-time.Hour, p) // no peer in reach to pass it on to
+			c.assignments.PingAnswered(c.now-time.Hour, p) // no peer counts as reachable, so the report is not relayed
 		}
 		w.ask(n, func(q uint64) any {
 			return WorkerReport{Req: q, Report: wire.Report{Machine: name, Type: "std", Zone: "n", Session: 9, Seq: 1}}
 		}, func(a Answer) { got = a })
 		switch {
 		case n == holder && got.Status != 200:
-			t.Errorf("holder answers %d", got.Status)
+			t.Errorf("the holder answers %d, want 200", got.Status)
 		case n != holder && (got.Status != 421 || got.Body.(wire.Redirect).Holder != holder):
 			t.Errorf("%s answers %d %v, want 421 naming %s", n, got.Status, got.Body, holder)
 		}
 	}
-	// A worker that has seen a higher token is someone else's.
+	// A worker that has seen a higher token belongs to another holder.
 	var got Answer
 	w.ask(holder, func(q uint64) any {
 		return WorkerReport{Req: q, Report: wire.Report{Machine: name, Session: 10, Seq: 1, Token: 1 << 40}}
 	}, func(a Answer) { got = a })
 	if got.Status != 503 {
-		t.Errorf("higher token: %d", got.Status)
+		t.Errorf("report with a higher token: got %d, want 503", got.Status)
 	}
-	// An older report is history.
+	// A report of an earlier session is outdated.
 	w.ask(holder, func(q uint64) any {
 		return WorkerReport{Req: q, Report: wire.Report{Machine: name, Session: 8, Seq: 99}}
 	}, func(a Answer) { got = a })
 	if got.Status != 503 {
-		t.Errorf("late report: %d", got.Status)
+		t.Errorf("report of an earlier session: got %d, want 503", got.Status)
 	}
 }
 
-// A machine that hangs keeps its tasks until its lease is surely over; then
-// they run elsewhere, and when it wakes nothing runs twice.
+// The tasks of a machine that hangs are started elsewhere only once its lease has certainly
+// ended. Nothing may run twice when it resumes.
 func TestHungMachine(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 4, 3)
@@ -67,7 +68,7 @@
 		}
 	}
 	if hung == nil {
-		t.Fatal("nothing runs")
+		t.Fatal("no machine has tasks")
 	}
 	w.hang(hung)
 	w.run(8 * sec)
@@ -84,9 +85,9 @@
 	}
 }
 
-// Found on a rough day of the grown lift co-operative: when a cut that had held
-// packets back ended, reports of sessions long over named dozens of tasks that
-// ran elsewhere by then.
+// When a network cut that had delayed packets ends, reports of ended sessions can arrive. Once
+// they named dozens of tasks that already ran elsewhere. Such a report must be refused, and its
+// tasks must not count as running.
 func TestReportOfASessionThatIsOver(t *testing.T) {
 	t.Parallel()
 	w, _ := runningServices(t, 21)
@@ -99,23 +100,22 @@
 	name := hung.info.Name
 	late, _ := hung.Inspect(w.now)
 	holder := w.nodes[w.holderOf(name)]
-	hung.Fault.Hung, w.cloud.Trouble.Down = true, true // so that it is not deleted at once
+	hung.Fault.Hung, w.cloud.Trouble.Down = true, true // the cloud is down so that the machine is not deleted at once
 	w.run(12 * sec)
 	if m := holder.core.machines[name]; m == nil || !m.leaseOver {
-		t.Fatal("the machine's lease should be over, and the machine still held")
+		t.Fatal("the machine's lease should have ended and the machine still be held")
 	}
 	var got Answer
 	w.ask(holder.name, func(q uint64) any {
 		return WorkerReport{Req: q, Report: late}
 	}, func(a Answer) { got = a })
 	if got.Status != 503 || len(holder.core.machines[name].attempts) > 0 {
-		t.Errorf("answered %d, %d tasks taken for running", got.Status, len(holder.core.machines[name].attempts))
+		t.Errorf("late report: got status %d, want 503; %d tasks count as running, want 0", got.Status, len(holder.core.machines[name].attempts))
 	}
 }
 
-// Found on a day of troubles of the grown Dakar site: of hundreds of rented
-// machines a few never come up, and after a takeover every started task waited
-// half a minute for them, though nothing had ever been started there.
+// Of hundreds of rented machines a few never come up. After a takeover every started task once
+// waited half a minute for these machines, although nothing had ever been started there.
 func TestTakeoverDoesNotWaitForUnusedMachines(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 22, 3)
@@ -126,13 +126,13 @@
 	w.kill(w.shardRec("red").Holder)
 	w.run(10 * sec)
 	if r := w.shardRec("red"); !r.Settled {
-		t.Errorf("held by %s since a while and not settled", r.Holder)
+		t.Errorf("the shard, now held by %s, is not reconciled 10 s after its holder ended", r.Holder)
 	}
 }
 
-// Found on the grown rough day of Dakar: a machine was deleted out of its block,
-// the next leader found it in a late list, and tried for 40 s to form a block
-// under a name that was taken. Nothing was rented meanwhile.
+// A deleted machine, already removed from its block, can still be in an outdated list of the
+// cloud that the next leader reads. Once that leader tried for 40 s to form a block under a name
+// that was taken, and rented nothing meanwhile.
 func TestDeletedMachineInALateList(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 25, 3)
@@ -142,7 +142,7 @@
 	w.ask("c0", func(q uint64) any { return AdminCordon{Req: q, Machine: first, Cordon: &wire.Cordon{Drain: true}} }, func(Answer) {})
 	w.run(10 * sec)
 	if !w.machines[first].gone || w.key(blockKey(first)).Version == 0 {
-		t.Fatal("the first machine should be gone, its block not")
+		t.Fatal("the first machine should be gone and its block should still exist")
 	}
 	w.cloud.Trouble.Ghosts = map[string]bool{first: true}
 	var l wire.Leader
@@ -158,15 +158,15 @@
 	}
 	w.run(sec)
 	if u := w.unfinished(); u != nil {
-		t.Errorf("not done: %v", u)
+		t.Errorf("unfinished jobs: %v", u)
 	}
-	if w.store.Conflicts > 5 { // each costs as much of the write limit as one that works
-		t.Errorf("%d transactions failed", w.store.Conflicts)
+	if w.store.Conflicts > 5 { // a failed transaction uses as much of the write rate limit as a successful one
+		t.Errorf("%d transactions failed, want at most 5", w.store.Conflicts)
 	}
 }
 
-// The same day had two crashes of one controller in a row: that the lives before
-// the last one were dead could not be proven any more.
+// After two crashes of one controller in a row, it could not be proven that the incarnations
+// before the last one had ended, so the shard was never reconciled.
 func TestTwoCrashesInARow(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 23, 1)
@@ -174,7 +174,7 @@
 	w.run(4 * sec)
 	w.submit(spec("job-000001", "red", wire.ShapeService, 8))
 	w.run(15 * sec)
-	for _, n := range w.order { // the same one each time: it was whichever a map gave
+	for _, n := range w.order { // in a fixed order, so that each run picks the same machine
 		if m := w.machines[n]; len(m.tasks()) > 0 {
 			w.hang(m)
 			break
@@ -188,13 +188,13 @@
 	}
 	w.run(10 * sec)
 	if !w.shardRec("red").Settled {
-		t.Error("all earlier lives are dead and all leases over, and the shard is not settled")
+		t.Error("all earlier incarnations and all leases have ended, but the shard is not reconciled")
 	}
 }
 
-// Found on the rough day of the grown lift co-operative: all controllers were
-// down for longer than a lease, and every replica waited for the one machine
-// that was cut off. A replica waits for its own machine only, and goes back there.
+// All controllers are down for longer than a lease while one machine hangs. Once every replica
+// waited for that machine. A replica must wait for its own machine only, and must start there
+// again.
 func TestReplicasGoBackWithoutWaitingForOthers(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 24, 3)
@@ -220,7 +220,7 @@
 	for _, n := range sortedKeys(w.nodes) {
 		w.kill(n)
 	}
-	w.run(13 * sec) // every lease is over
+	w.run(13 * sec) // longer than any worker lease
 	writes := w.store.Written
 	for _, n := range sortedKeys(w.nodes) {
 		w.start(n)
@@ -237,12 +237,12 @@
 		}
 	}
 	if n := w.store.Written - writes; n > 25 {
-		t.Errorf("%d writes to start again where all was", n)
+		t.Errorf("%d writes to restart the replicas where they were, want at most 25", n)
 	}
 }
 
-// Found in an incident at Dakar: a controller that no worker reached any more,
-// alive otherwise, lost all its tasks. Others pass its workers' reports on.
+// A controller that no worker could reach, but that worked otherwise, once lost all its tasks.
+// Now other controllers relay its workers' reports, and no worker may lose its lease.
 func TestWorkersCutFromTheirHolder(t *testing.T) {
 	t.Parallel()
 	w, kept := runningServices(t, 9)
@@ -253,9 +253,9 @@
 	kept()
 }
 
-// Found by the rehearsal of a rolling restart: a worker whose holder had just died
-// reported to another controller, which passed the report on to the dead one and let
-// the worker wait for 3.5 s. With the pauses around it that was a whole lease.
+// A worker whose holder has just ended reports to another controller. Once, in a rolling
+// restart, that controller relayed the report to the ended holder and let the worker wait for
+// 3.5 s, which together with the pauses around it took a whole lease.
 func TestAReportToADeadHolderIsAnsweredSoon(t *testing.T) {
 	t.Parallel()
 	w, _ := runningServices(t, 19)
@@ -276,19 +276,19 @@
 		answered := false
 		w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: r} }, func(a Answer) {
 			if answered = true; a.Status != 503 && a.Status != 421 {
-				t.Errorf("%s answers %d for a dead holder", n, a.Status)
+				t.Errorf("%s answers %d for a holder that has ended, want 503 or 421", n, a.Status)
 			}
 		})
 		w.run(1100 * time.Millisecond)
 		if !answered {
-			t.Errorf("%s lets the worker wait", n)
+			t.Errorf("%s has not answered after 1.1 s", n)
 		}
 	}
 }
 
-// Found by a hunt of the grown lift co-operative, one day in a hundred: a poll's read,
-// made before another controller wrote the job's abort and answered after the watch had
-// told of it, brought the job back to life here. Its replica was never stopped.
+// The read for a poll is executed before another controller writes the job's abort, but its
+// answer arrives after the watch has reported the abort. Once it put the job back into the
+// mirror, and the job's replica was never stopped. This happened in one of a hundred random runs.
 func TestALateReadDoesNotBringAJobBack(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -320,15 +320,15 @@
 	step(Poll{Req: 1, ID: "job-000001"})
 	read := calls[OpGet]
 	if watch == 0 || read == 0 {
-		t.Fatalf("no watch or no read: %v", calls)
+		t.Fatalf("no watch or no read was sent: %v", calls)
 	}
 	step(StateDone{ID: watch, Reply: StateReply{Status: 200, Events: wire.Events{Revision: 60, Events: []wire.Event{{Delete: jobKey("job-000001"), Version: 60}}}}})
 	if c.jobs["job-000001"] != nil {
-		t.Fatal("the aborted job is still there")
+		t.Fatal("the aborted job is still in the mirror")
 	}
 	step(StateDone{ID: read, Reply: StateReply{Status: 200, Item: wire.Item{Key: jobKey("job-000001"), Value: raw, Version: 40}}})
 	if c.jobs["job-000001"] != nil {
-		t.Error("a read from before its abort has brought the job back")
+		t.Error("a read from before the abort put the job back into the mirror")
 	}
 	step(Tick{})
 	watch = calls[OpWatch]
@@ -339,12 +339,12 @@
 	}
 	step(StateDone{ID: watch, Reply: StateReply{Status: 200, Events: wire.Events{Revision: 70}}})
 	if c.versions.TombstoneCount() > 0 {
-		t.Errorf("nothing older can come any more, and %d removals are remembered", c.versions.TombstoneCount())
+		t.Errorf("no older answer can arrive any more, but %d tombstones are kept", c.versions.TombstoneCount())
 	}
 }
 
-// Found in the same incident: a controller cut off from the state service kept
-// its workers for 25 s from the one that had been granted its shard.
+// A controller that was cut off from the state service once kept its workers from the
+// controller that had been granted its shard for 25 s.
 func TestYieldsToLaterToken(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 10, 3)
@@ -360,8 +360,8 @@
 	}
 }
 
-// An outage of the state service that all share costs no task, whether shorter
-// than a lone controller may go on, or longer: then peers vouch for each other.
+// An outage of the state service for all controllers must not end any worker's lease, whether it
+// is shorter than a controller may go on by itself, or longer: then peers confirm each other.
 func TestSharedOutageKeepsTasks(t *testing.T) {
 	t.Parallel()
 	for _, d := range []time.Duration{20 * sec, 60 * sec} {
@@ -372,8 +372,8 @@
 	}
 }
 
-// runningServices returns a world in which four replicas run, and a check that
-// no machine has lost its session since.
+// runningServices returns a world in which four replicas run, and a function that checks that no
+// worker has lost its session since.
 func runningServices(t *testing.T, seed uint64) (*world, func()) {
 	w := newWorld(t, seed, 3)
 	w.run(4 * sec)
@@ -393,8 +393,8 @@
 	}
 }
 
-// A peer that has restarted cannot speak for its earlier life, and one that
-// knows of newer revisions vouches for nobody.
+// A peer that has restarted cannot confirm on behalf of its earlier incarnation, and a peer that
+// knows of newer revisions confirms nobody.
 func TestPeersVouchOnlyForWhatTheyKnow(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n", "b": "n"}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec})
@@ -409,22 +409,22 @@
 		return c.authorized()
 	}
 	if !at(80*sec, 500*sec, 100) {
-		t.Error("a peer with no newer revision should cover")
+		t.Error("a peer with no newer revision should confirm")
 	}
 	if at(115*sec, 500*sec, 101) {
-		t.Error("a peer that knows more must not cover")
+		t.Error("a peer with a newer revision must not confirm")
 	}
 	if at(116*sec, 20*sec, 90) {
-		t.Error("a restarted peer must not cover")
+		t.Error("a restarted peer must not confirm")
 	}
 	c.onPeer(PeerMessage{From: "b", Nonce: c.pingNonce - 40, Reply: true, UpMS: 1 << 30})
 	if c.authorized() {
-		t.Error("an answer to a long forgotten ping must not cover")
+		t.Error("an answer to a long outdated ping must not confirm")
 	}
 }
 
-// A holder that alone loses the state service must stop answering early
-// enough that a cancelled job's tasks are gone within cancel_s.
+// A holder that is the only one to lose the state service must stop answering its workers early
+// enough that a cancelled job's tasks have ended within cancel_s.
 func TestLoneOutageAndAbort(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 6, 3)
@@ -449,7 +449,7 @@
 	}
 	w.run(60 * sec)
 	if w.check.Final("job-000001") != wire.JobAborted {
-		t.Fatal("abort not taken by a controller that reaches the state")
+		t.Fatal("a controller that reaches the state service did not accept the abort")
 	}
 	for n, m := range w.machines {
 		if len(m.tasks()) > 0 && !m.gone {
@@ -458,9 +458,9 @@
 	}
 }
 
-// Found on the simulated rough day: a leader's own commit put a takeover into
-// its mirror ahead of the earlier holder's last writes, and tasks those had
-// started were started again. The grant counts only once the watch is there.
+// A leader's own commit once put a takeover into its mirror before the earlier holder's last
+// writes, and tasks that those writes had started were started again. A granted shard may be
+// taken up only once the watch has reached the revision of the grant.
 func TestShardTakenUpOnlyWhenMirrorHasCaughtUp(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -475,19 +475,20 @@
 	}
 	put(shardKey(0), wire.Shard{Holder: "b", Boot: 5, Teams: []string{"red"}}, 50)
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Idle: true, Machines: []wire.BlockMachine{{Name: "n-1"}}}, 60)
-	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100) // own commit
+	put(shardKey(0), wire.Shard{Holder: "a", Boot: 7, Teams: []string{"red"}}, 100) // the controller's own commit
 	if c.holdsShard(0) {
-		t.Fatal("taken up before revision 100 has been seen")
+		t.Fatal("the shard was taken up before the watch reached revision 100")
 	}
 	put(blockKey("x"), wire.Block{Shard: 0, Type: "std", Zone: "n", Machines: []wire.BlockMachine{{Name: "n-1"}}}, 95)
 	c.mirrorRevision = 100
 	c.startHoldingShards()
 	if !c.holdsShard(0) || !c.unreconciledShards[0] || !c.machines["n-1"].inherited {
-		t.Fatal("the machine un-idled at 95 must be accounted for")
+		t.Fatal("the machine whose idle mark was removed at revision 95 must be accounted for")
 	}
 }
 
-// A task's start is written before it is sent, its end before it is cleared.
+// A task's start must be written before it is sent, and its end before the worker is told to
+// clear it.
 func TestWriteBeforeStartAndClear(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 7, 1)
@@ -501,21 +502,21 @@
 		}
 		for _, m := range w.machines {
 			if len(m.tasks()) > 0 && j.ID != "" && !w.startWritten(j.ID) {
-				t.Fatal("started before it was written")
+				t.Fatal("a task was started before its start was written")
 			}
 			if w.check.DoneTasks("job-000001") == 1 && len(m.tasks()) == 0 && !m.gone && m.up && j.ID != "" {
 				if _, ok := w.store.Peek(finalKey("job-000001")); !ok {
-					t.Fatal("cleared before its end was written")
+					t.Fatal("a task was cleared before its end was written")
 				}
 			}
 		}
 	}
 	if _, ok := w.store.Peek(finalKey("job-000001")); !ok {
-		t.Fatal("not done")
+		t.Fatal("the job is not done")
 	}
 }
 
-// A machine that fails all it starts is returned; the job completes elsewhere.
+// A machine on which every task fails is returned to the cloud, and the jobs complete elsewhere.
 func TestSickMachine(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 8, 1)
@@ -528,15 +529,16 @@
 	w.pollAll()
 	w.run(120 * sec)
 	if u := w.unfinished(); u != nil {
-		t.Fatalf("not done: %v", u)
+		t.Fatalf("unfinished jobs: %v", u)
 	}
 	if !w.machines[sick].gone {
-		t.Error("the sick machine is still held")
+		t.Error("the faulty machine was not returned to the cloud")
 	}
 }
 
-// One rented machine that died with the holder does not hold up the started tasks of its
-// shard for a lease: it is given back, and its deletion is the proof.
+// A rented machine that vanished together with the holder must not delay the started tasks of
+// its shard for a whole lease. It is returned to the cloud, and its deletion proves that its
+// tasks have ended.
 func TestMissingRentedMachineIsGivenBackAfterATakeover(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 21, 3, func(w *world) {
@@ -560,6 +562,6 @@
 		}
 	}
 	if took := w.now - taken; taken == 0 || took > 8*sec {
-		t.Errorf("settled %v after the shard was taken, at %v", took, taken)
+		t.Errorf("reconciled %v after the shard was taken over at %v, want at most 8 s", took, taken)
 	}
 }
