--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// largeWorld is a deployment of n machines, all found standing, with work for
-// about all of them, run until it is steady.
+// largeWorld returns a deployment of n owned machines with work for about all of them, after it
+// has reached a steady state.
 func largeWorld(t testing.TB, n int) *world {
 	cpus := float64(4 * n)
 	w := newWorld(t, 7, 3, func(w *world) {
@@ -33,7 +33,7 @@
 	return w
 }
 
-// busiest is the controller that holds most machines.
+// busiest returns the controller that holds the most machines.
 func (w *world) busiest() *ctrl {
 	best := w.nodes["c0"]
 	for _, n := range sortedKeys(w.nodes) {
@@ -91,7 +91,7 @@
 
 func held0shard(c *Core) int { return sortedIntKeys(c.heldShards)[0] }
 
-// fleetWorld has twelve teams, services on half of the machines and arrays for the rest.
+// fleetWorld returns a deployment of n machines and twelve teams, with services and arrays.
 func fleetWorld(t testing.TB, n int) *world {
 	cpus := float64(4 * n)
 	w := newWorld(t, 7, 3, func(w *world) {
@@ -120,8 +120,9 @@
 	return w
 }
 
-// BenchmarkTakeover kills the busiest of three controllers and plays ten seconds: what the
-// two others spend on all their inputs, and on the longest of them. Run with -benchtime 1x.
+// BenchmarkTakeover ends the busiest of three controllers and measures over the next ten seconds
+// the real time that the two others take for all their inputs, and for the longest one. Run it
+// with -benchtime 1x.
 func BenchmarkTakeover(b *testing.B) {
 	for _, n := range []int{500, 1000, 2000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -13,7 +13,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// effects is a digest of all that the cores of a world have asked for, in order.
+// effects is a digest of all effects that the cores of a world have returned, in order.
 type effects struct {
 	sum   *xxhash.Digest
 	count int
@@ -21,9 +21,9 @@
 
 var effectsFile sync.Mutex
 
-// digested has a world's effects digested and, once its test has ended, a line with the digest
-// added to the file that BARROWBRIDGE_DIGEST names: the test, how many effects and their digest.
-// Two versions behave alike where the sorted files are the same.
+// digested enables the digest of a world's effects if the environment variable BARROWBRIDGE_DIGEST
+// names a file. When the test ends, a line with the test's name, the number of effects and their
+// digest is appended to the file. Two versions behave alike if their sorted files are equal.
 func (w *world) digested() {
 	path := os.Getenv("BARROWBRIDGE_DIGEST")
 	if path == "" {
@@ -46,7 +46,7 @@
 	})
 }
 
-// digest adds what a core has returned from one input.
+// digest adds the effects that a core has returned for one input.
 func (w *world) digest(node string, out []any) {
 	if w.asked == nil {
 		return
@@ -65,8 +65,8 @@
 	}
 }
 
-// Operators ask for all there is, and change it, in the middle of random days. Every question
-// has one of the documented answers, and the digest covers the views.
+// Operators request all views and change settings during random schedules. Every request must get
+// one of the documented status codes, and the digest covers the views.
 func TestOperatorsAskForEverything(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(30000); seed < 30006; seed++ {
@@ -75,7 +75,7 @@
 			for i := range 5 {
 				w.addMachine([]string{"n", "s"}[i%2], false, sec)
 			}
-			w.operators() // before anything is known
+			w.operators() // before the controllers have loaded the state
 			w.pollAll()
 			w.run(5 * sec)
 			id, answered := 0, 0
@@ -87,21 +87,21 @@
 				answered += w.operators()
 			}
 			if answered < 200 {
-				t.Errorf("%d answers", answered)
+				t.Errorf("operators got %d answers, want at least 200", answered)
 			}
 		})
 	}
 }
 
-// operators ask each controller for everything, and change something at one of them. It tells
-// how many answers came within some seconds.
+// operators requests all views from each controller and makes a random change at one of them. It
+// returns the number of answers that arrived within 3 s.
 func (w *world) operators() (answered int) {
 	ask := func(node string, in func(q uint64) any) {
 		w.ask(node, in, func(a Answer) {
 			switch answered++; a.Status {
 			case 200, 400, 404, 409, 503:
 			default:
-				w.t.Errorf("%v %s: %d %v", w.now, node, a.Status, a.Body)
+				w.t.Errorf("%v: undocumented answer of %s: %d %v", w.now, node, a.Status, a.Body)
 			}
 		})
 	}
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -11,7 +11,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// someJobs submits so many jobs of three teams: arrays, and every third a service.
+// someJobs submits n jobs of three teams, numbered from the given one: every third is a service,
+// the others are arrays.
 func (w *world) someJobs(from, n int) {
 	for k := from; k < from+n; k++ {
 		shape, tasks := wire.ShapeBatch, 1+k%9
@@ -26,13 +27,14 @@
 	}
 }
 
+// roomy raises the limits of the state service, of the cloud and of the teams.
 func roomy(w *world) {
 	w.limits.ValueBytes, w.limits.TxnOps, w.capacity = 16<<10, 16, 40
 	w.teams = map[string]Team{"red": {CPUs: 60, CPUsMax: 200}, "blue": {CPUs: 60, CPUsMax: 200}, "green": {CPUs: 60, CPUsMax: 200}, "guest": {CPUsMax: inf, GPUsMax: inf}}
 }
 
-// The state service has lower limits than anybody told, from one moment on: what is refused
-// is learned from within seconds, and work goes on starting and ending.
+// The limits of the state service fall without the controllers being told. They must learn the
+// new limits from refused writes within seconds, and work must continue to start and end.
 func TestLimitsFallUntold(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(700); seed < 704; seed++ {
@@ -49,11 +51,11 @@
 		w.run(30 * sec)
 		learned := w.malformed
 		if learned == 0 || learned > 60 {
-			t.Errorf("seed %d: %d writes refused for their form", seed, learned)
+			t.Errorf("seed %d: %d writes were refused as malformed, want 1 to 60", seed, learned)
 		}
 		w.run(200 * sec)
 		if w.malformed > learned {
-			t.Errorf("seed %d: %d writes refused for their form in the first half minute, %d later", seed, learned, w.malformed-learned)
+			t.Errorf("seed %d: %d writes were refused as malformed in the first 30 s, and %d later, want none", seed, learned, w.malformed-learned)
 		}
 		if u := w.unfinished(); u != nil {
 			t.Fatalf("seed %d: accepted and not done: %v", seed, u)
@@ -62,15 +64,15 @@
 		w.ask("c0", func(q uint64) any { return AdminOverview{Req: q} }, func(a Answer) { told, _ = a.Body.(wire.Overview) })
 		w.run(sec)
 		if n := len(told.Limits.Refused); n == 0 && told.Limits.ValueBytes != 16<<10 {
-			t.Errorf("seed %d: operators are told %+v", seed, told.Limits)
+			t.Errorf("seed %d: the overview shows the limits %+v", seed, told.Limits)
 		}
 	}
 }
 
-// Random days on which controllers that know the next limits follow ones that don't, whose
-// records are larger. The limits fall within a cut, a takeover, an outage; no write is
-// refused for its form then, and everything accepted is done. Every third day they fall
-// further than told: then some are refused, and everything accepted is done as well.
+// Random schedules in which controllers that know the next limits replace ones that do not, and
+// whose records are larger. The limits fall during cuts, takeovers and outages; no write may then
+// be refused as malformed, and all accepted jobs must be done. With every third seed the limits
+// fall further than announced: some writes are refused, but all accepted jobs must still be done.
 func TestLimitsFallAsTold(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(800); seed < 800+schedules/2; seed++ {
@@ -92,10 +94,10 @@
 				}
 			})
 			if largest < 2048 {
-				t.Fatalf("the largest slot has %d bytes: nothing to be divided", largest)
+				t.Fatalf("the largest start slot has only %d bytes, so none must be divided", largest)
 			}
 			next := state.Limits{ValueBytes: 2048, TxnOps: 4 + int(seed%2), WriteRPS: 15}
-			w.limits.ValueBytes, w.limits.TxnOps = next.ValueBytes, next.TxnOps // as told to those that start from now on
+			w.limits.ValueBytes, w.limits.TxnOps = next.ValueBytes, next.TxnOps // the limits that controllers get when they start from now on
 			for _, n := range sortedKeys(w.nodes) {
 				w.kill(n)
 				w.run(time.Duration(500+w.rng.IntN(4000)) * time.Millisecond)
@@ -122,20 +124,20 @@
 			}
 			w.run(240 * sec)
 			if w.malformed > 150 {
-				t.Errorf("%d writes refused for their form", w.malformed)
+				t.Errorf("%d writes were refused as malformed, want at most 150", w.malformed)
 			}
 			if u := w.unfinished(); u != nil {
-				t.Fatalf("accepted and not done: %v", u)
+				t.Fatalf("accepted jobs that are not done: %v", u)
 			}
 			if b := w.check.FinishDay(w.now); len(b) > 0 {
-				t.Fatalf("the day fails: %v", b)
+				t.Fatalf("rules broken at the end of the run: %v", b)
 			}
 		})
 	}
 }
 
-// A start that the state service refuses in any form stops no other one, its refusal is told
-// to operators, and it is not tried without end.
+// A start that the state service refuses in any form must not prevent other starts. Operators must
+// see the refusal, and the start must not be retried without limit.
 func TestOneStartRefused(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 710, 1, roomy)
@@ -167,22 +169,22 @@
 		}
 	}
 	if w.check.Final("job-000001") != "" || tries < 2 || tries > 20 {
-		t.Errorf("the one that is refused: %q after %d tries", w.check.Final("job-000001"), tries)
+		t.Errorf("the refused job: status %q after %d tries, want none after 2 to 20", w.check.Final("job-000001"), tries)
 	}
 	var o wire.Overview
 	w.ask("c0", func(q uint64) any { return AdminOverview{Req: q} }, func(a Answer) { o, _ = a.Body.(wire.Overview) })
 	if len(o.Limits.Refused) != 1 || o.Limits.Refused[0].Kind != "start" || o.Limits.Refused[0].Count != tries || o.Limits.Stuck {
-		t.Errorf("operators are told %+v, tries %d", o.Limits, tries)
+		t.Errorf("the overview shows the limits %+v after %d tries", o.Limits, tries)
 	}
 	w.refusing = nil
 	w.run(60 * sec)
 	w.askAll()
 	if w.check.Final("job-000001") == "" {
-		t.Error("not done once it is taken")
+		t.Error("the job is not done after its start was no longer refused")
 	}
 }
 
-// While no start can be written nothing is rented for what waits, and nothing given back.
+// While no start can be written, no machine may be rented for waiting tasks or returned.
 func TestNothingIsRentedForWhatCannotStart(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 711, 1, roomy)
@@ -202,18 +204,18 @@
 	w.someJobs(6, 30)
 	w.run(400 * sec)
 	if n := len(w.order); n > had {
-		t.Errorf("%d machines, %d before", n, had)
+		t.Errorf("%d machines while no start could be written, %d before", n, had)
 	}
 	w.refusing = nil
 	w.run(400 * sec)
 	if u := w.unfinished(); u != nil {
-		t.Fatalf("accepted and not done: %v", u)
+		t.Fatalf("accepted jobs that are not done: %v", u)
 	}
 }
 
-// 700 machines under the limits to come: what is written from the first start on, of arrays
-// of 250 and 400 small tasks, of services, of a takeover and of all that ends, is never
-// refused for its form, and 15 changes a second are enough for it.
+// 700 machines under the next, lower limits. No write may be refused as malformed, from the first
+// start on: neither for arrays of 250 and 400 small tasks, nor for services, a takeover or the ends
+// of tasks. 15 changes per second must be enough.
 func TestLargeFleetWithinNextLimits(t *testing.T) {
 	t.Parallel()
 	const machines, services = 700, 150
@@ -231,7 +233,7 @@
 		held += len(w.nodes[n].core.machines)
 	}
 	if held != machines {
-		t.Fatalf("%d of %d machines held after 30 s", held, machines)
+		t.Fatalf("%d of %d machines are held after 30 s", held, machines)
 	}
 	w.pollAll()
 	for i := range services {
@@ -245,22 +247,22 @@
 		w.submit(s)
 	}
 	w.run(40 * sec)
-	if n := w.runningTasks() + len(w.completed); n < services+3500 { // of 3,900, which run for 30 to 34 s
-		t.Errorf("%d tasks have begun 40 s after all came at once", n)
+	if n := w.runningTasks() + len(w.completed); n < services+3500 { // of the 3,900 batch tasks, which run for 30 to 34 s
+		t.Errorf("%d tasks have started 40 s after all were submitted at once", n)
 	}
 	w.kill("c0")
 	w.run(20 * sec)
 	w.start("c0")
 	w.run(120 * sec)
 	if u := w.unfinished(); u != nil {
-		t.Errorf("accepted and not done: %v", u)
+		t.Errorf("accepted jobs that are not done: %v", u)
 	}
 	if n := w.runningTasks(); n < services {
 		t.Errorf("%d of %d services run", n, services)
 	}
 }
 
-// A limit that has fallen reaches the packages that make records.
+// A lowered limit must reach the packages that build records.
 func TestALimitThatFallsReachesTheCalendar(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "c0", NodeZones: map[string]string{"c0": "n"}, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -272,6 +274,6 @@
 	}
 	c.applyWriteLimits(limits.Bounds{ValueBytes: 600, Changes: 8})
 	if _, err := c.calendar.Revise("early", crew, now, "c0", yes, yes); err == nil {
-		t.Error("the calendar keeps to the limit that was told")
+		t.Error("the calendar still uses the initial limit")
 	}
 }
--- a/internal/core/masks_test.go
+++ b/internal/core/masks_test.go
@@ -11,8 +11,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A mask names the links that are cut: bits 0 to 2 controllers from the state service, 3
-// to 5 controllers from each other, 6 to 8 controllers from the workers.
+// mask is the set of links that are cut: bits 0 to 2 are the links of the controllers to the state
+// service, 3 to 5 those between controllers, and 6 to 8 those of the controllers to the workers.
 type mask int
 
 var pairs = [3][2]int{{0, 1}, {0, 2}, {1, 2}}
@@ -39,10 +39,10 @@
 	return fmt.Sprintf("%03x %s", int(m), strings.Join(out, " "))
 }
 
-// serving are the controllers that, by the mask alone, have some path to the state
-// service; and of these the ones that workers reach.
+// serving returns the controllers that, by the mask alone, have some route to the state service
+// (near), and those of them that workers can also reach (whole).
 func (m mask) serving() (near, whole [3]bool) {
-	near = [3]bool{!m.has(0), !m.has(1), !m.has(2)} // reach the state service somehow
+	near = [3]bool{!m.has(0), !m.has(1), !m.has(2)} // have a direct link; routes through peers follow
 	for range 2 {
 		for k, p := range pairs {
 			if !m.has(3+k) && (near[p[0]] || near[p[1]]) {
@@ -56,14 +56,14 @@
 	return near, whole
 }
 
-// served tells whether some path leads from the workers through controllers to the state
+// served reports whether some route leads from the workers through controllers to the state
 // service.
 func (m mask) served() bool {
 	_, whole := m.serving()
 	return whole != [3]bool{}
 }
 
-// cut brings a mask about.
+// cut cuts the links of a mask, and restores all others.
 func (w *world) cut(m mask) {
 	for i := range 3 {
 		n := fmt.Sprintf("c%d", i)
@@ -75,10 +75,11 @@
 	}
 }
 
-// least is how soon new work must start: within 8 s; within 13 s where a worker may have
-// to try two controllers in vain, of which the cut swallows one report at least. Each that
-// is swallowed costs it 4 s and 1 s more before it tries the next, each refusal 1 s, and
-// nothing can shorten that: a start goes in the answer to a report alone.
+// least returns the time within which new work must start: 8 s, or 13 s if a worker may have to
+// try two controllers without success and at least one of these reports gets lost in the cut.
+// Each lost report costs the worker 4 s and another 1 s before it tries the next controller, and
+// each refusal costs 1 s. This cannot be shortened, because a start is sent only in the answer to
+// a report.
 func (m mask) least() time.Duration {
 	_, whole := m.serving()
 	useless, swallowed := 0, false
@@ -94,7 +95,7 @@
 	return 8 * sec
 }
 
-// maskedWorld has two services and an array of each team under way.
+// maskedWorld returns a world in which a service of two replicas and an array of each team run.
 func maskedWorld(t testing.TB, seed uint64) *world {
 	w := newWorld(t, seed, 3, func(w *world) {
 		w.runS, w.lease, w.cancelS = 6*sec, 20*sec, 50*sec
@@ -114,8 +115,8 @@
 	return w
 }
 
-// submitEverywhere submits to all controllers, again and again: the load balancer would
-// find those that are ready.
+// submitEverywhere repeats a submission at all controllers until one accepts it, because a load
+// balancer would find those that are ready.
 func (w *world) submitEverywhere(s wire.JobSpec) {
 	w.upload(s)
 	done := false
@@ -135,7 +136,8 @@
 	}
 }
 
-// begin submits one urgent task of each team and returns when all of them have started.
+// begin submits one urgent service of one task per team and runs the world until all of them have
+// started, at most for the time most. It returns the time that passed.
 func (w *world) begin(first int, most time.Duration) (took time.Duration) {
 	began := w.now
 	for k, team := range []string{"red", "blue", "green"} {
@@ -158,7 +160,7 @@
 	return w.now - began
 }
 
-// started tells whether a task of a job is on a machine, with its image or waiting for it.
+// started reports whether a task of a job is on a machine, running or waiting for its image.
 func (w *world) started(job string) bool {
 	for _, m := range w.machines {
 		for _, a := range m.tasks() {
@@ -170,12 +172,13 @@
 	return false
 }
 
-// maskResult is what a mask did.
+// maskResult holds the effects of a mask.
 type maskResult struct {
-	starts, back  time.Duration // of new work: after the cut, after healing
-	leases, moves int           // leases that ended; most changes of hands of one duty
+	starts, back  time.Duration // time until new work started after the cut, and after its end
+	leases, moves int           // worker leases that ended; most changes of holder of one shard or the leadership
 }
 
+// holders returns the leader and the holders of the three shards, from the stored records.
 func (w *world) holders() (list []string) {
 	var l wire.Leader
 	_ = wire.Unmarshal(w.key(wire.KeyLeader).Value, &l)
@@ -188,7 +191,7 @@
 	return list
 }
 
-// play holds a mask for 90 s under work, heals it, and reports.
+// play cuts a mask for 90 s under work, restores all links, and returns the effects.
 func (m mask) play(t testing.TB, seed uint64) (r maskResult) {
 	w := maskedWorld(t, seed)
 	sessions := map[string]uint64{}
@@ -226,11 +229,12 @@
 	return r
 }
 
-// Every subset of the nine links is cut for 90 s. Where a path leads from the workers
-// through controllers to the state service, no lease ends, new work starts within 8 s and
-// no duty moves more than twice; where none does, all is back within 8 s of healing. The
-// set played without BARROWBRIDGE_MASKS=all has each link cut alone and left alone, and
-// every pair of links in all four ways.
+// Cuts subsets of the nine links for 90 s each. If some route leads from the workers through
+// controllers to the state service, no lease may end, new work must start within mask.least, and
+// neither a shard nor the leadership may move more than twice. In all cases new work must start
+// within 8 s of the end of the cut. With BARROWBRIDGE_MASKS=all the test runs every subset.
+// Otherwise it runs a selection in which each link is cut alone and left alone, and every pair of
+// links occurs in all four combinations.
 func TestMasks(t *testing.T) {
 	t.Parallel()
 	const seed = 77
@@ -250,20 +254,20 @@
 			t.Parallel()
 			r := m.play(t, seed)
 			if all {
-				t.Logf("served %v: starts %.1f s, leases %d, moves %d, back %.1f s", m.served(), r.starts.Seconds(), r.leases, r.moves, r.back.Seconds())
+				t.Logf("served %v: new work after %.1f s, %d leases ended, %d moves, new work %.1f s after the cut", m.served(), r.starts.Seconds(), r.leases, r.moves, r.back.Seconds())
 			}
 			if m.served() && (r.leases > 0 || r.starts > m.least() || r.moves > 2) {
-				t.Errorf("new work after %v, %d leases ended, a duty moved %d times", r.starts, r.leases, r.moves)
+				t.Errorf("new work after %v, %d leases ended, a shard or the leadership moved %d times", r.starts, r.leases, r.moves)
 			}
 			if r.back > 8*sec {
-				t.Errorf("new work %v after healing", r.back)
+				t.Errorf("new work started %v after the end of the cut, want at most 8 s", r.back)
 			}
 		})
 	}
 	for i := range 9 {
 		for j := range i {
 			if ways[i][j] != [2][2]bool{{true, true}, {true, true}} {
-				t.Errorf("links %d and %d are not played in all four ways", j, i)
+				t.Errorf("links %d and %d do not occur in all four combinations", j, i)
 			}
 		}
 	}
@@ -278,8 +282,8 @@
 	return n
 }
 
-// Two masks one after the other within three seconds, some of their links cut one way only,
-// with calls that are lost or late in between: the rules hold, and all is back soon after.
+// Two masks follow each other within three seconds, with some links cut in one direction only and
+// with lost or late calls. The rules must hold, and new work must start soon after the cuts end.
 func TestMaskPairs(t *testing.T) {
 	t.Parallel()
 	n, err := strconv.ParseUint(os.Getenv("BARROWBRIDGE_PAIRS"), 10, 64)
@@ -308,18 +312,18 @@
 			clear(w.oneWay)
 			w.unsure = 0
 			if back := w.begin(501, 60*sec); back > 15*sec {
-				t.Errorf("new work %v after healing", back)
+				t.Errorf("new work started %v after the end of the cut, want at most 15 s", back)
 			}
 			w.run(180 * sec)
 			if u := w.unfinished(); u != nil {
-				t.Errorf("accepted and not done: %v", u)
+				t.Errorf("accepted jobs that are not done: %v", u)
 			}
 		})
 	}
 }
 
-// A controller that no worker reaches calls workers through a peer, which makes the very
-// call and sends the answer back.
+// A controller that no worker can reach calls workers through a peer, which makes the call
+// unchanged and returns the answer.
 func TestOrdersGoThroughAPeer(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 38, 3)
@@ -338,20 +342,20 @@
 	c.effects = nil
 	c.callWorker(WorkerCall{Machine: name, Addr: name + ":1", Orders: wire.Orders{Token: before.Token, Session: before.Session, Commands: []wire.Command{}}, ReturnOutcome: true})
 	if len(c.effects) != 1 {
-		t.Fatalf("%d effects", len(c.effects))
+		t.Fatalf("got %d effects, want 1", len(c.effects))
 	}
 	sent, ok := c.effects[0].(PeerSend)
 	if !ok || sent.Msg.WorkerCall == nil || sent.Msg.WorkerCall.RequestedBy != "c2" {
-		t.Fatalf("not through a peer: %+v", c.effects[0])
+		t.Fatalf("the call does not go through a peer: %+v", c.effects[0])
 	}
 	sent.Msg.From = "c2"
 	n := w.nodes[sent.To]
 	out := n.core.Step(w.now-n.began, time.UnixMilli(1e12), Peer{Msg: sent.Msg})
 	if o, ok := out[len(out)-1].(WorkerCall); !ok || o.Machine != name || o.RequestedBy != "c2" || o.Orders.Token != before.Token {
-		t.Fatalf("the peer makes another call: %+v", out)
+		t.Fatalf("the peer makes a different call: %+v", out)
 	}
 	out = n.core.Step(w.now-n.began, time.UnixMilli(1e12), WorkerCallDone{Machine: name, RequestedBy: "c2", Status: 200, Report: before})
 	if back, ok := out[len(out)-1].(PeerSend); !ok || back.To != "c2" || back.Msg.WorkerCallDone == nil || back.Msg.WorkerCallDone.Status != 200 {
-		t.Fatalf("the answer does not come back: %+v", out)
+		t.Fatalf("the peer does not return the answer: %+v", out)
 	}
 }
--- a/internal/core/orders_test.go
+++ b/internal/core/orders_test.go
@@ -14,8 +14,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// ordersDepth is how many things happen in each order that TestOrdersOfTroubles plays; the
-// variable BARROWBRIDGE_ORDERS asks for more.
+// ordersDepth is the number of events in each sequence that TestOrdersOfTroubles runs. The
+// environment variable BARROWBRIDGE_ORDERS overrides the default.
 var ordersDepth = func() int {
 	n, err := strconv.Atoi(os.Getenv("BARROWBRIDGE_ORDERS"))
 	if err != nil {
@@ -24,18 +24,20 @@
 	return n
 }()
 
-// small is the world whose orders are exhausted: three controllers, one team and so one shard
-// with work, two machines in two blocks, a job of three tasks two of which end soon.
+// small is a small world in which all sequences of events are tested: three controllers, one
+// team and therefore one shard with work, two machines in two blocks, and a job of three (or
+// six) tasks, all but one of which end soon.
 type small struct {
 	*world
-	busy, other *host // where the long task was first, and the other machine
-	old         map[string][]wire.Report
-	lossy       bool // a machine has gone, or its lease was over: ends may have gone with it
+	busy, other *host                    // the machine on which the long task runs, and the other one
+	old         map[string][]wire.Report // the machines' reports from before the sequence
+	lossy       bool                     // a machine was lost or its lease ended, so ends of tasks may be lost with it
 }
 
-// newSmall is the world as an order begins: with a job of few tasks, where each is started is
-// written; with a larger one it is not; or the work of the first has moved to the other machine since
-// its lease was over, the block of the one it left may be marked idle, and their holder ends.
+// newSmall returns the world in one of its initial states. With "few tasks", the state says where
+// each task was started; with "many tasks" it does not. With "moved", the tasks have moved to the
+// other machine after the lease of the first one ended, and the holder crashes; with "moved,
+// idle", the block of the first machine is also marked idle.
 func newSmall(t testing.TB, start string) *small {
 	w := newWorld(t, 750, 3, func(w *world) {
 		w.teams, w.capacity = map[string]Team{"red": {CPUs: 80, CPUsMax: 80}}, 1
@@ -70,19 +72,20 @@
 		}
 	}
 	if s.busy == nil {
-		t.Fatal("the long task does not run")
+		t.Fatal("the long task is not running")
 	}
 	if strings.HasPrefix(start, "moved") {
 		s.move(start == "moved, idle")
 	}
-	s.old = map[string][]wire.Report{} // their reports of until now come again
+	s.old = map[string][]wire.Report{} // the reports sent until now, which copies delivers again
 	for _, m := range []*host{s.busy, s.other} {
 		s.old[m.info.Name] = append([]wire.Report(nil), w.keep[m.info.Name]...)
 	}
 	return s
 }
 
-// move has the work move to the other machine, and the holder end.
+// move makes the tasks move to the other machine, and then crashes the holder. If idle is true
+// it marks the block of the first machine idle.
 func (s *small) move(idle bool) {
 	s.hang(s.busy)
 	s.run(9 * sec)
@@ -90,7 +93,7 @@
 	s.run(3 * sec)
 	s.busy, s.other = s.other, s.busy
 	if n := len(s.other.tasks()); n > 0 || len(s.busy.tasks()) == 0 {
-		s.t.Fatalf("%d tasks on the first machine, %d on the other", n, len(s.busy.tasks()))
+		s.t.Fatalf("%d tasks on the first machine, want 0; %d on the other, want some", n, len(s.busy.tasks()))
 	}
 	s.crash(sec / 5)
 	if !idle {
@@ -105,7 +108,7 @@
 	s.set(key, rec)
 }
 
-// grant gives the work's shard to the next controller that is present.
+// grant transfers the shard with the work to the next controller, if that is present.
 func (s *small) grant() {
 	var rec wire.Shard
 	key := ""
@@ -129,7 +132,8 @@
 	}
 }
 
-// need has another shard, or the work's own, ask for a machine: an empty block is offered and moved.
+// need publishes unmet demand of the shard with the work (own) or of the other shards, so that an
+// empty block is offered and moved.
 func (s *small) need(own bool) {
 	s.store.Scan(wire.PrefixShard, func(it wire.Item) {
 		var r wire.Shard
@@ -142,7 +146,7 @@
 	})
 }
 
-// copies brings old reports of a machine to all controllers, in their order.
+// copies delivers old reports of a machine again to all controllers, in their order.
 func (s *small) copies(m *host) {
 	for _, r := range s.old[m.info.Name] {
 		for _, n := range sortedKeys(s.nodes) {
@@ -151,18 +155,20 @@
 	}
 }
 
+// hangs makes a machine hang for the duration d.
 func (s *small) hangs(m *host, d time.Duration) {
 	s.hang(m)
 	s.at(d, func() { s.resume(m) })
 }
 
-// crash ends the work's holder.
+// crash ends the holder of the shard with the work and restarts it after the time back.
 func (s *small) crash(back time.Duration) {
 	if h := s.shardRec("red").Holder; s.nodes[h] != nil && s.nodes[h].core != nil {
 		s.bounce(back, h)
 	}
 }
 
+// lost makes all writes of the next 700 ms execute after the delay late and get no answer.
 func (s *small) lost(late time.Duration) {
 	s.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 		return late, v.Op == OpCommit && len(v.Txn.Then) > 0
@@ -176,31 +182,31 @@
 	}, func(Answer) {})
 }
 
-// smallEvents is what may happen, by name.
+// smallEvents holds the events of the sequences by name.
 var smallEvents = map[string]func(s *small){
-	"time passes":                       func(s *small) { s.run(2 * sec) },
-	"copies of the busy machine":        func(s *small) { s.copies(s.busy) },
-	"copies of the other":               func(s *small) { s.copies(s.other) },
-	"the busy one hangs, briefly":       func(s *small) { s.hangs(s.busy, 3*sec) },
-	"the busy one hangs, beyond leases": func(s *small) { s.lossy = true; s.hangs(s.busy, 8*sec) },
-	"the other hangs, briefly":          func(s *small) { s.hangs(s.other, 3*sec) },
-	"the holder crashes, back at once":  func(s *small) { s.crash(sec / 5) },
-	"the holder crashes, back late":     func(s *small) { s.crash(8 * sec) },
-	"all crash":                         func(s *small) { s.bounce(sec, sortedKeys(s.nodes)...) },
-	"answers to writes are lost":        func(s *small) { s.lost(0) },
-	"writes are executed late":          func(s *small) { s.lost(4 * sec) },
-	"the busy one is drained":           func(s *small) { s.drain(s.busy) },
-	"the other is drained":              func(s *small) { s.drain(s.other) },
-	"the busy one is taken":             func(s *small) { s.lossy = true; s.vanish(s.busy.info.Name) },
-	"the shard is granted anew":         func(s *small) { s.grant() },
-	"another shard asks":                func(s *small) { s.need(false) },
-	"the work's shard asks":             func(s *small) { s.need(true) },
-	"the busy one is deaf": func(s *small) {
+	"time passes":                         func(s *small) { s.run(2 * sec) },
+	"copies of the busy machine":          func(s *small) { s.copies(s.busy) },
+	"copies of the other":                 func(s *small) { s.copies(s.other) },
+	"the busy one hangs, briefly":         func(s *small) { s.hangs(s.busy, 3*sec) },
+	"the busy one hangs, beyond leases":   func(s *small) { s.lossy = true; s.hangs(s.busy, 8*sec) },
+	"the other hangs, briefly":            func(s *small) { s.hangs(s.other, 3*sec) },
+	"the holder crashes, back at once":    func(s *small) { s.crash(sec / 5) },
+	"the holder crashes, back late":       func(s *small) { s.crash(8 * sec) },
+	"all crash":                           func(s *small) { s.bounce(sec, sortedKeys(s.nodes)...) },
+	"answers to writes are lost":          func(s *small) { s.lost(0) },
+	"writes are executed late":            func(s *small) { s.lost(4 * sec) },
+	"the busy one is drained":             func(s *small) { s.drain(s.busy) },
+	"the other is drained":                func(s *small) { s.drain(s.other) },
+	"the busy one is lost without notice": func(s *small) { s.lossy = true; s.vanish(s.busy.info.Name) },
+	"the shard is granted anew":           func(s *small) { s.grant() },
+	"another shard has unmet demand":      func(s *small) { s.need(false) },
+	"the work's shard has unmet demand":   func(s *small) { s.need(true) },
+	"the busy one receives no answers": func(s *small) {
 		s.lossy = true
 		s.deafen(true, s.busy.info.Name)
 		s.at(4*sec, func() { s.deafen(false, s.busy.info.Name) })
 	},
-	"the holder is alone with its zone": func(s *small) {
+	"the holder reaches only its zone": func(s *small) {
 		s.lossy = true
 		h := s.shardRec("red").Holder
 		s.hung[h], s.apart[[2]string{"n", "s"}] = true, true
@@ -218,7 +224,8 @@
 	},
 }
 
-// state hashes what is believed and what is: times, numbers of revisions and attempts apart.
+// state returns a hash of the controllers' beliefs, the machines and the stored records, without
+// times, revisions and attempt numbers.
 func (s *small) state() uint64 {
 	h := fnv.New64a()
 	put := func(a ...any) { _, _ = fmt.Fprintln(h, a...) }
@@ -264,8 +271,9 @@
 	return h.Sum64()
 }
 
-// playOrder has things happen in an order, 0.4 s apart, then lets all come to rest. The world ends
-// the test when a rule is broken. at is told each state on the way.
+// playOrder runs a sequence of events 0.4 s apart, and then lets the world come to rest. The world
+// fails the test when a rule is broken. playOrder calls at with the hash of the state after each
+// event.
 func playOrder(t *testing.T, start string, order []string, at func(uint64)) {
 	s := newSmall(t, start)
 	for _, what := range order {
@@ -275,29 +283,32 @@
 	}
 	s.pollAll()
 	s.run(20 * sec)
-	// An end that no controller was told of is lost with its worker's lease. Orders of two in which
-	// nothing is lost have none.
+	// The end of a task that no controller has received is lost with the worker's lease, so in
+	// longer sequences only ends that had been reported count. In sequences of two events without a
+	// lost machine or lease no end is lost.
 	again := s.repeated
 	if len(order) > 2 {
 		again = s.forgotten
 	}
 	if !s.lossy && len(again) > 0 {
-		t.Errorf("done, and started again: %v", again)
+		t.Errorf("started again after they were done: %v", again)
 	}
 	for end := s.now + 90*sec; s.unfinished() != nil && s.now < end; {
 		s.run(2 * sec)
 	}
 	if u := s.unfinished(); u != nil {
-		t.Errorf("not done: %v", u)
+		t.Errorf("unfinished jobs: %v", u)
 	}
 }
 
-// fellOnce are longer orders that had a task started again that was done, and told to its holder: the end was
-// not written in the ten seconds until that one ended, and the worker's lease ran out with it.
+// fellOnce holds longer sequences that failed once: a task was started again that was done and
+// reported to its holder. Its end had not been written in the ten seconds until the holder ended,
+// and the worker's lease ended as well.
 var fellOnce = []string{"the busy one hangs, briefly; time passes; the holder crashes, back late"}
 
-// Every order of ordersDepth of the things that may happen is played from each start, and longer ones that
-// fell once. No rule breaks, nothing that was done runs again unless its machine was lost, and all gets done.
+// Runs all sequences of ordersDepth events from each initial state, and longer ones that failed
+// once. No rule may break, no task that is done may run again unless its machine was lost, and all
+// jobs must complete.
 func TestOrdersOfTroubles(t *testing.T) {
 	t.Parallel()
 	names := sortedKeys(smallEvents)
@@ -321,7 +332,7 @@
 		seen := make([]map[uint64]bool, len(last))
 		t.Run(start, func(t *testing.T) {
 			for i, o := range last {
-				// Each world has one goroutine, so more orders find no more races.
+				// Each world has one goroutine, so more sequences find no more races.
 				if raceDetector && i%8 > 0 {
 					continue
 				}
@@ -337,5 +348,5 @@
 			maps.Copy(states, m)
 		}
 	}
-	t.Logf("%d orders of %d out of %d, %d states, %.0f s", orders, ordersDepth, len(names), len(states), time.Since(began).Seconds())
+	t.Logf("%d sequences of %d out of %d events, %d distinct states, %.0f s", orders, ordersDepth, len(names), len(states), time.Since(began).Seconds())
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -8,8 +8,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// runningTasks counts the tasks that are on live machines, those that wait for
-// their image included.
+// runningTasks counts the tasks on live machines, including those that wait for their image.
 func (w *world) runningTasks() int {
 	n := 0
 	for _, name := range w.order {
@@ -22,9 +21,10 @@
 	return n
 }
 
-// TestLargeFleet plays 500 machines through a first start and what befalls them,
-// with a state service that takes 20 changes a second. The world checks the
-// rules; here stand progress by the fake clock, and what it may cost.
+// TestLargeFleet takes 500 machines through a first start, the loss of controllers, a restart of
+// all controllers and the loss of machines, with a state service that accepts 20 changes per
+// second. The world checks the rules; this test checks the progress by the fake clock and the
+// number of changes.
 func TestLargeFleet(t *testing.T) {
 	t.Parallel()
 	const machines, replicas = 500, 150
@@ -36,14 +36,14 @@
 		w.addMachine([]string{"n", "s"}[i%2], false, sec)
 	}
 
-	// A first start: all machines leased within what the write limit allows.
+	// A first start: all machines must be leased within what the write limit allows.
 	w.run(15 * sec)
 	held := 0
 	for _, n := range sortedKeys(w.nodes) {
 		held += len(w.nodes[n].core.machines)
 	}
 	if held != machines || w.store.Written > 150 {
-		t.Fatalf("%d of %d machines held after 15 s and %d changes", held, machines, w.store.Written)
+		t.Fatalf("%d of %d machines are held after 15 s and %d changes", held, machines, w.store.Written)
 	}
 
 	for _, team := range sortedKeys(w.teams) {
@@ -54,11 +54,11 @@
 			}
 		}
 		if want := machines * w.teams[team].CPUs / 1800; float64(n) < want*0.6 || float64(n) > want*1.4 {
-			t.Errorf("team %s has %d machines, its guarantee is worth %.0f", team, n, want)
+			t.Errorf("team %s has %d machines, its guarantee corresponds to %.0f", team, n, want)
 		}
 	}
 
-	// Services first, arrays beside them.
+	// Submits services first, and then arrays.
 	for i := range replicas {
 		s := spec(fmt.Sprintf("job-%06d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeService, 1)
 		s.Priority, s.DueS = ptr("urgent"), nil
@@ -72,10 +72,10 @@
 	w.run(60 * sec)
 	full := w.runningTasks()
 	if full < replicas+1000 {
-		t.Fatalf("%d tasks run after 60 s", full)
+		t.Fatalf("%d tasks run after 60 s, want at least 1150", full)
 	}
 
-	// Two of three controllers are lost: no task is, and what ends is written.
+	// Two of three controllers are lost. No task may be lost, and the ends of tasks must be written.
 	before := w.store.Written
 	w.kill("c0")
 	w.kill("c1")
@@ -85,17 +85,17 @@
 	}
 	for _, team := range sortedKeys(w.teams) {
 		if r := w.shardRec(team); r.Holder != "c2" || !r.Settled {
-			t.Errorf("%s: held by %s, settled %v", team, r.Holder, r.Settled)
+			t.Errorf("shard of %s: held by %s, want c2; reconciled %v, want true", team, r.Holder, r.Settled)
 		}
 	}
 	if n := w.store.Written - before; n > 200 {
-		t.Errorf("%d changes for the takeover of two shards", n)
+		t.Errorf("%d changes for the takeover of two shards, want at most 200", n)
 	}
 	w.start("c0")
 	w.start("c1")
 	w.run(30 * sec)
 
-	// All restart at once, well within a lease.
+	// All controllers restart at once, well within a worker lease.
 	for _, n := range sortedKeys(w.nodes) {
 		w.kill(n)
 	}
@@ -108,8 +108,8 @@
 		t.Errorf("%d of %d tasks run after all controllers were restarted", n, full)
 	}
 
-	// A wave takes a tenth of the machines without notice: the replicas on them
-	// run again once the leases are over.
+	// A tenth of the machines is lost without notice. The replicas on them must run again once the
+	// leases have ended.
 	for i := 0; i < machines; i += 10 {
 		w.vanish(w.order[i])
 	}
@@ -123,11 +123,11 @@
 		}
 	}
 	if len(up) != replicas {
-		t.Errorf("%d of %d replicas run after the wave", len(up), replicas)
+		t.Errorf("%d of %d replicas run after the loss of machines", len(up), replicas)
 	}
 	for _, n := range sortedKeys(w.nodes) {
 		if got := w.nodes[n].core.relays.Len(); got > machines {
-			t.Errorf("%s remembers %d relayed machines", n, got)
+			t.Errorf("%s keeps relay records of %d machines, want at most 500", n, got)
 		}
 	}
 }
--- a/internal/core/ways_test.go
+++ b/internal/core/ways_test.go
@@ -11,8 +11,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A holder that alone is cut off from the state service goes on through a peer: it keeps
-// its grant and its shard, starts and ends work, and answers users.
+// A holder that is the only one cut off from the state service continues through a peer: it keeps
+// its state lease and its shard, starts and ends work, and answers users.
 func TestCutFromTheStateServiceGoesAround(t *testing.T) {
 	t.Parallel()
 	for _, refused := range []bool{true, false} {
@@ -35,19 +35,19 @@
 			t.Errorf("refused %v: the shard went from %s to %s", refused, before.Holder, after.Holder)
 		}
 		if u := w.unfinished(); u != nil {
-			t.Errorf("refused %v: not done: %v", refused, u)
+			t.Errorf("refused %v: unfinished jobs: %v", refused, u)
 		}
 		direct := w.reached[before.Holder]
 		delete(w.cutFrom, before.Holder)
 		delete(w.hung, before.Holder)
 		w.run(10 * sec)
 		if n := w.reached[before.Holder] - direct; n < 10 {
-			t.Errorf("refused %v: %d calls of its own in 10 s after the cut", refused, n)
+			t.Errorf("refused %v: %d direct calls in the 10 s after the cut, want at least 10", refused, n)
 		}
 	}
 }
 
-// Between a controller and the state service may stand two others.
+// The route from a controller to the state service may lead through two peers.
 func TestWayOverTwoPeers(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 32, 3)
@@ -67,19 +67,19 @@
 	w.run(40 * sec)
 	c := w.nodes[holder].core
 	if via := c.stateRoutes.BestPeer(c.now); via != others[0] || c.now-c.lastConfirmed() > 5*sec {
-		t.Errorf("%s goes through %q, confirmed %v ago", holder, via, c.now-c.lastConfirmed())
+		t.Errorf("%s uses the route through %q, confirmed %v ago", holder, via, c.now-c.lastConfirmed())
 	}
 	if w.check.Final("job-000001") == "" {
 		w.poll(holder, "job-000001")
 		w.run(sec)
 	}
 	if w.check.Final("job-000001") != wire.JobDone {
-		t.Error("not done")
+		t.Error("the job is not done")
 	}
 }
 
-// A user never waits at a controller that can't serve while others can; in an outage that
-// all share every controller stays ready.
+// A controller that cannot serve users while others can is not ready and refuses requests at once.
+// In an outage for all controllers every controller stays ready.
 func TestReadyFollowsReach(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 33, 3)
@@ -93,36 +93,36 @@
 	w.run(4 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		if s := ready(n); s != 200 {
-			t.Errorf("%s says %d in an outage that all share", n, s)
+			t.Errorf("%s is not ready in an outage for all: got %d, want 200", n, s)
 		}
 	}
 	w.run(15 * sec)
 	w.hung["c1"] = true
 	w.run(3 * sec)
 	if s := ready("c1"); s != 200 {
-		t.Errorf("c1 says %d with a way through its peers", s)
+		t.Errorf("c1 with a route through its peers: got %d, want 200", s)
 	}
 	w.silence("c1", true)
 	w.run(3 * sec)
 	if s := ready("c1"); s != 503 {
-		t.Errorf("c1 says %d with no way left", s)
+		t.Errorf("c1 with no route left: got %d, want 503", s)
 	}
 	began, code := w.now, 0
 	w.ask("c1", func(q uint64) any { return Poll{Req: q, ID: "job-000001"} }, func(a Answer) { code = a.Status })
 	if code != 503 || w.now != began {
-		t.Errorf("a poll there: %d", code)
+		t.Errorf("poll at c1: got %d, want an immediate 503", code)
 	}
 	w.silence("c1", false)
 	delete(w.hung, "c1")
 	w.run(5 * sec)
 	if s := ready("c1"); s != 200 {
-		t.Errorf("c1 says %d after the cut", s)
+		t.Errorf("c1 after the cut: got %d, want 200", s)
 	}
 }
 
-// Found in a random schedule: a controller that had just started read a job for a poll; the
-// answer was late, the job was aborted meanwhile, and the list of all keys, read without
-// it, was there first. The job was live again in that controller for ever.
+// A controller that has just started reads a job for a poll, and the answer is late. Meanwhile the
+// job is aborted, and the list of all keys, which no longer has the job, arrives first. Once the
+// late answer put the job back into that controller's mirror for good.
 func TestAReadOlderThanTheListDoesNotBringAJobBack(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUsMax: 9}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, ReportInterval: 2 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -148,20 +148,20 @@
 	step(Tick{})
 	step(Poll{Req: 1, ID: "job-000001"})
 	if calls[OpGet] == 0 || calls[OpList] == 0 {
-		t.Fatalf("no read or no list: %v", calls)
+		t.Fatalf("no read or no list was sent: %v", calls)
 	}
 	step(StateDone{ID: calls[OpList], Reply: StateReply{Status: 200, List: wire.ItemList{Revision: 60}}})
 	if !c.loaded {
-		t.Fatal("the list is read")
+		t.Fatal("the mirror should be loaded after the list")
 	}
 	step(StateDone{ID: calls[OpGet], Reply: StateReply{Status: 200, Item: wire.Item{Key: jobKey("job-000001"), Value: raw, Version: 40}}})
 	if c.jobs["job-000001"] != nil {
-		t.Error("a read from before the list has brought the job back")
+		t.Error("a read from before the list put the job back into the mirror")
 	}
 }
 
-// A leader that the cloud does not answer makes way for one that it answers, once; when the
-// cloud answers nobody, nobody does.
+// A leader that gets no answers from the cloud yields once to a controller that does. When no
+// controller gets answers, the leader keeps the leadership.
 func TestLeaderWithoutCloudMakesWay(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 34, 3)
@@ -171,27 +171,27 @@
 	w.run(25 * sec)
 	next := w.holders()[0]
 	if next == old {
-		t.Fatalf("%s leads still, and reaches no cloud", old)
+		t.Fatalf("%s is still the leader, but does not reach the cloud", old)
 	}
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 3))
 	w.run(30 * sec)
 	w.poll(next, "job-000001")
 	w.run(sec)
 	if w.check.Final("job-000001") != wire.JobDone {
-		t.Error("nothing could be rented")
+		t.Error("the job is not done: no machine was rented")
 	}
 	for _, n := range sortedKeys(w.nodes) {
 		w.noCloud[n] = true
 	}
 	w.run(60 * sec)
 	if now := w.holders()[0]; now != next {
-		t.Errorf("nobody reaches the cloud, and leadership went from %s to %s", next, now)
+		t.Errorf("no controller reaches the cloud, but the leadership went from %s to %s", next, now)
 	}
 }
 
-// Found on a day with an island: when the cut ended, reports that it had held back named
-// machines deleted half a minute before. The leader formed blocks of them, and after the
-// next change of hands every started task waited 52 s for machines that were no more.
+// When a network cut ends, delayed reports can arrive of machines that were deleted half a minute
+// before. Once the leader formed blocks of them, and after the next takeover every started task
+// waited 52 s for machines that no longer existed.
 func TestLateReportOfADeletedMachine(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 35, 3)
@@ -202,23 +202,23 @@
 	w.vanish(name)
 	w.run(90 * sec)
 	if !w.machines[name].gone || w.holderOf(name) != "" {
-		t.Fatal("the machine should be gone, and in no block")
+		t.Fatal("the machine should be gone and in no block")
 	}
 	leader := w.holders()[0]
-	for range 2 { // held back on their way to two addresses, and sent on
+	for range 2 { // delayed on their way to two addresses, and relayed
 		w.ask(leader, func(q uint64) any { return WorkerReport{Req: q, Report: late} }, func(Answer) {})
 	}
 	for range 30 {
 		w.run(sec)
 		if h := w.holderOf(name); h != "" {
-			t.Fatalf("a machine that is no more is held by %s", h)
+			t.Fatalf("a deleted machine is held by %s", h)
 		}
 	}
 }
 
-// After a change of hands a worker that no report brings to its new holder is called; its
-// answer accounts for the machine, whatever session it is in, and the former holder, who
-// still answers it, starts nothing more there.
+// After a takeover the new holder calls a worker whose reports do not reach it. The worker's answer
+// makes the machine accounted for, whatever its session, and the former holder, which still
+// answers the worker, starts nothing more there.
 func TestCallAccountsForAMachine(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 36, 3, func(w *world) { w.reportS = 8 * sec; w.lease = 26 * sec; w.cancelS = 60 * sec })
@@ -238,7 +238,7 @@
 		w.run(50 * time.Millisecond)
 	}
 	if took := w.now - began; took > 5*sec {
-		t.Errorf("settled %v after the cut; a report every 8 s, a grant of 3 s", took)
+		t.Errorf("reconciled %v after the cut, want at most 5 s (report interval 8 s, state lease 3 s)", took)
 	}
 	next := w.nodes[w.shardRec("red").Holder].core
 	var m *machine
@@ -248,28 +248,30 @@
 		}
 	}
 	if m == nil || m.lastAnswered == 0 {
-		t.Fatalf("the replicas are not known to %s", next.params.Node)
+		t.Fatalf("%s does not know the replicas", next.params.Node)
 	}
-	// What is not its report, or of another's token, accounts for nothing.
+	// Answers that are not a current report of the machine with the holder's token must not make it
+	// accounted for.
 	m.inherited, m.accounted = true, false
 	next.unaccountedMachines[m.shard]++
 	next.pendingMachines.Add(m, false)
 	r, _ := w.machines[m.name].Inspect(w.now)
 	for what, d := range map[string]WorkerCallDone{
-		"another machine's":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
-		"refused":            {Machine: m.name, Status: 409, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
-		"without our token":  {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takeoverToken - 1}},
-		"with a later token": {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: 1 << 40}},
-		"only looked at":     {Machine: m.name, Status: 200, ProbeOnly: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
-		"older":              {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: 1, Token: r.Token}},
+		"report of another machine": {Machine: m.name, Status: 200, Report: wire.Report{Machine: "other", Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
+		"refused":                   {Machine: m.name, Status: 409, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
+		"with a lower token":        {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: m.takeoverToken - 1}},
+		"with a later token":        {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: 1 << 40}},
+		"answer to a probe":         {Machine: m.name, Status: 200, ProbeOnly: true, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: r.Seq + 9, Token: r.Token}},
+		"older":                     {Machine: m.name, Status: 200, Report: wire.Report{Machine: m.name, Session: r.Session, Seq: 1, Token: r.Token}},
 	} {
 		if next.onOrderDone(d); m.accounted {
-			t.Fatalf("%s: accounts for the machine", what)
+			t.Fatalf("%s: made the machine accounted for", what)
 		}
 	}
 }
 
-// Neither a cut nor its end makes a storm of calls, with a way around or without one.
+// Neither a cut from the state service nor its end may cause a burst of calls, whether there is
+// another route or not.
 func TestNoStormOfCalls(t *testing.T) {
 	t.Parallel()
 	for _, alone := range []bool{false, true} {
@@ -288,20 +290,21 @@
 		w.silence("c0", alone)
 		cut := most(60 * sec)
 		if h := w.holders()[1]; !alone && h != "c0" {
-			t.Errorf("the shard went to %s, though peers were in reach", h)
+			t.Errorf("the shard went to %s, though peers were reachable", h)
 		}
 		delete(w.hung, "c0")
 		w.silence("c0", false)
 		if healed := most(20 * sec); cut > quiet+10 || healed > 2*quiet+20 {
-			t.Errorf("alone %v: %d calls a second at the most on a quiet day, %d in the cut, %d after it", alone, quiet, cut, healed)
+			t.Errorf("alone %v: at most %d calls per second without faults, %d in the cut, %d after it", alone, quiet, cut, healed)
 		} else {
-			t.Logf("alone %v: %d calls a second at the most on a quiet day, %d in the cut, %d after it", alone, quiet, cut, healed)
+			t.Logf("alone %v: at most %d calls per second without faults, %d in the cut, %d after it", alone, quiet, cut, healed)
 		}
 	}
 }
 
-// A leader that stood still believes that it leads until it hears otherwise. What it then
-// does with shards compares the leader's record, so it takes nothing back on waking.
+// A leader that was paused believes that it still leads until it learns otherwise. Its writes to
+// shards must compare the version of the leader record, so that it cannot take shards back when
+// it resumes.
 func TestAStaleLeaderMovesNoShard(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 52, 3)
@@ -314,7 +317,8 @@
 			i = x
 		}
 	}
-	// Another leads by now and holds this one's shard; only the latter is known here.
+	// Another controller now leads and holds this one's home shard, but this controller knows only
+	// the latter.
 	rec := c.shards[i].record
 	rec.Holder, rec.Settled = "c0", true
 	if leader == "c0" {
@@ -334,16 +338,16 @@
 		if !slices.ContainsFunc(call.Txn.If, func(x wire.Condition) bool {
 			return x.Key == wire.KeyLeader && x.Version == c.versions.Version(wire.KeyLeader)
 		}) {
-			t.Errorf("the shard is moved without comparing the leader: %+v", call.Txn.If)
+			t.Errorf("the shard is moved without comparing the leader record: %+v", call.Txn.If)
 		}
 	}
 	if !found {
-		t.Error("the shard does not go home: nothing was tested")
+		t.Error("the leader does not move the shard to its home: nothing was tested")
 	}
 }
 
-// All controllers are cut off from the workers for longer than a lease: the machines are
-// rented, and none is given back for it.
+// All controllers are cut off from the workers of rented machines for longer than a lease. No
+// machine may be returned to the cloud because of that.
 func TestMachinesOutliveACutOfAll(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 51, 2, func(w *world) {
@@ -373,15 +377,16 @@
 		}
 	}
 	if gone > 0 || len(rented) < 10 {
-		t.Errorf("%d of %d machines were given back", gone, len(rented))
+		t.Errorf("%d of %d machines were returned to the cloud", gone, len(rented))
 	}
 	w.abort("job-000002")
 	w.run(5 * sec)
 }
 
-// Where the workers of machines that have just come up listen, the other controllers know
-// from their holder at once; the cloud's list would tell them seconds later. Without it a
-// holder cut off from such machines kept them, for nobody else could call them.
+// The holder publishes the worker addresses of machines that have just come up to the other
+// controllers at once; the cloud's list would have them only seconds later. Without that, a
+// holder that was cut off from such machines kept them, because no other controller could call
+// them.
 func TestAddressesOfMachinesThatHaveJustComeUp(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 53, 3, func(w *world) { w.capacity = 20 })
@@ -402,17 +407,17 @@
 		w.run(20 * time.Millisecond)
 	}
 	names := up()
-	// They may have been heard on the way to their holder: that is not what is tested.
+	// Forgets addresses that were learned from relayed reports, which are not tested here.
 	for _, n := range w.nodes {
 		if n.core != holder {
 			n.core.workerAddresses = takeover.NewAddressBook()
 		}
 	}
-	w.run(700 * time.Millisecond) // a ping, and no list
+	w.run(700 * time.Millisecond) // long enough for a ping, but not for a list
 	for _, name := range names {
 		for _, n := range sortedKeys(w.nodes) {
 			if _, known := w.nodes[n].core.workerAddresses.Lookup(name); !known {
-				t.Errorf("%s does not know where %s listens", n, name)
+				t.Errorf("%s does not know the address of %s", n, name)
 			}
 		}
 	}
@@ -423,9 +428,9 @@
 	w.run(5 * sec)
 }
 
-// Found in a rehearsal, by machines that had come up within the cut: a holder that its peers do not reach
-// hears one machine of many, whether the others' workers answer its calls or not. Their leases ended, for
-// they were sent back to it.
+// A holder that is cut off from its peers receives the reports of only one of its machines, whether
+// or not the workers of the others answer its calls. Once, the leases of those others ended because
+// their workers were redirected to that holder.
 func TestHolderThatReachesFewMachines(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(41); seed < 47; seed++ {
@@ -449,7 +454,7 @@
 		}
 		before := w.where("job-000001")
 		if len(list) < 4 || len(before) < 3 {
-			t.Fatalf("seed %d: not the meeting: %d machines, tasks on %v", seed, len(list), before)
+			t.Fatalf("seed %d: unsuitable initial state: %d machines, tasks on %v", seed, len(list), before)
 		}
 		w.lost[holder], w.kept, w.called = true, map[string]bool{list[0]: true}, seed%2 == 0
 		w.silence(holder, true)
@@ -457,7 +462,7 @@
 			w.run(sec)
 			for n := range before {
 				if len(w.machines[n].tasks()) == 0 {
-					t.Fatalf("seed %d: %v: the replica on %s is lost; %s hears one of %d machines, and the shard is with %s", seed, w.now, n, holder, len(list), w.shardRec("red").Holder)
+					t.Fatalf("seed %d: %v: the replica on %s is lost; %s receives reports of one of %d machines, and %s holds the shard", seed, w.now, n, holder, len(list), w.shardRec("red").Holder)
 				}
 			}
 		}
