--- a/internal/core/chains_told_test.go
+++ b/internal/core/chains_told_test.go
@@ -11,14 +11,14 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// What becomes of jobs that wait is counted and stands in the trail of the controller that wrote
-// it, once.
+// The release or cancellation of a waiting job must be counted once, and recorded once in the trail
+// of the controller that wrote it.
 func TestChainsAreToldOf(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 900, 4)
 	w.until(60*sec, func() bool { return w.leaderNode() != "" })
 	w.run(10 * sec)
-	for i := range 4 { // job-000010 is done, and job-000012 cancelled
+	for i := range 4 { // job-000010 completes, and job-000012 is cancelled
 		s := spec(fmt.Sprintf("job-%06d", 10+i), "red", wire.ShapeBatch, 1)
 		if i%2 == 1 {
 			s = after(s, fmt.Sprintf("job-%06d", 9+i))
@@ -32,7 +32,7 @@
 	w.run(sec)
 	for n, c := range w.nodes {
 		if c.core.announcedChains.Waiting == 0 {
-			t.Errorf("%s tells of no job that waits", n)
+			t.Errorf("%s reports no waiting job", n)
 		}
 	}
 	why := wire.Why{}
@@ -57,12 +57,13 @@
 		t.Error(d)
 	}
 	if told != (ChainCounts{Released: 1, Cancelled: 1}) {
-		t.Errorf("told %+v", told)
+		t.Errorf("published counts: %+v", told)
 	}
 }
 
-// A controller whose watch is late is asked of nothing but a dependent, or gets its submission again, in the moment in which another has told
-// that a job before it is cancelled: it looks for itself how far the state is before it answers.
+// A controller whose watch is late is polled for a dependent job, or receives its submission again,
+// just after another controller has reported that a predecessor is cancelled. It must read the
+// current revision of the state before it answers.
 func TestDependentAskedWhereTheWatchIsLate(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(960); seed < 964; seed++ {
@@ -71,9 +72,9 @@
 		ids := w.chain()
 		w.watchLag = 1500 * time.Millisecond
 		for _, n := range sortedKeys(w.nodes) {
-			w.silence(n, true) // nor does it hear of it from a peer
+			w.silence(n, true) // so it cannot learn of the cancellation from a peer either
 		}
-		w.run(3 * sec) // the answers that were under way came in time
+		w.run(3 * sec) // until the answers in transit, without the delay, have arrived
 		by, answers := sortedKeys(w.nodes)[seed%3], 0
 		w.cancelAt(by, ids[0], func() {
 			for _, n := range sortedKeys(w.nodes) {
@@ -88,14 +89,14 @@
 				}, func(a Answer) {
 					answers++
 					if st, _ := a.Body.(wire.JobStatus); a.Status != 503 && (a.Status != 200 || st.Status != wire.JobAborted) {
-						t.Errorf("seed %d: %s says %d %s of %s, which awaits what %s has told to be cancelled", seed, n, a.Status, st.Status, ids[4], by)
+						t.Errorf("seed %d: %s answers %d %s for %s, whose predecessor %s has reported as cancelled", seed, n, a.Status, st.Status, ids[4], by)
 					}
 				})
 			}
 		})
 		w.run(6 * sec)
 		if answers != 2 {
-			t.Errorf("seed %d: %d answers", seed, answers)
+			t.Errorf("seed %d: got %d answers, want 2", seed, answers)
 		}
 	}
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -22,13 +22,14 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// writer writes records to a state service of lower limits, and notes the largest of each kind.
+// writer writes records to a state service with low limits, and keeps the size of the largest record
+// and the number of records by kind.
 type writer struct {
 	t       *testing.T
 	store   *state.Store
 	id      uint64
-	bytes   map[string]int // of the largest, by kind
-	records map[string]int
+	bytes   map[string]int // size of the largest record in JSON form, by kind
+	records map[string]int // number of writes, by kind
 }
 
 func newWriter(t *testing.T, l state.Limits) *writer {
@@ -56,8 +57,8 @@
 	w.records[kind]++
 }
 
-// Every kind of record at its largest is taken by a state service whose values have 2 KiB.
-// The table of docs/design.md has the figures that -v shows.
+// The state service must accept the largest record of every kind when its values are limited to
+// 2 KiB. With -v the test prints the figures for the table in docs/design.md.
 func TestLargestRecords(t *testing.T) {
 	t.Parallel()
 	const bytes = 2048
@@ -66,7 +67,7 @@
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
-			// A third of the machines is one shard's.
+			// One shard holds a third of the machines.
 			book, each := startlog.New(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []startlog.Entry
 			for k := range each {
@@ -115,7 +116,7 @@
 				plans.PlanFetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
 			}
 			if rec, due := plans.NextPlan(0, bytes-256); !due || len(rec.Images) == 0 {
-				t.Errorf("%d bytes: no plan, %v", bytes, due)
+				t.Errorf("%d bytes: no plan; due %v", bytes, due)
 			} else {
 				w.put(wire.PrefixWeights+"0", rec)
 			}
@@ -126,7 +127,7 @@
 			}
 			fit := limits.Fit(want, bytes, demand.DropLastNeed)
 			if len(fit.Needs) < 8 {
-				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
+				t.Errorf("%d of %d needs are left, want at least 8", len(fit.Needs), len(want.Needs))
 			}
 			w.put(demandKey(0), fit)
 
@@ -136,7 +137,7 @@
 			}
 			rec, _ := tr.NextRecord(time.Hour, 1<<40)
 			if len(rec.Events) < 4 {
-				t.Errorf("%d events in the trail's record", len(rec.Events))
+				t.Errorf("the trail's record has %d events, want at least 4", len(rec.Events))
 			}
 			w.put(wire.PrefixTrail+"c0", rec)
 			w.others(bytes, machines, long)
@@ -147,7 +148,7 @@
 	}
 }
 
-// others are the kinds that hang little on how many machines there are.
+// others writes the records whose size depends little on the number of machines.
 func (w *writer) others(bytes, machines int, long func(int) string) {
 	t := w.t
 	shard := wire.Shard{Holder: "controller-of-a-long-name-0", Boot: 1 << 40, Home: "controller-of-a-long-name-0", Known: true}
@@ -184,7 +185,7 @@
 	}
 	bias = limits.Fit(bias, bytes, forecast.DropLeastKnownClass)
 	if len(bias.Classes) < 20 || bias.Classes["class-of-a-long-name-59"][0] == 0 {
-		t.Errorf("%d classes are left, of which most is known is not among them", len(bias.Classes))
+		t.Errorf("%d classes are left, want at least 20 including the best known one", len(bias.Classes))
 	}
 	w.put(biasKey(0), bias)
 
@@ -192,7 +193,7 @@
 	w.progress(bytes)
 }
 
-// operators' records are those that they write.
+// operators writes the records that operators change.
 func (w *writer) operators(bytes, machines int) {
 	crew := wire.Crew{Name: "crew-of-a-long-name", Team: "team-of-a-long-name", Zone: "zone-of-a-long-name", Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Leaves: "2026-12-03T06:30", TimeZone: "Africa/Dakar", Rule: "FREQ=DAILY"}
 	for k := range tuning.CrewHistoryEntries {
@@ -205,7 +206,7 @@
 	}
 	crew = limits.Fit(crew, bytes, calendar.DropHistoryOrBooking)
 	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewHistoryEntries-1 {
-		w.t.Errorf("%d bookings and %d departures are left", len(crew.Booked), len(crew.Past))
+		w.t.Errorf("%d bookings and %d past departures are left", len(crew.Booked), len(crew.Past))
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
@@ -223,11 +224,11 @@
 	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
-// progress is that of a job with the longest description that is accepted.
+// progress writes the progress records of a job with the longest accepted description.
 func (w *writer) progress(bytes int) {
 	job := wire.Job{ID: "job-000001", Class: "any", Team: "red", Shape: wire.ShapeBatch, Tasks: 400, Image: strings.Repeat("x", 700), Started: 400}
 	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, bytes-1024) {
-		w.t.Errorf("the description is longer than what is accepted (%v)", err)
+		w.t.Errorf("the description is longer than the accepted maximum (%v)", err)
 	}
 	for k := 0; k < 400; k += 2 {
 		job.Done = append(job.Done, [2]int{k, k + 1})
--- a/internal/core/guest_test.go
+++ b/internal/core/guest_test.go
@@ -13,9 +13,9 @@
 	return s
 }
 
-// A guest team has neither guarantee nor limit. Its idle work is run on what is there, and
-// gives way within seconds to work that lies within another team's guarantee, though both
-// are of one shard; in the end all of it is done.
+// A guest team has neither a guarantee nor a limit. Its idle work runs on the existing machines, and
+// is preempted within seconds by work within another team's guarantee, although both teams belong
+// to one shard. In the end all jobs must be done.
 func TestGuestGivesWay(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 31, 1, func(w *world) {
@@ -29,12 +29,12 @@
 	w.submit(idleSpec("job-000001", "guest", 40))
 	w.run(10 * sec)
 	if n := w.running("job-000001"); n != 16 {
-		t.Fatalf("%d of 16 places are used by the guest", n)
+		t.Fatalf("%d tasks of the guest run, want 16", n)
 	}
 	w.submit(spec("job-000002", "red", wire.ShapeBatch, 16))
 	w.run(8 * sec)
 	if n := w.running("job-000002"); n != 16 {
-		t.Errorf("%d of 16 guaranteed tasks run", n)
+		t.Errorf("%d of 16 tasks within the guarantee run", n)
 	}
 	w.pollAll()
 	w.run(400 * sec)
@@ -45,8 +45,8 @@
 	}
 }
 
-// Single idle tasks are not kept waiting by an array that came before them, nor does
-// idle work rent a machine for each of its tasks.
+// Single idle tasks must not wait for a large array that was submitted before them, and idle work
+// must not rent a machine for each of its tasks.
 func TestGuestsOrderAndRent(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 32, 1, func(w *world) {
@@ -62,18 +62,18 @@
 	}
 	w.pollAll()
 	w.run(20 * sec)
-	w.askAll() // its users ask by chance only
+	w.askAll() // pollAll polls at random only
 	for i := range 8 {
 		if id := fmt.Sprintf("job-%06d", 10+i); w.check.Final(id) != wire.JobDone {
-			t.Errorf("%s waits behind the array", id)
+			t.Errorf("%s waits for the array", id)
 		}
 	}
 	if n := len(w.order); n > 25 {
-		t.Errorf("%d machines for idle work of 12,000 s", n)
+		t.Errorf("%d machines for idle work of 12,000 s, want at most 25", n)
 	}
 }
 
-// running counts a job's tasks on machines.
+// running counts a job's tasks on machines that have not ended.
 func (w *world) running(id string) (n int) {
 	for _, name := range w.order {
 		for _, t := range w.machines[name].tasks() {
--- a/internal/core/holding_test.go
+++ b/internal/core/holding_test.go
@@ -8,7 +8,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// crowded is a deployment whose cloud gives nothing, where small tasks fill every corner.
+// crowded returns a deployment without rentable machines in which small tasks take all capacity.
 func crowded(t *testing.T, seed uint64) *world {
 	w := newWorld(t, seed, 3, func(w *world) {
 		w.capacity, w.runS = 0, 6*time.Second
@@ -21,7 +21,7 @@
 	}
 	w.pollAll()
 	w.run(8 * sec)
-	for i := range 60 { // 100 s of work, and more to come
+	for i := range 60 { // 100 s of work, submitted over a minute
 		s := spec(fmt.Sprintf("job-%06d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeBatch, 8)
 		s.DueS = nil
 		w.at(time.Duration(i)*sec, func() { w.submit(s) })
@@ -30,13 +30,14 @@
 	return w
 }
 
-// started is when a job's first task was started, by what users are told.
+// begun reports whether a job's first task has started, according to the status that users get.
 func (w *world) begun(id string) bool {
 	return len(w.check.On(id, w.now)) > 0 || w.check.DoneTasks(id) > 0
 }
 
-// Tasks that each take a whole machine begin soon among small ones that take every freed
-// corner, whoever ends meanwhile; what is held stays a small part, and goes with its job.
+// Tasks that each take a whole machine must start soon although small tasks take all capacity that
+// becomes free, whichever controllers end meanwhile. Few machines may be reserved for them, and the
+// reservations must be released when the job is done.
 func TestWholeMachinesAmongSmallTasks(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -69,26 +70,26 @@
 				}
 				return w.begun("job-100000") && w.begun("job-100001")
 			})
-			if t.Logf("begun after %v, at most %d places held in a shard", took, held); took > c.most || held == 0 || held > 4 {
-				t.Errorf("begun after %v, want %v; %d places held", took, c.most, held)
+			if t.Logf("started after %v, at most %d machines reserved in a shard", took, held); took > c.most || held == 0 || held > 4 {
+				t.Errorf("started after %v, want at most %v; %d machines reserved, want 1 to 4", took, c.most, held)
 			}
 			w.calm(t)
 			w.run(60 * sec)
 			for _, n := range w.nodes {
 				for i, b := range n.core.reservations {
 					if b.Len() > 0 {
-						t.Errorf("%s still holds %d places in shard %d", n.name, b.Len(), i)
+						t.Errorf("%s still has %d reservations in shard %d", n.name, b.Len(), i)
 					}
 				}
 			}
 			if u := w.unfinished(); u != nil {
-				t.Errorf("not done: %v", u)
+				t.Errorf("unfinished jobs: %v", u)
 			}
 		})
 	}
 }
 
-// Urgent work takes a place that is held for other work at once.
+// Urgent work must at once get capacity that is reserved for other work.
 func TestHeldPlacesDoNotKeepUrgentWorkOut(t *testing.T) {
 	t.Parallel()
 	w := crowded(t, 82)
@@ -108,28 +109,29 @@
 		return false
 	}
 	if w.until(30*sec, held) >= 30*sec {
-		t.Fatal("no place is held with room on it")
+		t.Fatal("no machine with free capacity is reserved")
 	}
 	u := spec("job-200000", "red", wire.ShapeService, 1)
 	u.Priority, u.DueS, u.CPUs = ptr("urgent"), nil, ptr(2.0)
 	w.submit(u)
 	took := w.until(10*sec, func() bool { return w.begun("job-200000") })
 	if on := fmt.Sprint(w.check.On("job-200000", w.now)); took > 3*sec || on != "[job-200000/0 on "+at+"]" {
-		t.Errorf("an urgent replica runs after %v: %s, the place was held on %s", took, on, at)
+		t.Errorf("the urgent replica started after %v on %s, want at most 3 s and on the reserved machine %s", took, on, at)
 	}
 }
 
-// A task that needs more of its team's limit than small ones ever leave free gets it kept.
+// A task may need more of its team's limit than small tasks ever leave free. That part of the limit
+// must be reserved for it.
 func TestLimitKeptForAWideTask(t *testing.T) {
 	t.Parallel()
 	w := crowded(t, 83)
-	w.teams["red"] = Team{CPUs: 8, CPUsMax: 6} // read by the cores as they start
+	w.teams["red"] = Team{CPUs: 8, CPUsMax: 6} // cores read the limits when they start
 	w.bounce(200*time.Millisecond, sortedKeys(w.nodes)...)
 	w.run(12 * sec)
 	s := spec("job-100000", "red", wire.ShapeBatch, 1)
 	s.CPUs, s.DueS = ptr(4.0), nil
 	w.submit(s)
 	if took := w.until(90*sec, func() bool { return w.begun("job-100000") }); took > 40*sec {
-		t.Errorf("begun after %v", took)
+		t.Errorf("started after %v, want at most 40 s", took)
 	}
 }
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -11,26 +11,27 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// judged counts inversions, from outside: a start is sent to a machine where a waiting task
-// of a higher rung could have gone instead, that fits its place, is allowed there, within its
-// limit, of the same shard, and has waited for longer than the bound.
+// judged records priority inversions, seen from outside the cores: a start was sent to a machine
+// where a waiting task of a higher tier could have started instead. That task is of the same
+// shard, fits, is allowed on the machine, is within its team's limit, and has waited for longer
+// than the bound.
 type judged struct {
-	since    map[string]time.Duration // job -> waiting since
-	unplaced map[string]time.Duration // job -> since when a task of it has no place reserved
+	since    map[string]time.Duration // by job: since when it has waited
+	unplaced map[string]time.Duration // by job: since when one of its tasks has not been placed
 	found    []string
 }
 
-// inversionBound is two report intervals, each a quarter longer than usual as PROTOCOL has it: a
-// task whose place is reserved is written and told by then, since its worker's next report may
-// come before the start is written. Without the quarter there were starts on 6 of 80 days that
-// kept an upper task, whose place was reserved, from nothing. unplacedBound is for tasks without
-// a place, which the test did not tell apart before: they get the next one that is free.
+// inversionBound is two report intervals, each a quarter longer than usual, as the protocol allows.
+// By then the start of a task that has been placed is written and sent, as the worker's next report
+// may arrive before the start is written. Without the quarter, 6 of 80 seeds had starts that were
+// counted although they delayed no task, because the task of the higher tier was already placed.
+// unplacedBound applies to tasks that have not been placed: they get the next free capacity.
 const (
 	inversionBound = 5 * sec
 	unplacedBound  = 3 * sec
 )
 
-// present counts a job's tasks that are on machines, and have not ended there.
+// present counts a job's tasks on machines that have not ended there.
 func (w *world) present(id string) (n int) {
 	for _, name := range w.order {
 		for _, a := range w.machines[name].tasks() {
@@ -42,18 +43,19 @@
 	return n
 }
 
+// ladderNow returns the stored tier order.
 func (w *world) ladderNow() *tiers.Order {
 	var rec wire.TierOrder
 	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &rec)
 	return tiers.NewOrder(rec)
 }
 
-// lookForWaits notes which jobs wait. After a change of hands nobody can start what the earlier
-// holder may have started until the shard is settled, so a wait counts from then: counted from
-// before, 29 of 80 days with other seeds than the one that was played had starts judged by a
-// bound that had passed while no holder could act. A task that is done waits no more, also when
-// it has been cleared from its worker: counted by what workers name, a job with one task done and
-// cleared and the other running counted as waiting.
+// lookForWaits records which jobs wait. After a takeover, tasks that the earlier holder may have
+// started cannot be started until the shard is reconciled, so a wait counts from then. When it was
+// counted from before, 29 of 80 seeds had starts judged by a bound that had passed while no holder
+// could act. A task that is done does not wait, even if it has been cleared from its worker: when
+// only the tasks on workers were counted, a job with one task done and cleared and the other
+// running counted as waiting.
 func (w *world) lookForWaits(v *judged) {
 	for _, id := range sortedKeys(w.jobs) {
 		tasks := int(*w.jobs[id].spec.Tasks)
@@ -72,17 +74,17 @@
 	}
 }
 
-// placed counts a job's tasks that are done, on machines or reserved a place, by its holder.
+// placed counts a job's tasks that are done or placed, according to the holder of its shard.
 func (w *world) placed(id string) int {
 	c := w.nodes[w.shardRec(*w.jobs[id].spec.Team).Holder].core
 	if c == nil || c.jobs[id] == nil || c.jobs[id].run == nil {
-		return int(*w.jobs[id].spec.Tasks) // no holder acts, or it has not heard of the job
+		return int(*w.jobs[id].spec.Tasks) // there is no holder, or it does not know the job yet
 	}
 	r := c.jobs[id].run
 	return len(r.active) + r.done.Count()
 }
 
-// judge looks at one start.
+// judgeStart records the inversions that one start causes.
 func (w *world) judgeStart(v *judged, m *host, o worker.Ordered) {
 	id, _, _ := wire.ParseTask(o.Task)
 	l := w.ladderNow()
@@ -90,7 +92,7 @@
 	j := rec(id)
 	shard := w.shardRec(j.Team)
 	if !shard.Settled {
-		return // what the upper rungs wait for may be anywhere yet
+		return // the tasks that seem to wait may already run on unreconciled machines
 	}
 	for _, other := range sortedKeys(v.since) {
 		u := rec(other)
@@ -99,11 +101,11 @@
 			m.info.Spot && !u.Spot || w.using(u.Team)+u.CPUs > w.teams[u.Team].CPUsMax {
 			continue
 		}
-		v.found = append(v.found, fmt.Sprintf("%v: %s starts on %s, %s has waited for %v", w.now, o.Task, m.info.Name, other, w.now-v.since[other]))
+		v.found = append(v.found, fmt.Sprintf("%v: %s starts on %s although %s has waited for %v", w.now, o.Task, m.info.Name, other, w.now-v.since[other]))
 	}
 }
 
-// using is what a team's tasks take.
+// using returns the CPUs that a team's tasks on machines use.
 func (w *world) using(team string) (cpus float64) {
 	for id, j := range w.jobs {
 		if *j.spec.Team == team {
@@ -113,9 +115,9 @@
 	return cpus
 }
 
-// With a ladder that puts a class of normal priority on top, and alarms that come among
-// routine work that fills every corner, whoever ends: no start is an inversion, all
-// controllers have the same order to the byte, and a new one inherits it.
+// The tier order has a class of normal priority at the top, and alarms are submitted among routine
+// work that takes all capacity, while controllers end. No start may be an inversion, and all
+// controllers must have identical service orders, including restarted ones.
 func TestLadderHoldsWhoeverEnds(t *testing.T) {
 	t.Parallel()
 	holder := func(w *world) []string { return []string{w.shardRec("red").Holder} }
@@ -133,7 +135,7 @@
 			t.Parallel()
 			w := crowded(t, c.seed)
 			if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
-				t.Fatalf("set: %d", got)
+				t.Fatalf("setting the tier order: got %d, want 200", got)
 			}
 			v := &judged{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
 			w.ordered = func(m *host, o worker.Ordered) { w.judgeStart(v, m, o) }
@@ -142,7 +144,7 @@
 				s.DueS = nil
 				switch i % 3 {
 				case 0:
-					s.Class = ptr("alarm") // of normal priority, and first all the same
+					s.Class = ptr("alarm") // of normal priority, but in the highest tier
 				case 1:
 					s.Priority, s.Shape = ptr("urgent"), ptr(wire.ShapeService)
 				}
@@ -163,7 +165,7 @@
 				w.lookForWaits(v)
 			}
 			if len(v.found) > 0 {
-				t.Errorf("%d inversions, the first %s", len(v.found), v.found[0])
+				t.Errorf("%d inversions, the first: %s", len(v.found), v.found[0])
 			}
 			digests := map[string]int{}
 			for _, n := range sortedKeys(w.nodes) {
@@ -174,7 +176,7 @@
 				})
 			}
 			if len(digests) != 1 {
-				t.Errorf("controllers order differently: %v", digests)
+				t.Errorf("controllers have different service orders: %v", digests)
 			}
 		})
 	}
@@ -182,6 +184,7 @@
 
 var alarmRungs = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
 
+// setLadder changes the tier order at a node and returns the status of the answer.
 func (w *world) setLadder(node string, ver uint64, rungs []wire.Tier) (status int) {
 	w.ask(node, func(q uint64) any {
 		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
@@ -190,8 +193,9 @@
 	return status
 }
 
-// Of two operators who change the ladder at once one is told to read again; a bad one changes
-// nothing; a change in the moment its controller or the holder ends is there as a whole or not.
+// Of two operators who change the tier order at once, one must get a conflict. An invalid order must
+// change nothing. A change at the moment when its controller and a holder end must be stored as a
+// whole or not at all.
 func TestLadderChanges(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 96, 2)
@@ -201,11 +205,11 @@
 	}
 	w.run(sec)
 	if len(got) != 2 || got[0]+got[1] != 200+409 {
-		t.Errorf("two at once are answered %v", got)
+		t.Errorf("two concurrent changes got %v, want 200 and 409", got)
 	}
 	ver := w.key(wire.KeyTierOrder).Version
 	if s := w.setLadder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
-		t.Errorf("a class without teams: %d", s)
+		t.Errorf("a class without teams: got %d, want 400 and no change", s)
 	}
 	for i, after := range []time.Duration{0, time.Millisecond, 4 * time.Millisecond, 8 * time.Millisecond, 12 * time.Millisecond, 20 * time.Millisecond} {
 		ver, was := w.key(wire.KeyTierOrder).Version, w.ladderNow()
@@ -218,16 +222,16 @@
 		w.run(8 * sec)
 		now := w.ladderNow()
 		if whole := now.Tiers()[0].Name == rungs[0].Name && now.Tiers()[1].Name == rungs[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
-			t.Errorf("ended %v after the change: %v", after, now.Tiers())
+			t.Errorf("controllers ended %v after the request: tiers %v are neither the old nor the new ones", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
 			if n.core.versions.Version(wire.KeyTierOrder) != w.key(wire.KeyTierOrder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
-				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Version(wire.KeyTierOrder))
+				t.Errorf("%s uses an outdated tier order, version %d", n.name, n.core.versions.Version(wire.KeyTierOrder))
 			}
 		}
 	}
 	if h := w.ladderRec().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
-		t.Errorf("history %v", h)
+		t.Errorf("unexpected history: %v", h)
 	}
 }
 
@@ -236,8 +240,9 @@
 	return r
 }
 
-// Ten thousand tasks on the top rung take their team's limit and no more: work of another
-// team on the same machines, within its guarantee, still ends. Without the limit it does not.
+// Ten thousand tasks in the highest tier may use no more than their team's limit, so work of another
+// team on the same machines, within its guarantee, must still complete soon. With a limit above the
+// capacity it does not.
 func TestTopRungIsBoundByItsTeamsLimit(t *testing.T) {
 	t.Parallel()
 	for _, limit := range []float64{12, 1000} {
@@ -258,16 +263,16 @@
 		w.submit(spec("job-000002", "blue", wire.ShapeBatch, 8))
 		took := w.until(90*sec, func() bool { return w.check.DoneTasks("job-000002") == 8 })
 		if (took < 45*sec) != (limit == 12) {
-			t.Errorf("limit %g: work within another team's guarantee took %v", limit, took)
+			t.Errorf("limit %g: work within the other team's guarantee took %v", limit, took)
 		}
 		if u := w.using("red"); u > limit {
-			t.Errorf("the top rung uses %g cpus of %g", u, limit)
+			t.Errorf("the highest tier uses %g CPUs with a limit of %g", u, limit)
 		}
 	}
 }
 
-// Routine work has had every place reserved and is not told of it yet: an alarm of normal
-// priority, which may stop nothing, gets one of them.
+// Routine tasks are placed on all capacity, but their starts have not been sent yet. An alarm of
+// normal priority, which may preempt nothing, must get the capacity of one of them.
 func TestReservedPlacesGoToUpperRungs(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 98, 1, func(w *world) {
@@ -281,13 +286,13 @@
 	if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
 		t.Fatalf("set: %d", got)
 	}
-	w.oneWay["c0"] = "calls" // so that starts wait for the next reports
+	w.oneWay["c0"] = "calls" // no direct calls, so that starts wait for the next reports
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 12))
 	w.run(200 * time.Millisecond)
 	s := spec("job-000002", "red", wire.ShapeBatch, 1)
 	s.Class = ptr("alarm")
 	w.submit(s)
 	if took := w.until(60*sec, func() bool { return w.begun("job-000002") }); took > 14*sec {
-		t.Errorf("an alarm begins %v after places were reserved for routine work alone", took)
+		t.Errorf("the alarm started after %v, want at most 14 s, although only unsent starts of routine work took the capacity", took)
 	}
 }
--- a/internal/core/local_test.go
+++ b/internal/core/local_test.go
@@ -6,8 +6,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A place on a machine goes to the job whose image is there, though another is served
-// before it; for a while only.
+// Free capacity on a machine goes to a job whose image the machine has, although another job is
+// earlier in the order of service. That job may be passed over for a limited time only.
 func TestPlaceGoesToTheJobWhoseImageIsThere(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 12, 1, func(w *world) { w.runS, w.capacity = 1000*sec, 0 })
@@ -22,10 +22,10 @@
 	c := w.nodes["c0"].core
 	m := c.machines[name]
 	if len(m.attempts) != 4 {
-		t.Fatalf("%d attempts fill the machine", len(m.attempts))
+		t.Fatalf("the machine has %d attempts, want 4", len(m.attempts))
 	}
 	for _, id := range []string{"job-000001", "job-000002"} {
-		// Neither places its anchor, which goes by other rules.
+		// Marks the first task as done, because the placement of a job's anchor follows other rules.
 		run := c.jobs[id].run
 		run.done, run.nextIndex = run.done.Add(0), 1
 		c.markJobDirty(c.jobs[id])
@@ -48,15 +48,15 @@
 		return m.attempts[newest].job
 	}
 	if got := free(); got != "job-000002" {
-		t.Errorf("the place went to %s", got)
+		t.Errorf("the capacity went to %s, want the job whose image is present", got)
 	}
 	c.jobs["job-000001"].run.passedOverSince = c.now - 10*sec
 	if got := free(); got != "job-000001" {
-		t.Errorf("passed over for long, and the place went to %s", got)
+		t.Errorf("the capacity went to %s, want the job that was passed over for long", got)
 	}
 }
 
-// A gang leaves no place to others: a part of it would wait on its machines.
+// A gang must not be passed over in part: the rest of it would have to wait on its machines.
 func TestGangIsPlacedWhole(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 13, 1, func(w *world) {
@@ -81,6 +81,6 @@
 	}
 	c.placeTasks()
 	if n := len(c.jobs["job-000001"].run.active); n != 4 {
-		t.Errorf("%d of 4 tasks of a gang are placed", n)
+		t.Errorf("%d of 4 tasks of the gang are placed", n)
 	}
 }
--- a/internal/core/needs_test.go
+++ b/internal/core/needs_test.go
@@ -7,8 +7,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// What one shard lacks for an upper rung is rented before what another lacks for routine work,
-// whichever shard is the first by number.
+// The unmet demand of one shard for a high tier is served before that of another shard for routine
+// work, whatever the numbers of the shards.
 func TestNeedsOfUpperRungsAreServedFirst(t *testing.T) {
 	t.Parallel()
 	for upper := range 3 {
@@ -35,7 +35,7 @@
 		c.effects = nil
 		c.serveDemand()
 		if len(c.leader.servingShards) != 1 || !c.leader.servingShards[upper] {
-			t.Errorf("shard %d asks for the upper rung, served are %v", upper, c.leader.servingShards)
+			t.Errorf("shard %d has demand for the high tier, but the served shards are %v", upper, c.leader.servingShards)
 		}
 	}
 }
