--- a/internal/core/progressing_test.go
+++ b/internal/core/progressing_test.go
@@ -8,8 +8,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// scattered plays a job whose late tasks end first, all at once, and whose early ones end far
-// out of order after them: more ranges than a record holds.
+// scattered returns a world with a job whose last tasks complete first, all at once, and whose other
+// tasks then complete out of order, so that the completed tasks form more ranges than a record can
+// hold. If understood is false the controllers have none of the optional features.
 func scattered(t *testing.T, bytes, tasks int, understood bool) *world {
 	w := newWorld(t, 700, 3, func(w *world) {
 		w.limits.ValueBytes = bytes
@@ -45,10 +46,10 @@
 	return w
 }
 
-// What has been written as done is never taken back, at no limit of a value: neither when a
-// job's ranges no longer fit nor when its holder ends. Before, a quarter of the ranges was left
-// out of the record again and again until it fitted: tasks that had been cleared from their
-// workers were started again by whoever took the job over.
+// Tasks that were recorded as done must stay done, whatever the limit of a value, when a job's ranges
+// no longer fit in a record and when its holder ends. Before, a quarter of the ranges was dropped
+// repeatedly until the record fitted, and the next holder started tasks again that had already
+// been cleared from their workers.
 func TestDoneTasksStayDoneHoweverScattered(t *testing.T) {
 	t.Parallel()
 	for _, x := range []struct{ bytes, tasks int }{{2048, 800}, {8192, 2400}} {
@@ -64,32 +65,33 @@
 					t.Fatalf("%d of %d tasks were done when the holder ended", before, x.tasks)
 				}
 				if n := len(w.repeated); n > 0 {
-					t.Errorf("%d of %d tasks that were done were started again", n, before)
+					t.Errorf("%d starts of tasks that were already done; %d tasks were done when the holder ended", n, before)
 				}
 				further := 0
 				w.store.Scan(wire.PrefixDone, func(wire.Item) { further++ })
 				if understood != (further > 0) {
-					t.Errorf("%d further records", further)
+					t.Errorf("%d additional progress records", further)
 				}
 				w.pollAll()
 				w.run(90 * sec)
 				if u := w.unfinished(); u != nil {
-					t.Errorf("not done: %v", u)
+					t.Errorf("unfinished jobs: %v", u)
 				}
 				further = 0
 				w.store.Scan(wire.PrefixDone, func(wire.Item) { further++ })
 				if further > 0 {
-					t.Errorf("%d further records of a job that is over", further)
+					t.Errorf("%d additional progress records of a finished job are left", further)
 				}
 			})
 		}
 	}
 }
 
-// Ends that a machine's worker has told, and that only its holder knows of once the machine is
-// gone, stand in the state before: a drained machine is returned after that, one that the cloud
-// will take has them written at once, and so has one that has just gone or whose lease is over.
-// The holder ends a second later; nothing that was done runs again.
+// Once a machine is gone, only its holder knows the ends of tasks that the machine's worker has
+// reported, so they must be written to the state before: a drained machine is returned only after
+// that, and for a machine with a termination notice, one that has just gone, or one whose lease has
+// ended they are written at once. The holder ends a second later, and no task that was done may
+// run again.
 func TestEndsOutliveTheirMachineAndItsHolder(t *testing.T) {
 	t.Parallel()
 	drained := func(w *world, m *host) {
@@ -100,7 +102,7 @@
 			w.run(20 * time.Millisecond)
 		}
 		if !m.gone {
-			w.t.Error("the machine is not returned")
+			w.t.Error("the drained machine was not returned to the cloud")
 		}
 	}
 	for what, trouble := range map[string]func(w *world, m *host){
@@ -129,7 +131,7 @@
 			t.Parallel()
 			for seed := uint64(710); seed < 714; seed++ {
 				w := newWorld(t, seed, 3, func(w *world) {
-					w.lease, w.reportS = 4*sec, sec // over before progress is written at leisure
+					w.lease, w.reportS = 4*sec, sec // the lease ends before progress is written at the usual interval
 					w.taskRuns = func(i int) time.Duration {
 						switch {
 						case i == 0:
@@ -150,7 +152,7 @@
 				for end := w.now + 20*sec; len(w.completed) < 4 && w.now < end; {
 					w.run(50 * time.Millisecond)
 				}
-				w.run(600 * time.Millisecond) // reported, and not all written
+				w.run(600 * time.Millisecond) // the ends are reported, but not all of them are written
 				var m *host
 				for _, n := range w.order {
 					ended := 0
@@ -164,14 +166,14 @@
 					}
 				}
 				if m == nil {
-					t.Fatalf("seed %d: no worker keeps an end, %d are done", seed, len(w.completed))
+					t.Fatalf("seed %d: no worker has an ended task; %d tasks are done", seed, len(w.completed))
 				}
 				holder := w.holderOf(m.info.Name)
 				trouble(w, m)
 				w.kill(holder)
 				w.run(40 * sec)
 				if len(w.repeated) > 0 {
-					t.Errorf("seed %d: done, and started again: %v", seed, w.repeated)
+					t.Errorf("seed %d: started again after they were done: %v", seed, w.repeated)
 				}
 			}
 		})
--- a/internal/core/prompting_test.go
+++ b/internal/core/prompting_test.go
@@ -7,9 +7,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A start that is written does not wait for its worker's next report: the worker is
-// called, and asks for it. Its token is higher than before and lower than any that
-// another holder can be granted.
+// A written start must not wait for its worker's next report: the holder calls the worker, which
+// then reports early and gets the start in the answer. The token of the call is higher than before,
+// and lower than any that another holder can be granted.
 func TestStartDoesNotWaitForTheNextReport(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 5, 3, func(w *world) { w.reportS = 8 * sec })
@@ -25,9 +25,9 @@
 		w.run(50 * 1e6)
 	}
 	if took := w.now - began; took > 2*sec {
-		t.Errorf("on its machine after %v", took)
+		t.Errorf("the task was on its machine after %v, want at most 2 s", took)
 	}
-	// The same for a stop: an aborted service gives its place back at once.
+	// The same for a stop: an aborted service must release its capacity at once.
 	w.run(6 * sec)
 	began = w.now
 	w.abort("job-000001")
@@ -35,12 +35,13 @@
 		w.run(50 * 1e6)
 	}
 	if took := w.now - began; took > 2*sec {
-		t.Errorf("gone after %v", took)
+		t.Errorf("the aborted task was gone after %v, want at most 2 s", took)
 	}
 }
 
-// A machine is called as urgently as the most urgent of the starts that its report could not be
-// answered with. Which of them counted hung on the order of a map, and a seed did not repeat.
+// A call to a machine has the urgency of the most urgent start that could not be sent in the answer
+// to its report. Once the urgency depended on the order of a map, so that a seed did not reproduce
+// the same run.
 func TestTheMostUrgentUnsentStartCounts(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 7, 1, func(w *world) { w.reportS = 8 * sec })
@@ -59,12 +60,12 @@
 		r.Seq += uint64(50 + k)
 		c.Step(c.now+sec, c.wall, WorkerReport{Req: uint64(1000 + k), Report: r})
 		if calls := c.callQueue.Take(c.now, func(*machine) callqueue.Decision { return callqueue.Call }); len(calls) != 2 || calls[0] != m {
-			t.Fatalf("%d are called, the machine with an urgent start not first", len(calls))
+			t.Fatalf("%d machines are called, want 2 with the machine with the urgent start first", len(calls))
 		}
 	}
 }
 
-// The workers of a block that moves are sent to its next holder at once.
+// The workers of a block that moves to another shard must be redirected to its next holder at once.
 func TestMovedBlockReportsToItsNextHolder(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 6, 3, func(w *world) { w.reportS = 8 * sec })
@@ -89,7 +90,7 @@
 	w.callStore("c0", StateCall{Op: OpCommit, Txn: wire.Txn{If: []wire.Condition{{Key: blockKey(id), Version: it.Version}},
 		Then: []wire.Change{{Put: blockKey(id), Value: b}}}}, func(r StateReply) {
 		if r.Status != 200 {
-			t.Fatalf("not moved: %+v", r)
+			t.Fatalf("moving the block failed: %+v", r)
 		}
 	})
 	w.run(2500 * 1e6)
--- a/internal/core/race_off_test.go
+++ b/internal/core/race_off_test.go
@@ -2,5 +2,5 @@
 
 package core
 
-// raceDetector tells whether the tests were built with it.
+// raceDetector reports whether the tests were built with the race detector.
 const raceDetector = false
--- a/internal/core/rollout_test.go
+++ b/internal/core/rollout_test.go
@@ -11,7 +11,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// older makes the named controllers' next lives ones of a version that knows of no features.
+// older makes the named controllers start next time with a version that has no features.
 func (w *world) older(names ...string) {
 	params, old := w.params, map[string]bool{}
 	for _, n := range names {
@@ -26,19 +26,19 @@
 	}
 }
 
-// wantOn compares what all controllers that run believe of chains.
+// wantOn checks at all running controllers whether the chains feature is enabled.
 func (w *world) wantOn(when string, on bool) {
 	w.t.Helper()
 	for _, n := range sortedKeys(w.nodes) {
 		if c := w.nodes[n].core; c != nil && c.featureEnabled(rollout.Chains) != on {
-			w.t.Fatalf("%s: %s has chains on: %v; lack %v", when, n, !on, c.rollout.ControllersLacking(rollout.Chains))
+			w.t.Fatalf("%s: chains enabled at %s: %v; controllers that lack the feature: %v", when, n, !on, c.rollout.ControllersLacking(rollout.Chains))
 		}
 	}
 }
 
-// A roll of three with troubles: one dies before its turn and comes back old, another goes back
-// to the old version after all were new. With presence alone it would be on whenever the old
-// one is down.
+// A rolling upgrade of three controllers with faults: one controller ends before it is upgraded and
+// restarts with the old version, and another returns to the old version after all were upgraded.
+// If only present controllers counted, the feature would be enabled whenever the old one is down.
 func TestFeatureWaitsForOneThatIsDown(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 391, 3)
@@ -65,7 +65,7 @@
 	w.wantOn("c2 down before its turn", false)
 	w.start("c2")
 	w.run(15 * time.Second)
-	w.wantOn("c2 came back old", false)
+	w.wantOn("c2 restarted with the old version", false)
 
 	w.params = fresh
 	w.kill("c2")
@@ -74,12 +74,12 @@
 	w.wantOn("all new", true)
 	w.kill("c1")
 	w.run(30 * time.Second)
-	w.wantOn("one that understands is down", true)
+	w.wantOn("an upgraded controller is down", true)
 
 	w.older("c1")
 	w.start("c1")
 	w.run(15 * time.Second)
-	w.wantOn("c1 came back old", false)
+	w.wantOn("c1 restarted with the old version", false)
 	w.kill("c1")
 	w.run(40 * time.Second)
 	w.wantOn("c1 down, was old", false)
@@ -89,9 +89,10 @@
 	w.wantOn("all new again", true)
 }
 
-// What a life says of itself is executed late, after it died and came back as an older version,
-// the others being older again already, so that nobody puts it right: it is not written down,
-// for the life that it is about is over.
+// An incarnation's write of its own version record is executed late, after the controller has
+// restarted with an older version. The other controllers have the older version again too, so none
+// would correct the record. The write must fail, because the incarnation that it describes has
+// ended.
 func TestVersionOfAnEarlierLifeExecutedLate(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 392, 3)
@@ -116,16 +117,16 @@
 		w.run(50 * time.Millisecond)
 		var r wire.Version
 		if err := wire.Unmarshal(w.key(wire.PrefixVersion+"c1").Value, &r); err != nil || held && r.Boot == was {
-			t.Fatalf("%v: written down of a life that is over: %+v %v", w.now, r, err)
+			t.Fatalf("%v: version record of an ended incarnation was written: %+v %v", w.now, r, err)
 		}
 	}
 	if !held {
-		t.Fatal("no write was held back")
+		t.Fatal("no write was delayed")
 	}
 	w.wantOn("all old", false)
 }
 
-// What the version in production has written, in the records kept as test data, is taken up.
+// Records that the version in production has written, which are kept as test data, must be loaded.
 func TestRecordsOfProductionAreTakenUp(t *testing.T) {
 	t.Parallel()
 	b, err := os.ReadFile("../../wire/testdata/production/records.json")
@@ -153,19 +154,19 @@
 		}
 	}
 	if len(c.jobs) == 0 || len(c.blocks) == 0 || len(c.shards) == 0 || len(c.demands) == 0 || len(c.nodes) == 0 || len(c.machineTypes) == 0 || len(c.calendar.Names()) == 0 || c.imageCaches.Len() == 0 {
-		t.Errorf("of %d records: %d jobs, %d blocks, %d shards, %d wants, %d controllers, %d types, %d crews, images of %d machines", len(records),
+		t.Errorf("of %d records: %d jobs, %d blocks, %d shards, %d wants, %d controllers, %d types, %d crews, images of %d machines were loaded", len(records),
 			len(c.jobs), len(c.blocks), len(c.shards), len(c.demands), len(c.nodes), len(c.machineTypes), len(c.calendar.Names()), c.imageCaches.Len())
 	}
 	if got := c.versions.Keys(); len(got) != len(keys) {
-		t.Errorf("%d keys are known, of %d", len(got), len(keys))
+		t.Errorf("%d of %d keys are known", len(got), len(keys))
 	}
 	if lack := c.rollout.ControllersLacking(rollout.Chains); len(lack) == 0 {
-		t.Error("a controller that production wrote of counts as one that understands chains")
+		t.Error("a controller of the production version counts as one that supports chains")
 	}
 }
 
-// A kind of message that a later version sends, and this one does not know, is no ping: it was
-// answered as one, and what had been kept for its sender's mirror was taken for unseen.
+// A message of a kind that only a later version knows must not be treated as a ping. Once it was
+// answered like one, and what had been kept for its sender's mirror was taken as not yet received.
 func TestAnUnknownKindOfMessageIsNoPing(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 393, 3)
@@ -173,7 +174,7 @@
 	c := w.nodes["c0"].core
 	for _, e := range c.Step(w.now, time.UnixMilli(1e12).Add(w.now), Peer{Msg: PeerMessage{From: "c1", Boot: 2, Revision: c.mirrorRevision}}) {
 		if p, is := e.(PeerSend); is {
-			t.Errorf("it is answered: %+v", p)
+			t.Errorf("the unknown message was answered: %+v", p)
 		}
 	}
 }
--- a/internal/core/starting_test.go
+++ b/internal/core/starting_test.go
@@ -10,7 +10,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// startWritten tells whether the state says that a job may have been started.
+// startWritten reports whether a start of the job is recorded in the state.
 func (w *world) startWritten(id string) bool {
 	for slot := 0; ; slot++ {
 		it, ok := w.store.Peek(startlog.Key(0, slot))
@@ -27,8 +27,9 @@
 	}
 }
 
-// Services that come together are started with few changes, and a successor knows on
-// which machine each of them may be: it waits for that machine alone, and starts none twice.
+// Services that are submitted together must be started with few changes of the state. The next
+// holder must know on which machine each of them may run, wait for that machine only, and start
+// none twice.
 func TestStartsOfManyJobsInOneChange(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 21, 2, func(w *world) {
@@ -46,8 +47,8 @@
 		w.submit(s)
 	}
 	w.run(10 * sec)
-	if n := w.changes() - before; n > 20+15 { // 20 acceptances; one change for each start would be 40
-		t.Errorf("%d changes for 20 services", n)
+	if n := w.changes() - before; n > 20+15 { // 20 acceptances and a few more; with one change per start there would be 40
+		t.Errorf("%d changes for 20 services, want at most 35", n)
 	}
 	holder := ""
 	for _, n := range sortedKeys(w.nodes) {
@@ -63,7 +64,7 @@
 			w.hang(m)
 		}
 	}
-	w.run(6 * sec) // taken over, all but one machine known, its lease still running
+	w.run(6 * sec) // the shard is taken over, and all machines but one have reported, whose lease has not ended
 	for _, n := range sortedKeys(w.nodes) {
 		c := w.nodes[n].core
 		if c == nil || !c.holdsShard(c.shardOfTeam("red")) {
@@ -71,9 +72,9 @@
 		}
 		for _, id := range sortedKeys(c.jobs) {
 			if e := c.jobs[id]; recordedMachine(&e.record, 0) == "" {
-				t.Errorf("%s: the successor does not know where it was started", id)
+				t.Errorf("%s: the next holder does not know the machine on which it was started", id)
 			} else if recordedMachine(&e.record, 0) != hung.info.Name && e.run.inheritedBelow > 0 {
-				t.Errorf("%s waits, though %s has been heard of", id, recordedMachine(&e.record, 0))
+				t.Errorf("%s still waits, although %s has reported", id, recordedMachine(&e.record, 0))
 			}
 		}
 	}
@@ -88,7 +89,7 @@
 	}
 }
 
-// changes counts the changes of the state so far.
+// changes returns the revision of the state, which counts its changes.
 func (w *world) changes() uint64 {
 	rev := uint64(0)
 	for _, n := range w.nodes {
@@ -99,8 +100,8 @@
 	return rev
 }
 
-// A machine that has been used is waited for after a takeover, though its block's record
-// still calls it fresh: that it is not fresh stands among the starts.
+// After a takeover the holder must wait for a machine that has been used, although its block's
+// record still marks it as fresh: that it has been used is recorded in the start log.
 func TestAUsedMachineIsNotFresh(t *testing.T) {
 	t.Parallel()
 	c := New(Params{Node: "a", NodeZones: map[string]string{"a": "n"}, Teams: map[string]Team{"red": {CPUs: 8, CPUsMax: 8}}, WorkerLease: 10 * sec, CancelTimeout: 40 * sec, MaxTxnOps: 8, MaxValueBytes: 8192})
@@ -124,8 +125,8 @@
 	}
 }
 
-// A controller that starts judges the machines that boot then, and takes none of those that
-// are up for a boot that it has seen.
+// A controller that has just started must evaluate the machines that boot then, and must not count
+// machines that are already up as boots that it has observed.
 func TestBootsAreJudgedAfterAStart(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 22, 2, func(w *world) { w.capacity = 40 })
@@ -138,17 +139,17 @@
 	kind, without := provisioning.Kind{Type: "std", Zone: "n", Spot: true}, newProvisioning()
 	c := w.nodes["c1"].core
 	if !c.loaded || c.provisioning.NewMachineChance(c.now, kind) != without.NewMachineChance(0, kind) {
-		t.Errorf("loaded %v, chance of a new machine %v, without evidence %v", c.loaded, c.provisioning.NewMachineChance(c.now, kind), without.NewMachineChance(0, kind))
+		t.Errorf("loaded %v; chance of a new machine %v, want %v as without observations", c.loaded, c.provisioning.NewMachineChance(c.now, kind), without.NewMachineChance(0, kind))
 	}
-	w.absent = 100 // what is rented from now on never comes
+	w.absent = 100 // machines that are rented from now on never come up
 	for i := range 3 {
 		w.submit(spec(fmt.Sprintf("job-%06d", 10+i), []string{"red", "blue", "green"}[i], wire.ShapeBatch, 100))
 	}
 	w.run(3 * sec)
 	w.kill("c1")
 	w.start("c1")
-	w.run(12 * sec) // twice a usual boot
+	w.run(12 * sec) // longer than twice the usual boot time
 	if c := w.nodes["c1"].core; c.provisioning.NewMachineChance(c.now, kind) >= without.NewMachineChance(0, kind) {
-		t.Errorf("machines that do not come are not seen: chance %v", c.provisioning.NewMachineChance(c.now, kind))
+		t.Errorf("machines that do not come up have not lowered the chance of a new machine: %v", c.provisioning.NewMachineChance(c.now, kind))
 	}
 }
--- a/internal/core/users_test.go
+++ b/internal/core/users_test.go
@@ -8,8 +8,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A user who has been told of an abort by one controller is told the same by another,
-// whose own watch lags behind: a poll is never answered from an old mirror.
+// After one controller has confirmed an abort to a user, another controller whose watch lags behind
+// must also report the job as aborted: a poll is never answered from an outdated mirror.
 func TestPollIsAsFreshAsWhatAnotherControllerHasTold(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 9, 3)
@@ -35,12 +35,12 @@
 	w.run(2 * sec)
 	for _, n := range []string{"c1", "c2"} {
 		if told[n] != "200 aborted" {
-			t.Errorf("%s says %q", n, told[n])
+			t.Errorf("%s answers %q, want 200 aborted", n, told[n])
 		}
 	}
 }
 
-// However many jobs are asked for, the state service is asked once.
+// Concurrent polls of any number of jobs must share one read of the state service.
 func TestPollsShareOneLookAtTheState(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 10, 3)
@@ -60,8 +60,8 @@
 		})
 	}
 	w.run(4 * tuning.PollReadInterval)
-	calls := w.reached["c1"] - before // what goes on beside it included
+	calls := w.reached["c1"] - before // includes the controller's other calls
 	if answered != jobs || calls > 20 {
-		t.Errorf("%d of %d answered by %d calls", answered, jobs, calls)
+		t.Errorf("%d of %d polls answered with %d state calls, want at most 20 calls", answered, jobs, calls)
 	}
 }
--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -12,8 +12,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// weighty is a world of whole-machine replicas that all want one image of 6 GB, from a store that gives two
-// machines their full rate: so many at once, with what is switched on.
+// weighty returns a world with a service of whole-machine replicas that all need one image of 6 GB,
+// from a store that can serve two machines at their full rate, with the given switches.
 func weighty(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.lease, w.reportS, w.capacity = 12*sec, sec, 60
@@ -29,7 +29,7 @@
 		p.Weights = s
 		return p
 	}
-	for i := range 3 { // the first lives began without it
+	for i := range 3 { // the first incarnations started without the switches
 		w.kill(fmt.Sprintf("c%d", i))
 		w.start(fmt.Sprintf("c%d", i))
 	}
@@ -56,7 +56,8 @@
 	return n
 }
 
-// allUp is how long it takes until so many replicas run, or so long.
+// allUp runs the world until n replicas of a job run, at most for the time most, and returns the time
+// that passed.
 func (w *world) allUp(job string, n int, most time.Duration) time.Duration {
 	began := w.now
 	for w.now < began+most && w.replicas(job) < n {
@@ -67,27 +68,28 @@
 
 var bothOn = weights.Switches{PeerTransfer: true, PaceFetches: true}
 
-// Twenty machines that all fetch 6 GB from a store of two machines' rate need a minute. Handed on, all have it
-// in little more than one of them alone would, which is 6 s.
+// Twenty machines that all fetch 6 GB from a store with the rate of two machines need a minute. With
+// transfers between machines, all must have the image in little more than the 6 s that one machine
+// alone needs.
 func TestWeightsAreHandedOn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2100); seed < 2103; seed++ {
 		alone := weighty(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
 		w := weighty(t, seed, 20, bothOn)
 		handed := w.allUp("job-000001", 20, 2*time.Minute)
-		t.Logf("seed %d: all up %v after the submission from the store, %v handed on", seed, alone, handed)
+		t.Logf("seed %d: all replicas run %v after the submission from the store alone, %v with peer transfer", seed, alone, handed)
 		if alone < 55*sec || handed > 16*sec {
-			t.Errorf("seed %d: all up after %v from the store, %v handed on", seed, alone, handed)
+			t.Errorf("seed %d: all replicas run after %v from the store alone, want at least 55 s; after %v with peer transfer, want at most 16 s", seed, alone, handed)
 		}
-		w.run(3 * sec) // until all have reported it
+		w.run(3 * sec) // until all machines have reported the image
 		view := w.weightsOf("w-1")
 		if len(view.Holders) != 20 {
-			t.Errorf("seed %d: %d holders are told of", seed, len(view.Holders))
+			t.Errorf("seed %d: the view lists %d machines with the image, want 20", seed, len(view.Holders))
 		}
 	}
 }
 
-// weightsOf is what all controllers together tell of an image.
+// weightsOf combines the views of all controllers of an image.
 func (w *world) weightsOf(image string) (all wire.WeightsImageView) {
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return AdminWeights{Req: q, Image: image} }, func(a Answer) {
@@ -100,19 +102,20 @@
 	return all
 }
 
-// A store that binds nobody, a machine's own rate that does: nothing is held back, and nothing is learned that
-// would be. One that binds is found out, and is then asked by as many as use it up: half of them are up in
-// little over half of the time, not all at the end.
+// If the machines' own rates are the bottleneck and not the store, no fetch may be delayed, and no
+// limit of the store may be learned that would delay later ones. If the store is the bottleneck, its
+// rate must be learned, and then only as many machines may fetch at once as use it up: half of the
+// replicas must run after little more than half of the time, instead of all at the end.
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
 	pace := weights.Switches{PaceFetches: true}
 	free := weighty(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
 	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
-		t.Errorf("own rates bind, and all are up after %v", took)
+		t.Errorf("the machines' own rates are the bottleneck, but all replicas run only after %v", took)
 	}
 	free.model("job-000002", "red", "w-2", 20)
-	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // machines are rented for them
-		t.Errorf("the second model is up after %v", took)
+	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // includes the time to rent machines
+		t.Errorf("all replicas of the second model run after %v, want at most 25 s", took)
 	}
 	bound := weighty(t, 2111, 20, pace)
 	bound.allUp("job-000001", 20, 2*time.Minute)
@@ -121,16 +124,17 @@
 	half := bound.allUp("job-000002", 10, 3*time.Minute)
 	bound.allUp("job-000002", 20, 3*time.Minute)
 	if all := bound.now - began; half > all*7/10 || all > 100*sec {
-		t.Errorf("the second model: half up after %v, all after %v", half, all)
+		t.Errorf("second model: half of the replicas run after %v, all after %v", half, all)
 	}
 }
 
-// Whatever ends, is cut, deaf, slow or late while weights are on their way: no rule breaks, no replica begins with
-// a part of them, and all are up within what the trouble and one fetch from the store cost.
+// Controllers and machines end or hang, links are cut, and the state or reports are late while weights
+// are being transferred. No rule may break, no replica may start with incomplete weights, and all
+// replicas must run within the time that the fault and one fetch from the store take.
 func TestWeightsWithTroubles(t *testing.T) {
 	t.Parallel()
 	holder := func(w *world) string { return w.shardRec("red").Holder }
-	source := func(w *world) *host { // the one that hands on the most, of those that have all of it or most
+	source := func(w *world) *host { // the machine that has the largest part of the image
 		var best *host
 		for _, n := range w.order {
 			if m := w.machines[n]; !m.gone && m.up && (best == nil || m.Fetched("w-1") > best.Fetched("w-1")) {
@@ -144,11 +148,11 @@
 		within  time.Duration
 		trouble func(w *world)
 	}{
-		{"the planner dies with half of a tree under way", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
+		{"the planner ends with half of a tree in progress", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
 		{"all controllers end", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
 		{"the leader ends", 15 * sec, func(w *world) { w.bounce(8*sec, w.leaderNode()) }},
 		{"two models", 15 * sec, func(w *world) { w.model("job-000003", "blue", "w-3", 8) }},
-		{"the only finished copy dies", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
+		{"the only finished copy is lost", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
 		{"a source hangs", 30 * sec, func(w *world) {
 			m := source(w)
 			w.hang(m)
@@ -192,13 +196,13 @@
 			t.Parallel()
 			for seed := uint64(2120); seed < 2123; seed++ {
 				w := weighty(t, seed, 20, bothOn)
-				w.run(6 * sec) // first copies are there or nearly, the others on their way
+				w.run(6 * sec) // the first copies are complete or nearly so, the others in progress
 				if n := w.replicas("job-000001"); n == 20 {
-					t.Fatalf("seed %d: not the meeting: %d replicas are up", seed, n)
+					t.Fatalf("seed %d: unsuitable initial state: all %d replicas run already", seed, n)
 				}
 				c.trouble(w)
 				if took := w.allUp("job-000001", 20, 3*time.Minute); took > c.within {
-					t.Errorf("seed %d: all up %v after the trouble", seed, took)
+					t.Errorf("seed %d: all replicas run %v after the fault", seed, took)
 				}
 				w.run(30 * sec)
 			}
@@ -206,8 +210,8 @@
 	}
 }
 
-// A new version follows on an old one that is cancelled. What a late report tells of an image long given up names
-// no source.
+// A new version of a service replaces an old one that is cancelled. A late report that names the old
+// image must not make its machine a source.
 func TestNewVersionOverAnOldOne(t *testing.T) {
 	t.Parallel()
 	w := weighty(t, 2130, 12, bothOn)
@@ -216,21 +220,22 @@
 	late, _ := w.machines[old].Inspect(w.now)
 	w.cancelSoon("job-000001", func() {})
 	w.run(20 * sec)
-	w.model("job-000002", "red", "w-2", 12) // a new version over the old
+	w.model("job-000002", "red", "w-2", 12) // the new version
 	w.run(3 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: late} }, func(Answer) {})
 	}
 	if took := w.allUp("job-000002", 12, 2*time.Minute); took > 30*sec {
-		t.Errorf("the new version is up after %v", took)
+		t.Errorf("all replicas of the new version run after %v, want at most 30 s", took)
 	}
 	if v := w.weightsOf("w-1"); len(v.Fetches) > 0 {
-		t.Errorf("the old version is being fetched: %+v", v.Fetches)
+		t.Errorf("the image of the old version is still being fetched: %+v", v.Fetches)
 	}
 }
 
-// The plan is one change an image and stage, whoever holds the shard; it names who fetches from the store, and goes
-// when all is done. Switched off, nothing is written or told.
+// A fetch plan must take one change per image and stage, whichever controller holds the shard. It
+// names the machines that fetch from the store, and is removed when all fetches are done. With the
+// switch off, no plan may be written.
 func TestPlansAreFewChanges(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
@@ -251,10 +256,10 @@
 		w.allUp("job-000001", 40, 3*time.Minute)
 		w.run(10 * sec)
 		if v := w.weightsOf("w-1"); len(v.Holders) != 40 {
-			t.Errorf("on %v: %d holders", on, len(v.Holders))
+			t.Errorf("peer transfer %v: the view lists %d machines with the image, want 40", on, len(v.Holders))
 		}
 		if on && (!named || writes < 2 || writes > 6) || !on && writes > 0 {
-			t.Errorf("on %v: %d plans written, roots named %v", on, writes, named)
+			t.Errorf("peer transfer %v: %d writes of plans, machines that fetch from the store named: %v", on, writes, named)
 		}
 	}
 }
