--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -83,13 +83,13 @@
 		})
 		b.Run(fmt.Sprintf("needs-%d", n), func(b *testing.B) {
 			for range b.N {
-				c.unmetNeeds(held0shard(c))
+				c.unmetNeeds(firstHeldShard(c))
 			}
 		})
 	}
 }
 
-func held0shard(c *Core) int { return sortedIntKeys(c.heldShards)[0] }
+func firstHeldShard(c *Core) int { return sortedIntKeys(c.heldShards)[0] }
 
 // fleetWorld returns a deployment of n machines and twelve teams, with services and arrays.
 func fleetWorld(t testing.TB, n int) *world {
--- a/internal/core/digest_test.go
+++ b/internal/core/digest_test.go
@@ -135,9 +135,9 @@
 		cordon := []*wire.Cordon{nil, {}, {Drain: true}}[w.rng.IntN(3)]
 		ask(n, func(q uint64) any { return AdminCordon{Req: q, Machine: machine, Cordon: cordon} })
 	case 2:
-		rungs := [][]wire.Tier{alarmRungs, nil, {{Name: ""}}, alarmRungs[1:]}[w.rng.IntN(4)]
+		newTiers := [][]wire.Tier{alarmTiers, nil, {{Name: ""}}, alarmTiers[1:]}[w.rng.IntN(4)]
 		ask(n, func(q uint64) any {
-			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: w.key(wire.KeyTierOrder).Version, Tiers: rungs, Check: w.rng.IntN(4) == 0}}
+			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: w.key(wire.KeyTierOrder).Version, Tiers: newTiers, Check: w.rng.IntN(4) == 0}}
 		})
 	default:
 		name := []string{"early", "late", "Never"}[w.rng.IntN(3)]
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -210,18 +210,18 @@
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
-	lad := wire.TierOrder{}
+	order := wire.TierOrder{}
 	for k := range 6 {
-		lad.Tiers = append(lad.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
+		order.Tiers = append(order.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
 	for k := range tuning.TierHistoryChanges {
 		c := wire.TierOrderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
-		for _, r := range lad.Tiers {
+		for _, r := range order.Tiers {
 			c.Tiers = append(c.Tiers, r.Name)
 		}
-		lad.History = append(lad.History, c)
+		order.History = append(order.History, c)
 	}
-	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
+	w.put(wire.KeyTierOrder, limits.Fit(order, bytes, tiers.DropOldestChange))
 }
 
 // progress writes the progress records of a job with the longest accepted description.
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -11,11 +11,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// judged records priority inversions, seen from outside the cores: a start was sent to a machine
+// inversionLog records priority inversions, seen from outside the cores: a start was sent to a machine
 // where a waiting task of a higher tier could have started instead. That task is of the same
 // shard, fits, is allowed on the machine, is within its team's limit, and has waited for longer
 // than the bound.
-type judged struct {
+type inversionLog struct {
 	since    map[string]time.Duration // by job: since when it has waited
 	unplaced map[string]time.Duration // by job: since when one of its tasks has not been placed
 	found    []string
@@ -43,20 +43,20 @@
 	return n
 }
 
-// ladderNow returns the stored tier order.
-func (w *world) ladderNow() *tiers.Order {
+// currentTierOrder returns the stored tier order.
+func (w *world) currentTierOrder() *tiers.Order {
 	var rec wire.TierOrder
 	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &rec)
 	return tiers.NewOrder(rec)
 }
 
-// lookForWaits records which jobs wait. After a takeover, tasks that the earlier holder may have
+// recordWaits records which jobs wait. After a takeover, tasks that the earlier holder may have
 // started cannot be started until the shard is reconciled, so a wait counts from then. When it was
 // counted from before, 29 of 80 seeds had starts judged by a bound that had passed while no holder
 // could act. A task that is done does not wait, even if it has been cleared from its worker: when
 // only the tasks on workers were counted, a job with one task done and cleared and the other
 // running counted as waiting.
-func (w *world) lookForWaits(v *judged) {
+func (w *world) recordWaits(v *inversionLog) {
 	for _, id := range sortedKeys(w.jobs) {
 		tasks := int(*w.jobs[id].spec.Tasks)
 		if w.check.Accepted(id) && w.check.Final(id) == "" && w.shardRec(*w.jobs[id].spec.Team).Settled && w.present(id)+w.check.DoneTasks(id) < tasks {
@@ -85,9 +85,9 @@
 }
 
 // judgeStart records the inversions that one start causes.
-func (w *world) judgeStart(v *judged, m *host, o worker.Ordered) {
+func (w *world) judgeStart(v *inversionLog, m *host, o worker.Ordered) {
 	id, _, _ := wire.ParseTask(o.Task)
-	l := w.ladderNow()
+	l := w.currentTierOrder()
 	rec := func(id string) *wire.Job { j, _ := w.jobs[id].spec.Validate(); return &j }
 	j := rec(id)
 	shard := w.shardRec(j.Team)
@@ -134,10 +134,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := crowded(t, c.seed)
-			if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
+			if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 				t.Fatalf("setting the tier order: got %d, want 200", got)
 			}
-			v := &judged{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
+			v := &inversionLog{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
 			w.ordered = func(m *host, o worker.Ordered) { w.judgeStart(v, m, o) }
 			for i := range 30 {
 				s := spec(fmt.Sprintf("job-5%05d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeBatch, 2)
@@ -154,7 +154,7 @@
 				}
 				for range 10 {
 					w.run(100 * time.Millisecond)
-					w.lookForWaits(v)
+					w.recordWaits(v)
 				}
 				if i%3 == 1 && i > 12 {
 					w.abort(fmt.Sprintf("job-5%05d", i-12))
@@ -162,7 +162,7 @@
 			}
 			for range 100 {
 				w.run(100 * time.Millisecond)
-				w.lookForWaits(v)
+				w.recordWaits(v)
 			}
 			if len(v.found) > 0 {
 				t.Errorf("%d inversions, the first: %s", len(v.found), v.found[0])
@@ -182,12 +182,12 @@
 	}
 }
 
-var alarmRungs = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
+var alarmTiers = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
 
-// setLadder changes the tier order at a node and returns the status of the answer.
-func (w *world) setLadder(node string, ver uint64, rungs []wire.Tier) (status int) {
+// setTierOrder changes the tier order at a node and returns the status of the answer.
+func (w *world) setTierOrder(node string, ver uint64, newTiers []wire.Tier) (status int) {
 	w.ask(node, func(q uint64) any {
-		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
+		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: newTiers}}
 	}, func(a Answer) { status = a.Status })
 	w.run(sec)
 	return status
@@ -201,27 +201,27 @@
 	w := staffed(t, 96, 2)
 	var got []int
 	for _, n := range []string{"c0", "c1"} {
-		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmRungs}} }, func(a Answer) { got = append(got, a.Status) })
+		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmTiers}} }, func(a Answer) { got = append(got, a.Status) })
 	}
 	w.run(sec)
 	if len(got) != 2 || got[0]+got[1] != 200+409 {
 		t.Errorf("two concurrent changes got %v, want 200 and 409", got)
 	}
 	ver := w.key(wire.KeyTierOrder).Version
-	if s := w.setLadder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
+	if s := w.setTierOrder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
 		t.Errorf("a class without teams: got %d, want 400 and no change", s)
 	}
 	for i, after := range []time.Duration{0, time.Millisecond, 4 * time.Millisecond, 8 * time.Millisecond, 12 * time.Millisecond, 20 * time.Millisecond} {
-		ver, was := w.key(wire.KeyTierOrder).Version, w.ladderNow()
-		rungs := []wire.Tier{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
+		ver, was := w.key(wire.KeyTierOrder).Version, w.currentTierOrder()
+		newTiers := []wire.Tier{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
 		w.ask("c0", func(q uint64) any {
-			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
+			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: newTiers}}
 		}, func(Answer) {})
 		w.run(after)
 		w.bounce(300*time.Millisecond, "c0", w.shardRec("blue").Holder)
 		w.run(8 * sec)
-		now := w.ladderNow()
-		if whole := now.Tiers()[0].Name == rungs[0].Name && now.Tiers()[1].Name == rungs[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
+		now := w.currentTierOrder()
+		if whole := now.Tiers()[0].Name == newTiers[0].Name && now.Tiers()[1].Name == newTiers[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
 			t.Errorf("controllers ended %v after the request: tiers %v are neither the old nor the new ones", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
@@ -230,12 +230,12 @@
 			}
 		}
 	}
-	if h := w.ladderRec().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
+	if h := w.storedTierOrder().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
 		t.Errorf("unexpected history: %v", h)
 	}
 }
 
-func (w *world) ladderRec() (r wire.TierOrder) {
+func (w *world) storedTierOrder() (r wire.TierOrder) {
 	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &r)
 	return r
 }
@@ -253,7 +253,7 @@
 			w.addMachine("n", false, sec)
 		}
 		w.run(5 * sec)
-		if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
+		if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 			t.Fatalf("set: %d", got)
 		}
 		s := spec("job-000001", "red", wire.ShapeBatch, 10000)
@@ -283,7 +283,7 @@
 		w.addMachine("n", false, sec)
 	}
 	w.run(20 * sec)
-	if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
+	if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 		t.Fatalf("set: %d", got)
 	}
 	w.oneWay["c0"] = "calls" // no direct calls, so that starts wait for the next reports
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -60,11 +60,11 @@
 		if u := w.unfinished(); u != nil {
 			t.Fatalf("seed %d: accepted and not done: %v", seed, u)
 		}
-		told := wire.Overview{}
-		w.ask("c0", func(q uint64) any { return AdminOverview{Req: q} }, func(a Answer) { told, _ = a.Body.(wire.Overview) })
+		overview := wire.Overview{}
+		w.ask("c0", func(q uint64) any { return AdminOverview{Req: q} }, func(a Answer) { overview, _ = a.Body.(wire.Overview) })
 		w.run(sec)
-		if n := len(told.Limits.Refused); n == 0 && told.Limits.ValueBytes != 16<<10 {
-			t.Errorf("seed %d: the overview shows the limits %+v", seed, told.Limits)
+		if n := len(overview.Limits.Refused); n == 0 && overview.Limits.ValueBytes != 16<<10 {
+			t.Errorf("seed %d: the overview shows the limits %+v", seed, overview.Limits)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 func TestLimitsFallAsTold(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(800); seed < 800+schedules/2; seed++ {
-		told := seed%3 != 2
+		announced := seed%3 != 2
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t, seed, 3, roomy)
@@ -104,10 +104,10 @@
 				w.start(n)
 			}
 			id := 1000
-			if !told {
+			if !announced {
 				next.ValueBytes, next.TxnOps, next.WriteRPS = 900, 2+int(seed%2), 12
 			}
-			w.at(time.Duration(w.rng.IntN(60))*sec, func() { w.lower(next, told) })
+			w.at(time.Duration(w.rng.IntN(60))*sec, func() { w.lower(next, announced) })
 			for range 25 {
 				if w.rng.IntN(3) == 0 {
 					w.newTrouble()
@@ -146,7 +146,7 @@
 	}
 	w.pollAll()
 	w.run(5 * sec)
-	w.untold = true
+	w.limitsUnannounced = true
 	tries := 0
 	w.refusing = func(c StateCall) string {
 		for _, ch := range c.Txn.Then {
@@ -191,7 +191,7 @@
 	w.addMachine("n", false, sec)
 	w.pollAll()
 	w.run(5 * sec)
-	w.untold = true
+	w.limitsUnannounced = true
 	w.refusing = func(c StateCall) string {
 		if len(c.Txn.Then) > 0 && strings.HasPrefix(c.Txn.Then[0].Put, wire.PrefixStart) {
 			return "the value is not allowed"
--- a/internal/core/progressing_test.go
+++ b/internal/core/progressing_test.go
@@ -8,10 +8,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// scattered returns a world with a job whose last tasks complete first, all at once, and whose other
+// scatteredWorld returns a world with a job whose last tasks complete first, all at once, and whose other
 // tasks then complete out of order, so that the completed tasks form more ranges than a record can
 // hold. If understood is false the controllers have none of the optional features.
-func scattered(t *testing.T, bytes, tasks int, understood bool) *world {
+func scatteredWorld(t *testing.T, bytes, tasks int, understood bool) *world {
 	w := newWorld(t, 700, 3, func(w *world) {
 		w.limits.ValueBytes = bytes
 		w.teams = map[string]Team{"red": {CPUs: 90, CPUsMax: 90}}
@@ -56,7 +56,7 @@
 		for _, understood := range []bool{false, true} {
 			t.Run(fmt.Sprint(x.bytes, understood), func(t *testing.T) {
 				t.Parallel()
-				w := scattered(t, x.bytes, x.tasks, understood)
+				w := scatteredWorld(t, x.bytes, x.tasks, understood)
 				w.run(60 * sec)
 				before := len(w.completed)
 				w.kill(w.shardRec("red").Holder)
--- a/internal/core/recount_test.go
+++ b/internal/core/recount_test.go
@@ -26,14 +26,14 @@
 			continue
 		}
 		c.refreshIndexes()
-		w.recountRoom(name, c)
+		w.recountCapacity(name, c)
 		w.recountOrder(name, c)
-		in, dropping, home := map[string]string{}, map[string]bool{}, map[string]int{}
+		in, toDelete, home := map[string]string{}, map[string]bool{}, map[string]int{}
 		for _, id := range sortedKeys(c.blocks) {
 			for _, bm := range c.blocks[id].record.Machines {
 				in[bm.Name] = id
 				if bm.Drop {
-					dropping[bm.Name] = true
+					toDelete[bm.Name] = true
 				}
 			}
 		}
@@ -81,7 +81,7 @@
 			w.same(name+" attempts by task", onTask, tasks)
 		}
 		w.same(name+" blocks of machines", in, c.blockOfMachine)
-		w.same(name+" machines to delete", dropping, c.markedForDeletion)
+		w.same(name+" machines to delete", toDelete, c.markedForDeletion)
 		w.same(name+" shards of teams", home, c.teamShards)
 		w.same(name+" blocks", sortedKeys(c.blocks), c.blockIDs(), cmpopts.EquateEmpty())
 		w.same(name+" jobs", len(c.jobs), len(c.jobsByAge()))
@@ -89,9 +89,9 @@
 	}
 }
 
-// recountRoom compares the capacity ledger, and other data derived from the machines, with the
+// recountCapacity compares the capacity ledger, and other data derived from the machines, with the
 // machines.
-func (w *world) recountRoom(name string, c *Core) {
+func (w *world) recountCapacity(name string, c *Core) {
 	used, spare, open, most, coming := c.plainUsage(), map[int]int{}, map[int]int{}, map[int]placement.Size{}, map[string]bool{}
 	for _, m := range c.heldMachines() {
 		f, ok := c.capacity.Get(m)
@@ -153,17 +153,17 @@
 		return true
 	})
 	w.same(name+" job queue", want, got)
-	owed, behind := map[string]bool{}, map[string]bool{}
+	pendingWrites, pendingProgress := map[string]bool{}, map[string]bool{}
 	for _, e := range c.jobsByAge() {
 		if e.run == nil {
 			continue
 		}
-		_, ended, owes := c.unwrittenStarts(e)
-		if owes {
-			owed[e.record.ID] = true
+		_, ended, pending := c.unwrittenStarts(e)
+		if pending {
+			pendingWrites[e.record.ID] = true
 		}
 		if !ended && e.run.done.Count() > ranges.Count(e.record.Done) {
-			behind[e.record.ID] = true
+			pendingProgress[e.record.ID] = true
 		}
 	}
 	ids := func(set map[*jobEntry]bool) map[string]bool {
@@ -173,8 +173,8 @@
 		}
 		return out
 	}
-	w.same(name+" jobs with starts or ends to write", owed, ids(c.pendingWrites))
-	w.same(name+" jobs with progress to write", behind, ids(c.pendingProgress))
+	w.same(name+" jobs with starts or ends to write", pendingWrites, ids(c.pendingWrites))
+	w.same(name+" jobs with progress to write", pendingProgress, ids(c.pendingProgress))
 }
 
 func (w *world) same(what string, want, got any, opts ...cmp.Option) {
@@ -188,7 +188,7 @@
 // uncounted.
 func (c *Core) plainUsage() map[string]placement.Size {
 	u := map[string]placement.Size{}
-	strangers := map[int]placement.Size{}
+	unknownUsage := map[int]placement.Size{}
 	for _, m := range c.heldMachines() {
 		x := c.usageOf(m)
 		n := x.unknownAttempts
@@ -198,16 +198,16 @@
 		if n > 0 {
 			full, _ := c.machineSize(m.machineType)
 			for range n {
-				strangers[m.shard] = strangers[m.shard].Add(full)
+				unknownUsage[m.shard] = unknownUsage[m.shard].Add(full)
 			}
 		}
 		for _, t := range x.teams {
 			u[t.Team] = u[t.Team].Add(t.Size)
 		}
 	}
-	if len(strangers) > 0 {
+	if len(unknownUsage) > 0 {
 		for team := range c.params.Teams {
-			u[team] = u[team].Add(strangers[c.shardOfTeam(team)])
+			u[team] = u[team].Add(unknownUsage[c.shardOfTeam(team)])
 		}
 	}
 	return u
--- a/internal/core/troubles_test.go
+++ b/internal/core/troubles_test.go
@@ -88,16 +88,16 @@
 				w.bounce(5*sec, c.kill(w, at))
 			}
 			took := w.until(60*sec, func() bool { return w.up() == 30 })
-			if t.Logf("all replicas run elsewhere after %v; %d start commands were lost", took, w.runsLost); took > c.within {
+			if t.Logf("all replicas run elsewhere after %v; %d start commands were lost", took, w.startsLost); took > c.within {
 				t.Errorf("all replicas run elsewhere after %v, want at most %v", took, c.within)
 			}
-			lost := w.runsLost
+			lost := w.startsLost
 			if lost > 4*len(at) {
 				t.Errorf("%d start commands were sent to %d machines that receive no answers", lost, len(at))
 			}
 			w.run(30 * sec)
-			if w.runsLost > lost+len(at) {
-				t.Errorf("%d more start commands were sent after the machines were detected", w.runsLost-lost)
+			if w.startsLost > lost+len(at) {
+				t.Errorf("%d more start commands were sent after the machines were detected", w.startsLost-lost)
 			}
 			w.deafen(false, at...)
 			w.run(15 * sec)
--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -12,9 +12,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// weighty returns a world with a service of whole-machine replicas that all need one image of 6 GB,
+// weightsWorld returns a world with a service of whole-machine replicas that all need one image of 6 GB,
 // from a store that can serve two machines at their full rate, with the given switches.
-func weighty(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
+func weightsWorld(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.lease, w.reportS, w.capacity = 12*sec, sec, 60
 		w.teams = map[string]Team{"red": {CPUs: 200, CPUsMax: 260}, "blue": {CPUs: 40, CPUsMax: 60}}
@@ -37,12 +37,12 @@
 		w.addMachine([]string{"n", "s"}[i%2], false, sec)
 	}
 	w.run(8 * sec)
-	w.model("job-000001", "red", "w-1", replicas)
+	w.submitModel("job-000001", "red", "w-1", replicas)
 	return w
 }
 
-// model submits a service of whole-machine replicas.
-func (w *world) model(id, team, image string, replicas int) {
+// submitModel submits a service of whole-machine replicas.
+func (w *world) submitModel(id, team, image string, replicas int) {
 	s := spec(id, team, wire.ShapeService, replicas)
 	s.DueS, s.CPUs, s.Image, s.ImageGB, s.Spot = nil, ptr(4.0), ptr(image), ptr(6.0), ptr(false)
 	w.submit(s)
@@ -74,8 +74,8 @@
 func TestWeightsAreHandedOn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2100); seed < 2103; seed++ {
-		alone := weighty(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
-		w := weighty(t, seed, 20, bothOn)
+		alone := weightsWorld(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
+		w := weightsWorld(t, seed, 20, bothOn)
 		handed := w.allUp("job-000001", 20, 2*time.Minute)
 		t.Logf("seed %d: all replicas run %v after the submission from the store alone, %v with peer transfer", seed, alone, handed)
 		if alone < 55*sec || handed > 16*sec {
@@ -109,17 +109,17 @@
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
 	pace := weights.Switches{PaceFetches: true}
-	free := weighty(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
+	free := weightsWorld(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
 	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
 		t.Errorf("the machines' own rates are the bottleneck, but all replicas run only after %v", took)
 	}
-	free.model("job-000002", "red", "w-2", 20)
+	free.submitModel("job-000002", "red", "w-2", 20)
 	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // includes the time to rent machines
 		t.Errorf("all replicas of the second model run after %v, want at most 25 s", took)
 	}
-	bound := weighty(t, 2111, 20, pace)
+	bound := weightsWorld(t, 2111, 20, pace)
 	bound.allUp("job-000001", 20, 2*time.Minute)
-	bound.model("job-000002", "red", "w-2", 20)
+	bound.submitModel("job-000002", "red", "w-2", 20)
 	began := bound.now
 	half := bound.allUp("job-000002", 10, 3*time.Minute)
 	bound.allUp("job-000002", 20, 3*time.Minute)
@@ -151,7 +151,7 @@
 		{"the planner ends with half of a tree in progress", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
 		{"all controllers end", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
 		{"the leader ends", 15 * sec, func(w *world) { w.bounce(8*sec, w.leaderNode()) }},
-		{"two models", 15 * sec, func(w *world) { w.model("job-000003", "blue", "w-3", 8) }},
+		{"two models", 15 * sec, func(w *world) { w.submitModel("job-000003", "blue", "w-3", 8) }},
 		{"the only finished copy is lost", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
 		{"a source hangs", 30 * sec, func(w *world) {
 			m := source(w)
@@ -195,7 +195,7 @@
 		t.Run(strings.ReplaceAll(c.what, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(2120); seed < 2123; seed++ {
-				w := weighty(t, seed, 20, bothOn)
+				w := weightsWorld(t, seed, 20, bothOn)
 				w.run(6 * sec) // the first copies are complete or nearly so, the others in progress
 				if n := w.replicas("job-000001"); n == 20 {
 					t.Fatalf("seed %d: unsuitable initial state: all %d replicas run already", seed, n)
@@ -214,13 +214,13 @@
 // image must not make its machine a source.
 func TestNewVersionOverAnOldOne(t *testing.T) {
 	t.Parallel()
-	w := weighty(t, 2130, 12, bothOn)
+	w := weightsWorld(t, 2130, 12, bothOn)
 	w.run(9 * sec)
 	old := w.order[0]
 	late, _ := w.machines[old].Inspect(w.now)
 	w.cancelSoon("job-000001", func() {})
 	w.run(20 * sec)
-	w.model("job-000002", "red", "w-2", 12) // the new version
+	w.submitModel("job-000002", "red", "w-2", 12) // the new version
 	w.run(3 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: late} }, func(Answer) {})
@@ -241,7 +241,7 @@
 	for _, on := range []bool{true, false} {
 		s := weights.Switches{PeerTransfer: on}
 		writes, named := 0, false
-		w := weighty(t, 2140, 40, s, func(w *world) {
+		w := weightsWorld(t, 2140, 40, s, func(w *world) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 				for _, ch := range v.Txn.Then {
 					if strings.HasPrefix(ch.Put, wire.PrefixWeights) {
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -437,7 +437,7 @@
 			r.Events = b
 		case wire.Problem:
 			if r.Err = b.Error; a.Status == 400 && b.Error != "no such lease" {
-				if w.malformed++; w.untold {
+				if w.malformed++; w.limitsUnannounced {
 					break // the controllers do not know the service's lowered limits
 				}
 				w.t.Fatalf("%v: the state service refused a call as malformed: %s", w.now, b.Error)
@@ -584,8 +584,8 @@
 			switch b := a.Body.(type) {
 			case wire.ReportReply:
 				o.Reply = b
-				w.noteTold(s.Report)
-				w.wasted(m, b)
+				w.noteReportedEnds(s.Report)
+				w.countLostStarts(m, b)
 			case wire.Redirect:
 				o.Holder = b.Holder
 			}
--- a/internal/core/world_troubles_test.go
+++ b/internal/core/world_troubles_test.go
@@ -13,18 +13,18 @@
 // troubles holds the injected faults between workers, controllers and the state service, and
 // what is recorded about them.
 type troubles struct {
-	deaf     map[string]bool             // machines whose reports arrive, but that receive no answers and no calls
-	runsLost int                         // start commands in answers that these machines did not receive
-	copies   int                         // percentage of reports of which a copy arrives later, at any controller
-	copyLate time.Duration               // greatest delay of these copies
-	markLate time.Duration               // delay of writes that mark a block idle
-	ordered  func(*host, worker.Ordered) // called for each start command that a worker accepts
-	marking  *wire.Block                 // the last block of which such a write was delayed
-	keep     map[string][]wire.Report    // all reports by machine; nil: not kept
-	stale    map[string]int              // number of late copies that arrived, by machine that is gone; nil: not counted
+	deaf       map[string]bool             // machines whose reports arrive, but that receive no answers and no calls
+	startsLost int                         // start commands in answers that these machines did not receive
+	copies     int                         // percentage of reports of which a copy arrives later, at any controller
+	copyLate   time.Duration               // greatest delay of these copies
+	markLate   time.Duration               // delay of writes that mark a block idle
+	ordered    func(*host, worker.Ordered) // called for each start command that a worker accepts
+	marking    *wire.Block                 // the last block of which such a write was delayed
+	keep       map[string][]wire.Report    // all reports by machine; nil: not kept
+	stale      map[string]int              // number of late copies that arrived, by machine that is gone; nil: not counted
 
-	untold    bool // the state service has lower limits than the controllers were given
-	malformed int  // number of calls that it refused as malformed
+	limitsUnannounced bool // the state service has lower limits than the controllers were given
+	malformed         int  // number of calls that it refused as malformed
 
 	refusing func(StateCall) string // returns the error with which a call is refused as malformed, or ""; may be nil
 
@@ -66,8 +66,8 @@
 	}
 }
 
-// noteTold records the completed tasks in a report that was answered with 200.
-func (w *world) noteTold(r wire.Report) {
+// noteReportedEnds records the completed tasks in a report that was answered with 200.
+func (w *world) noteReportedEnds(r wire.Report) {
 	for _, a := range r.Attempts {
 		if a.Status == wire.TaskEnded && a.Cause == wire.CauseDone {
 			if w.told == nil {
@@ -119,11 +119,11 @@
 	}
 }
 
-// wasted counts the start commands in an answer to a machine that does not receive it.
-func (w *world) wasted(m *host, r wire.ReportReply) {
+// countLostStarts counts the start commands in an answer to a machine that does not receive it.
+func (w *world) countLostStarts(m *host, r wire.ReportReply) {
 	for _, c := range r.Commands {
 		if w.deaf[m.info.Name] && c.Verb == wire.VerbRun {
-			w.runsLost++
+			w.startsLost++
 		}
 	}
 }
@@ -250,7 +250,7 @@
 // lower sets lower limits of the state service from now on. If told is true the controllers
 // know them, so no write may be refused as malformed.
 func (w *world) lower(l state.Limits, told bool) {
-	l.PageItems, w.untold = w.limits.PageItems, !told
+	l.PageItems, w.limitsUnannounced = w.limits.PageItems, !told
 	w.store.Limit(w.now, l)
 }
 
