--- a/internal/core/chains_told_test.go
+++ b/internal/core/chains_told_test.go
@@ -42,10 +42,10 @@
 	}
 	w.abort("job-000012")
 	w.run(60 * sec)
-	got, told := map[string][]string{}, ChainCounts{}
+	got, published := map[string][]string{}, ChainCounts{}
 	for _, n := range sortedKeys(w.nodes) {
 		c := w.nodes[n].core.announcedChains
-		told = ChainCounts{Waiting: told.Waiting + c.Waiting, Released: told.Released + c.Released, Cancelled: told.Cancelled + c.Cancelled}
+		published = ChainCounts{Waiting: published.Waiting + c.Waiting, Released: published.Released + c.Released, Cancelled: published.Cancelled + c.Cancelled}
 		for _, e := range w.trailOf(n, "").Events {
 			if e.Kind == trail.JobReleased || e.Kind == trail.JobCancelled {
 				got[e.Kind] = append(got[e.Kind], e.Job+" "+e.Why)
@@ -56,8 +56,8 @@
 	if d := cmp.Diff(want, got); d != "" {
 		t.Error(d)
 	}
-	if told != (ChainCounts{Released: 1, Cancelled: 1}) {
-		t.Errorf("published counts: %+v", told)
+	if published != (ChainCounts{Released: 1, Cancelled: 1}) {
+		t.Errorf("published counts: %+v", published)
 	}
 }
 
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -129,7 +129,7 @@
 		seed uint64
 	}{
 		{"nobody", func(*world) []string { return nil }, 95}, {"the holder", holder, 95}, {"the leader", leader, 95}, {"all", all, 95},
-		{"the holder, another day", holder, 98}, {"the leader, another day", leader, 97}, {"all, another day", all, 96}, {"all, a third", all, 99},
+		{"the holder, another seed", holder, 98}, {"the leader, another seed", leader, 97}, {"all, another seed", all, 96}, {"all, a third seed", all, 99},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("seed %d: %d writes were refused as malformed in the first 30 s, and %d later, want none", seed, learned, w.malformed-learned)
 		}
 		if u := w.unfinished(); u != nil {
-			t.Fatalf("seed %d: accepted and not done: %v", seed, u)
+			t.Fatalf("seed %d: accepted jobs that are not done: %v", seed, u)
 		}
 		overview := wire.Overview{}
 		w.ask("c0", func(q uint64) any { return AdminOverview{Req: q} }, func(a Answer) { overview, _ = a.Body.(wire.Overview) })
--- a/internal/core/users_test.go
+++ b/internal/core/users_test.go
@@ -23,19 +23,19 @@
 	w.run(5 * sec)
 	w.watchLag = 1200 * 1e6
 	w.run(2 * sec)
-	told := map[string]string{}
+	answers := map[string]string{}
 	for _, n := range []string{"c1", "c2"} {
 		w.ask("c0", func(id uint64) any { return Abort{Req: id, ID: "job-000001"} }, func(a Answer) {
 			if a.Status != 200 {
 				t.Fatalf("abort: %+v", a)
 			}
-			w.ask(n, func(id uint64) any { return Poll{Req: id, ID: "job-000001"} }, func(a Answer) { told[n] = fmt.Sprint(a.Status, " ", a.Body.(wire.JobStatus).Status) })
+			w.ask(n, func(id uint64) any { return Poll{Req: id, ID: "job-000001"} }, func(a Answer) { answers[n] = fmt.Sprint(a.Status, " ", a.Body.(wire.JobStatus).Status) })
 		})
 	}
 	w.run(2 * sec)
 	for _, n := range []string{"c1", "c2"} {
-		if told[n] != "200 aborted" {
-			t.Errorf("%s answers %q, want 200 aborted", n, told[n])
+		if answers[n] != "200 aborted" {
+			t.Errorf("%s answers %q, want 200 aborted", n, answers[n])
 		}
 	}
 }
--- a/internal/core/world_orders_test.go
+++ b/internal/core/world_orders_test.go
@@ -50,34 +50,34 @@
 // deliver delivers direct commands to a worker. Some are lost and some arrive late; a machine
 // that hangs reads them when it resumes.
 func (w *world) deliver(n *ctrl, v WorkerCall, lag time.Duration) {
-	life := n.life
-	told := func(status int, r wire.Report) {
-		if (v.ReturnOutcome || v.ProbeOnly) && n.life == life {
+	incarnation := n.incarnation
+	respond := func(status int, r wire.Report) {
+		if (v.ReturnOutcome || v.ProbeOnly) && n.incarnation == incarnation {
 			w.step(n, WorkerCallDone{Machine: v.Machine, Token: v.Orders.Token, Session: v.Orders.Session, ProbeOnly: v.ProbeOnly, RequestedBy: v.RequestedBy, Status: status, Report: r})
 		}
 	}
 	if w.outOfReach(n.name, v.Machine) && !w.called || w.oneWay[n.name] == "calls" || w.deaf[v.Machine] {
-		w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
+		w.at(tuning.WorkerCallTimeout, func() { respond(0, wire.Report{}) })
 		return
 	}
 	if w.unsure > 0 && w.rng.IntN(100) < w.unsure {
 		if w.rng.IntN(2) == 0 {
-			w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
+			w.at(tuning.WorkerCallTimeout, func() { respond(0, wire.Report{}) })
 			return
 		}
 		lag += time.Duration(w.rng.IntN(8000)) * time.Millisecond
 	}
 	if w.holdOrders > 0 { // the sender's call times out, but its packets are delivered when the cut ends
 		lag += time.Duration(w.rng.Int64N(int64(w.holdOrders)))
-		if answered := told; lag > tuning.WorkerCallTimeout {
+		if answered := respond; lag > tuning.WorkerCallTimeout {
 			w.at(tuning.WorkerCallTimeout, func() { answered(0, wire.Report{}) })
-			told = func(int, wire.Report) {}
+			respond = func(int, wire.Report) {}
 		}
 	}
 	w.at(lag, func() {
 		m := w.machines[v.Machine]
 		if m.gone || !m.up {
-			w.at(tuning.WorkerCallTimeout, func() { told(0, wire.Report{}) })
+			w.at(tuning.WorkerCallTimeout, func() { respond(0, wire.Report{}) })
 			return
 		}
 		if m.Fault.Hung {
@@ -87,11 +87,11 @@
 		if v.ProbeOnly {
 			r, out := m.Inspect(w.now)
 			w.drive(m, out)
-			w.at(w.lag(), func() { told(200, r) })
+			w.at(w.lag(), func() { respond(200, r) })
 			return
 		}
 		status, r, out := m.Orders(w.now, v.Orders)
 		w.drive(m, out)
-		w.at(w.lag(), func() { told(status, r) })
+		w.at(w.lag(), func() { respond(status, r) })
 	})
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -71,14 +71,14 @@
 }
 
 type ctrl struct {
-	name    string
-	core    *Core
-	began   time.Duration
-	life    int
-	reqs    uint64
-	waiting map[uint64]func(Answer)
-	still   time.Duration // paused until then; inputs that arrive before are queued in held
-	held    []any
+	name        string
+	core        *Core
+	began       time.Duration
+	incarnation int
+	reqs        uint64
+	waiting     map[uint64]func(Answer)
+	still       time.Duration // paused until then; inputs that arrive before are queued in held
+	held        []any
 }
 
 // host is a machine and its worker, which may not have started yet.
@@ -223,32 +223,32 @@
 func (w *world) start(name string) {
 	n := w.nodes[name]
 	n.core, n.began, n.waiting, n.still, n.held = New(w.params(name)), w.now, map[uint64]func(Answer){}, 0, nil
-	n.life++
-	w.tick(n, n.life)
+	n.incarnation++
+	w.tick(n, n.incarnation)
 }
 
 func (w *world) kill(name string) {
 	n := w.nodes[name]
 	n.core = nil
-	n.life++
+	n.incarnation++
 }
 
-func (w *world) tick(n *ctrl, life int) {
-	if n.life != life || n.core == nil {
+func (w *world) tick(n *ctrl, incarnation int) {
+	if n.incarnation != incarnation || n.core == nil {
 		return
 	}
 	w.step(n, Tick{})
-	w.at(50*time.Millisecond, func() { w.tick(n, life) })
+	w.at(50*time.Millisecond, func() { w.tick(n, incarnation) })
 }
 
 // stand pauses a controller for the duration d. Inputs that arrive meanwhile are processed in
 // order afterwards.
 func (w *world) stand(name string, d time.Duration) {
 	n := w.nodes[name]
-	life := n.life
+	incarnation := n.incarnation
 	n.still = w.now + d
 	w.at(d, func() {
-		if n.life == life && w.now >= n.still {
+		if n.incarnation == incarnation && w.now >= n.still {
 			held := n.held
 			n.held = nil
 			w.step(n, Tick{}) // a process notices the time before the input that waits in its sockets
@@ -269,10 +269,10 @@
 		}
 		return
 	}
-	life := n.life
+	incarnation := n.incarnation
 	back := func(in any) func() {
 		return func() {
-			if n.life == life {
+			if n.incarnation == incarnation {
 				w.step(n, in)
 			}
 		}
