--- a/internal/core/crews_test.go
+++ b/internal/core/crews_test.go
@@ -9,12 +9,11 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// hourIn returns the first full minute at least d from now, as used for departures.
+// hourIn is an hour that is at least so long from now, as crews' hours are written.
 func (w *world) hourIn(d time.Duration) time.Time {
 	return time.UnixMilli(1e12).Add(w.now + d + time.Minute - 1).UTC().Truncate(time.Minute)
 }
 
-// crewOf returns a crew of team red with the class door and one departure.
 func crewOf(leaves time.Time) wire.Crew {
 	return wire.Crew{Team: "red", Classes: []string{"door"}, Leaves: leaves.Format(calendar.MinuteLayout), TimeZone: "UTC"}
 }
@@ -33,9 +32,9 @@
 	return k, it.Version
 }
 
-// Scans are submitted a minute or two before a crew leaves, while other work of the same team that
-// is due sooner takes all capacity. With the crew in the calendar the scans must be done by the
-// departure, whichever controllers end meanwhile. Without it hardly any is.
+// Scans come a minute or two before a crew leaves, among work of their own team that is due sooner and
+// fills every place. With the crew in the calendar they are done by the hour, whoever ends
+// meanwhile; without it hardly any is.
 func TestScansBeforeTheCrewLeaves(t *testing.T) {
 	t.Parallel()
 	done := func(crew bool, ends func(w *world) []string) (n int) {
@@ -47,17 +46,17 @@
 			}
 		}
 		until := leaves.Sub(time.UnixMilli(1e12)) - w.now
-		for i := range 40 { // due sooner, and more than fits
+		for i := range 40 { // due sooner, and more than there is room for
 			s := spec(fmt.Sprintf("job-8%05d", i), "red", wire.ShapeBatch, 16)
 			s.DueS = ptr(60.0)
 			w.at(time.Duration(i)*2*sec, func() { w.submit(s) })
 		}
 		for i := range 6 {
 			s := spec(fmt.Sprintf("job-7%05d", i), "red", wire.ShapeBatch, 6)
-			s.Class, s.DueS, s.EstimateS = ptr("door"), nil, ptr(3.0) // the tasks run up to three times as long as estimated
+			s.Class, s.DueS, s.EstimateS = ptr("door"), nil, ptr(3.0) // its tasks run up to three times as long
 			w.at(30*sec, func() { w.submit(s) })
 		}
-		gone := spec("job-790000", "red", wire.ShapeBatch, 4) // cancelled, so it must not count in the outcome
+		gone := spec("job-790000", "red", wire.ShapeBatch, 4) // cancelled, so it counts for nothing
 		gone.Class, gone.DueS = ptr("door"), nil
 		w.submit(gone)
 		w.at(3*sec, func() { w.abort("job-790000") })
@@ -76,7 +75,7 @@
 		w.run(60 * sec)
 		k, _ := w.crewRec("early")
 		if len(k.Past) != 1 || k.Past[0].Jobs > 6 || k.Past[0].Met > n || k.Past[0].LateS > 0 && n == 6 {
-			t.Errorf("outcome %+v with %d of 6 jobs done", k.Past, n)
+			t.Errorf("outcome %+v, %d of 6 done", k.Past, n)
 		}
 		return n
 	}
@@ -88,13 +87,13 @@
 		"all":    func(w *world) []string { return sortedKeys(w.nodes) },
 	} {
 		if n := done(true, ends); n < 6 || without > 2 {
-			t.Errorf("%s ends: %d of 6 jobs done by the departure, %d without the calendar", name, n, without)
+			t.Errorf("%s ends: %d of 6 jobs done by the hour, %d without the calendar", name, n, without)
 		}
 	}
 }
 
-// Machines for a departure must be rented ahead exactly once, even if the leader ends at any moment
-// of the rental, and be kept until the departure.
+// Machines are rented ahead once, whoever leads and ends at whatever moment of it, and kept
+// until the hour.
 func TestRentedAheadOnce(t *testing.T) {
 	t.Parallel()
 	for _, after := range []time.Duration{-1, 0, 5 * time.Millisecond, 10 * time.Millisecond, 15 * time.Millisecond, 25 * time.Millisecond, 60 * time.Millisecond} {
@@ -110,14 +109,14 @@
 				break
 			}
 		}
-		if after >= 0 { // the names are recorded, but the outcome of the rental is unknown
+		if after >= 0 { // the names stand in the record; what comes of them is open
 			w.run(after)
 			w.bounce(300*time.Millisecond, w.leaderNode())
 		}
 		w.run(12 * sec)
 		b := w.booked("early")
 		if len(b) != 1 || b[0].Count != 2 || !b[0].Done {
-			t.Fatalf("leader ended after %v: bookings %+v", after, b)
+			t.Fatalf("ended after %v: booked %+v", after, b)
 		}
 		up := 0
 		for _, n := range w.order {
@@ -126,20 +125,19 @@
 			}
 		}
 		if up != 2 {
-			t.Errorf("leader ended after %v: %d machines for a booking of 2", after, up)
+			t.Errorf("ended after %v: %d machines for a booking of 2", after, up)
 		}
 		w.run(90 * sec)
 		if left := w.hourIn(0); !w.machines[w.order[0]].gone && time.UnixMilli(b[0].LeavesMS).Before(left.Add(-2*time.Minute)) {
-			t.Error("a machine rented ahead was kept after the departure")
+			t.Error("a machine rented ahead is kept after the hour")
 		}
 	}
 }
 
 func (w *world) booked(name string) []wire.CrewBooking { k, _ := w.crewRec(name); return k.Booked }
 
-// Controllers with the same records must compute the same plan. A departure that is moved earlier
-// must take effect at once. Of concurrent changes by operators at most one may succeed. An invalid
-// change must be refused without effect.
+// Controllers that know the same plan the same; a departure moved earlier counts at once; of
+// two operators one reads again; what is wrong is refused and changes nothing.
 func TestCrewsAreOneCalendar(t *testing.T) {
 	t.Parallel()
 	w := crowded(t, 112)
@@ -182,27 +180,27 @@
 		t.Errorf("three operators at once: %v, record %+v", statuses, now)
 	}
 	if q := plans()["c1"]; !q.Pressed || q.Miss == 0 || q.Say == "" {
-		t.Errorf("plan after the departure was moved an hour earlier, with 240 tasks left: %+v", q)
+		t.Errorf("an hour earlier, with 240 tasks to do: %+v", q)
 	}
 	_, ver = w.crewRec("early")
 	bad := k
 	bad.Team = "mauve"
 	if s := w.putCrew("c2", "early", ver, bad); s != 400 {
-		t.Errorf("crew of an unknown team: got %d, want 400", s)
+		t.Errorf("an unknown team: %d", s)
 	}
 	if _, v := w.crewRec("early"); v < ver {
 		t.Error("a refused change has changed the record")
 	}
 	w.ask("c1", func(q uint64) any { return AdminCrew{Req: q, Name: "nobody"} }, func(a Answer) {
 		if a.Status != 404 {
-			t.Errorf("cancelling an unknown crew: got %d, want 404", a.Status)
+			t.Errorf("cancel of nobody: %d", a.Status)
 		}
 	})
 	w.run(sec)
 }
 
-// A departure counts as a job's due time long before its work is at risk. Of two jobs, the one that
-// must be done by the departure goes first, although the other was submitted earlier.
+// A departure counts as a job's due time long before its work is pressed: of two jobs the one
+// that has to be done by the hour goes first, though the other came before it.
 func TestADepartureIsADueTime(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 113, 3, func(w *world) { w.capacity = 0 })
@@ -220,11 +218,11 @@
 	}
 	c := w.nodes[w.shardRec("red").Holder].core
 	if d, ok := c.calendar.Requirement("job-700001"); !ok || d.Pressed || d.Due == 0 {
-		t.Fatalf("the departure should be known and not pressed: %+v", d)
+		t.Fatalf("the departure should be known and not press: %+v", d)
 	}
-	w.addMachine("n", false, sec) // capacity for one of them
+	w.addMachine("n", false, sec) // room for one of them
 	w.until(20*sec, func() bool { return w.begun("job-700000") || w.begun("job-700001") })
 	if w.begun("job-700000") || !w.begun("job-700001") {
-		t.Error("a job that is due later started before one that is due at the departure")
+		t.Error("a job that is due later goes before one of a departure")
 	}
 }
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -22,14 +22,13 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// writer writes records to a state service with low limits, and keeps the size of the largest record
-// and the number of records by kind.
+// writer writes records to a state service of lower limits, and notes the largest of each kind.
 type writer struct {
 	t       *testing.T
 	store   *state.Store
 	id      uint64
-	bytes   map[string]int // size of the largest record in JSON form, by kind
-	records map[string]int // number of writes, by kind
+	bytes   map[string]int // of the largest, by kind
+	records map[string]int
 }
 
 func newWriter(t *testing.T, l state.Limits) *writer {
@@ -57,8 +56,8 @@
 	w.records[kind]++
 }
 
-// The state service must accept the largest record of every kind when its values are limited to
-// 2 KiB. With -v the test prints the figures for the table in docs/design.md.
+// Every kind of record at its largest is taken by a state service whose values have 2 KiB.
+// The table of docs/design.md has the figures that -v shows.
 func TestLargestRecords(t *testing.T) {
 	t.Parallel()
 	const bytes = 2048
@@ -67,7 +66,7 @@
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			w := newWriter(t, state.Limits{ValueBytes: bytes, TxnOps: 4})
 
-			// One shard holds a third of the machines.
+			// A third of the machines is one shard's.
 			book, each := startlog.New(startlog.Limits{Entries: tuning.MaxStartRecordEntries, Bytes: bytes * 7 / 8}), machines/3
 			var entries []startlog.Entry
 			for k := range each {
@@ -116,7 +115,7 @@
 				plans.PlanFetch(0, m, fmt.Sprintf("registry/image-of-a-long-name-%02d", k%5), 6, machines)
 			}
 			if rec, due := plans.NextPlan(0, bytes-256); !due || len(rec.Images) == 0 {
-				t.Errorf("%d bytes: no plan; due %v", bytes, due)
+				t.Errorf("%d bytes: no plan, %v", bytes, due)
 			} else {
 				w.put(wire.PrefixWeights+"0", rec)
 			}
@@ -127,7 +126,7 @@
 			}
 			fit := limits.Fit(want, bytes, demand.DropLastNeed)
 			if len(fit.Needs) < 8 {
-				t.Errorf("%d of %d needs are left, want at least 8", len(fit.Needs), len(want.Needs))
+				t.Errorf("%d needs are left of %d", len(fit.Needs), len(want.Needs))
 			}
 			w.put(demandKey(0), fit)
 
@@ -137,7 +136,7 @@
 			}
 			rec, _ := tr.NextRecord(time.Hour, 1<<40)
 			if len(rec.Events) < 4 {
-				t.Errorf("the trail's record has %d events, want at least 4", len(rec.Events))
+				t.Errorf("%d events in the trail's record", len(rec.Events))
 			}
 			w.put(wire.PrefixTrail+"c0", rec)
 			w.others(bytes, machines, long)
@@ -148,7 +147,7 @@
 	}
 }
 
-// others writes the records whose size depends little on the number of machines.
+// others are the kinds that hang little on how many machines there are.
 func (w *writer) others(bytes, machines int, long func(int) string) {
 	t := w.t
 	shard := wire.Shard{Holder: "controller-of-a-long-name-0", Boot: 1 << 40, Home: "controller-of-a-long-name-0", Known: true}
@@ -185,7 +184,7 @@
 	}
 	bias = limits.Fit(bias, bytes, forecast.DropLeastKnownClass)
 	if len(bias.Classes) < 20 || bias.Classes["class-of-a-long-name-59"][0] == 0 {
-		t.Errorf("%d classes are left, want at least 20 including the best known one", len(bias.Classes))
+		t.Errorf("%d classes are left, of which most is known is not among them", len(bias.Classes))
 	}
 	w.put(biasKey(0), bias)
 
@@ -193,7 +192,7 @@
 	w.progress(bytes)
 }
 
-// operators writes the records that operators change.
+// operators' records are those that they write.
 func (w *writer) operators(bytes, machines int) {
 	crew := wire.Crew{Name: "crew-of-a-long-name", Team: "team-of-a-long-name", Zone: "zone-of-a-long-name", Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Leaves: "2026-12-03T06:30", TimeZone: "Africa/Dakar", Rule: "FREQ=DAILY"}
 	for k := range tuning.CrewHistoryEntries {
@@ -206,29 +205,29 @@
 	}
 	crew = limits.Fit(crew, bytes, calendar.DropHistoryOrBooking)
 	if len(crew.Booked) < 5 || len(crew.Past) != 1 || crew.Past[0].LeavesMS != 1e12+tuning.CrewHistoryEntries-1 {
-		w.t.Errorf("%d bookings and %d past departures are left", len(crew.Booked), len(crew.Past))
+		w.t.Errorf("%d bookings and %d departures are left", len(crew.Booked), len(crew.Past))
 	}
 	w.put(wire.PrefixCrew+crew.Name, crew)
 
-	order := wire.TierOrder{}
+	lad := wire.TierOrder{}
 	for k := range 6 {
-		order.Tiers = append(order.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
+		lad.Tiers = append(lad.Tiers, wire.Tier{Name: fmt.Sprintf("rung-of-a-long-name-%d", k), Classes: []string{"class-of-a-long-name-0", "class-of-a-long-name-1"}, Teams: []string{"*"}, Priorities: []string{"urgent"}})
 	}
 	for k := range tuning.TierHistoryChanges {
 		c := wire.TierOrderChange{Version: uint64(k), AtMS: 1e12, Node: "controller-of-a-long-name"}
-		for _, r := range order.Tiers {
+		for _, r := range lad.Tiers {
 			c.Tiers = append(c.Tiers, r.Name)
 		}
-		order.History = append(order.History, c)
+		lad.History = append(lad.History, c)
 	}
-	w.put(wire.KeyTierOrder, limits.Fit(order, bytes, tiers.DropOldestChange))
+	w.put(wire.KeyTierOrder, limits.Fit(lad, bytes, tiers.DropOldestChange))
 }
 
-// progress writes the progress records of a job with the longest accepted description.
+// progress is that of a job with the longest description that is accepted.
 func (w *writer) progress(bytes int) {
 	job := wire.Job{ID: "job-000001", Class: "any", Team: "red", Shape: wire.ShapeBatch, Tasks: 400, Image: strings.Repeat("x", 700), Started: 400}
 	if raw, err := wire.Marshal(job); err != nil || !wire.FitsIn(raw, bytes-1024) {
-		w.t.Errorf("the description is longer than the accepted maximum (%v)", err)
+		w.t.Errorf("the description is longer than what is accepted (%v)", err)
 	}
 	for k := 0; k < 400; k += 2 {
 		job.Done = append(job.Done, [2]int{k, k + 1})
--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -11,27 +11,26 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// inversionLog records priority inversions, seen from outside the cores: a start was sent to a machine
-// where a waiting task of a higher tier could have started instead. That task is of the same
-// shard, fits, is allowed on the machine, is within its team's limit, and has waited for longer
-// than the bound.
-type inversionLog struct {
-	since    map[string]time.Duration // by job: since when it has waited
-	unplaced map[string]time.Duration // by job: since when one of its tasks has not been placed
+// judged counts inversions, from outside: a start is sent to a machine where a waiting task
+// of a higher rung could have gone instead, that fits its place, is allowed there, within its
+// limit, of the same shard, and has waited for longer than the bound.
+type judged struct {
+	since    map[string]time.Duration // job -> waiting since
+	unplaced map[string]time.Duration // job -> since when a task of it has no place reserved
 	found    []string
 }
 
-// inversionBound is two report intervals, each a quarter longer than usual, as the protocol allows.
-// By then the start of a task that has been placed is written and sent, as the worker's next report
-// may arrive before the start is written. Without the quarter, 6 of 80 seeds had starts that were
-// counted although they delayed no task, because the task of the higher tier was already placed.
-// unplacedBound applies to tasks that have not been placed: they get the next free capacity.
+// inversionBound is two report intervals, each a quarter longer than usual as PROTOCOL has it: a
+// task whose place is reserved is written and told by then, since its worker's next report may
+// come before the start is written. Without the quarter there were starts on 6 of 80 days that
+// kept an upper task, whose place was reserved, from nothing. unplacedBound is for tasks without
+// a place, which the test did not tell apart before: they get the next one that is free.
 const (
 	inversionBound = 5 * sec
 	unplacedBound  = 3 * sec
 )
 
-// present counts a job's tasks on machines that have not ended there.
+// present counts a job's tasks that are on machines, and have not ended there.
 func (w *world) present(id string) (n int) {
 	for _, name := range w.order {
 		for _, a := range w.machines[name].tasks() {
@@ -43,20 +42,19 @@
 	return n
 }
 
-// currentTierOrder returns the stored tier order.
-func (w *world) currentTierOrder() *tiers.Order {
+func (w *world) ladderNow() *tiers.Order {
 	var rec wire.TierOrder
 	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &rec)
 	return tiers.NewOrder(rec)
 }
 
-// recordWaits records which jobs wait. After a takeover, tasks that the earlier holder may have
-// started cannot be started until the shard is reconciled, so a wait counts from then. When it was
-// counted from before, 29 of 80 seeds had starts judged by a bound that had passed while no holder
-// could act. A task that is done does not wait, even if it has been cleared from its worker: when
-// only the tasks on workers were counted, a job with one task done and cleared and the other
-// running counted as waiting.
-func (w *world) recordWaits(v *inversionLog) {
+// lookForWaits notes which jobs wait. After a change of hands nobody can start what the earlier
+// holder may have started until the shard is settled, so a wait counts from then: counted from
+// before, 29 of 80 days with other seeds than the one that was played had starts judged by a
+// bound that had passed while no holder could act. A task that is done waits no more, also when
+// it has been cleared from its worker: counted by what workers name, a job with one task done and
+// cleared and the other running counted as waiting.
+func (w *world) lookForWaits(v *judged) {
 	for _, id := range sortedKeys(w.jobs) {
 		tasks := int(*w.jobs[id].spec.Tasks)
 		if w.check.Accepted(id) && w.check.Final(id) == "" && w.shardRec(*w.jobs[id].spec.Team).Settled && w.present(id)+w.check.DoneTasks(id) < tasks {
@@ -74,25 +72,25 @@
 	}
 }
 
-// placed counts a job's tasks that are done or placed, according to the holder of its shard.
+// placed counts a job's tasks that are done, on machines or reserved a place, by its holder.
 func (w *world) placed(id string) int {
 	c := w.nodes[w.shardRec(*w.jobs[id].spec.Team).Holder].core
 	if c == nil || c.jobs[id] == nil || c.jobs[id].run == nil {
-		return int(*w.jobs[id].spec.Tasks) // there is no holder, or it does not know the job yet
+		return int(*w.jobs[id].spec.Tasks) // no holder acts, or it has not heard of the job
 	}
 	r := c.jobs[id].run
 	return len(r.active) + r.done.Count()
 }
 
-// judgeStart records the inversions that one start causes.
-func (w *world) judgeStart(v *inversionLog, m *host, o worker.Ordered) {
+// judge looks at one start.
+func (w *world) judgeStart(v *judged, m *host, o worker.Ordered) {
 	id, _, _ := wire.ParseTask(o.Task)
-	l := w.currentTierOrder()
+	l := w.ladderNow()
 	rec := func(id string) *wire.Job { j, _ := w.jobs[id].spec.Validate(); return &j }
 	j := rec(id)
 	shard := w.shardRec(j.Team)
 	if !shard.Settled {
-		return // the tasks that seem to wait may already run on unreconciled machines
+		return // what the upper rungs wait for may be anywhere yet
 	}
 	for _, other := range sortedKeys(v.since) {
 		u := rec(other)
@@ -101,11 +99,11 @@
 			m.info.Spot && !u.Spot || w.using(u.Team)+u.CPUs > w.teams[u.Team].CPUsMax {
 			continue
 		}
-		v.found = append(v.found, fmt.Sprintf("%v: %s starts on %s although %s has waited for %v", w.now, o.Task, m.info.Name, other, w.now-v.since[other]))
+		v.found = append(v.found, fmt.Sprintf("%v: %s starts on %s, %s has waited for %v", w.now, o.Task, m.info.Name, other, w.now-v.since[other]))
 	}
 }
 
-// using returns the CPUs that a team's tasks on machines use.
+// using is what a team's tasks take.
 func (w *world) using(team string) (cpus float64) {
 	for id, j := range w.jobs {
 		if *j.spec.Team == team {
@@ -115,9 +113,9 @@
 	return cpus
 }
 
-// The tier order has a class of normal priority at the top, and alarms are submitted among routine
-// work that takes all capacity, while controllers end. No start may be an inversion, and all
-// controllers must have identical service orders, including restarted ones.
+// With a ladder that puts a class of normal priority on top, and alarms that come among
+// routine work that fills every corner, whoever ends: no start is an inversion, all
+// controllers have the same order to the byte, and a new one inherits it.
 func TestLadderHoldsWhoeverEnds(t *testing.T) {
 	t.Parallel()
 	holder := func(w *world) []string { return []string{w.shardRec("red").Holder} }
@@ -129,22 +127,22 @@
 		seed uint64
 	}{
 		{"nobody", func(*world) []string { return nil }, 95}, {"the holder", holder, 95}, {"the leader", leader, 95}, {"all", all, 95},
-		{"the holder, another seed", holder, 98}, {"the leader, another seed", leader, 97}, {"all, another seed", all, 96}, {"all, a third seed", all, 99},
+		{"the holder, another day", holder, 98}, {"the leader, another day", leader, 97}, {"all, another day", all, 96}, {"all, a third", all, 99},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := crowded(t, c.seed)
-			if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
-				t.Fatalf("setting the tier order: got %d, want 200", got)
+			if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
+				t.Fatalf("set: %d", got)
 			}
-			v := &inversionLog{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
+			v := &judged{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
 			w.ordered = func(m *host, o worker.Ordered) { w.judgeStart(v, m, o) }
 			for i := range 30 {
 				s := spec(fmt.Sprintf("job-5%05d", i), []string{"red", "blue", "green"}[i%3], wire.ShapeBatch, 2)
 				s.DueS = nil
 				switch i % 3 {
 				case 0:
-					s.Class = ptr("alarm") // of normal priority, but in the highest tier
+					s.Class = ptr("alarm") // of normal priority, and first all the same
 				case 1:
 					s.Priority, s.Shape = ptr("urgent"), ptr(wire.ShapeService)
 				}
@@ -154,7 +152,7 @@
 				}
 				for range 10 {
 					w.run(100 * time.Millisecond)
-					w.recordWaits(v)
+					w.lookForWaits(v)
 				}
 				if i%3 == 1 && i > 12 {
 					w.abort(fmt.Sprintf("job-5%05d", i-12))
@@ -162,10 +160,10 @@
 			}
 			for range 100 {
 				w.run(100 * time.Millisecond)
-				w.recordWaits(v)
+				w.lookForWaits(v)
 			}
 			if len(v.found) > 0 {
-				t.Errorf("%d inversions, the first: %s", len(v.found), v.found[0])
+				t.Errorf("%d inversions, the first %s", len(v.found), v.found[0])
 			}
 			digests := map[string]int{}
 			for _, n := range sortedKeys(w.nodes) {
@@ -176,73 +174,70 @@
 				})
 			}
 			if len(digests) != 1 {
-				t.Errorf("controllers have different service orders: %v", digests)
+				t.Errorf("controllers order differently: %v", digests)
 			}
 		})
 	}
 }
 
-var alarmTiers = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
+var alarmRungs = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
 
-// setTierOrder changes the tier order at a node and returns the status of the answer.
-func (w *world) setTierOrder(node string, ver uint64, newTiers []wire.Tier) (status int) {
+func (w *world) setLadder(node string, ver uint64, rungs []wire.Tier) (status int) {
 	w.ask(node, func(q uint64) any {
-		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: newTiers}}
+		return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
 	}, func(a Answer) { status = a.Status })
 	w.run(sec)
 	return status
 }
 
-// Of two operators who change the tier order at once, one must get a conflict. An invalid order must
-// change nothing. A change at the moment when its controller and a holder end must be stored as a
-// whole or not at all.
+// Of two operators who change the ladder at once one is told to read again; a bad one changes
+// nothing; a change in the moment its controller or the holder ends is there as a whole or not.
 func TestLadderChanges(t *testing.T) {
 	t.Parallel()
 	w := staffed(t, 96, 2)
 	var got []int
 	for _, n := range []string{"c0", "c1"} {
-		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmTiers}} }, func(a Answer) { got = append(got, a.Status) })
+		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmRungs}} }, func(a Answer) { got = append(got, a.Status) })
 	}
 	w.run(sec)
 	if len(got) != 2 || got[0]+got[1] != 200+409 {
-		t.Errorf("two concurrent changes got %v, want 200 and 409", got)
+		t.Errorf("two at once are answered %v", got)
 	}
 	ver := w.key(wire.KeyTierOrder).Version
-	if s := w.setTierOrder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
-		t.Errorf("a class without teams: got %d, want 400 and no change", s)
+	if s := w.setLadder("c2", ver, []wire.Tier{{Name: "x", Classes: []string{"any"}}}); s != 400 || w.key(wire.KeyTierOrder).Version != ver {
+		t.Errorf("a class without teams: %d", s)
 	}
 	for i, after := range []time.Duration{0, time.Millisecond, 4 * time.Millisecond, 8 * time.Millisecond, 12 * time.Millisecond, 20 * time.Millisecond} {
-		ver, was := w.key(wire.KeyTierOrder).Version, w.currentTierOrder()
-		newTiers := []wire.Tier{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
+		ver, was := w.key(wire.KeyTierOrder).Version, w.ladderNow()
+		rungs := []wire.Tier{{Name: fmt.Sprint("new ", i), Teams: []string{"blue"}}, {Name: "and its second", Teams: []string{"green"}}}
 		w.ask("c0", func(q uint64) any {
-			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: newTiers}}
+			return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Version: ver, Tiers: rungs}}
 		}, func(Answer) {})
 		w.run(after)
 		w.bounce(300*time.Millisecond, "c0", w.shardRec("blue").Holder)
 		w.run(8 * sec)
-		now := w.currentTierOrder()
-		if whole := now.Tiers()[0].Name == newTiers[0].Name && now.Tiers()[1].Name == newTiers[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
-			t.Errorf("controllers ended %v after the request: tiers %v are neither the old nor the new ones", after, now.Tiers())
+		now := w.ladderNow()
+		if whole := now.Tiers()[0].Name == rungs[0].Name && now.Tiers()[1].Name == rungs[1].Name; !whole && fmt.Sprint(now.Tiers()) != fmt.Sprint(was.Tiers()) {
+			t.Errorf("ended %v after the change: %v", after, now.Tiers())
 		}
 		for _, n := range w.nodes {
 			if n.core.versions.Version(wire.KeyTierOrder) != w.key(wire.KeyTierOrder).Version || n.core.jobs["job-000001"].rank != now.Rank(&n.core.jobs["job-000001"].record) {
-				t.Errorf("%s uses an outdated tier order, version %d", n.name, n.core.versions.Version(wire.KeyTierOrder))
+				t.Errorf("%s decides by ladder %d", n.name, n.core.versions.Version(wire.KeyTierOrder))
 			}
 		}
 	}
-	if h := w.storedTierOrder().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
-		t.Errorf("unexpected history: %v", h)
+	if h := w.ladderRec().History; len(h) == 0 || h[0].Tiers[0] != "alarms" {
+		t.Errorf("history %v", h)
 	}
 }
 
-func (w *world) storedTierOrder() (r wire.TierOrder) {
+func (w *world) ladderRec() (r wire.TierOrder) {
 	_ = wire.Unmarshal(w.key(wire.KeyTierOrder).Value, &r)
 	return r
 }
 
-// Ten thousand tasks in the highest tier may use no more than their team's limit, so work of another
-// team on the same machines, within its guarantee, must still complete soon. With a limit above the
-// capacity it does not.
+// Ten thousand tasks on the top rung take their team's limit and no more: work of another
+// team on the same machines, within its guarantee, still ends. Without the limit it does not.
 func TestTopRungIsBoundByItsTeamsLimit(t *testing.T) {
 	t.Parallel()
 	for _, limit := range []float64{12, 1000} {
@@ -253,7 +248,7 @@
 			w.addMachine("n", false, sec)
 		}
 		w.run(5 * sec)
-		if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
+		if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
 			t.Fatalf("set: %d", got)
 		}
 		s := spec("job-000001", "red", wire.ShapeBatch, 10000)
@@ -263,16 +258,16 @@
 		w.submit(spec("job-000002", "blue", wire.ShapeBatch, 8))
 		took := w.until(90*sec, func() bool { return w.check.DoneTasks("job-000002") == 8 })
 		if (took < 45*sec) != (limit == 12) {
-			t.Errorf("limit %g: work within the other team's guarantee took %v", limit, took)
+			t.Errorf("limit %g: work within another team's guarantee took %v", limit, took)
 		}
 		if u := w.using("red"); u > limit {
-			t.Errorf("the highest tier uses %g CPUs with a limit of %g", u, limit)
+			t.Errorf("the top rung uses %g cpus of %g", u, limit)
 		}
 	}
 }
 
-// Routine tasks are placed on all capacity, but their starts have not been sent yet. An alarm of
-// normal priority, which may preempt nothing, must get the capacity of one of them.
+// Routine work has had every place reserved and is not told of it yet: an alarm of normal
+// priority, which may stop nothing, gets one of them.
 func TestReservedPlacesGoToUpperRungs(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 98, 1, func(w *world) {
@@ -283,16 +278,16 @@
 		w.addMachine("n", false, sec)
 	}
 	w.run(20 * sec)
-	if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
+	if got := w.setLadder("c0", 0, alarmRungs); got != 200 {
 		t.Fatalf("set: %d", got)
 	}
-	w.oneWay["c0"] = "calls" // no direct calls, so that starts wait for the next reports
+	w.oneWay["c0"] = "calls" // so that starts wait for the next reports
 	w.submit(spec("job-000001", "red", wire.ShapeBatch, 12))
 	w.run(200 * time.Millisecond)
 	s := spec("job-000002", "red", wire.ShapeBatch, 1)
 	s.Class = ptr("alarm")
 	w.submit(s)
 	if took := w.until(60*sec, func() bool { return w.begun("job-000002") }); took > 14*sec {
-		t.Errorf("the alarm started after %v, want at most 14 s, although only unsent starts of routine work took the capacity", took)
+		t.Errorf("an alarm begins %v after places were reserved for routine work alone", took)
 	}
 }
--- a/internal/core/weighing_test.go
+++ b/internal/core/weighing_test.go
@@ -12,9 +12,9 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// weightsWorld returns a world with a service of whole-machine replicas that all need one image of 6 GB,
-// from a store that can serve two machines at their full rate, with the given switches.
-func weightsWorld(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
+// weighty is a world of whole-machine replicas that all want one image of 6 GB, from a store that gives two
+// machines their full rate: so many at once, with what is switched on.
+func weighty(t testing.TB, seed uint64, replicas int, s weights.Switches, opts ...func(*world)) *world {
 	w := newWorld(t, seed, 3, append([]func(*world){func(w *world) {
 		w.lease, w.reportS, w.capacity = 12*sec, sec, 60
 		w.teams = map[string]Team{"red": {CPUs: 200, CPUsMax: 260}, "blue": {CPUs: 40, CPUsMax: 60}}
@@ -29,7 +29,7 @@
 		p.Weights = s
 		return p
 	}
-	for i := range 3 { // the first incarnations started without the switches
+	for i := range 3 { // the first lives began without it
 		w.kill(fmt.Sprintf("c%d", i))
 		w.start(fmt.Sprintf("c%d", i))
 	}
@@ -37,12 +37,12 @@
 		w.addMachine([]string{"n", "s"}[i%2], false, sec)
 	}
 	w.run(8 * sec)
-	w.submitModel("job-000001", "red", "w-1", replicas)
+	w.model("job-000001", "red", "w-1", replicas)
 	return w
 }
 
-// submitModel submits a service of whole-machine replicas.
-func (w *world) submitModel(id, team, image string, replicas int) {
+// model submits a service of whole-machine replicas.
+func (w *world) model(id, team, image string, replicas int) {
 	s := spec(id, team, wire.ShapeService, replicas)
 	s.DueS, s.CPUs, s.Image, s.ImageGB, s.Spot = nil, ptr(4.0), ptr(image), ptr(6.0), ptr(false)
 	w.submit(s)
@@ -56,8 +56,7 @@
 	return n
 }
 
-// allUp runs the world until n replicas of a job run, at most for the time most, and returns the time
-// that passed.
+// allUp is how long it takes until so many replicas run, or so long.
 func (w *world) allUp(job string, n int, most time.Duration) time.Duration {
 	began := w.now
 	for w.now < began+most && w.replicas(job) < n {
@@ -68,28 +67,27 @@
 
 var bothOn = weights.Switches{PeerTransfer: true, PaceFetches: true}
 
-// Twenty machines that all fetch 6 GB from a store with the rate of two machines need a minute. With
-// transfers between machines, all must have the image in little more than the 6 s that one machine
-// alone needs.
+// Twenty machines that all fetch 6 GB from a store of two machines' rate need a minute. Handed on, all have it
+// in little more than one of them alone would, which is 6 s.
 func TestWeightsAreHandedOn(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2100); seed < 2103; seed++ {
-		alone := weightsWorld(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
-		w := weightsWorld(t, seed, 20, bothOn)
+		alone := weighty(t, seed, 20, weights.Switches{}).allUp("job-000001", 20, 2*time.Minute)
+		w := weighty(t, seed, 20, bothOn)
 		handed := w.allUp("job-000001", 20, 2*time.Minute)
-		t.Logf("seed %d: all replicas run %v after the submission from the store alone, %v with peer transfer", seed, alone, handed)
+		t.Logf("seed %d: all up %v after the submission from the store, %v handed on", seed, alone, handed)
 		if alone < 55*sec || handed > 16*sec {
-			t.Errorf("seed %d: all replicas run after %v from the store alone, want at least 55 s; after %v with peer transfer, want at most 16 s", seed, alone, handed)
+			t.Errorf("seed %d: all up after %v from the store, %v handed on", seed, alone, handed)
 		}
-		w.run(3 * sec) // until all machines have reported the image
+		w.run(3 * sec) // until all have reported it
 		view := w.weightsOf("w-1")
 		if len(view.Holders) != 20 {
-			t.Errorf("seed %d: the view lists %d machines with the image, want 20", seed, len(view.Holders))
+			t.Errorf("seed %d: %d holders are told of", seed, len(view.Holders))
 		}
 	}
 }
 
-// weightsOf combines the views of all controllers of an image.
+// weightsOf is what all controllers together tell of an image.
 func (w *world) weightsOf(image string) (all wire.WeightsImageView) {
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return AdminWeights{Req: q, Image: image} }, func(a Answer) {
@@ -102,39 +100,37 @@
 	return all
 }
 
-// If the machines' own rates are the bottleneck and not the store, no fetch may be delayed, and no
-// limit of the store may be learned that would delay later ones. If the store is the bottleneck, its
-// rate must be learned, and then only as many machines may fetch at once as use it up: half of the
-// replicas must run after little more than half of the time, instead of all at the end.
+// A store that binds nobody, a machine's own rate that does: nothing is held back, and nothing is learned that
+// would be. One that binds is found out, and is then asked by as many as use it up: half of them are up in
+// little over half of the time, not all at the end.
 func TestFetchesAreHeldBackWhereTheStoreBinds(t *testing.T) {
 	t.Parallel()
 	pace := weights.Switches{PaceFetches: true}
-	free := weightsWorld(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
+	free := weighty(t, 2110, 20, pace, func(w *world) { w.work.Depot.StoreGBps = 0 })
 	if took := free.allUp("job-000001", 20, time.Minute); took > 12*sec {
-		t.Errorf("the machines' own rates are the bottleneck, but all replicas run only after %v", took)
+		t.Errorf("own rates bind, and all are up after %v", took)
 	}
-	free.submitModel("job-000002", "red", "w-2", 20)
-	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // includes the time to rent machines
-		t.Errorf("all replicas of the second model run after %v, want at most 25 s", took)
+	free.model("job-000002", "red", "w-2", 20)
+	if took := free.allUp("job-000002", 20, time.Minute); took > 25*sec { // machines are rented for them
+		t.Errorf("the second model is up after %v", took)
 	}
-	bound := weightsWorld(t, 2111, 20, pace)
+	bound := weighty(t, 2111, 20, pace)
 	bound.allUp("job-000001", 20, 2*time.Minute)
-	bound.submitModel("job-000002", "red", "w-2", 20)
+	bound.model("job-000002", "red", "w-2", 20)
 	began := bound.now
 	half := bound.allUp("job-000002", 10, 3*time.Minute)
 	bound.allUp("job-000002", 20, 3*time.Minute)
 	if all := bound.now - began; half > all*7/10 || all > 100*sec {
-		t.Errorf("second model: half of the replicas run after %v, all after %v", half, all)
+		t.Errorf("the second model: half up after %v, all after %v", half, all)
 	}
 }
 
-// Controllers and machines end or hang, links are cut, and the state or reports are late while weights
-// are being transferred. No rule may break, no replica may start with incomplete weights, and all
-// replicas must run within the time that the fault and one fetch from the store take.
+// Whatever ends, is cut, deaf, slow or late while weights are on their way: no rule breaks, no replica begins with
+// a part of them, and all are up within what the trouble and one fetch from the store cost.
 func TestWeightsWithTroubles(t *testing.T) {
 	t.Parallel()
 	holder := func(w *world) string { return w.shardRec("red").Holder }
-	source := func(w *world) *host { // the machine that has the largest part of the image
+	source := func(w *world) *host { // the one that hands on the most, of those that have all of it or most
 		var best *host
 		for _, n := range w.order {
 			if m := w.machines[n]; !m.gone && m.up && (best == nil || m.Fetched("w-1") > best.Fetched("w-1")) {
@@ -148,11 +144,11 @@
 		within  time.Duration
 		trouble func(w *world)
 	}{
-		{"the planner ends with half of a tree in progress", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
+		{"the planner dies with half of a tree under way", 15 * sec, func(w *world) { w.bounce(8*sec, holder(w)) }},
 		{"all controllers end", 15 * sec, func(w *world) { w.bounce(3*sec, sortedKeys(w.nodes)...) }},
 		{"the leader ends", 15 * sec, func(w *world) { w.bounce(8*sec, w.leaderNode()) }},
-		{"two models", 15 * sec, func(w *world) { w.submitModel("job-000003", "blue", "w-3", 8) }},
-		{"the only finished copy is lost", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
+		{"two models", 15 * sec, func(w *world) { w.model("job-000003", "blue", "w-3", 8) }},
+		{"the only finished copy dies", 30 * sec, func(w *world) { w.vanish(source(w).info.Name) }},
 		{"a source hangs", 30 * sec, func(w *world) {
 			m := source(w)
 			w.hang(m)
@@ -195,14 +191,14 @@
 		t.Run(strings.ReplaceAll(c.what, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(2120); seed < 2123; seed++ {
-				w := weightsWorld(t, seed, 20, bothOn)
-				w.run(6 * sec) // the first copies are complete or nearly so, the others in progress
+				w := weighty(t, seed, 20, bothOn)
+				w.run(6 * sec) // first copies are there or nearly, the others on their way
 				if n := w.replicas("job-000001"); n == 20 {
-					t.Fatalf("seed %d: unsuitable initial state: all %d replicas run already", seed, n)
+					t.Fatalf("seed %d: not the meeting: %d replicas are up", seed, n)
 				}
 				c.trouble(w)
 				if took := w.allUp("job-000001", 20, 3*time.Minute); took > c.within {
-					t.Errorf("seed %d: all replicas run %v after the fault", seed, took)
+					t.Errorf("seed %d: all up %v after the trouble", seed, took)
 				}
 				w.run(30 * sec)
 			}
@@ -210,38 +206,37 @@
 	}
 }
 
-// A new version of a service replaces an old one that is cancelled. A late report that names the old
-// image must not make its machine a source.
+// A new version follows on an old one that is cancelled. What a late report tells of an image long given up names
+// no source.
 func TestNewVersionOverAnOldOne(t *testing.T) {
 	t.Parallel()
-	w := weightsWorld(t, 2130, 12, bothOn)
+	w := weighty(t, 2130, 12, bothOn)
 	w.run(9 * sec)
 	old := w.order[0]
 	late, _ := w.machines[old].Inspect(w.now)
 	w.cancelSoon("job-000001", func() {})
 	w.run(20 * sec)
-	w.submitModel("job-000002", "red", "w-2", 12) // the new version
+	w.model("job-000002", "red", "w-2", 12) // a new version over the old
 	w.run(3 * sec)
 	for _, n := range sortedKeys(w.nodes) {
 		w.ask(n, func(q uint64) any { return WorkerReport{Req: q, Report: late} }, func(Answer) {})
 	}
 	if took := w.allUp("job-000002", 12, 2*time.Minute); took > 30*sec {
-		t.Errorf("all replicas of the new version run after %v, want at most 30 s", took)
+		t.Errorf("the new version is up after %v", took)
 	}
 	if v := w.weightsOf("w-1"); len(v.Fetches) > 0 {
-		t.Errorf("the image of the old version is still being fetched: %+v", v.Fetches)
+		t.Errorf("the old version is being fetched: %+v", v.Fetches)
 	}
 }
 
-// A fetch plan must take one change per image and stage, whichever controller holds the shard. It
-// names the machines that fetch from the store, and is removed when all fetches are done. With the
-// switch off, no plan may be written.
+// The plan is one change an image and stage, whoever holds the shard; it names who fetches from the store, and goes
+// when all is done. Switched off, nothing is written or told.
 func TestPlansAreFewChanges(t *testing.T) {
 	t.Parallel()
 	for _, on := range []bool{true, false} {
 		s := weights.Switches{PeerTransfer: on}
 		writes, named := 0, false
-		w := weightsWorld(t, 2140, 40, s, func(w *world) {
+		w := weighty(t, 2140, 40, s, func(w *world) {
 			w.noAnswer = func(_ string, v StateCall) (time.Duration, bool) {
 				for _, ch := range v.Txn.Then {
 					if strings.HasPrefix(ch.Put, wire.PrefixWeights) {
@@ -256,10 +251,10 @@
 		w.allUp("job-000001", 40, 3*time.Minute)
 		w.run(10 * sec)
 		if v := w.weightsOf("w-1"); len(v.Holders) != 40 {
-			t.Errorf("peer transfer %v: the view lists %d machines with the image, want 40", on, len(v.Holders))
+			t.Errorf("on %v: %d holders", on, len(v.Holders))
 		}
 		if on && (!named || writes < 2 || writes > 6) || !on && writes > 0 {
-			t.Errorf("peer transfer %v: %d writes of plans, machines that fetch from the store named: %v", on, writes, named)
+			t.Errorf("on %v: %d plans written, roots named %v", on, writes, named)
 		}
 	}
 }
