--- a/internal/core/laddering_test.go
+++ b/internal/core/laddering_test.go
@@ -133,7 +133,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := crowded(t, c.seed)
-			if got := w.setTierOrder("c0", 0, alarmRungs); got != 200 {
+			if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 				t.Fatalf("set: %d", got)
 			}
 			v := &inversions{since: map[string]time.Duration{}, unplaced: map[string]time.Duration{}}
@@ -181,7 +181,7 @@
 	}
 }
 
-var alarmRungs = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
+var alarmTiers = []wire.Tier{{Name: "alarms", Classes: []string{"alarm"}, Teams: []string{"red"}}, {Name: "cannot wait", Priorities: []string{"urgent", "production"}}}
 
 // setTierOrder changes the tier order through a controller and returns the status of the answer.
 func (w *world) setTierOrder(node string, ver uint64, newTiers []wire.Tier) (status int) {
@@ -199,7 +199,7 @@
 	w := staffed(t, 96, 2)
 	var got []int
 	for _, n := range []string{"c0", "c1"} {
-		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmRungs}} }, func(a Answer) { got = append(got, a.Status) })
+		w.ask(n, func(q uint64) any { return AdminTierOrder{Req: q, Patch: &wire.TierOrderPatch{Tiers: alarmTiers}} }, func(a Answer) { got = append(got, a.Status) })
 	}
 	w.run(sec)
 	if len(got) != 2 || got[0]+got[1] != 200+409 {
@@ -251,7 +251,7 @@
 			w.addMachine("n", false, sec)
 		}
 		w.run(5 * sec)
-		if got := w.setTierOrder("c0", 0, alarmRungs); got != 200 {
+		if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 			t.Fatalf("set: %d", got)
 		}
 		s := spec("job-000001", "red", wire.ShapeBatch, 10000)
@@ -281,7 +281,7 @@
 		w.addMachine("n", false, sec)
 	}
 	w.run(20 * sec)
-	if got := w.setTierOrder("c0", 0, alarmRungs); got != 200 {
+	if got := w.setTierOrder("c0", 0, alarmTiers); got != 200 {
 		t.Fatalf("set: %d", got)
 	}
 	w.oneWay["c0"] = "calls" // so that starts are sent only with the answers to reports
