--- a/internal/core/users_test.go
+++ b/internal/core/users_test.go
@@ -8,8 +8,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// A user who has been told of an abort by one controller is told the same by another,
-// whose own watch lags behind: a poll is never answered from an old mirror.
+// After one controller has confirmed an abort to a user, another controller whose watch lags behind
+// must also report the job as aborted: a poll is never answered from an outdated mirror.
 func TestPollIsAsFreshAsWhatAnotherControllerHasTold(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 9, 3)
@@ -23,24 +23,24 @@
 	w.run(5 * sec)
 	w.watchLag = 1200 * 1e6
 	w.run(2 * sec)
-	told := map[string]string{}
+	answers := map[string]string{}
 	for _, n := range []string{"c1", "c2"} {
 		w.ask("c0", func(id uint64) any { return Abort{Req: id, ID: "job-000001"} }, func(a Answer) {
 			if a.Status != 200 {
 				t.Fatalf("abort: %+v", a)
 			}
-			w.ask(n, func(id uint64) any { return Poll{Req: id, ID: "job-000001"} }, func(a Answer) { told[n] = fmt.Sprint(a.Status, " ", a.Body.(wire.JobStatus).Status) })
+			w.ask(n, func(id uint64) any { return Poll{Req: id, ID: "job-000001"} }, func(a Answer) { answers[n] = fmt.Sprint(a.Status, " ", a.Body.(wire.JobStatus).Status) })
 		})
 	}
 	w.run(2 * sec)
 	for _, n := range []string{"c1", "c2"} {
-		if told[n] != "200 aborted" {
-			t.Errorf("%s says %q", n, told[n])
+		if answers[n] != "200 aborted" {
+			t.Errorf("%s answers %q, want 200 aborted", n, answers[n])
 		}
 	}
 }
 
-// However many jobs are asked for, the state service is asked once.
+// Concurrent polls of any number of jobs must share one read of the state service.
 func TestPollsShareOneLookAtTheState(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t, 10, 3)
@@ -60,8 +60,8 @@
 		})
 	}
 	w.run(4 * tuning.PollReadInterval)
-	calls := w.reached["c1"] - before // what goes on beside it included
+	calls := w.reached["c1"] - before // includes the controller's other calls
 	if answered != jobs || calls > 20 {
-		t.Errorf("%d of %d answered by %d calls", answered, jobs, calls)
+		t.Errorf("%d of %d polls answered with %d state calls, want at most 20 calls", answered, jobs, calls)
 	}
 }
