--- a/internal/standin/worker/commands.go
+++ b/internal/standin/worker/commands.go
@@ -2,8 +2,9 @@
 
 import "github.com/barrowbridge/barrowbridge/wire"
 
-// Orders executes direct commands: 200 if token and session match, else 409. The
-// answer is the report after them. They do not renew the lease.
+// Orders executes direct commands and returns status 200 if the token is not lower than the
+// worker's and the session matches, else 409 without executing them. The returned report is
+// taken after the commands. Direct commands do not renew the lease.
 func (w *Worker) Orders(now Time, o wire.Orders) (int, wire.Report, []any) {
 	w.out = nil
 	w.play(now)
@@ -16,7 +17,7 @@
 	return status, w.message(now), w.out
 }
 
-// Inspect answers with the worker's report.
+// Inspect returns the worker's current report and the effects of the time that has passed.
 func (w *Worker) Inspect(now Time) (wire.Report, []any) {
 	w.out = nil
 	w.play(now)
@@ -67,7 +68,7 @@
 		}
 		cpus, gpus, mem = cpus+o.job.CPUs, gpus+o.job.GPUs, mem+o.job.MemoryGB
 	}
-	const slack = 1e-9 // sums of decimal numbers
+	const slack = 1e-9 // tolerates rounding errors in sums of decimal numbers
 	if t := w.p.Type; cpus > t.CPUs+slack || gpus > t.GPUs+slack || mem > t.MemoryGB+slack {
 		refuse(wire.CauseFull)
 		return
@@ -77,8 +78,8 @@
 	w.begin(now, &job, c)
 }
 
-// stop lets a task with checkpoints save if there is time; every other task,
-// and one that is told again without any, exits at once.
+// stop lets a running task with checkpoints save first if the grace period is long enough. Any
+// other task, and a saving task that is stopped again without a grace period, exits at once.
 func (w *Worker) stop(now Time, a *attempt, grace *float64) {
 	g := 0.0
 	if grace != nil {
--- a/internal/standin/worker/depot.go
+++ b/internal/standin/worker/depot.go
@@ -7,22 +7,22 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Depot is where workers fetch images: a store whose rate all fetches share, and workers that hand on what
-// they have, or have so far, to those that are told of them. A source is asked for parts that
-// others are not asked for, and an image is there once all of it is.
+// Depot is where workers fetch images from: a store whose rate is shared by all fetches, and other workers
+// that serve the part of an image that they have so far to workers that were given them as sources. Each
+// source of a fetch serves different parts of the image; a task can use the image once all parts have arrived.
 type Depot struct {
-	StoreGBps float64                    // that all fetches share; 0: the store binds nobody
-	Reach     func(from, to string) bool // whether one machine reaches another; nil: always
+	StoreGBps float64                    // shared by all fetches; 0: the store does not limit them
+	Reach     func(from, to string) bool // reports whether one machine can reach another; nil: always
 	workers   map[string]*Worker         // by address
 }
 
 const (
-	depotStep  = 250 * time.Millisecond // rates change so often at most
-	sourceDead = 3 * time.Second        // no source answers for so long: the rest comes from the store
-	sourceSlow = 8 * time.Second        // nothing has come for so long, though one answers: the same
+	depotStep          = 250 * time.Millisecond // shortest interval between changes of a fetch rate
+	sourceTimeout      = 3 * time.Second        // without an answer from any source for this long, the rest comes from the store
+	sourceStallTimeout = 8 * time.Second        // without any data for this long although a source answers, the rest comes from the store
 )
 
-// join makes a worker known.
+// join registers a worker under its address.
 func (d *Depot) join(w *Worker) {
 	if d.workers == nil {
 		d.workers = map[string]*Worker{}
@@ -30,11 +30,11 @@
 	d.workers[w.Info.Addr] = w
 }
 
-// fetching tells whether an image is on its way to a worker.
+// fetching reports whether the worker is fetching an image.
 func (w *Worker) fetching(name string, im *image) bool { return im.left > 0 && w.awaited(name) }
 
-// fromStore counts the fetches from the store.
-func (d *Depot) fromStore() (n int) {
+// storeFetches returns the number of fetches from the store.
+func (d *Depot) storeFetches() (n int) {
 	for _, w := range d.workers {
 		for name, im := range w.images {
 			if len(im.sources) == 0 && !w.Fault.Hung && !w.gone && w.fetching(name, im) {
@@ -45,7 +45,7 @@
 	return n
 }
 
-// serving counts the workers that fetch something from one.
+// serving returns the number of fetches that have the worker at addr as a source.
 func (d *Depot) serving(addr string) (n int) {
 	for _, w := range d.workers {
 		for name, im := range w.images {
@@ -59,14 +59,14 @@
 	return n
 }
 
-// rate is what a worker gets of an image now, GB/s, of a rate of its own, and how much its sources have
-// of it, GB; live: a source answers.
+// rate returns the rate in GB/s at which a worker fetches an image now, at most its own rate, and how much of
+// the image its sources have, in GB. live reports whether at least one source answers.
 func (d *Depot) rate(w *Worker, name string, im *image, own float64) (rate, have float64, live bool) {
 	if len(im.sources) == 0 {
 		if d.StoreGBps <= 0 {
 			return own, im.gb, true
 		}
-		return min(own, d.StoreGBps/float64(max(1, d.fromStore()))), im.gb, true
+		return min(own, d.StoreGBps/float64(max(1, d.storeFetches()))), im.gb, true
 	}
 	for _, addr := range im.sources {
 		s := d.workers[addr]
@@ -80,28 +80,28 @@
 	return min(own, rate), have, live
 }
 
-// fetch moves an image on by so long.
+// fetch advances the fetch of an image by d at a rate of at most own, in GB/s.
 func (w *Worker) fetch(name string, im *image, own float64, d time.Duration) {
 	rate, have := own, im.gb
 	if w.work.Depot != nil {
 		var live bool
 		rate, have, live = w.work.Depot.rate(w, name, im, own)
 		if live {
-			im.heard = w.at + d
+			im.lastAnswer = w.at + d
 		}
 	}
 	if left := max(0, im.gb-have, im.left-rate*d.Seconds()); left < im.left {
-		im.left, im.moved = left, w.at+d
+		im.left, im.lastProgress = left, w.at+d
 	}
 	if im.left < 1e-6 {
 		im.left = 0
 	}
-	if now := w.at + d; len(im.sources) > 0 && im.left > 0 && (now-im.heard >= sourceDead || now-im.moved >= sourceSlow) {
+	if now := w.at + d; len(im.sources) > 0 && im.left > 0 && (now-im.lastAnswer >= sourceTimeout || now-im.lastProgress >= sourceStallTimeout) {
 		im.sources = nil
 	}
 }
 
-// fetched is when an image is expected to be there, or its rate to be looked at again.
+// fetched returns when a fetch is expected to complete, or its rate has to be computed again.
 func (w *Worker) fetched(im *image, own float64) Time {
 	left := time.Duration(im.left/own*float64(time.Second)) + time.Microsecond
 	if w.work.Depot != nil {
@@ -110,17 +110,17 @@
 	return w.at + left
 }
 
-// begin begins a fetch.
+// begin starts fetching the job's image unless the worker already has it or is fetching it.
 func (w *Worker) begin(now Time, job *Job, c wire.Command) {
 	if w.images[job.Image] == nil {
-		w.images[job.Image] = &image{gb: job.ImageGB, left: job.ImageGB, used: now, heard: now, moved: now}
+		w.images[job.Image] = &image{gb: job.ImageGB, left: job.ImageGB, used: now, lastAnswer: now, lastProgress: now}
 		if w.work.Depot != nil {
 			w.images[job.Image].sources = c.Sources
 		}
 	}
 }
 
-// Fetched tells which part of an image a worker has.
+// Fetched returns the share of an image that the worker has, from 0 to 1.
 func (w *Worker) Fetched(name string) float64 {
 	im := w.images[name]
 	if im == nil {
--- a/internal/standin/worker/depot_test.go
+++ b/internal/standin/worker/depot_test.go
@@ -95,21 +95,21 @@
 	}
 }
 
-// A source that is gone, hangs, is cut off or evicts the image costs its children sourceDead and the rest of the
-// fetch from the store; one that gets nothing itself costs sourceSlow.
+// A source that is gone, hangs, is cut off or evicts the image costs its children sourceTimeout and the rest of the
+// fetch from the store; one that gets nothing itself costs sourceStallTimeout.
 func TestSourcesThatFail(t *testing.T) {
 	for _, c := range []struct {
 		what string
 		fail func(f *flock)
 		lost time.Duration
 	}{
-		{"gone", func(f *flock) { f.all[0].Vanish() }, sourceDead},
-		{"hangs", func(f *flock) { f.all[0].Fault.Hung = true }, sourceDead},
-		{"cut off", func(f *flock) { f.work.Depot.Reach = func(from, to string) bool { return from != "m0" } }, sourceDead},
+		{"gone", func(f *flock) { f.all[0].Vanish() }, sourceTimeout},
+		{"hangs", func(f *flock) { f.all[0].Fault.Hung = true }, sourceTimeout},
+		{"cut off", func(f *flock) { f.work.Depot.Reach = func(from, to string) bool { return from != "m0" } }, sourceTimeout},
 		{"gives the fetch up", func(f *flock) {
 			f.order(0, wire.Command{Verb: wire.VerbStop, Task: "job-000001/0", Attempt: 1, GraceS: new(float64)})
-		}, sourceDead},
-		{"gets nothing itself", func(f *flock) { f.all[0].images["w"].sources = []string{"m2:1"} }, sourceSlow},
+		}, sourceTimeout},
+		{"gets nothing itself", func(f *flock) { f.all[0].images["w"].sources = []string{"m2:1"} }, sourceStallTimeout},
 	} {
 		f := newFlock(t, 3, 0)
 		f.start("job-000002", 2) // m2 fetches something else
@@ -117,9 +117,9 @@
 		f.start("job-000001", 1, 0)
 		f.run(3*time.Second, "w")
 		c.fail(f)
-		if c.lost == sourceSlow {
-			f.all[0].images["w"].heard = f.now + time.Hour // it waits for m2 for ever
-			f.all[0].images["w"].moved = f.now + time.Hour
+		if c.lost == sourceStallTimeout {
+			f.all[0].images["w"].lastAnswer = f.now + time.Hour // it waits for m2 for ever
+			f.all[0].images["w"].lastProgress = f.now + time.Hour
 		}
 		at := f.run(20*time.Second, "w")
 		if got := at[1]; !about(got, 6*time.Second+c.lost+500*time.Millisecond) && !about(got, 6*time.Second+c.lost) {
@@ -141,7 +141,7 @@
 	if f.all[0].Fetched("w") != 0 {
 		t.Fatal("not the meeting: the source has it still")
 	}
-	if got := at[1] - 7*time.Second; !about(got, 6*time.Second+sourceDead) {
+	if got := at[1] - 7*time.Second; !about(got, 6*time.Second+sourceTimeout) {
 		t.Errorf("there after %v", got)
 	}
 }
--- a/internal/standin/worker/work.go
+++ b/internal/standin/worker/work.go
@@ -7,8 +7,8 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Job is what workers know of a job: users upload it. Run is the true run time
-// of a task, which the owner's estimate may miss.
+// Job is the description of a job that workers use; users upload it. Run returns the actual run
+// time of a task, which may differ from the owner's estimate.
 type Job struct {
 	Shape           string
 	Tasks           int
@@ -18,7 +18,7 @@
 	ImageGB         float64
 	CheckpointEvery time.Duration
 	Save            time.Duration
-	Fails           bool // submitted with a mistake: fails on every machine
+	Fails           bool // the job itself is faulty: its tasks fail on every machine
 	Run             func(index int) time.Duration
 }
 
@@ -29,25 +29,25 @@
 	return j.Run(index)
 }
 
-// FromRecord makes a job of its record; run gives the tasks' true run time.
+// FromRecord returns the job described by a record; run returns the actual run time of each task.
 func FromRecord(r wire.Job, run func(index int) time.Duration) Job {
 	seconds := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 	return Job{Shape: r.Shape, Tasks: r.Tasks, CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB, Image: r.Image, ImageGB: r.ImageGB,
 		CheckpointEvery: seconds(r.CheckpointEvery), Save: seconds(r.SaveS), Run: run}
 }
 
-// Work is what lies outside the machines: descriptions of jobs, results and
-// checkpoints. All workers of a world share it.
+// Work holds what is stored outside the machines: job descriptions, results and checkpoints. All
+// workers of an emulated deployment share it.
 type Work struct {
-	// Find looks up a job that nobody uploaded; nil: there is none.
+	// Find looks up a job that was not uploaded; nil: there are no such jobs.
 	Find func(id string) (Job, bool)
-	// Depot is where images come from; nil: a store that binds nobody, and sources are not known.
+	// Depot is where images come from; nil: a store without a rate limit, and sources are ignored.
 	Depot *Depot
 
 	jobs  map[string]Job
 	saved map[string]time.Duration
 	done  map[string]bool
-	on    map[string]map[string]int // job -> task -> how often it is on a machine
+	on    map[string]map[string]int // job -> task -> number of machines that it is on
 }
 
 // NewWork returns an empty Work.
@@ -55,10 +55,10 @@
 	return &Work{jobs: map[string]Job{}, saved: map[string]time.Duration{}, done: map[string]bool{}, on: map[string]map[string]int{}}
 }
 
-// Upload takes a job's description.
+// Upload stores the description of a job.
 func (w *Work) Upload(id string, j Job) { w.jobs[id] = j }
 
-// Job looks a description up.
+// Job returns the description of a job, and false if there is none.
 func (w *Work) Job(id string) (Job, bool) {
 	if j, ok := w.jobs[id]; ok {
 		return j, true
@@ -73,7 +73,7 @@
 	return j, ok
 }
 
-// Done counts a job's tasks that have a result.
+// Done returns the number of a job's tasks that have a result.
 func (w *Work) Done(id string) int {
 	n, j := 0, w.jobs[id]
 	for i := range j.Tasks {
@@ -113,7 +113,7 @@
 	}
 }
 
-// together tells whether all tasks of a gang are on machines, or done.
+// together reports whether every task of a gang is on a machine or done.
 func (w *Work) together(task string, tasks int) bool {
 	id := jobOf(task)
 	if n := len(w.on[id]); n >= tasks {
--- a/internal/standin/worker/worker.go
+++ b/internal/standin/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is one machine of PROTOCOL as a state machine: it reports,
-// keeps its lease and token, fetches images and runs tasks that only take time.
+// Package worker emulates the worker of one machine, as PROTOCOL describes it, as a state machine:
+// it reports, keeps its lease and token, fetches images and runs tasks that only take time.
 package worker
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the world began.
+// Time is monotonic time since the start of the emulated deployment.
 type Time = time.Duration
 
-// Times that PROTOCOL gives.
+// Durations that PROTOCOL specifies.
 const (
-	replyWait = 4 * time.Second        // a report without answer is given up
-	nextNode  = time.Second            // before the next node is tried
-	redirect  = 250 * time.Millisecond // to move to a named node: up to half a second
-	leastGap  = 500 * time.Millisecond // between reports
-	failAfter = time.Second            // a task on a sick machine fails after so much run time
+	replyWait    = 4 * time.Second        // timeout of a report
+	nextNode     = time.Second            // delay before the next node is tried
+	redirect     = 250 * time.Millisecond // delay before reporting to the node that a redirect names; PROTOCOL allows up to half a second
+	minReportGap = 500 * time.Millisecond // shortest interval between reports
+	failAfter    = time.Second            // run time after which a task on a sick machine fails
 )
 
 // Params are a worker's settings.
@@ -28,43 +28,43 @@
 	Nodes         []string // controllers by name, in the order they are tried
 	First         int      // index of the node tried first
 	Type          wire.MachineType
-	Speed         float64 // of tasks, about 1
+	Speed         float64 // factor on the progress of tasks, about 1
 }
 
 // Effects that a step returns.
 type (
-	// Send asks to post a report to a node. Close says that the worker changes
-	// nodes and the connection to the last one ends.
+	// Send asks the caller to post a report to a node. Close reports that the worker changes
+	// nodes, so the connection to the previous node is to be closed.
 	Send struct {
 		ID     uint64
 		Node   string
 		Report wire.Report
 		Close  bool
 	}
-	// Ordered tells that a start command was taken; the image may be missing yet.
+	// Ordered reports that a start command was accepted; the image may still be missing.
 	Ordered struct {
 		Task    string
 		Attempt uint64
 	}
-	// Started tells that a task is on the machine from now: it has its image.
+	// Started reports that a task is on the machine from now on: its image is there.
 	Started struct {
 		Task    string
 		Attempt uint64
 	}
-	// Left tells that a started task is on the machine no longer.
+	// Left reports that a started task is no longer on the machine.
 	Left struct {
 		Task    string
 		Attempt uint64
-		Cause   string // "" if the lease killed it
+		Cause   string // empty if the end of the lease or the loss of the machine killed it
 	}
 )
 
-// Fault is what is wrong with the machine.
+// Fault describes the faults of the machine.
 type Fault struct {
 	Hung      bool
 	Sick      bool    // every task fails
-	SickAbove float64 // sick only while more than so many cpus are in use; 0: always
-	Slow      float64 // tasks take so many times as long; 0: as usual
+	SickAbove float64 // sick only while more CPUs than this are in use; 0: always
+	Slow      float64 // factor on the run time of tasks; 0: no slowdown
 }
 
 type attempt struct {
@@ -74,7 +74,7 @@
 	status  string
 	cause   string
 	saved   bool
-	on      bool // has its image, counts as on the machine
+	on      bool // the image is there, so the task counts as on the machine
 	ran     time.Duration
 	saveEnd Time
 }
@@ -85,14 +85,14 @@
 }
 
 type image struct {
-	gb, left float64
-	used     Time
-	sources  []string // addresses of workers that hand it on; none: the store
-	heard    Time     // when one of them last answered
-	moved    Time     // when anything last came
+	gb, left     float64
+	used         Time
+	sources      []string // addresses of the workers that serve it; none: the store
+	lastAnswer   Time     // when one of the sources last answered
+	lastProgress Time     // when data last arrived
 }
 
-type heldOutcome struct {
+type pendingOutcome struct {
 	id uint64
 	o  Outcome
 }
@@ -108,47 +108,47 @@
 	Info  wire.MachineInfo
 	Fault Fault
 
-	p        Params
-	work     *Work
-	rng      *rand.Rand
-	session  uint64
-	seq      uint64
-	token    uint64
-	node     int
-	reported string // node of the last report
-	leased   Time   // when the last answered report was sent, or the session began
-	flight   *flight
-	flights  uint64
-	lastSend Time
-	nextSend Time
-	changed  bool
-	toldAt   Time // when a higher token last counted as a change
-	notice   Time // when the machine is taken; 0: not known
-	attempts map[key]*attempt
-	images   map[string]*image
-	held     []heldOutcome // came while the machine hung
-	at       Time          // tasks and fetches have been played up to here
-	gone     bool          // with its machine
-	out      []any
-}
-
-// New returns a worker whose machine has just come up.
+	p               Params
+	work            *Work
+	rng             *rand.Rand
+	session         uint64
+	seq             uint64
+	token           uint64
+	node            int
+	reported        string // node that the last report was sent to
+	leased          Time   // when the last answered report was sent, or the session started
+	flight          *flight
+	flights         uint64
+	lastSend        Time
+	nextSend        Time
+	changed         bool
+	tokenReportedAt Time // when a higher token last caused an early report
+	notice          Time // when the machine will be taken back; 0: not known
+	attempts        map[key]*attempt
+	images          map[string]*image
+	pendingOutcomes []pendingOutcome // arrived while the machine hung
+	at              Time             // tasks and fetches have been simulated up to this time
+	gone            bool             // the machine no longer exists
+	out             []any
+}
+
+// New returns a worker whose machine has just booted.
 func New(now Time, info wire.MachineInfo, p Params, work *Work, rng *rand.Rand) *Worker {
 	if p.Speed == 0 {
 		p.Speed = 1
 	}
-	w := &Worker{Info: info, p: p, work: work, rng: rng, session: 1, node: p.First, leased: now, at: now, toldAt: -p.Lease,
-		nextSend: now, lastSend: now - leastGap, attempts: map[key]*attempt{}, images: map[string]*image{}}
+	w := &Worker{Info: info, p: p, work: work, rng: rng, session: 1, node: p.First, leased: now, at: now, tokenReportedAt: -p.Lease,
+		nextSend: now, lastSend: now - minReportGap, attempts: map[key]*attempt{}, images: map[string]*image{}}
 	if work.Depot != nil {
 		work.Depot.join(w)
 	}
 	return w
 }
 
-// Notice tells the worker when its machine will be taken.
+// Notice informs the worker when its machine will be taken back.
 func (w *Worker) Notice(at Time) { w.notice, w.changed = at, true }
 
-// Advance lets time pass.
+// Advance simulates the time up to now and returns the effects.
 func (w *Worker) Advance(now Time) []any {
 	w.out = nil
 	w.play(now)
@@ -156,13 +156,13 @@
 	return w.out
 }
 
-// play moves tasks, fetches and the lease on. A machine that hangs does nothing.
+// play advances tasks, fetches and the lease to now. A machine that hangs does nothing.
 func (w *Worker) play(now Time) {
 	if w.Fault.Hung {
 		w.at = now
 		return
 	}
-	for did := true; did || w.at < now; { // from one end of a fetch or task to the next
+	for did := true; did || w.at < now; { // one step per end of a fetch or task
 		step := now
 		if t, ok := w.nextWork(); ok && t < now && (did || t > w.at) {
 			step = max(t, w.at)
@@ -176,7 +176,7 @@
 	}
 }
 
-// Next is when Advance has something to do.
+// Next returns when Advance has to be called next, and false if there is no such time.
 func (w *Worker) Next() (Time, bool) {
 	if w.Fault.Hung {
 		return 0, false
@@ -195,12 +195,12 @@
 
 func (w *Worker) dueAt() Time {
 	if w.changed {
-		return min(w.nextSend, max(w.lastSend+leastGap, w.at))
+		return min(w.nextSend, max(w.lastSend+minReportGap, w.at))
 	}
 	return w.nextSend
 }
 
-// expire ends the session: all tasks are killed and forgotten.
+// expire ends the session after the lease has run out: all tasks are killed and removed.
 func (w *Worker) expire(now Time) {
 	for _, a := range w.sorted() {
 		w.leave(a, "")
@@ -210,10 +210,10 @@
 	w.leased, w.changed = now, true
 }
 
-// nextWork is when the next fetch, task or saving ends by itself.
+// nextWork returns when the next fetch, task or checkpoint save ends by itself, and false if none does.
 func (w *Worker) nextWork() (Time, bool) {
 	next, any := Time(0), false
-	least := func(t Time) {
+	earliest := func(t Time) {
 		if !any || t < next {
 			next, any = t, true
 		}
@@ -221,16 +221,16 @@
 	rate := w.fetchRate()
 	for name, im := range w.images {
 		if im.left > 0 && w.awaited(name) {
-			least(w.fetched(im, rate))
+			earliest(w.fetched(im, rate))
 		}
 	}
 	for _, a := range w.attempts {
 		switch a.status {
 		case wire.TaskSaving:
-			least(a.saveEnd)
+			earliest(a.saveEnd)
 		case wire.TaskRunning:
 			if left, ok := w.left(a); ok {
-				least(w.at + time.Duration(float64(left)/w.speed()) + time.Microsecond)
+				earliest(w.at + time.Duration(float64(left)/w.speed()) + time.Microsecond)
 			}
 		}
 	}
@@ -258,7 +258,7 @@
 	return sum
 }
 
-// left is the run time a task still needs; not ok if it does not end by itself.
+// left returns the remaining run time of a task, and false if it does not end by itself.
 func (w *Worker) left(a *attempt) (time.Duration, bool) {
 	if a.job.Shape == wire.ShapeGang && !w.work.together(a.key.task, a.job.Tasks) {
 		return 0, false
@@ -290,7 +290,7 @@
 	}
 }
 
-// fetchRate is what each image gets: several at a time share the machine's rate.
+// fetchRate returns the rate of each fetch in GB/s; concurrent fetches share the machine's rate.
 func (w *Worker) fetchRate() float64 {
 	n := 0
 	for name, im := range w.images {
@@ -310,7 +310,7 @@
 	return false
 }
 
-// settle changes the state of tasks whose fetch, run or saving is over.
+// settle advances the state of tasks whose fetch, run or checkpoint save has ended, and reports whether any changed.
 func (w *Worker) settle(now Time) (did bool) {
 	for _, a := range w.sorted() {
 		switch a.status {
@@ -323,7 +323,7 @@
 			a.status = wire.TaskRunning
 			w.work.enter(a.key.task)
 			w.out = append(w.out, Started{a.key.task, a.key.try})
-			if w.work.done[a.key.task] { // its result is kept
+			if w.work.done[a.key.task] { // the result already exists
 				w.end(a, wire.CauseDone)
 			}
 		case wire.TaskSaving:
@@ -366,7 +366,8 @@
 	}
 }
 
-// evict gives up fetches that no task waits for, and the images longest unused.
+// evict drops fetches that no task waits for and, while the cache is over its size, the least recently used
+// images that no task uses.
 func (w *Worker) evict() {
 	total := 0.0
 	var idle []string
@@ -408,14 +409,14 @@
 	return out
 }
 
-// report sends a report if one is due, and gives up one that has no answer.
+// report sends a report if one is due, and abandons a report that has timed out.
 func (w *Worker) report(now Time) {
 	if w.Fault.Hung {
 		return
 	}
 	if w.flight != nil && now-w.flight.sent >= replyWait {
 		w.flight = nil
-		w.moveOn(now)
+		w.tryNextNode(now)
 	}
 	if w.flight != nil || now < w.dueAt() {
 		return
@@ -430,13 +431,13 @@
 	w.reported = node
 }
 
-func (w *Worker) moveOn(now Time) {
+func (w *Worker) tryNextNode(now Time) {
 	w.node++
 	w.nextSend = now + nextNode
-	w.lastSend = w.nextSend - leastGap
+	w.lastSend = w.nextSend - minReportGap
 }
 
-// message is the worker's report.
+// message returns the worker's report with the next sequence number.
 func (w *Worker) message(now Time) wire.Report {
 	w.seq++
 	r := wire.Report{Machine: w.Info.Name, Addr: w.Info.Addr, Type: w.Info.Type, Zone: w.Info.Zone, Spot: w.Info.Spot,
@@ -451,20 +452,20 @@
 	return r
 }
 
-// Outcome is what became of a report: Status 0 if there was no answer.
+// Outcome is the result of sending a report. Status is 0 if there was no answer.
 type Outcome struct {
 	Status int
 	Holder string // of a 421
 	Reply  wire.ReportReply
 }
 
-// Answered takes the outcome of report id. One that the worker no longer waits
-// for is dropped, as is one to a report of an earlier session.
+// Answered processes the outcome of report id. The outcome of a report that the worker no longer
+// waits for is dropped, as is the answer to a report of an earlier session.
 func (w *Worker) Answered(now Time, id uint64, o Outcome) []any {
 	w.out = nil
 	w.play(now)
 	if w.Fault.Hung {
-		w.held = append(w.held, heldOutcome{id, o})
+		w.pendingOutcomes = append(w.pendingOutcomes, pendingOutcome{id, o})
 		return w.out
 	}
 	w.take(now, id, o)
@@ -480,9 +481,9 @@
 	w.flight = nil
 	switch {
 	case now-f.sent >= replyWait:
-		w.moveOn(now)
+		w.tryNextNode(now)
 	case o.Status == 200:
-		// One with a lower token is dropped: nothing is executed, the lease runs on.
+		// An answer with a lower token is dropped: no command is executed and the lease is not renewed.
 		if o.Reply.Token >= w.token && o.Reply.Token > 0 && f.session == w.session {
 			w.seen(now, o.Reply.Token)
 			w.leased = max(w.leased, f.sent)
@@ -495,13 +496,13 @@
 			}
 		}
 		w.nextSend = now + redirect
-		w.lastSend = w.nextSend - leastGap
+		w.lastSend = w.nextSend - minReportGap
 	default:
-		w.moveOn(now)
+		w.tryNextNode(now)
 	}
 }
 
-// known tells whether a redirect leads to another node that the worker knows.
+// known reports whether the holder that a redirect names is a configured node other than the current one.
 func (w *Worker) known(holder string) bool {
 	for _, n := range w.p.Nodes {
 		if n == holder {
@@ -511,39 +512,38 @@
 	return false
 }
 
-// seen notes a token; a higher one is a change, at most once per half a lease.
+// seen records a token. A higher one causes an early report, at most once per half a lease.
 func (w *Worker) seen(now Time, token uint64) {
-	if token > w.token && now-w.toldAt >= w.p.Lease/2 {
-		w.toldAt, w.changed = now, true
+	if token > w.token && now-w.tokenReportedAt >= w.p.Lease/2 {
+		w.tokenReportedAt, w.changed = now, true
 	}
 	w.token = max(w.token, token)
 }
 
-// Resume ends a hang: what had come meanwhile is read first, and a report that has
-// waited too long for its answer is given up.
+// Resume ends a hang: outcomes that arrived meanwhile are processed first, and then a report that
+// has timed out is abandoned.
 func (w *Worker) Resume(now Time) []any {
 	w.Fault.Hung = false
 	w.out, w.at = nil, now
 	w.play(now)
-	for _, h := range w.held {
+	for _, h := range w.pendingOutcomes {
 		w.take(now, h.id, h.o)
 	}
-	w.held = nil
+	w.pendingOutcomes = nil
 	w.report(now)
 	return w.out
 }
 
-// Leased tells whether the worker's lease runs: once it is over, nothing of what
-// it names runs on, even if the machine hangs.
+// Leased reports whether the worker's lease is valid. Once the lease has run out, none of the tasks
+// that the worker lists is running any more, even if the machine hangs.
 func (w *Worker) Leased(now Time) bool { return now-w.leased <= w.p.Lease }
 
-// Lease tells how long the worker's lease still runs, and how long ago it sent its
-// last report.
+// Lease returns the remaining time of the worker's lease and the time since its last report.
 func (w *Worker) Lease(now Time) (left, reported time.Duration) {
 	return w.leased + w.p.Lease - now, now - w.lastSend
 }
 
-// Running lists the tasks that are on the machine.
+// Running returns the names of the tasks that are on the machine.
 func (w *Worker) Running() (out []string) {
 	for _, a := range w.sorted() {
 		if a.on {
@@ -553,7 +553,7 @@
 	return out
 }
 
-// Attempts lists what the worker would report.
+// Attempts returns the task attempts as the worker would report them, without the saved flag.
 func (w *Worker) Attempts() (out []wire.TaskReport) {
 	for _, a := range w.sorted() {
 		out = append(out, wire.TaskReport{Task: a.key.task, Attempt: a.key.try, Status: a.status, Cause: a.cause})
@@ -561,7 +561,7 @@
 	return out
 }
 
-// Vanish takes the machine away with all that is on it.
+// Vanish removes the machine with everything on it and returns the effects.
 func (w *Worker) Vanish() []any {
 	w.out = nil
 	for _, a := range w.sorted() {
