--- a/internal/standin/state/store.go
+++ b/internal/standin/state/store.go
@@ -1,7 +1,6 @@
-// Package state is the state service of PROTOCOL as a state machine: calls go
-// in with the time, answers come out. It has no clock, no goroutine and no
-// randomness of its own, so the core's tests and the server of the emulator
-// run the same code.
+// Package state emulates the state service of PROTOCOL as a state machine that maps calls
+// and their times to answers. It has no clock, goroutine or source of randomness of its own,
+// so the tests of the core and the server of the emulator run the same code.
 package state
 
 import (
@@ -19,10 +18,10 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the store began.
+// Time is monotonic time since the start of the store.
 type Time = time.Duration
 
-// Op names a call.
+// Op identifies a kind of call.
 type Op int
 
 // The calls of the protocol.
@@ -36,34 +35,34 @@
 	Watch
 )
 
-// Limits are those of the settings and of the protocol. A rate of 0 is no limit.
+// Limits are the limits of the settings and of the protocol. A rate of 0 means no limit.
 type Limits struct {
 	RPS, WriteRPS float64
 	ValueBytes    int
 	TxnOps        int
-	PageItems     int // most items of one list; 0: 1,000
+	PageItems     int // maximum number of items in one page of a list; 0: 1,000
 }
 
-// Bounds that PROTOCOL gives.
+// Limits that PROTOCOL specifies.
 const (
-	keyBytes   = 200
-	pageItems  = 1000
-	pageBytes  = 512 << 10
-	txnBytes   = 64 << 10
-	historyLen = 10000
-	minLife    = 100 * time.Millisecond
-	maxLife    = 10 * time.Minute
-	maxHold    = time.Minute
-	lateEnd    = 100 * time.Millisecond // an ended grant is noticed at most so late
+	keyBytes         = 200
+	pageItems        = 1000
+	pageBytes        = 512 << 10
+	txnBytes         = 64 << 10
+	historyLen       = 10000
+	minLeaseDuration = 100 * time.Millisecond
+	maxLeaseDuration = 10 * time.Minute
+	maxWatchHold     = time.Minute
+	maxLeaseEndDelay = 100 * time.Millisecond // the end of a state lease takes effect at most this late
 )
 
-// Call is one request. Which fields count goes by Op.
+// Call is one request. Op determines which fields are used.
 type Call struct {
-	Client   string // who asks; faults may hit one client alone
+	Client   string // the caller; faults may affect a single client
 	Op       Op
-	Key      string // of Get; prefix of List and Watch
+	Key      string // key of Get; prefix of List and Watch
 	After    string
-	Page     int // 0: the most
+	Page     int // 0: the maximum
 	Txn      Txn
 	Lease    uint64
 	Life     time.Duration
@@ -77,7 +76,7 @@
 	Then []Change         `cbor:"apply"`
 }
 
-// Change is a put or a delete.
+// Change sets or deletes one key.
 type Change struct {
 	Put    string   `cbor:"set,omitempty"`
 	Value  wire.Raw `cbor:"v,omitempty"`
@@ -85,24 +84,24 @@
 	Delete string   `cbor:"delete,omitempty"`
 }
 
-// Answer replies to call ID. Body is nil or a message of package wire.
+// Answer is the answer to the call ID. Body is nil or a message of package wire.
 type Answer struct {
 	ID     uint64
 	Status int
 	Body   any
 }
 
-// Trouble is what is wrong with the service at the moment.
+// Trouble describes the current faults of the service.
 type Trouble struct {
-	Down     bool            // 503 to everybody; grants stand still
-	Refused  map[string]bool // 503 to these clients alone
+	Down     bool            // 503 to all clients; state leases do not expire
+	Refused  map[string]bool // 503 to these clients only
 	NoWrites bool            // 503 to every change
-	TooOld   bool            // every watch that opens is told 410
+	TooOld   bool            // 410 to every new watch
 }
 
 type grant struct {
 	life time.Duration
-	ends Time // never early; up to lateEnd late
+	ends Time // never before the lease duration is over, at most maxLeaseEndDelay after it
 }
 
 type watch struct {
@@ -111,7 +110,7 @@
 	until Time
 }
 
-// Store is the service.
+// Store is the emulated state service.
 type Store struct {
 	Trouble Trouble
 
@@ -120,19 +119,19 @@
 	keys    *btree.BTreeG[wire.Item]
 	rev     uint64
 	history []wire.Event
-	dropped uint64 // newest revision that left the history
+	dropped uint64 // newest revision that was dropped from the history
 	grants  map[uint64]*grant
 	lastID  uint64
 	watches []*watch
 	calls   *rate.Limiter
 	writes  *rate.Limiter
-	down    bool // Trouble.Down as of the last step
+	down    bool // value of Trouble.Down at the last step
 
-	// Counts for tests and reports.
+	// Counters for tests and reports.
 	Conflicts, Written, Refused int
 }
 
-// New returns an empty store. rng decides how late grants end.
+// New returns an empty store. rng determines how late the end of each state lease takes effect.
 func New(l Limits, rng *rand.Rand) *Store {
 	if l.PageItems == 0 || l.PageItems > pageItems {
 		l.PageItems = pageItems
@@ -143,13 +142,13 @@
 		if rps <= 0 {
 			return rate.NewLimiter(rate.Inf, 0)
 		}
-		return rate.NewLimiter(rate.Limit(rps), max(1, int(rps))) // bursts of one second's worth
+		return rate.NewLimiter(rate.Limit(rps), max(1, int(rps))) // allows a burst of one second's calls
 	}
 	s.calls, s.writes = limiter(l.RPS), limiter(l.WriteRPS)
 	return s
 }
 
-// Limit replaces the limits at a moment, without notice. What is stored stays readable.
+// Limit replaces the limits at once. Stored values that exceed the new limits stay readable.
 func (s *Store) Limit(now Time, l Limits) {
 	if l.PageItems == 0 || l.PageItems > pageItems {
 		l.PageItems = pageItems
@@ -165,13 +164,13 @@
 	}
 }
 
-// allow takes n from a limiter at a steady time.
+// allow takes n tokens from a limiter and reports whether they were available at now.
 func allow(l *rate.Limiter, now Time, n int) bool {
 	return l.Limit() == rate.Inf || l.AllowN(time.Unix(0, 0).Add(now), n)
 }
 
-// Do takes one call and returns every answer that is due now: its own, unless it
-// is a watch that waits, and those of watches that it woke.
+// Do executes one call and returns all answers that are due now: the call's own, unless it is a
+// watch that waits, and those of the watches that the call or the time completed.
 func (s *Store) Do(now Time, id uint64, c Call) []Answer {
 	out := s.Advance(now)
 	if s.Trouble.Down || s.Trouble.Refused[c.Client] {
@@ -191,7 +190,7 @@
 		out = append(out, s.commit(now, id, c))
 		out = append(out, s.wake(now)...)
 	case Grant:
-		if c.Life < minLife || c.Life > maxLife {
+		if c.Life < minLeaseDuration || c.Life > maxLeaseDuration {
 			return append(out, refuse(id, http.StatusBadRequest, "life_ms: must be from 100 to 600000"))
 		}
 		s.lastID++
@@ -203,12 +202,12 @@
 			return append(out, refuse(id, http.StatusNotFound, "no such lease"))
 		}
 		if g.ends = s.ends(now, g.life); c.Op == End {
-			s.endGrant(c.Lease)
+			s.endLease(c.Lease)
 		}
 		out = append(out, Answer{id, http.StatusOK, wire.LeaseReply{Lease: c.Lease}})
 		out = append(out, s.wake(now)...)
 	case Watch:
-		if c.Hold < 0 || c.Hold > maxHold {
+		if c.Hold < 0 || c.Hold > maxWatchHold {
 			return append(out, refuse(id, http.StatusBadRequest, "hold_ms: must be from 0 to 60000"))
 		}
 		if s.Trouble.TooOld || c.Revision < s.dropped {
@@ -227,47 +226,47 @@
 }
 
 func (s *Store) ends(now Time, life time.Duration) Time {
-	return now + life + time.Duration(s.rng.Int64N(int64(lateEnd)))
+	return now + life + time.Duration(s.rng.Int64N(int64(maxLeaseEndDelay)))
 }
 
-// Advance lets time pass: grants end, watches run out. After an outage every
-// grant has its full time again.
+// Advance ends the state leases and watches that have run out by now and returns the answers of
+// the watches. Every state lease starts anew with its full duration when an outage begins or ends.
 func (s *Store) Advance(now Time) []Answer {
 	if s.down != s.Trouble.Down {
 		s.down = s.Trouble.Down
-		for _, id := range s.grantIDs() {
+		for _, id := range s.leaseIDs() {
 			s.grants[id].ends = s.ends(now, s.grants[id].life)
 		}
 	}
 	if s.down {
-		return nil // time stands still for grants, and watches stay open
+		return nil // during an outage state leases do not expire and watches stay open
 	}
-	for _, id := range s.grantIDs() {
+	for _, id := range s.leaseIDs() {
 		if now >= s.grants[id].ends {
-			s.endGrant(id)
+			s.endLease(id)
 		}
 	}
 	return s.wake(now)
 }
 
-// Next is when Advance has something to do.
+// Next returns when Advance has to be called next, and false if there is no such time.
 func (s *Store) Next() (Time, bool) {
 	next, any := Time(0), false
-	least := func(t Time) {
+	earliest := func(t Time) {
 		if !any || t < next {
 			next, any = t, true
 		}
 	}
 	for _, g := range s.grants {
-		least(g.ends)
+		earliest(g.ends)
 	}
 	for _, w := range s.watches {
-		least(w.until)
+		earliest(w.until)
 	}
 	return next, any && !s.Trouble.Down
 }
 
-func (s *Store) grantIDs() []uint64 {
+func (s *Store) leaseIDs() []uint64 {
 	ids := make([]uint64, 0, len(s.grants))
 	for id := range s.grants {
 		ids = append(ids, id)
@@ -276,7 +275,7 @@
 	return ids
 }
 
-func (s *Store) endGrant(id uint64) {
+func (s *Store) endLease(id uint64) {
 	delete(s.grants, id)
 	var keys []string
 	s.keys.Ascend(func(it wire.Item) bool {
@@ -338,7 +337,7 @@
 	if err := s.check(&c.Txn); err != nil {
 		return refuse(id, http.StatusBadRequest, err.Error())
 	}
-	// Transactions whose conditions fail are counted as well.
+	// Transactions whose conditions fail count towards the write rate as well.
 	if !allow(s.writes, now, len(c.Txn.Then)) {
 		s.Refused++
 		return refuse(id, http.StatusTooManyRequests, "too many writes")
@@ -387,7 +386,7 @@
 	}
 }
 
-// check refuses what the protocol calls malformed.
+// check returns an error for a transaction that is malformed according to the protocol.
 func (s *Store) check(t *Txn) error {
 	if len(t.Then) > s.lim.TxnOps || len(t.If) > 4*s.lim.TxnOps {
 		return fmt.Errorf("at most %d changes and %d conditions", s.lim.TxnOps, 4*s.lim.TxnOps)
@@ -435,7 +434,8 @@
 	return nil
 }
 
-// wake answers the watches whose keys have changed, or whose time is up.
+// wake answers the watches whose keys have changed or whose hold time is over, and refuses those whose
+// revision is no longer in the history. Watches of clients that a fault affects stay open.
 func (s *Store) wake(now Time) (out []Answer) {
 	rest := s.watches[:0]
 	for _, w := range s.watches {
@@ -467,7 +467,7 @@
 	return out
 }
 
-// Forget drops a watch whose caller has gone.
+// Forget drops the watch of a call whose caller has disconnected.
 func (s *Store) Forget(id uint64) {
 	for i, w := range s.watches {
 		if w.id == id {
@@ -477,10 +477,10 @@
 	}
 }
 
-// Peek reads a key without counting as a call, for tests and stand-ins.
+// Peek reads a key without counting as a call, for tests and other emulated services.
 func (s *Store) Peek(key string) (wire.Item, bool) { return s.keys.Get(wire.Item{Key: key}) }
 
-// Scan reads all keys with a prefix in order, without counting as a call.
+// Scan passes all keys with a prefix to f in order, without counting as a call.
 func (s *Store) Scan(prefix string, f func(wire.Item)) {
 	s.keys.AscendGreaterOrEqual(wire.Item{Key: prefix}, func(it wire.Item) bool {
 		if !strings.HasPrefix(it.Key, prefix) {
