--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud is the cloud of PROTOCOL as a state machine: it rents machines,
-// boots them, charges for them, takes spot machines back and lists what it has
-// as it was some seconds ago.
+// Package cloud emulates the cloud of PROTOCOL as a state machine: it rents out machines, boots
+// them, charges for them, takes spot machines back and lists its machines as they were some
+// seconds ago.
 package cloud
 
 import (
@@ -17,22 +17,22 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Time is steady time since the cloud began.
+// Time is monotonic time since the start of the cloud.
 type Time = time.Duration
 
-// Bounds that PROTOCOL gives.
+// Limits that PROTOCOL specifies.
 const (
-	rentMost    = 50
-	deleteMost  = 100
-	pageMost    = 500
-	leastCharge = time.Minute
-	// deadListed: a machine that died is still listed as running for so long.
-	deadListed = 30 * time.Second
-	// keepGone: deleted machines are remembered while a list may be as old.
-	keepGone = 10 * time.Minute
+	maxRentCount   = 50
+	maxDeleteNames = 100
+	maxPageItems   = 500
+	minCharge      = time.Minute
+	// deadListedTime is how long a machine that died is still listed as running.
+	deadListedTime = 30 * time.Second
+	// goneRetention is how long deleted machines are kept, because a list may be that old.
+	goneRetention = 10 * time.Minute
 )
 
-// Place is a kind of machine in a zone.
+// Place is a machine type in a zone, as spot or regular capacity.
 type Place struct {
 	Type, Zone string
 	Spot       bool
@@ -41,82 +41,82 @@
 // Params describe the cloud.
 type Params struct {
 	Types       []wire.MachineType
-	Capacity    map[Place]int // most at a time; a missing place has Otherwise
+	Capacity    map[Place]int // maximum number of machines at a time; Otherwise applies to places that are missing
 	Otherwise   int
 	RPS         float64 // 0: no limit
 	ListLag     time.Duration
-	BootFails   float64                                          // share of rentals that never come up
-	SlowBoots   float64                                          // share that takes several times as long
-	SpotPerHour float64                                          // how often a spot machine is taken
-	Notice      time.Duration                                    // nominal notice
-	Silent      float64                                          // share of spot machines taken without one
-	Boot        func(wire.MachineType, *rand.Rand) time.Duration // nil: as PROTOCOL says
+	BootFails   float64                                          // share of rented machines that never boot
+	SlowBoots   float64                                          // share of machines that take four times as long to boot
+	SpotPerHour float64                                          // mean number of times per hour that a spot machine is taken back
+	Notice      time.Duration                                    // nominal notice before a spot machine is taken back
+	Silent      float64                                          // share of spot machines taken back without notice
+	Boot        func(wire.MachineType, *rand.Rand) time.Duration // returns a boot time; nil: as PROTOCOL specifies
 }
 
-// Trouble is what is wrong with the cloud at the moment.
+// Trouble describes the current faults of the cloud.
 type Trouble struct {
-	Down   bool            // 503 to everything
+	Down   bool            // 503 to every call
 	Short  bool            // nothing can be rented
-	Unborn int             // so many of the next rentals never come up
-	Ghosts map[string]bool // gone, and listed still
-	Hidden map[string]bool // there, and not listed
+	Unborn int             // this many of the next rented machines never boot
+	Ghosts map[string]bool // still listed although they are gone
+	Hidden map[string]bool // not listed although they exist
 }
 
-// Event tells the world of a machine.
+// Event reports a change of a machine.
 type Event struct {
 	Machine string
 	Kind    Kind
-	Notice  time.Duration // with Noticed
+	Notice  time.Duration // time until the machine is taken back; only for Noticed
 }
 
-// Kind of an event.
+// Kind is the kind of an Event.
 type Kind int
 
-// What can happen to a machine. Gone means that it and all on it are gone.
+// The kinds of events. Gone means that the machine and everything on it are gone.
 const (
 	Up Kind = iota
 	Noticed
 	Gone
 )
 
-// Host is a machine, past or present. Times below 0 have not come.
+// Host is a machine that exists or has existed. Times that are not known yet are never.
 type Host struct {
 	wire.MachineInfo
 	Created, UpAt, TakenAt, NoticeAt Time
 	DiedAt, GoneAt                   Time
-	Standing                         bool // the operator's own, not rented
+	Standing                         bool // owned by the operator, not rented
 	nominal                          float64
 	isUp, noticed                    bool
 }
 
-// never is a time that does not come.
+// never is the time of an event that is not scheduled.
 const never = Time(math.MaxInt64)
 
-// There tells whether the machine exists.
+// There reports whether the machine exists.
 func (h *Host) There(now Time) bool { return h.GoneAt > now && h.DiedAt > now }
 
-// Cloud is the service.
+// Cloud is the emulated cloud service.
 type Cloud struct {
 	Trouble Trouble
 
-	p        Params
-	rng      *rand.Rand
-	hosts    map[string]*Host
-	order    []string
-	bookings map[string][]string
-	calls    *rate.Limiter
-	spot     map[string]float64 // present spot prices by type
-	spotAt   Time
-	charged  float64 // for machines already forgotten
-	seq      int
+	p       Params
+	rng     *rand.Rand
+	hosts   map[string]*Host
+	order   []string
+	rentals map[string][]string
+	calls   *rate.Limiter
+	spot    map[string]float64 // current spot prices by type
+	spotAt  Time
+	charged float64 // for machines that have been removed
+	seq     int
 }
 
 // New returns a cloud without machines.
 func New(p Params, rng *rand.Rand) *Cloud {
-	c := &Cloud{p: p, rng: rng, hosts: map[string]*Host{}, bookings: map[string][]string{}, spot: map[string]float64{},
+	c := &Cloud{p: p, rng: rng, hosts: map[string]*Host{}, rentals: map[string][]string{}, spot: map[string]float64{},
 		calls: rate.NewLimiter(rate.Inf, 0)}
 	if p.RPS > 0 {
-		c.calls = rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))) // bursts of two seconds' worth
+		c.calls = rate.NewLimiter(rate.Limit(p.RPS), max(1, int(2*p.RPS))) // allows a burst of two seconds' calls
 	}
 	for _, t := range p.Types {
 		c.spot[t.Name] = t.SpotPrice
@@ -132,7 +132,7 @@
 
 func problem(status int, why string) Reply { return Reply{status, wire.Problem{Error: why}} }
 
-// admit refuses what the cloud does not look at.
+// admit returns the refusal of a call, and false, if the cloud is down or its call rate is exceeded.
 func (c *Cloud) admit(now Time) (Reply, bool) {
 	switch {
 	case c.Trouble.Down:
@@ -155,42 +155,42 @@
 	return Reply{http.StatusOK, wire.MachineTypes{Types: out}}
 }
 
-// Rent answers POST /hosts. Booked before: the same answer, and nothing rented.
+// Rent answers POST /hosts. A request that was already granted gets the same answer again and rents nothing.
 func (c *Cloud) Rent(now Time, r wire.RentRequest) Reply {
 	if rep, ok := c.admit(now); !ok {
 		return rep
 	}
-	if names, ok := c.bookings[r.Request]; ok {
+	if names, ok := c.rentals[r.Request]; ok {
 		return Reply{http.StatusOK, wire.MachineNames{Machines: names}}
 	}
-	t, ok := c.typ(r.Type)
-	if !ok || r.Request == "" || r.Count < 1 || r.Count > rentMost || !slices.Contains(t.Zones, r.Zone) {
+	t, ok := c.machineType(r.Type)
+	if !ok || r.Request == "" || r.Count < 1 || r.Count > maxRentCount || !slices.Contains(t.Zones, r.Zone) {
 		return problem(http.StatusBadRequest, "malformed rental")
 	}
 	place := Place{r.Type, r.Zone, r.Spot}
-	room, limited := c.p.Capacity[place]
+	freeCapacity, limited := c.p.Capacity[place]
 	if !limited {
-		room = c.p.Otherwise
+		freeCapacity = c.p.Otherwise
 	}
 	for _, h := range c.hosts {
 		if h.There(now) && !h.Standing && (Place{h.Type, h.Zone, h.Spot}) == place {
-			room--
+			freeCapacity--
 		}
 	}
-	if c.Trouble.Short || room <= 0 {
+	if c.Trouble.Short || freeCapacity <= 0 {
 		return problem(http.StatusServiceUnavailable, "no capacity")
 	}
 	var names []string
-	for range min(r.Count, room) {
+	for range min(r.Count, freeCapacity) {
 		names = append(names, c.add(now, place, t, false).Name)
 	}
-	c.bookings[r.Request] = names
+	c.rentals[r.Request] = names
 	return Reply{http.StatusOK, wire.MachineNames{Machines: names}}
 }
 
-// Stand adds one of the operator's own machines, up after boot.
+// Stand adds a machine that the operator owns; it is up after boot.
 func (c *Cloud) Stand(now Time, p Place, boot time.Duration) *Host {
-	t, _ := c.typ(p.Type)
+	t, _ := c.machineType(p.Type)
 	h := c.add(now, p, t, true)
 	h.UpAt, h.TakenAt, h.NoticeAt = now+boot, never, never
 	return h
@@ -213,24 +213,24 @@
 	return h
 }
 
-// take plans the end of a spot machine, with a notice of half to one and a
+// take schedules when a spot machine is taken back; with notify after a notice of half to one and a
 // half times the nominal length.
-func (c *Cloud) take(h *Host, at Time, tell bool) {
-	if tell {
+func (c *Cloud) take(h *Host, at Time, notify bool) {
+	if notify {
 		notice := time.Duration((0.5 + c.rng.Float64()) * float64(c.p.Notice))
-		at = max(at, h.Created+notice) // one rented just now is told in time, too
+		at = max(at, h.Created+notice) // a machine that was just rented gets its full notice, too
 		h.NoticeAt = at - notice
 	}
 	h.TakenAt = at
 }
 
-// Take has a spot machine taken back; with notice, after it.
-func (c *Cloud) Take(now Time, name string, tell bool) {
+// Take takes a spot machine back, with notify only after a notice.
+func (c *Cloud) Take(now Time, name string, notify bool) {
 	h := c.hosts[name]
 	if h == nil || !h.There(now) {
 		return
 	}
-	if !tell {
+	if !notify {
 		h.TakenAt = now
 		return
 	}
@@ -238,7 +238,7 @@
 	h.NoticeAt, h.TakenAt = now, now+notice
 }
 
-// Die ends a machine by itself: listed as running for a while, then as failed.
+// Die makes a machine fail. It is listed as running for deadListedTime, then as failed.
 func (c *Cloud) Die(now Time, name string) {
 	if h := c.hosts[name]; h != nil && h.There(now) {
 		h.DiedAt = now
@@ -261,7 +261,7 @@
 	if r, ok := c.admit(now); !ok {
 		return r, nil
 	}
-	if len(names) > deleteMost {
+	if len(names) > maxDeleteNames {
 		return problem(http.StatusBadRequest, "at most 100 names"), nil
 	}
 	var out []Event
@@ -274,16 +274,16 @@
 	return Reply{http.StatusOK, map[string]any{}}, out
 }
 
-// List answers GET /hosts with the machines as they were some time ago.
+// List answers GET /hosts with the machines as they were some time ago, at most twice ListLag.
 func (c *Cloud) List(now Time, after string, page int) Reply {
 	if r, ok := c.admit(now); !ok {
 		return r
 	}
-	if page < 0 || page > pageMost {
+	if page < 0 || page > maxPageItems {
 		return problem(http.StatusBadRequest, "page: must be from 1 to 500")
 	}
 	if page == 0 {
-		page = pageMost
+		page = maxPageItems
 	}
 	lag := time.Duration((0.5 + c.rng.Float64()) * float64(c.p.ListLag))
 	if c.rng.IntN(8) == 0 {
@@ -305,7 +305,7 @@
 		i := h.MachineInfo
 		i.AgeS = (at - h.Created).Seconds()
 		switch {
-		case h.DiedAt != never && h.DiedAt+deadListed <= at:
+		case h.DiedAt != never && h.DiedAt+deadListedTime <= at:
 			i.Status = wire.MachineFailed
 		case h.UpAt <= at:
 			i.Status = wire.MachineRunning
@@ -317,7 +317,7 @@
 	return Reply{http.StatusOK, l}
 }
 
-// before orders names as they were made, whatever their length.
+// before reports whether machine a was created before machine b: shorter names have lower numbers.
 func before(a, b string) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
@@ -325,9 +325,9 @@
 	return a < b
 }
 
-// Advance lets time pass and tells what befell the machines.
+// Advance simulates the time up to now and returns what happened to the machines.
 func (c *Cloud) Advance(now Time) (out []Event) {
-	if now-c.spotAt >= time.Minute { // prices wander by up to a third around the nominal
+	if now-c.spotAt >= time.Minute { // spot prices vary by up to a third around the nominal price
 		c.spotAt = now
 		for _, t := range c.p.Types {
 			c.spot[t.Name] = t.SpotPrice * (1 + (c.rng.Float64()*2-1)/3)
@@ -348,7 +348,7 @@
 			h.noticed = true
 			out = append(out, Event{Machine: n, Kind: Noticed, Notice: h.TakenAt - now})
 		}
-		if h.GoneAt != never && now-h.GoneAt > keepGone && !c.Trouble.Ghosts[n] {
+		if h.GoneAt != never && now-h.GoneAt > goneRetention && !c.Trouble.Ghosts[n] {
 			c.charged += c.cost(now, h)
 			delete(c.hosts, n)
 			continue
@@ -359,14 +359,14 @@
 	return out
 }
 
-// SetAddr notes where a machine's worker listens.
+// SetAddr sets the address on which a machine's worker listens.
 func (c *Cloud) SetAddr(name, addr string) {
 	if h := c.hosts[name]; h != nil {
 		h.Addr = addr
 	}
 }
 
-// Host returns a machine that is or lately was.
+// Host returns a machine that exists or was removed at most goneRetention ago, else nil.
 func (c *Cloud) Host(name string) *Host { return c.hosts[name] }
 
 // Hosts lists the machines that exist, oldest first.
@@ -379,9 +379,8 @@
 	return out
 }
 
-// Cost is what has been charged so far: by the second from the rental until
-// the machine is gone, a minute at least once it is deleted. Spot machines are
-// charged the present price.
+// Cost returns the total charge so far. Machines are charged by the second from the rental until
+// they are gone, deleted ones for at least a minute. Spot machines are charged the current price.
 func (c *Cloud) Cost(now Time) float64 {
 	sum := c.charged
 	for _, n := range c.order {
@@ -397,7 +396,7 @@
 	end := min(now, h.DiedAt, h.GoneAt)
 	took := end - h.Created
 	if h.GoneAt != never {
-		took = max(took, leastCharge)
+		took = max(took, minCharge)
 	}
 	price := h.nominal
 	if h.Spot {
@@ -406,7 +405,7 @@
 	return price * took.Hours()
 }
 
-func (c *Cloud) typ(name string) (wire.MachineType, bool) {
+func (c *Cloud) machineType(name string) (wire.MachineType, bool) {
 	for _, t := range c.p.Types {
 		if t.Name == name {
 			return t, true
