--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -1,6 +1,6 @@
-// Package link is the network between the parties of an emulated deployment:
-// connections that a rule can hold, reset, refuse or delay, in one direction or
-// both. What was held is delivered late and in order, as PROTOCOL describes.
+// Package link emulates the network between the parties of a deployment. Rules can hold,
+// reset, refuse or delay connections, in one direction or both. Data that was held is
+// delivered late and in order, as PROTOCOL describes.
 package link
 
 import (
@@ -20,11 +20,12 @@
 const (
 	Hold   Mode = "hold"   // packets wait and are delivered once the rule is lifted
 	Reset  Mode = "reset"  // connections break; new ones are refused
-	Refuse Mode = "refuse" // as Reset, under the name of a packet filter
-	Delay  Mode = "delay"  // packets come later by the rule's delay
+	Refuse Mode = "refuse" // same effect as Reset; named after the action of a packet filter
+	Delay  Mode = "delay"  // packets arrive later by the rule's delay
 )
 
-// Rule applies to what flows between parties. OneWay: only from From to To.
+// Rule applies to the traffic between the parties that From and To match: in both directions,
+// or only from From to To if OneWay is set.
 type Rule struct {
 	From, To func(party string) bool
 	Mode     Mode
@@ -36,24 +37,25 @@
 	return r.From(from) && r.To(to) || !r.OneWay && r.From(to) && r.To(from)
 }
 
-// breaks tells whether the rule ends connections instead of slowing them down.
+// breaks reports whether the rule breaks connections instead of holding or delaying their packets.
 func (r *Rule) breaks() bool { return r.Mode == Reset || r.Mode == Refuse }
 
-// Net holds the rules in force and the connections they apply to.
+// Net holds the active rules and the open connections that they apply to.
 type Net struct {
-	mu    sync.Mutex
-	rules map[uint64]Rule
-	next  uint64
-	moved chan struct{} // closed when the rules change
-	conns map[*Conn]bool
+	mu           sync.Mutex
+	rules        map[uint64]Rule
+	next         uint64
+	rulesChanged chan struct{} // closed and replaced when the rules change
+	conns        map[*Conn]bool
 }
 
-// New returns a network on which everything passes.
+// New returns a network without rules.
 func New() *Net {
-	return &Net{rules: map[uint64]Rule{}, moved: make(chan struct{}), conns: map[*Conn]bool{}}
+	return &Net{rules: map[uint64]Rule{}, rulesChanged: make(chan struct{}), conns: map[*Conn]bool{}}
 }
 
-// Add puts a rule in force until Remove.
+// Add activates a rule until it is removed, breaks the open connections that it resets or refuses,
+// and returns the rule's ID.
 func (n *Net) Add(r Rule) uint64 {
 	n.mu.Lock()
 	n.next++
@@ -73,7 +75,7 @@
 	return id
 }
 
-// Remove lifts a rule.
+// Remove removes the rule with an ID.
 func (n *Net) Remove(id uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,12 +84,13 @@
 }
 
 func (n *Net) wake() {
-	close(n.moved)
-	n.moved = make(chan struct{})
+	close(n.rulesChanged)
+	n.rulesChanged = make(chan struct{})
 }
 
-// state is what applies to packets from one party to another now.
-func (n *Net) state(from, to string) (held, broken bool, delay time.Duration, moved <-chan struct{}) {
+// state returns what applies to packets from one party to another now, and a channel that is closed
+// when the rules change.
+func (n *Net) state(from, to string) (held, broken bool, delay time.Duration, rulesChanged <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range n.rules {
@@ -103,31 +106,32 @@
 			broken = true
 		}
 	}
-	return held, broken, delay, n.moved
+	return held, broken, delay, n.rulesChanged
 }
 
-// Reach tells whether packets go from one party to another now.
+// Reach reports whether packets from one party to another are neither held nor broken now.
 func (n *Net) Reach(from, to string) bool {
 	held, broken, _, _ := n.state(from, to)
 	return !held && !broken
 }
 
-// pass waits until a packet may go from one party to another.
+// pass waits until a packet may go from one party to another. It returns an error if a rule breaks the
+// connection, or if done is closed while it waits.
 func (n *Net) pass(from, to string, done <-chan struct{}) error {
-	slept := false
+	delayed := false
 	for {
-		held, broken, delay, moved := n.state(from, to)
+		held, broken, delay, rulesChanged := n.state(from, to)
 		switch {
 		case broken:
 			return syscall.ECONNRESET
 		case held:
 			select {
-			case <-moved:
+			case <-rulesChanged:
 			case <-done:
 				return net.ErrClosed
 			}
-		case delay > 0 && !slept:
-			slept = true
+		case delay > 0 && !delayed:
+			delayed = true
 			t := time.NewTimer(delay)
 			select {
 			case <-t.C:
@@ -141,8 +145,8 @@
 	}
 }
 
-// Dial connects a party to another at addr. Held, it hangs; an attempt that is
-// given up does not complete later.
+// Dial connects party from to party to at addr. It blocks while a rule holds the packets; an attempt
+// whose context is cancelled does not complete later.
 func (n *Net) Dial(ctx context.Context, from, to, addr string) (net.Conn, error) {
 	if err := n.pass(from, to, ctx.Done()); err != nil {
 		if ctx.Err() != nil {
@@ -178,7 +182,7 @@
 	return &Listener{ln, n, local, remote}
 }
 
-// Accept waits for a connection that no rule refuses.
+// Accept waits for a connection that no rule resets or refuses.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -193,7 +197,7 @@
 	}
 }
 
-// Conn is a connection under the rules of its Net.
+// Conn is a connection that the rules of its Net apply to.
 type Conn struct {
 	net.Conn
 	net           *Net
@@ -202,12 +206,12 @@
 	once          sync.Once
 
 	mu      sync.Mutex
-	pending [][]byte // written while held
+	pending [][]byte // written but not sent yet, because packets are held or delayed
 	pumping bool
 	closed  bool
 }
 
-// Read returns what has arrived once the rules let it pass.
+// Read returns data that has arrived, once the rules let it pass.
 func (c *Conn) Read(b []byte) (int, error) {
 	k, err := c.Conn.Read(b)
 	if k == 0 {
@@ -219,7 +223,7 @@
 	return k, err
 }
 
-// Write sends, or keeps what is held for later, as a network's buffers would.
+// Write sends data, or queues it while packets are held or delayed, as the buffers of a network would.
 func (c *Conn) Write(b []byte) (int, error) {
 	held, broken, delay, _ := c.net.state(c.local, c.remote)
 	c.mu.Lock()
@@ -244,7 +248,7 @@
 	return len(b), nil
 }
 
-// pump sends what was held, in order, even after the writer has closed.
+// pump sends the queued data in order, even after the writer has closed the connection.
 func (c *Conn) pump() {
 	for {
 		if err := c.net.pass(c.local, c.remote, nil); err != nil {
@@ -271,7 +275,7 @@
 	}
 }
 
-// Close ends the connection; what is held is still delivered.
+// Close closes the connection. Queued data is still delivered.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -284,7 +288,7 @@
 	return c.drop()
 }
 
-// CloseWrite passes the end of a stream on.
+// CloseWrite closes the writing side, unless data is still queued.
 func (c *Conn) CloseWrite() error {
 	c.mu.Lock()
 	pumping := c.pumping
@@ -302,7 +306,7 @@
 	return c.Conn.Close()
 }
 
-// reset closes so that the other side sees the connection break.
+// reset closes the connection so that the other side sees a connection reset.
 func (c *Conn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -321,8 +325,8 @@
 	c.reset()
 }
 
-// Proxy carries connections from party remote, which connects to ln, to party
-// local at the address that target names at the time. It ends with the listener.
+// Proxy forwards the connections that party remote opens to ln to party local, at the address that
+// target returns when a connection is accepted. It returns when the listener is closed.
 func (n *Net) Proxy(ln net.Listener, local, remote string, target func() string) {
 	l := n.Listen(ln, local, remote)
 	for {
@@ -333,7 +337,7 @@
 		go func() {
 			out, err := net.DialTimeout("tcp", target(), time.Second)
 			if err != nil {
-				in.(*Conn).abort() // as if refused
+				in.(*Conn).abort() // the client sees a reset, as if the connection had been refused
 				return
 			}
 			back := make(chan struct{})
@@ -345,7 +349,7 @@
 	}
 }
 
-// relay copies one direction and passes its end on.
+// relay copies one direction of a connection and forwards the end of the stream.
 func relay(dst, src net.Conn) {
 	_, err := io.Copy(dst, src)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
