--- a/internal/standin/cloud/cloud_test.go
+++ b/internal/standin/cloud/cloud_test.go
@@ -19,8 +19,8 @@
 
 func names(r Reply) []string { m, _ := r.Body.(wire.MachineNames); return m.Machines }
 
-// A booking is answered the same way for ever and rents once; what there is no room
-// for is partly given, then refused, and may be asked for again under its name.
+// A rental request that was granted gets the same answer again and rents only once. A request beyond the
+// free capacity is granted in part, one without any is refused and can be repeated under its name.
 func TestBookings(t *testing.T) {
 	c := New(params(), rand.New(rand.NewPCG(1, 1)))
 	req := wire.RentRequest{Request: "r1", Type: "std", Zone: "a", Count: 3}
@@ -30,15 +30,15 @@
 	}
 	req.Request = "r2"
 	if got := names(c.Rent(0, req)); len(got) != 2 {
-		t.Errorf("room for 2, asked for 3, got %v", got)
+		t.Errorf("capacity for 2 machines, requested 3, got %v", got)
 	}
 	req.Request = "r3"
 	if r := c.Rent(0, req); r.Status != 503 || r.Body.(wire.Problem).Error != "no capacity" {
-		t.Errorf("no room: %+v", r)
+		t.Errorf("no free capacity: %+v", r)
 	}
 	c.Delete(sec, first)
 	if got := names(c.Rent(sec, req)); len(got) != 3 {
-		t.Errorf("the same name after a refusal: %v", got)
+		t.Errorf("repeated request after a refusal: %v", got)
 	}
 	for what, bad := range map[string]wire.RentRequest{"count": {Request: "x", Type: "std", Zone: "a", Count: 51}, "type": {Request: "x", Type: "no", Zone: "a", Count: 1},
 		"zone": {Request: "x", Type: "std", Zone: "c", Count: 1}, "name": {Type: "std", Zone: "a", Count: 1}} {
@@ -48,8 +48,8 @@
 	}
 }
 
-// A deleted machine costs a minute at least, one that never comes up until it is
-// deleted, a dead one until its death; a spot machine its present price.
+// A deleted machine is charged for at least a minute, one that never boots until it is deleted, and a
+// failed one until its failure.
 func TestCharges(t *testing.T) {
 	c := New(params(), rand.New(rand.NewPCG(1, 1)))
 	c.Trouble.Unborn = 1
@@ -58,13 +58,13 @@
 	c.Advance(30 * sec)
 	c.Delete(10*sec, short)
 	c.Die(100*sec, dead[0])
-	if got := c.Cost(1000 * sec); got < 0.1599 || got > 0.1601 { // 60 s and 100 s at 3.6 an hour
+	if got := c.Cost(1000 * sec); got < 0.1599 || got > 0.1601 { // 60 s and 100 s at 3.6 per hour
 		t.Errorf("charged %g, want 0.16", got)
 	}
 }
 
-// Lists are old, at times older than the one before, and say what was true then: a
-// machine that is there long enough is listed until it is gone, then no more.
+// Lists are outdated, sometimes more than the list before, but were correct at their time: a machine
+// that has existed for longer than the list lag is listed until it is gone, and not after that.
 func TestLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := params()
@@ -91,12 +91,12 @@
 					}
 					after, listed[m.Name] = m.Name, true
 					if h := c.Host(m.Name); h == nil || h.GoneAt <= now-2*p.ListLag {
-						t.Fatalf("%s is gone for longer than lists lag", m.Name)
+						t.Fatalf("%s is listed but has been gone for longer than the list lag", m.Name)
 					}
 				}
 				for _, h := range c.Hosts(now) {
 					if h.Created <= now-2*p.ListLag && !listed[h.Name] {
-						t.Fatalf("%s is there for longer than lists lag, and missing", h.Name)
+						t.Fatalf("%s has existed for longer than the list lag but is not listed", h.Name)
 					}
 				}
 			}
@@ -104,8 +104,8 @@
 	})
 }
 
-// Spot machines are taken, most with a notice of half to one and a half times the
-// nominal length; other machines are not.
+// Spot machines are taken back, most of them with a notice of half to one and a half times the nominal
+// length; other machines are not taken back.
 func TestSpotNotices(t *testing.T) {
 	p := params()
 	p.SpotPerHour, p.Silent, p.Otherwise = 30, 0.3, 100
@@ -120,17 +120,17 @@
 			case Noticed:
 				noticed[e.Machine] = now + e.Notice
 				if e.Notice < 3900*time.Millisecond || e.Notice > 12100*time.Millisecond {
-					t.Errorf("a notice of %v", e.Notice)
+					t.Errorf("notice of %v, want half to one and a half times 8 s", e.Notice)
 				}
 			case Gone:
 				gone++
 				if at, told := noticed[e.Machine]; told && (now < at || now > at+200*time.Millisecond) {
-					t.Errorf("%s was to go at %v and went at %v", e.Machine, at, now)
+					t.Errorf("%s was to be taken back at %v and was taken back at %v", e.Machine, at, now)
 				}
 			}
 		}
 	}
 	if gone < 45 || gone > 50 || len(noticed) < 25 || len(noticed) >= gone {
-		t.Errorf("%d of 50 spot machines taken, %d with a notice", gone, len(noticed))
+		t.Errorf("%d of 50 spot machines taken back, %d with a notice", gone, len(noticed))
 	}
 }
