--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// pair connects "a" to "b"; got receives what b reads, and "end".
+// pair connects party "a" to party "b". The channel got receives the data that b reads, and "end" at the
+// end of the stream; dial opens another connection with a timeout and closes it.
 func pair(t *testing.T, n *Net) (conn net.Conn, got chan string, dial func(time.Duration) error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,8 +44,8 @@
 					k, err := c.Read(buf)
 					if k > 0 {
 						got <- string(buf[:k])
-						// Only a greeting is answered: an answer to who has closed resets the
-						// connection, and the end is not read any more.
+						// Only "hello" is answered: an answer to a peer that has closed resets
+						// the connection, so the end of the stream could not be read.
 						if string(buf[:k]) == "hello" {
 							_, _ = c.Write([]byte("ok"))
 						}
@@ -84,8 +85,8 @@
 	}
 }
 
-// What is held comes late and in order, though its sender has given up meanwhile;
-// a connection attempt that was given up does not complete later.
+// Held data is delivered late and in order, even if its sender has closed the connection meanwhile.
+// A connection attempt that was cancelled does not complete later.
 func TestHeldPacketsAreDeliveredLate(t *testing.T) {
 	n := New()
 	conn, got, dial := pair(t, n)
@@ -97,23 +98,23 @@
 	}
 	conn.Close()
 	if err := dial(50 * time.Millisecond); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("a connection over a cut that holds: %v", err)
+		t.Errorf("connection attempt while packets are held: %v, want a timeout", err)
 	}
 	if s := receive(t, got, 50*time.Millisecond); s != "" {
-		t.Fatalf("%q arrived through the cut", s)
+		t.Fatalf("%q arrived while packets were held", s)
 	}
 	n.Remove(id)
 	all := ""
 	for all != "onetwoend" {
 		s := receive(t, got, 5*time.Second)
 		if s == "" {
-			t.Fatalf("received %q, want one, two and the end", all)
+			t.Fatalf("received %q, want one, two and the end of the stream", all)
 		}
 		all += s
 	}
 }
 
-// A cut one way lets the other way pass: b hears a, a does not hear b.
+// A rule for one direction lets the other pass: b receives from a, but a does not receive from b.
 func TestOneWay(t *testing.T) {
 	n := New()
 	conn, got, _ := pair(t, n)
@@ -122,46 +123,46 @@
 		t.Fatal(err)
 	}
 	if s := receive(t, got, 5*time.Second); s != "hello" {
-		t.Fatalf("b heard %q", s)
+		t.Fatalf("b received %q, want hello", s)
 	}
 	_ = conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if k, err := conn.Read(make([]byte, 8)); err == nil {
-		t.Fatalf("a heard %d bytes through the cut", k)
+		t.Fatalf("a received %d bytes while packets were held", k)
 	}
 	n.Remove(id)
 	_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := io.ReadFull(conn, make([]byte, 2)); err != nil {
-		t.Errorf("a hears nothing after the cut: %v", err)
+		t.Errorf("a receives nothing after the rule was removed: %v", err)
 	}
 }
 
-// A reset breaks what is open and refuses what is new, until it is lifted.
+// A reset rule breaks open connections and refuses new ones until it is removed.
 func TestReset(t *testing.T) {
 	n := New()
 	conn, _, dial := pair(t, n)
 	id := n.Add(Rule{From: is("a"), To: is("b"), Mode: Reset})
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the open connection was not reset")
 	}
 	if err := dial(time.Second); err == nil {
-		t.Error("a new connection is taken")
+		t.Error("a new connection was accepted")
 	}
 	n.Remove(id)
 	if err := dial(time.Second); err != nil {
-		t.Errorf("after the reset: %v", err)
+		t.Errorf("connection attempt after the rule was removed: %v", err)
 	}
 }
 
-// A delay is at least what it says, for connections that were open before it too.
+// Packets are delayed by at least the rule's delay, also on connections that were open before.
 func TestDelay(t *testing.T) {
 	n := New()
 	conn, got, _ := pair(t, n)
 	n.Add(Rule{From: is("a"), To: is("b"), Mode: Delay, Delay: 80 * time.Millisecond, OneWay: true})
-	began := time.Now()
+	start := time.Now()
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if s := receive(t, got, 5*time.Second); s != "x" || time.Since(began) < 80*time.Millisecond {
-		t.Errorf("%q after %v", s, time.Since(began))
+	if s := receive(t, got, 5*time.Second); s != "x" || time.Since(start) < 80*time.Millisecond {
+		t.Errorf("received %q after %v, want x after at least 80 ms", s, time.Since(start))
 	}
 }
