--- a/internal/standin/state/limits_test.go
+++ b/internal/standin/state/limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Limits fall at a moment: what is stored stays readable, and can't be put back as it is.
+// Lower limits apply at once: a stored value that exceeds them stays readable but can't be written again.
 func TestLimitsFall(t *testing.T) {
 	s := store(Limits{WriteRPS: 40, ValueBytes: 1024, TxnOps: 8})
 	id, now := uint64(0), Time(0)
@@ -28,25 +28,25 @@
 	now += 2 * time.Second
 	s.Limit(now, Limits{WriteRPS: 5, ValueBytes: 512, TxnOps: 4})
 	if a := do(Call{Op: Get, Key: "large"}); a.Status != http.StatusOK {
-		t.Errorf("what is stored: %v", a)
+		t.Errorf("read of a value stored before: %v", a)
 	}
 	for _, c := range []Call{put(5), {Op: Commit, Txn: Txn{Then: []Change{{Put: "large", Value: large}}}}} {
 		if a := do(c); a.Status != http.StatusBadRequest {
-			t.Errorf("beyond the new limits: %v", a)
+			t.Errorf("write beyond the new limits: %v", a)
 		}
 	}
-	taken := 0
+	accepted := 0
 	for range 100 {
 		now += 100 * time.Millisecond
 		if do(put(1)).Status == http.StatusOK {
-			taken++
+			accepted++
 		}
 	}
-	if taken < 50 || taken > 55 {
-		t.Errorf("%d changes in 10 s, with 5 a second and a burst of one second's", taken)
+	if accepted < 50 || accepted > 55 {
+		t.Errorf("%d changes in 10 s, want 50 to 55 at 5 per second with a burst of one second", accepted)
 	}
 	s.Limit(now, Limits{ValueBytes: 1024, TxnOps: 8})
 	if a := do(put(8)); a.Status != http.StatusOK {
-		t.Errorf("limits lifted: %v", a)
+		t.Errorf("write after the limits were raised: %v", a)
 	}
 }
