--- a/internal/standin/state/model_test.go
+++ b/internal/standin/state/model_test.go
@@ -29,7 +29,7 @@
 	return New(l, rand.New(rand.NewPCG(1, 1)))
 }
 
-// op is what a client asked: a read of a key, or a compare-and-set of one.
+// op is a call of a client: a read or a compare-and-set of a key.
 type op struct {
 	key  string
 	read bool
@@ -37,9 +37,9 @@
 	set  int64
 }
 
-// heard is what it was told. Nothing is known of a call whose answer was lost, except
-// that a write which did happen shows its version in the store.
-type heard struct {
+// result is the answer to an op. Nothing is known of a call whose answer was lost, except that a
+// write that was executed shows its version in the store.
+type result struct {
 	nothing bool
 	failed  bool
 	value   int64
@@ -51,7 +51,7 @@
 	version uint64
 }
 
-// model is the sequential service, key by key.
+// model is the sequential specification of the service, partitioned by key.
 var model = porcupine.Model{
 	Partition: func(h []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -62,7 +62,7 @@
 	},
 	Init: func() any { return cell{} },
 	Step: func(state, in, out any) (bool, any) {
-		s, o, h := state.(cell), in.(op), out.(heard)
+		s, o, h := state.(cell), in.(op), out.(result)
 		switch {
 		case h.nothing:
 			return true, s
@@ -75,20 +75,20 @@
 	},
 }
 
-// Clients read and compare-and-set a few keys at random while answers are lost,
-// come late and the service is down at times; the history they saw must have an
-// order in which one call after the other gives the same answers.
+// Clients read and compare-and-set a few keys at random while answers are lost or late and the
+// service is down at times. The history must be linearizable: some sequential order of the calls
+// gives the same answers.
 func TestLinearizable(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		h := history(seed, nil)
 		if r := porcupine.CheckOperations(model, h); !r {
-			t.Fatalf("seed %d: no order of the %d calls explains the answers", seed, len(h))
+			t.Fatalf("seed %d: the history of %d calls is not linearizable", seed, len(h))
 		}
 	}
 }
 
-// The check itself must fail where the service is wrong: one that forgets the
-// conditions of its transactions is found out.
+// Guards against a check that passes everything: it must fail for a service that ignores the
+// conditions of its transactions.
 func TestALostUpdateIsFound(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		forget := func(c *Call) {
@@ -100,13 +100,13 @@
 			return
 		}
 	}
-	t.Fatal("twenty histories of a service without conditions pass")
+	t.Fatal("20 histories of a service that ignores conditions all passed")
 }
 
-// history plays four clients. Each has one call at a time: sent, executed and
-// answered at times of its own, so that calls overlap. spoil changes a call as a
-// broken service would.
-func history(seed uint64, spoil func(*Call)) (h []porcupine.Operation) {
+// history simulates four clients and returns their calls. Each client has one call at a time, which is
+// sent, executed and answered at random times, so that calls of different clients overlap. corrupt, if
+// not nil, changes each call as a faulty service would.
+func history(seed uint64, corrupt func(*Call)) (h []porcupine.Operation) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	s := store(Limits{})
 	known := map[string]uint64{}
@@ -134,14 +134,14 @@
 		if !f.in.read {
 			c = Call{Op: Commit, Txn: Txn{If: []wire.Condition{{Key: f.in.key, Version: f.in.old}}, Then: []Change{{Put: f.in.key, Value: raw(f.in.set)}}}}
 		}
-		if spoil != nil {
-			spoil(&c)
+		if corrupt != nil {
+			corrupt(&c)
 		}
 		a := s.Do(time.Duration(f.at)*time.Millisecond, uint64(i), c)[0]
 		if a.Status == 503 {
-			continue // not executed, and the caller knows it
+			continue // not executed, and the caller knows that
 		}
-		out := heard{failed: a.Status == 409}
+		out := result{failed: a.Status == 409}
 		out.nothing = f.lost && (f.in.read || out.failed)
 		switch b := a.Body.(type) {
 		case wire.Item:
@@ -151,7 +151,7 @@
 			out.version = b.Revision
 		}
 		ret := f.at + rng.Int64N(15)
-		if f.lost { // nobody knows until when it may still happen
+		if f.lost { // the call may take effect at any later time
 			ret = end + int64(i)
 		} else if !out.failed && (f.in.read || rng.IntN(4) > 0) {
 			known[f.in.key] = out.version
@@ -161,9 +161,8 @@
 	return h
 }
 
-// Whatever is written and whoever watches: a watcher that applies its events in
-// order has what the store has, unless it is told that it is too old; lists page by
-// page give the same; keys on an ended grant are gone.
+// A watcher that applies all events in order has the same contents as the store and as a list that
+// is read page by page. Keys of a state lease that has ended are gone.
 func TestWatchFollowsTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := store(Limits{PageItems: rapid.IntRange(1, 5).Draw(t, "page")})
@@ -178,33 +177,33 @@
 			return Answer{}
 		}
 		mirror, after := map[string]uint64{}, uint64(0)
-		var grants []uint64
+		var leases []uint64
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
 			key := fmt.Sprint(rapid.SampledFrom([]string{"a/", "b/"}).Draw(t, "prefix"), rapid.IntRange(0, 5).Draw(t, "key"))
 			switch rapid.IntRange(0, 4).Draw(t, "op") {
 			case 0:
 				if a := do(Call{Op: Grant, Life: time.Second}); a.Status == 200 {
-					grants = append(grants, a.Body.(wire.LeaseReply).Lease)
+					leases = append(leases, a.Body.(wire.LeaseReply).Lease)
 				}
 			case 1:
 				do(Call{Op: Commit, Txn: Txn{Then: []Change{{Delete: key}}}})
 			case 2:
 				ch := Change{Put: key, Value: raw(now.Milliseconds())}
-				if len(grants) > 0 {
-					ch.Lease = grants[len(grants)-1]
+				if len(leases) > 0 {
+					ch.Lease = leases[len(leases)-1]
 				}
 				if a := do(Call{Op: Commit, Txn: Txn{Then: []Change{ch}}}); a.Status != 200 && ch.Lease == 0 {
-					t.Fatalf("a plain put got %d", a.Status)
+					t.Fatalf("a put without a lease got status %d", a.Status)
 				}
 			case 3:
-				if len(grants) > 0 {
-					do(Call{Op: Extend, Lease: grants[len(grants)-1]})
+				if len(leases) > 0 {
+					do(Call{Op: Extend, Lease: leases[len(leases)-1]})
 				}
 			default:
 				a := do(Call{Op: Watch, Key: "a/", Revision: after})
 				if a.Status != 200 {
-					t.Fatalf("a watch without a hold got %d", a.Status)
+					t.Fatalf("a watch without a hold got status %d", a.Status)
 				}
 				ev := a.Body.(wire.Events)
 				for _, e := range ev.Events {
@@ -233,17 +232,17 @@
 				}
 			}
 		}
-		now += 2 * time.Second // every grant is over
+		now += 2 * time.Second // every state lease has ended
 		s.Advance(now)
 		s.Scan("", func(it wire.Item) {
 			if it.Lease != 0 {
-				t.Fatalf("%s outlives its grant", it.Key)
+				t.Fatalf("%s still exists after its lease has ended", it.Key)
 			}
 		})
 	})
 }
 
-// What PROTOCOL says of limits, conditions, grants, outages and watches.
+// The store follows PROTOCOL in limits, conditions, state leases, outages and watches.
 func TestProtocol(t *testing.T) {
 	s := store(Limits{RPS: 10, WriteRPS: 4, ValueBytes: 100, TxnOps: 2})
 	now, id := Time(0), uint64(0)
@@ -254,7 +253,7 @@
 				return a
 			}
 		}
-		return Answer{Status: -1} // waits
+		return Answer{Status: -1} // the watch waits
 	}
 	want := func(what string, c Call, status int) Answer {
 		t.Helper()
@@ -278,42 +277,42 @@
 	}
 	want("three changes", commit(nil, put("a", 1), put("b", 1), put("c", 1)), 400)
 	want("nine conditions", commit(make([]wire.Condition, 9)), 400)
-	want("twice the same key", commit(nil, put("a", 1), Change{Delete: "a"}), 400)
+	want("two changes of the same key", commit(nil, put("a", 1), Change{Delete: "a"}), 400)
 	want("a value too large in JSON form", commit(nil, put("a", make([]int, 60))), 400)
 	want("binary", commit(nil, put("a", []byte{1})), 400)
 	want("a map keyed by numbers", commit(nil, put("a", map[int]int{1: 1})), 400)
 	want("no such lease", commit([]wire.Condition{{Key: "nope", Version: 9}}, Change{Put: "a", Value: raw(1), Lease: 99}), 400)
-	want("short life", Call{Op: Grant, Life: time.Millisecond}, 400)
+	want("lease duration too short", Call{Op: Grant, Life: time.Millisecond}, 400)
 	g := want("grant", Call{Op: Grant, Life: 5 * time.Second}, 200).Body.(wire.LeaseReply).Lease
-	want("on the grant", commit(nil, Change{Put: "g", Value: raw(1), Lease: g}), 200)
+	want("put with a lease", commit(nil, Change{Put: "g", Value: raw(1), Lease: g}), 200)
 	s.Trouble.Down = true
 	want("down", Call{Op: Get, Key: "x"}, 503)
 	now += time.Minute
 	s.Advance(now)
 	s.Trouble.Down = false
-	want("its full time again", Call{Op: Extend, Lease: g}, 200)
+	want("lease has its full duration after the outage", Call{Op: Extend, Lease: g}, 200)
 	s.Trouble.Refused = map[string]bool{"c0": true}
-	want("one client refused", Call{Client: "c0", Op: Get, Key: "x"}, 503)
-	want("another not", Call{Client: "c1", Op: Get, Key: "x"}, 200)
+	want("call of the refused client", Call{Client: "c0", Op: Get, Key: "x"}, 503)
+	want("call of another client", Call{Client: "c1", Op: Get, Key: "x"}, 200)
 	w := want("a watch waits", Call{Op: Watch, Key: "g", Revision: s.rev, Hold: 20 * time.Second}, -1)
 	_ = w
 	now += 6 * time.Second
 	if out := s.Advance(now); len(out) != 1 || out[0].Body.(wire.Events).Events[0].Delete != "g" {
-		t.Errorf("the end of a grant wakes %v", out)
+		t.Errorf("the end of a lease completed the watches %v, want the delete of g", out)
 	}
-	want("a long hold", Call{Op: Watch, Hold: 2 * time.Minute}, 400)
+	want("hold too long", Call{Op: Watch, Hold: 2 * time.Minute}, 400)
 	s.dropped = 1
 	want("too old", Call{Op: Watch, Revision: 0}, 410)
 	for range 4 {
 		do(commit(nil, put("x", 1)))
 	}
 	if a := do(commit([]wire.Condition{{Key: "x"}}, put("x", 1))); a.Status != 429 {
-		t.Errorf("a fifth change at once: %d", a.Status)
+		t.Errorf("fifth change at once: status %d, want 429", a.Status)
 	}
 	for range 10 {
 		do(Call{Op: Get, Key: "x"})
 	}
 	if a := do(Call{Op: Get, Key: "x"}); a.Status != 429 {
-		t.Errorf("an eleventh call at once: %d", a.Status)
+		t.Errorf("eleventh call at once: status %d, want 429", a.Status)
 	}
 }
