--- a/internal/standin/cloud/cloud.go
+++ b/internal/standin/cloud/cloud.go
@@ -366,7 +366,7 @@
 	}
 }
 
-// Host returns a machine that exists or was removed at most goneRetention ago, else nil.
+// Host returns a machine that exists, was removed at most goneRetention ago or is still listed as a ghost, else nil.
 func (c *Cloud) Host(name string) *Host { return c.hosts[name] }
 
 // Hosts lists the machines that exist, oldest first.
--- a/internal/standin/state/store.go
+++ b/internal/standin/state/store.go
@@ -99,7 +99,7 @@
 	TooOld   bool            // 410 to every new watch
 }
 
-type grant struct {
+type stateLease struct {
 	life time.Duration
 	ends Time // never before the lease duration is over, at most maxLeaseEndDelay after it
 }
@@ -120,7 +120,7 @@
 	rev     uint64
 	history []wire.Event
 	dropped uint64 // newest revision that was dropped from the history
-	grants  map[uint64]*grant
+	leases  map[uint64]*stateLease
 	lastID  uint64
 	watches []*watch
 	calls   *rate.Limiter
@@ -136,7 +136,7 @@
 	if l.PageItems == 0 || l.PageItems > pageItems {
 		l.PageItems = pageItems
 	}
-	s := &Store{lim: l, rng: rng, grants: map[uint64]*grant{},
+	s := &Store{lim: l, rng: rng, leases: map[uint64]*stateLease{},
 		keys: btree.NewG(32, func(a, b wire.Item) bool { return a.Key < b.Key })}
 	limiter := func(rps float64) *rate.Limiter {
 		if rps <= 0 {
@@ -194,10 +194,10 @@
 			return append(out, refuse(id, http.StatusBadRequest, "life_ms: must be from 100 to 600000"))
 		}
 		s.lastID++
-		s.grants[s.lastID] = &grant{life: c.Life, ends: s.ends(now, c.Life)}
+		s.leases[s.lastID] = &stateLease{life: c.Life, ends: s.ends(now, c.Life)}
 		out = append(out, Answer{id, http.StatusOK, wire.LeaseReply{Lease: s.lastID}})
 	case Extend, End:
-		g := s.grants[c.Lease]
+		g := s.leases[c.Lease]
 		if g == nil {
 			return append(out, refuse(id, http.StatusNotFound, "no such lease"))
 		}
@@ -235,14 +235,14 @@
 	if s.down != s.Trouble.Down {
 		s.down = s.Trouble.Down
 		for _, id := range s.leaseIDs() {
-			s.grants[id].ends = s.ends(now, s.grants[id].life)
+			s.leases[id].ends = s.ends(now, s.leases[id].life)
 		}
 	}
 	if s.down {
 		return nil // during an outage state leases do not expire and watches stay open
 	}
 	for _, id := range s.leaseIDs() {
-		if now >= s.grants[id].ends {
+		if now >= s.leases[id].ends {
 			s.endLease(id)
 		}
 	}
@@ -257,7 +257,7 @@
 			next, any = t, true
 		}
 	}
-	for _, g := range s.grants {
+	for _, g := range s.leases {
 		earliest(g.ends)
 	}
 	for _, w := range s.watches {
@@ -267,8 +267,8 @@
 }
 
 func (s *Store) leaseIDs() []uint64 {
-	ids := make([]uint64, 0, len(s.grants))
-	for id := range s.grants {
+	ids := make([]uint64, 0, len(s.leases))
+	for id := range s.leases {
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
@@ -276,7 +276,7 @@
 }
 
 func (s *Store) endLease(id uint64) {
-	delete(s.grants, id)
+	delete(s.leases, id)
 	var keys []string
 	s.keys.Ascend(func(it wire.Item) bool {
 		if it.Lease == id {
@@ -343,7 +343,7 @@
 		return refuse(id, http.StatusTooManyRequests, "too many writes")
 	}
 	for _, ch := range c.Txn.Then {
-		if ch.Lease != 0 && s.grants[ch.Lease] == nil {
+		if ch.Lease != 0 && s.leases[ch.Lease] == nil {
 			return refuse(id, http.StatusBadRequest, "no such lease")
 		}
 	}
