--- a/internal/rehearse/compare.go
+++ b/internal/rehearse/compare.go
@@ -11,21 +11,21 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Row compares one figure of two folders over their seeds.
+// Row compares one measured figure of two folders over their seeds.
 type Row struct {
 	Scenario string  `json:"scenario"`
 	Figure   string  `json:"figure"`
 	Unit     string  `json:"unit"`
 	A        Sample  `json:"a"`
 	B        Sample  `json:"b"`
-	Diff     float64 `json:"diff"`   // mean of B less that of A
-	Low      float64 `json:"low"`    // of the 95% confidence interval of Diff
-	High     float64 `json:"high"`   //
-	Sure     bool    `json:"sure"`   // the interval does not hold 0
-	Paired   bool    `json:"paired"` // the same seeds on both sides, compared one by one
+	Diff     float64 `json:"diff"`   // mean of B minus mean of A
+	Low      float64 `json:"low"`    // lower bound of the 95% confidence interval of Diff
+	High     float64 `json:"high"`   // upper bound of that interval
+	Sure     bool    `json:"sure"`   // the interval excludes 0
+	Paired   bool    `json:"paired"` // both sides have the same seeds, compared seed by seed
 }
 
-// Sample is a figure over seeds.
+// Sample summarizes a figure over seeds.
 type Sample struct {
 	N    int     `json:"n"`
 	Mean float64 `json:"mean"`
@@ -33,7 +33,7 @@
 
 type figure struct{ scenario, name, unit string }
 
-// figures collects what a folder's results measured, by seed.
+// figures returns the measured figures of a folder's results, by seed.
 func figures(dir string) (map[figure]map[uint64]float64, error) {
 	results, err := ReadResults(dir)
 	if err != nil {
@@ -67,8 +67,8 @@
 	return out, nil
 }
 
-// Compare puts the figures of two folders side by side. Where both have the same
-// seeds, the differences are taken seed by seed.
+// Compare compares the figures that two folders have in common. If both have the same seeds,
+// the differences are taken seed by seed.
 func Compare(dirA, dirB string) ([]Row, error) {
 	a, err := figures(dirA)
 	if err != nil {
@@ -126,13 +126,13 @@
 	}
 	row.Low, row.High = row.Diff-half, row.Diff+half
 	row.Sure = !math.IsInf(half, 1) && (row.Low > 0 || row.High < 0)
-	if math.IsInf(half, 1) { // one seed says nothing of the spread
+	if math.IsInf(half, 1) { // one seed gives no estimate of the variance
 		row.Low, row.High = -math.MaxFloat64, math.MaxFloat64
 	}
 	return row
 }
 
-// quantile is that of Student's t for a two-sided interval of 95%.
+// quantile returns the quantile of Student's t distribution for a two-sided interval of 95%.
 func quantile(df float64) float64 { return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: df}.Quantile(0.975) }
 
 func seedsOf(m map[uint64]float64) []uint64 {
@@ -144,7 +144,7 @@
 	return out
 }
 
-// PrintComparison prints rows for people.
+// PrintComparison writes rows as a text table.
 func PrintComparison(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "scenario\tfigure\tfirst\tsecond\tdifference\t95% interval\t")
--- a/internal/rehearse/director.go
+++ b/internal/rehearse/director.go
@@ -6,30 +6,31 @@
 	"time"
 )
 
-// Facts are what a director knows of the rehearsal. Faults are counted from 1.
+// Facts is the state of the rehearsal that a director reads. Faults are numbered from 1.
 type Facts interface {
-	AllRunning(job string) bool               // every task that is not done is on a machine
+	AllRunning(job string) bool               // every task that is not done runs on a machine
 	DoneTasks(job string) int                 //
-	StepDone(fault int, step string) bool     // of the fault's recovery
-	Lifted(fault int) bool                    // staged, and lifted since
-	Understood(feature string) bool           // by every controller, as those that run say
-	JobOver(job string) bool                  // its user was told that it is done
-	Judged(now time.Duration) (all, met bool) // the expectations
+	StepDone(fault int, step string) bool     // a step of the fault's recovery
+	Lifted(fault int) bool                    // the fault was staged and has been lifted
+	Understood(feature string) bool           // by every controller, according to the running ones
+	JobOver(job string) bool                  // its user received the report that it is done
+	Judged(now time.Duration) (all, met bool) // whether all expectations are decided, and all are met
 }
 
-// Action is what a director wants done now.
+// Action is an action that is due now.
 type Action struct {
-	Submit string // id of a job
-	Job    int    // its index
-	Stage  int    // index of a fault, from 1; 0: none
+	Submit string // ID of the job to submit; empty: none
+	Job    int    // the job's index in the scenario
+	Stage  int    // number of the fault to stage, from 1; 0: none
 }
 
-// Director decides when a scenario's jobs are submitted and its faults staged, and
-// when it is over. It is a state machine: time and facts go in, actions come out.
+// Director decides when a scenario's jobs are submitted, when its faults are staged, and
+// when the scenario is over. It is a state machine with time and facts as input and actions
+// as output.
 type Director struct {
 	sc      *Scenario
 	due     []due
-	settled time.Duration // since when all is well; -1: not
+	settled time.Duration // when all became well; -1: not well now
 }
 
 type due struct {
@@ -37,14 +38,14 @@
 	at     time.Duration
 	when   string
 	after  time.Duration
-	held   bool // the condition has held
+	held   bool // the condition was met; at is then the time of the action
 	done   bool
 }
 
-// linger is how long all must stay well before a rehearsal is over.
+// linger is how long everything must stay well before a rehearsal is over.
 const linger = 1500 * time.Millisecond
 
-// NewDirector plans a scenario.
+// NewDirector returns a director with the jobs and faults of a scenario.
 func NewDirector(sc *Scenario) *Director {
 	d := &Director{sc: sc, settled: -1}
 	for i, j := range sc.Jobs {
@@ -60,7 +61,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Step returns what is due now, and whether the rehearsal is over.
+// Step returns the actions that are due now, and whether the rehearsal is over.
 func (d *Director) Step(now time.Duration, f Facts) (out []Action, over bool) {
 	open := false
 	for i := range d.due {
@@ -90,7 +91,7 @@
 	return out, now-d.settled >= linger
 }
 
-// Calm tells whether no trouble is left or to come.
+// Calm reports whether every fault has been staged and lifted.
 func (d *Director) Calm(f Facts) bool {
 	for _, x := range d.due {
 		if x.action.Stage > 0 && (!x.done || !f.Lifted(x.action.Stage)) {
@@ -100,7 +101,8 @@
 	return true
 }
 
-// well tells whether nothing is wrong any more and all work is where it should be.
+// well reports whether all faults with a duration are lifted, all services run in full, all batch
+// jobs are over and all expectations are decided.
 func (d *Director) well(now time.Duration, f Facts) bool {
 	for i := range d.sc.Faults {
 		if d.sc.Faults[i].ForS > 0 && !f.Lifted(i+1) {
@@ -119,7 +121,7 @@
 	return all
 }
 
-// holds evaluates a condition that check has accepted.
+// holds evaluates a condition that the scenario's check has accepted.
 func holds(when string, f Facts) bool {
 	w := strings.Fields(when)
 	if len(w) == 0 {
--- a/internal/rehearse/leftover.go
+++ b/internal/rehearse/leftover.go
@@ -9,13 +9,13 @@
 	"github.com/prometheus/procfs"
 )
 
-// Process identifies a process beyond its number, which the system gives to
-// others in time: by when it started, in which life of the machine, and by the
-// settings file that only it was given.
+// Process identifies a process by more than its PID, which the system reuses: by its
+// start time, the boot of the machine that it runs in, and the settings file that was
+// passed to this process only.
 type Process struct {
 	PID      int    `json:"pid"`
-	Started  uint64 `json:"started"` // clock ticks since the machine's start
-	Boot     string `json:"boot"`    // the machine's life
+	Started  uint64 `json:"started"` // clock ticks since the machine booted
+	Boot     string `json:"boot"`    // the machine's boot ID
 	Settings string `json:"settings"`
 }
 
@@ -27,7 +27,7 @@
 	return strings.TrimSpace(string(b))
 }
 
-// Identify describes a running process that was given a settings file.
+// Identify returns the identity of a running process that was started with a settings file.
 func Identify(pid int, settings string) (Process, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return Process{PID: pid, Started: st.Starttime, Boot: bootID(), Settings: settings}, nil
 }
 
-// same tells whether the process under this number is the one described.
+// same reports whether the process that now has this PID is the one described.
 func (p Process) same() bool {
 	if p.Boot == "" || p.Boot != bootID() {
 		return false
@@ -57,13 +57,14 @@
 	return err == nil && slices.Contains(args, p.Settings)
 }
 
-// End kills the process if it is still there, and it alone. It tells whether it was.
+// End kills the process if it is still running, and no other process. It reports whether the process
+// was running.
 func (p Process) End() (bool, error) {
-	h, err := os.FindProcess(p.PID) // holds this very process, whoever gets its number later
+	h, err := os.FindProcess(p.PID) // refers to this process even if its PID is reused later
 	if err != nil {
 		return false, nil
 	}
-	defer h.Release() //nolint:errcheck // nothing depends on it
+	defer h.Release() //nolint:errcheck // no caller depends on the result
 	if !p.same() {
 		return false, nil
 	}
@@ -73,7 +74,7 @@
 	return true, nil
 }
 
-// Leftovers lists the processes that a record says were started and not ended.
+// Leftovers returns the processes that a record lists as started but not as ended.
 func Leftovers(entries []Entry) (out []Process) {
 	open := map[Process]bool{}
 	for _, e := range entries {
--- a/internal/rehearse/log.go
+++ b/internal/rehearse/log.go
@@ -16,7 +16,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// logName is the record of a folder: append-only, one checksummed line an entry.
+// logName is the file name of a folder's record: append-only, with one checksummed line per entry.
 const logName = "rehearsal.log"
 
 // Entry is one line of the record.
@@ -26,21 +26,21 @@
 	Scenario string    `json:"scenario,omitempty"`
 	Seed     uint64    `json:"seed,omitempty"`
 	Source   string    `json:"source,omitempty"` // plan: the scenario's text
-	File     string    `json:"file,omitempty"`   // plan: where it came from
+	File     string    `json:"file,omitempty"`   // plan: the file that the scenario was read from
 	Process  *Process  `json:"process,omitempty"`
 	Detail   string    `json:"detail,omitempty"`
 	Result   string    `json:"result,omitempty"`
 }
 
-// Log is the record of a folder.
+// Log is the open record of a folder. It is safe for concurrent use.
 type Log struct {
 	mu sync.Mutex
 	f  *os.File
 }
 
-// OpenLog opens a folder's record, reads it and cuts off a line that a crash has
-// torn. A line that is wrong before the last one is an error: something else wrote
-// there, and nothing is overwritten.
+// OpenLog opens a folder's record, reads it and truncates a last line that a crash left
+// incomplete. An invalid line before the last one is an error, because something else wrote
+// to the file; the file is then left unchanged.
 func OpenLog(dir string) (*Log, []Entry, error) {
 	f, err := os.OpenFile(filepath.Join(dir, logName), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return &Log{f: f}, entries, nil
 }
 
-// readLog returns the entries and the length of what is whole.
+// readLog returns the entries and the length in bytes of the valid part.
 func readLog(r io.Reader) (out []Entry, good int64, err error) {
 	br := bufio.NewReader(r)
 	for n := 1; ; n++ {
@@ -76,7 +76,7 @@
 			if _, more := br.Peek(1); more == nil {
 				return out, good, fmt.Errorf("%s:%d: %w, and more follows it", logName, n, perr)
 			}
-			return out, good, nil // the last line, torn by a crash
+			return out, good, nil // the last line, left incomplete by a crash
 		}
 		out = append(out, e)
 		good += int64(len(line))
@@ -93,7 +93,7 @@
 	return e, json.Unmarshal([]byte(body), &e)
 }
 
-// Add appends an entry and has it on disk before it returns.
+// Add appends an entry and syncs it to disk before it returns.
 func (l *Log) Add(e Entry) error {
 	e.At = time.Now().UTC()
 	b, err := json.Marshal(e)
@@ -110,5 +110,5 @@
 	return l.f.Sync()
 }
 
-// Close ends the record.
+// Close closes the record's file.
 func (l *Log) Close() error { return l.f.Close() }
--- a/internal/rehearse/production.go
+++ b/internal/rehearse/production.go
@@ -13,14 +13,14 @@
 	"github.com/barrowbridge/barrowbridge/internal/tomlfile"
 )
 
-// service is what deploy/service.toml says.
+// service is the content of deploy/service.toml.
 type service struct {
 	Build      string `toml:"build"`
 	Run        string `toml:"run"`
-	Production string `toml:"production"` // the commit that serves now
+	Production string `toml:"production"` // commit of the version in production
 }
 
-// Production finds the repository that a folder stands in, and the commit that its
+// Production returns the root of the repository that contains a folder, and the commit that its
 // deploy/service.toml names as the version in production.
 func Production(dir string) (repo, commit string, err error) {
 	if dir, err = filepath.Abs(dir); err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// BuildCommit builds a commit of a repository in a folder of its own and returns the program.
+// BuildCommit checks out and builds a commit of a repository in dir and returns the path of the program.
 func BuildCommit(ctx context.Context, repo, commit, dir string) (program string, err error) {
 	if _, err := exec.LookPath("git"); err != nil {
 		return "", errors.New("git is needed to build an earlier version, and is not installed")
@@ -78,7 +78,8 @@
 	return program, err
 }
 
-// output runs a program in a folder; what it says of an error comes in one line.
+// output runs a program in a folder and returns its standard output. An error carries the program's
+// standard error on one line.
 func output(ctx context.Context, dir, name string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, name, args...)
 	cmd.Dir = dir
--- a/internal/rehearse/result.go
+++ b/internal/rehearse/result.go
@@ -13,10 +13,10 @@
 const (
 	Passed      = "passed"
 	Failed      = "failed"
-	Interrupted = "interrupted" // not seen to its end
+	Interrupted = "interrupted" // not observed to its end
 )
 
-// Result is what came of one scenario.
+// Result is the outcome of one run of a scenario.
 type Result struct {
 	Scenario   string          `json:"scenario"`
 	Seed       uint64          `json:"seed"`
@@ -33,41 +33,41 @@
 	Timeline   *Timeline       `json:"timeline,omitempty"`
 }
 
-// Cost is what users had of it.
+// Cost is the effect of a run on the users.
 type Cost struct {
-	ReplicaLostS float64        `json:"replica_lost_s"` // replica seconds that services lacked, from when they first ran in full
+	ReplicaLostS float64        `json:"replica_lost_s"` // missing replicas of services, in replica seconds, counted from when each first ran in full
 	Asked        int            `json:"asked"`          // submissions, polls and cancellations
-	Refused      int            `json:"refused"`        // of them answered 503
+	Refused      int            `json:"refused"`        // requests answered with 503
 	Unanswered   int            `json:"unanswered"`
 	Handed       map[string]int `json:"handed,omitempty"` // changes of leader and holders between versions
 }
 
-// Rules tells which of the protocol's rules were broken, each with what was seen.
+// Rules lists the violations of the protocol's rules, each with what was observed.
 type Rules struct {
 	Broken []Broken `json:"broken"`
-	Starts int      `json:"starts"` // task starts that were watched
+	Starts int      `json:"starts"` // task starts that were checked
 }
 
-// Broken is one rule that was broken.
+// Broken is one violation of a rule.
 type Broken struct {
 	Rule string  `json:"rule"`
 	AtS  float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
-// FaultResult is one fault and the steps of the recovery from it.
+// FaultResult is one fault and the steps of its recovery.
 type FaultResult struct {
 	Kind     string          `json:"kind"`
 	Hits     []string        `json:"hits"`
 	AtS      float64         `json:"at_s"`
 	LiftedS  float64         `json:"lifted_s,omitempty"`
-	Lost     int             `json:"lost"` // tasks that it took
-	Back     int             `json:"back"` // of them that ran again
+	Lost     int             `json:"lost"` // tasks lost to the fault
+	Back     int             `json:"back"` // lost tasks that ran again
 	Steps    []recovery.Step `json:"steps"`
 	WallTime time.Time       `json:"wall_time"`
 }
 
-// Objective is one expectation and what was seen of it.
+// Objective is one expectation and its measured value; Got is -1 if there was none.
 type Objective struct {
 	What string  `json:"what"`
 	Want float64 `json:"want"`
@@ -76,7 +76,7 @@
 	Met  bool    `json:"met"`
 }
 
-// Wait is how long one job's user waited. Seconds; -1: not seen.
+// Wait is how long one job's user waited for each state, in seconds; -1: not observed.
 type Wait struct {
 	Job       string  `json:"job"`
 	Class     string  `json:"class"`
@@ -85,8 +85,8 @@
 	DoneS     float64 `json:"done_s"`
 }
 
-// Wave is how the replicas of a service came up, in seconds since its submission; -1: not seen. LeastS is what a
-// machine alone takes to fetch its image.
+// Wave is when the replicas of a service came up, in seconds since its submission; -1: not observed. LeastS is the
+// time that a single machine takes to fetch the image, without contention.
 type Wave struct {
 	Job    string  `json:"job"`
 	Tasks  int     `json:"tasks"`
@@ -96,33 +96,33 @@
 	LeastS float64 `json:"least_s"`
 }
 
-// Timeline is what the report draws. Times are seconds since the start.
+// Timeline is the data that the report draws. Times are in seconds since the start.
 type Timeline struct {
 	EndS     float64           `json:"end_s"`
-	Tasks    []Span            `json:"tasks"`    // Who: the machine
-	Machines []Span            `json:"machines"` // up until gone
-	Lives    []Span            `json:"lives"`    // of the controllers' processes
-	Shards   []Span            `json:"shards"`   // Who: the controller that holds it
+	Tasks    []Span            `json:"tasks"`    // Who is the machine
+	Machines []Span            `json:"machines"` // from up until gone
+	Lives    []Span            `json:"lives"`    // incarnations of the controllers
+	Shards   []Span            `json:"shards"`   // Who is the holder
 	Leaders  []Span            `json:"leaders"`
-	Up       map[string][]Seen `json:"up"` // job -> how many of its tasks run
+	Up       map[string][]Seen `json:"up"` // running tasks by job
 }
 
-// Span is something that lasted.
+// Span is a state with a beginning and an end.
 type Span struct {
 	Who   string  `json:"who"`
 	What  string  `json:"what"`
 	FromS float64 `json:"from_s"`
 	ToS   float64 `json:"to_s"`
-	End   string  `json:"end,omitempty"` // how it ended
+	End   string  `json:"end,omitempty"` // reason of the end
 }
 
-// Seen is a count from a time on.
+// Seen is a count that applies from a time on.
 type Seen struct {
 	AtS float64 `json:"at_s"`
 	N   int     `json:"n"`
 }
 
-// Table prints a result for people.
+// Table formats a result as text.
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (seed %d): %s after %.1f s", r.Scenario, r.Seed, r.Result, r.TookS)
@@ -169,7 +169,7 @@
 	return b.String()
 }
 
-// short lists the first few names.
+// short joins the names; of more than four it lists three and the number of the others.
 func short(names []string) string {
 	switch {
 	case len(names) == 0:
--- a/internal/rehearse/upgrade.go
+++ b/internal/rehearse/upgrade.go
@@ -9,14 +9,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maskOf is the scenario of which each link is cut in turn.
+// maskOf is the scenario that is run once for each link, with that link cut.
 const maskOf = "upgrade-mask"
 
-// UpgradeNames lists the shipped scenarios of an upgrade.
+// UpgradeNames returns the names of the shipped upgrade scenarios.
 func UpgradeNames() []string { return names("scenarios/upgrade") }
 
-// Masks are the links between controllers, and from them to the state service, each cut both
-// ways and in either direction.
+// Masks returns the links between controllers and from them to the state service, each cut in
+// both directions and in either one. An element holds the two ends and "" or "one-way".
 func Masks() (out [][3]string) {
 	nodes := []string{"c0", "c1", "c2"}
 	for i, a := range nodes {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// Masked is the upgrade with one link cut in the middle of it, as a scenario's text.
+// Masked returns the upgrade scenario with one link cut in the middle of the upgrade, as text.
 func Masked(mask [3]string) (name, source string, err error) {
 	s, err := Load(maskOf)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s.text()
 }
 
-// Alike is the same roll without a change of versions, to be compared with.
+// Alike returns the same rolling restart without a change of version, as a baseline for comparison.
 func Alike(name string) (alike, source string, err error) {
 	s, err := Load(name)
 	if err != nil {
@@ -52,9 +52,9 @@
 	return s.text()
 }
 
-// Random is an upgrade with troubles drawn from a seed: controllers of either version die, are
-// exchanged forward and back, links to each other and to the state service are cut, the state
-// service refuses one or loses changes for a while. At last all are exchanged.
+// Random returns an upgrade with faults drawn from a seed: controllers of either version are killed,
+// upgraded and rolled back, links between them and to the state service are cut, and the state
+// service refuses a controller or loses changes for a while. At the end all controllers are upgraded.
 func Random(seed uint64) (name, source string, err error) {
 	s, err := Load(maskOf)
 	if err != nil {
@@ -91,7 +91,7 @@
 		s.Faults = append(s.Faults, Fault{Kind: "controller_upgrade", Target: n, Value: 1, AtS: at, ForS: 2})
 	}
 	s.MostS = at + 60
-	for i := range s.Expect { // however long the troubles last
+	for i := range s.Expect { // allow for the duration of all faults
 		if s.Expect[i].Kind != "up" {
 			s.Expect[i].WithinS = s.MostS
 		}
@@ -104,21 +104,21 @@
 	return s.Name, string(b), err
 }
 
-// RollCost is what upgrades cost, beside rolls of one version.
+// RollCost is the cost of the runs of an upgrade scenario, or of its baseline of one version.
 type RollCost struct {
 	Scenario     string         `json:"scenario"`
 	Runs         int            `json:"runs"`
 	Failed       int            `json:"failed"`
 	Broken       int            `json:"rules_broken"`
-	ReplicaLostS [2]float64     `json:"replica_lost_s"` // a run, mean and most
-	WaitS        [2]float64     `json:"wait_s"`         // of jobs, from submission until they run in full, mean and most
-	Refused      int            `json:"refused"`        // 503
+	ReplicaLostS [2]float64     `json:"replica_lost_s"` // per run, mean and maximum
+	WaitS        [2]float64     `json:"wait_s"`         // from a job's submission until it runs in full, mean and maximum
+	Refused      int            `json:"refused"`        // requests answered with 503
 	Unanswered   int            `json:"unanswered"`
 	Asked        int            `json:"asked"`
 	Handed       map[string]int `json:"handed,omitempty"`
 }
 
-// RollCosts sums results up by scenario.
+// RollCosts sums up results by scenario.
 func RollCosts(results []Result) []RollCost {
 	by, jobs := map[string]*RollCost{}, map[string]int{}
 	for _, r := range results {
@@ -159,7 +159,7 @@
 	return out
 }
 
-// RollTable prints them for people.
+// RollTable formats costs as a text table.
 func RollTable(costs []RollCost) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-34s %4s %6s %6s %16s %16s %25s %11s %11s\n", "scenario", "runs", "failed", "broken", "replica s lost", "wait s", "refused/unanswered/asked", ToNewer, ToEarlier)
