--- a/internal/rehearse/plan.go
+++ b/internal/rehearse/plan.go
@@ -14,20 +14,20 @@
 	"time"
 )
 
-// Plan is what a rehearsal is to run.
+// Plan lists the scenarios and seeds that a rehearsal runs, and how.
 type Plan struct {
-	Names []string // shipped scenarios or files
+	Names []string // shipped scenarios or file names
 	Seeds []uint64
-	Jobs  int // scenarios at once
+	Jobs  int // scenarios that run concurrently
 	Dir   string
 	Out   io.Writer // progress; nil: none
-	// Earlier builds the version in production, for scenarios that begin with it.
+	// Earlier builds the version in production for scenarios that begin with it.
 	Earlier func(context.Context) (program string, err error)
-	// Sources are scenarios by name that stand in no file.
+	// Sources holds the text of generated scenarios by name.
 	Sources map[string]string
 }
 
-// tries is how often a scenario is run that this machine disturbed by standing still.
+// tries is the maximum number of runs of a scenario that stalls of this machine disturb.
 const tries = 3
 
 type item struct {
@@ -39,7 +39,7 @@
 
 func (i item) key() string { return fmt.Sprintf("%s-%d", i.sc.Name, i.seed) }
 
-// Run runs a plan in its folder, which must not hold another rehearsal.
+// Run runs a plan in its folder, which must not contain another rehearsal.
 func Run(ctx context.Context, p Plan) ([]Result, error) {
 	var items []item
 	for _, seed := range p.Seeds {
@@ -74,8 +74,8 @@
 	return carryOut(ctx, p, log, items, nil)
 }
 
-// Resume first ends what is left of an earlier run in its folder, and nothing else,
-// then runs what is missing. What had begun and was not seen to its end is run again.
+// Resume first ends the processes left by an earlier run in its folder, and no others, then runs
+// the missing scenarios. A scenario that was interrupted is run again.
 func Resume(ctx context.Context, p Plan) ([]Result, error) {
 	if _, err := os.Stat(filepath.Join(p.Dir, logName)); err != nil {
 		return nil, fmt.Errorf("%s holds no rehearsal: %w", p.Dir, err)
@@ -145,7 +145,7 @@
 	}
 }
 
-// carryOut runs items, several at once, and writes the report at the end.
+// carryOut runs items, several concurrently, and writes the report at the end.
 func carryOut(ctx context.Context, p Plan, log *Log, items []item, results []Result) ([]Result, error) {
 	programs, err := p.programs(ctx, items)
 	if err != nil {
@@ -196,7 +196,7 @@
 	return results, failed
 }
 
-// one runs an item until it was seen undisturbed, and keeps its result.
+// one runs an item until a run was undisturbed, at most tries times, and stores its result.
 func (p Plan) one(ctx context.Context, i item, programs programs, note func(Entry)) (r *Result) {
 	dir := filepath.Join(p.Dir, i.key())
 	for n := range tries {
@@ -214,7 +214,7 @@
 	return r
 }
 
-// Store keeps a result that came about in another way, for Compare.
+// Store writes a result that was produced in another way, for use by Compare.
 func Store(dir string, r *Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -224,7 +224,7 @@
 
 const resultEnd = ".result.json"
 
-// writeResult writes a result whole or not at all.
+// writeResult writes a result atomically.
 func writeResult(dir, key string, r *Result) error {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -246,7 +246,7 @@
 	return &r, json.Unmarshal(b, &r)
 }
 
-// ReadResults reads all results of a folder, in order.
+// ReadResults returns all results of a folder, in order.
 func ReadResults(dir string) ([]Result, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+resultEnd))
 	if err != nil {
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -16,7 +16,7 @@
 	"github.com/barrowbridge/barrowbridge/internal/recovery"
 )
 
-// TestMain lets the test binary be a controller, and a rehearsal to be killed.
+// TestMain lets the test binary run as a controller, or as a rehearsal that a test kills.
 func TestMain(m *testing.M) {
 	nodetest.ServeIfAsked()
 	if dir := os.Getenv("BARROWBRIDGE_TEST_REHEARSE"); dir != "" {
@@ -56,7 +56,7 @@
 within_s = 25
 `
 
-// What is wrong with a scenario is one line: file, line, key and what is allowed.
+// An error in a scenario is one line with the file, line, key and what is allowed.
 func TestScenarioErrors(t *testing.T) {
 	good := fmt.Sprintf(quick, "good")
 	if _, err := Parse("f.toml", []byte(good)); err != nil {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A job that was cancelled is over; whether its user was told is measured from its submission.
+// A cancelled job is over, and the time until its user received the report counts from its submission.
 func TestCancelledIsTold(t *testing.T) {
 	r := &rehearsal{jobs: map[string]*job{"job-000001": {begun: 2 * time.Second}}}
 	j := r.jobs["job-000001"]
@@ -123,7 +123,7 @@
 			}
 			return
 		}
-		NewDirector(s).Step(time.Second, fakeFacts{}) // what is accepted can be directed
+		NewDirector(s).Step(time.Second, fakeFacts{}) // the director accepts every valid scenario
 	})
 }
 
@@ -137,8 +137,8 @@
 func (f fakeFacts) JobOver(j string) bool                { return f["over "+j] }
 func (f fakeFacts) Judged(time.Duration) (all, met bool) { return f["judged"], true }
 
-// Jobs and faults come at their times, or after their conditions, once each; the end
-// comes when all is well and has been for a while, or time is up.
+// Jobs and faults are due once each, at their time or after their condition. The scenario ends
+// when everything has been well for a while, or at its time limit.
 func TestDirector(t *testing.T) {
 	s, err := Parse("f", []byte(strings.Replace(fmt.Sprintf(quick, "d"), `when = "done`, "after_s = 0.5\nwhen = \"done", 1)))
 	if err != nil {
@@ -173,8 +173,8 @@
 	}
 }
 
-// A record cut off at any byte opens with all that was whole; a byte that is wrong
-// in the middle is an error, and nothing is overwritten.
+// A record truncated at any byte opens with all its complete entries. A corrupt byte in the
+// middle is an error, and the file is left unchanged.
 func TestRecordSurvivesATornLine(t *testing.T) {
 	dir := t.TempDir()
 	l, _, err := OpenLog(dir)
@@ -227,8 +227,8 @@
 	}
 }
 
-// A left-over process is ended only if it is the very one: not one that was given
-// its number since, nor one with other settings.
+// A leftover process is killed only if its whole identity matches: not a process that reuses
+// its PID, nor one with other settings.
 func TestOnlyOwnProcessesAreEnded(t *testing.T) {
 	settings := filepath.Join(t.TempDir(), "none.toml")
 	cmd := exec.Command("sleep", "60")
@@ -255,8 +255,8 @@
 	}
 }
 
-// A rehearsal is killed at random moments, its clean-up included; in the end every
-// scenario has been seen to its end, and no process of it is left.
+// A rehearsal is killed at random times, also during its cleanup, and resumed. In the end every
+// scenario has run to its end, and no process of the rehearsal is left.
 func TestKilledRehearsalsAreResumed(t *testing.T) {
 	dir := t.TempDir()
 	for _, n := range []string{"one", "two"} {
@@ -311,8 +311,8 @@
 	}
 }
 
-// Differences are taken seed by seed where both sides have the same seeds, and are
-// called sure only if the interval says so.
+// Differences are taken seed by seed if both sides have the same seeds, and are marked as sure
+// only if the confidence interval excludes 0.
 func TestCompare(t *testing.T) {
 	write := func(dir string, seeds []uint64, at func(i int) int64) string {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -21,7 +21,7 @@
 	stepHeight = 46.0
 )
 
-// drawing is a scenario's timeline, ready to be put on the page.
+// drawing is a scenario's timeline as the template renders it.
 type drawing struct {
 	Width, Height float64
 	Rows          []row
@@ -45,7 +45,7 @@
 }
 
 type mark struct {
-	X, W, H float64 // W: until it was lifted
+	X, W, H float64 // W is the time until the fault was lifted
 	Label   string
 	N       int
 }
@@ -55,7 +55,7 @@
 	Label string
 }
 
-// stepLine is how many of a job's tasks ran, over time.
+// stepLine is the number of a job's running tasks over time.
 type stepLine struct {
 	Y      float64
 	Label  string
@@ -69,13 +69,13 @@
 	Waits []Wait
 }
 
-// WriteReport writes a folder's page: one file that needs nothing else.
+// WriteReport writes a folder's report as one self-contained HTML file.
 func WriteReport(dir string, results []Result) error {
 	t, err := template.New("report").Funcs(template.FuncMap{
 		"s":     func(ms int64) string { return fmt.Sprintf("%.2f", float64(ms)/1000) },
 		"f2":    func(v float64) string { return fmt.Sprintf("%.2f", v) },
 		"short": short,
-		"share": func(ms int64, f FaultResult) string { // of the fault's longest step
+		"share": func(ms int64, f FaultResult) string { // as a share of the fault's longest step
 			most := int64(1)
 			for _, s := range f.Steps {
 				most = max(most, s.AfterMS, s.LeastMS)
@@ -97,7 +97,7 @@
 	var page []pageScenario
 	for _, r := range results {
 		full := r
-		if full.Timeline == nil { // printed results leave it out
+		if full.Timeline == nil { // printed results omit the timeline
 			stored, err := readResult(dir, fmt.Sprintf("%s-%d", r.Scenario, r.Seed))
 			if err != nil {
 				return err
@@ -155,7 +155,7 @@
 	put("machines", true)
 	for _, m := range whos(line.Machines) {
 		if busy := len(spansOf(line.Tasks, m)) > 0; !busy && len(line.Machines) > 40 {
-			continue // of a large fleet only machines that had work
+			continue // of a large fleet, show only machines that had work
 		}
 		at := put(m, false)
 		addBars(at, line.Machines, m, "up")
@@ -191,7 +191,7 @@
 	return d
 }
 
-// lanes draws a machine's tasks, those at the same time one below the other.
+// lanes lays out a machine's tasks; concurrent tasks are placed one below the other.
 func lanes(d *drawing, spans []Span, at float64, x func(float64) float64) {
 	sort.SliceStable(spans, func(i, j int) bool { return spans[i].FromS < spans[j].FromS })
 	var free []float64
@@ -243,7 +243,7 @@
 	return out
 }
 
-// whos lists who appears in spans, in order.
+// whos returns the distinct owners of spans, in order.
 func whos(lists ...[]Span) (out []string) {
 	seen := map[string]bool{}
 	for _, l := range lists {
@@ -258,7 +258,7 @@
 	return out
 }
 
-// colorOf gives the same thing the same of six colours.
+// colorOf maps a key to one of six colours; the same key always gets the same colour.
 func colorOf(what string) int {
 	n := 0
 	for _, c := range what {
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	pulse      = 40 * time.Millisecond  // of the director
-	trailEvery = 150 * time.Millisecond // a killed controller's last events are missed for no longer
-	pollEvery  = 400 * time.Millisecond // of users
-	upWithin   = 20 * time.Second       // the deployment must be ready
-	stallMost  = 2 * time.Second        // a process that stood still longer proves nothing
+	pulse      = 40 * time.Millisecond  // between steps of the director
+	trailEvery = 150 * time.Millisecond // bounds how many of a killed controller's last events are missed
+	pollEvery  = 400 * time.Millisecond // between polls of a user
+	upWithin   = 20 * time.Second       // time limit for the deployment to become ready
+	stallMost  = 2 * time.Second        // a run is not valid if the process was stalled for longer
 )
 
 // rehearsal is one run of a scenario.
@@ -45,31 +45,31 @@
 	note   func(Entry)
 
 	mu       sync.Mutex
-	zero     time.Duration // the site's time at which the scenario's begins
-	over     time.Duration // when it ended; 0: not yet
+	zero     time.Duration // the site's time at which the scenario begins
+	over     time.Duration // when the scenario ended; 0: not yet
 	seen     []recovery.Observation
 	jobs     map[string]*job
 	staged   []*staged
 	line     Timeline
-	open     map[string]int // what goes on: index of its span
+	open     map[string]int // index of the open span by key
 	after    map[string]uint64
 	boots    map[string]uint64
 	cost     Cost
-	tooEarly []Broken               // features that were on while the earlier version ran
-	lives    []life                 // of controllers, in order
-	rolled   map[string]heldVersion // what each controller that answers said of versions
+	tooEarly []Broken               // features that were enabled while a controller ran the earlier version
+	lives    []life                 // incarnations of controllers, in order
+	rolled   map[string]heldVersion // last answer of each responding controller about versions
 	wg       sync.WaitGroup
 }
 
-// job is a submitted job, as its user knows it.
+// job is a submitted job as its user observes it.
 type job struct {
 	spec              wire.JobSpec
 	plan              Job
 	begun             time.Duration // first attempt to submit
 	accepted, running time.Duration // 0: not yet
-	done, cancelled   time.Duration // when its user was told
+	done, cancelled   time.Duration // when the user received the report
 	refused           error
-	up, watched       time.Duration // time with all replicas, of the time since they first ran
+	up, watched       time.Duration // time with all replicas running, and total time since they first did
 	last              int
 }
 
@@ -79,7 +79,7 @@
 	f   FaultResult
 }
 
-// play runs a scenario once. note records what must survive an interruption.
+// play runs a scenario once. note records the entries that must survive an interruption.
 func play(ctx context.Context, sc *Scenario, seed uint64, dir string, p programs, note func(Entry)) *Result {
 	began := time.Now()
 	r := &rehearsal{sc: sc, seed: seed, rng: rand.New(rand.NewPCG(seed, 11)), note: note, jobs: map[string]*job{},
@@ -131,7 +131,7 @@
 	return res
 }
 
-// spec turns the scenario's fleet into a deployment.
+// spec returns the deployment for the scenario's fleet.
 func (r *rehearsal) spec(dir string, p programs) site.Spec {
 	f := r.sc.Fleet
 	s := site.Default()
@@ -160,8 +160,8 @@
 	return s
 }
 
-// process records a process's start or end. After its end its identity can be read no
-// more, so that of its start is remembered.
+// process records a process's start or end. The identity of an ended process can no longer be
+// read, so the identity is remembered at the start.
 func (r *rehearsal) process(what, name string, pid int, settings string) {
 	key := fmt.Sprint(pid, " ", settings)
 	r.mu.Lock()
@@ -180,7 +180,7 @@
 		return
 	}
 	r.end("life "+name, &r.line.Lives, at, "ended")
-	for k, i := range r.open { // what it held it holds no more
+	for k, i := range r.open { // end the spans of what the controller held
 		switch {
 		case strings.HasPrefix(k, "shard ") && r.line.Shards[i].Who == name:
 			r.end(k, &r.line.Shards, at, "ended")
@@ -194,10 +194,10 @@
 	}
 }
 
-// known holds the identities of the processes that run.
+// known holds the identities of the running processes.
 var known sync.Map
 
-// putCrews fills the calendar.
+// putCrews writes the scenario's crews to the calendar.
 func (r *rehearsal) putCrews(ctx context.Context) {
 	for _, c := range r.sc.Crews {
 		k := wire.Crew{Team: c.Team, Classes: c.Classes, TimeZone: "UTC", Leaves: time.Now().Add(seconds(c.LeavesS)).UTC().Format(calendar.SecondLayout),
@@ -209,7 +209,7 @@
 	}
 }
 
-// direct carries the scenario out.
+// direct carries out the scenario.
 func (r *rehearsal) direct(ctx context.Context) {
 	r.zero = r.site.Now()
 	r.putCrews(ctx)
@@ -251,7 +251,7 @@
 	}
 }
 
-// close ends what counts: what comes while work is cleared away is no recovery.
+// close ends the measurement: events during the cleanup do not count as recovery.
 func (r *rehearsal) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -260,7 +260,7 @@
 
 func (r *rehearsal) now() time.Duration { return r.site.Now() - r.zero }
 
-// submit has a user submit a job and poll it.
+// submit submits a job as a user and polls it.
 func (r *rehearsal) submit(ctx context.Context, a Action) {
 	plan := r.sc.Jobs[a.Job]
 	spec := plan.spec(a.Submit)
@@ -303,7 +303,7 @@
 	})
 }
 
-// awaitAccepted waits until jobs have been accepted.
+// awaitAccepted waits until the jobs have been accepted.
 func (r *rehearsal) awaitAccepted(ctx context.Context, ids []string) {
 	for ctx.Err() == nil && slices.ContainsFunc(ids, func(id string) bool {
 		r.mu.Lock()
@@ -314,16 +314,16 @@
 	}
 }
 
-// cancel has a user call a job off after a while.
+// cancel cancels a job as its user after a delay.
 func (r *rehearsal) cancel(ctx context.Context, id string, after time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(after):
-		_, _ = r.users.Abort(ctx, id) // what it is answered reaches the checker
+		_, _ = r.users.Abort(ctx, id) // the client passes the answer to the checker
 	}
 }
 
-// poll asks once and tells whether the job is over.
+// poll requests the job's state once and reports whether the job is over.
 func (r *rehearsal) poll(ctx context.Context, id string, j *job) bool {
 	status, st := r.users.Poll(ctx, id)
 	if status != http.StatusOK {
@@ -346,7 +346,7 @@
 	return over
 }
 
-// spec is a job as its user describes it.
+// spec returns the job specification that the user submits.
 func (j Job) spec(id string) wire.JobSpec {
 	tasks, no, gpus, save, due := int64(j.Tasks), false, 0.0, 0.0, j.RunS*20
 	est := j.RunS
@@ -359,7 +359,7 @@
 	return s
 }
 
-// kindsSilent are faults whose machines say nothing any more.
+// kindsSilent lists the faults whose machines stop reporting.
 func silent(f Fault) bool {
 	switch f.Kind {
 	case "machine_hang", "machine_die":
@@ -372,12 +372,12 @@
 	return false
 }
 
-// dead are faults whose controllers cannot act any more.
+// dead reports whether the controllers hit by a fault of this kind can no longer act.
 func dead(kind string) bool {
 	return kind == "controller_kill" || kind == "controller_pause" || kind == "state_refuses" || kind == "state_mute"
 }
 
-// stage makes a fault happen and remembers whom it hit, as they were.
+// stage injects fault number n and records which machines and controllers it hit, with the machines' state before it.
 func (r *rehearsal) stage(n int) {
 	f := r.sc.Faults[n-1]
 	var hit []string
@@ -407,7 +407,7 @@
 	r.note(Entry{What: "fault", Scenario: r.sc.Name, Seed: r.seed, Detail: f.Kind + " " + short(a.Hits)})
 }
 
-// clear cancels what still runs, as its users would, and waits until it is gone.
+// clear cancels all running jobs as their users would and waits until they are gone.
 func (r *rehearsal) clear(ctx context.Context) {
 	r.site.LiftAll()
 	if ctx.Err() != nil {
@@ -437,7 +437,7 @@
 	})
 }
 
-// Program is this program, which the emulated controllers run.
+// Program returns the path of this program, which the emulated controllers run.
 func Program() (string, error) {
 	p, err := os.Executable()
 	if err != nil {
@@ -446,7 +446,7 @@
 	return filepath.EvalSymlinks(p)
 }
 
-// params are the times by which recoveries are bounded.
+// params returns the durations that bound recoveries.
 func (r *rehearsal) params() recovery.Params {
 	return recovery.Params{ReportInterval: seconds(r.sc.Fleet.ReportS), WorkerLease: seconds(r.sc.Fleet.LeaseS), StateLease: tuning.StateLeaseTTL, RenewInterval: tuning.StateLeaseRenewInterval}
 }
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -1,5 +1,5 @@
-// Package rehearse stages failures in an emulated deployment and proves that the
-// cluster comes back: scenarios, their runs, records that survive an interruption,
+// Package rehearse injects faults into an emulated deployment and verifies that the
+// cluster recovers. It provides scenarios, their runs, records that survive an interruption,
 // reports and comparisons.
 package rehearse
 
@@ -24,13 +24,13 @@
 //go:embed scenarios/*.toml scenarios/upgrade/*.toml
 var shipped embed.FS
 
-// Scenario is a rehearsal: a fleet, its work, what goes wrong, what must hold.
+// Scenario describes a rehearsal: the fleet, its work, the faults and the expectations.
 // Times are in seconds.
 type Scenario struct {
 	Name   string   `toml:"name"`
 	About  string   `toml:"about"`
-	MostS  float64  `toml:"most_s"` // it fails if it has not ended by then
-	From   string   `toml:"from"`   // the version that the controllers begin with; "": this, see FromProduction
+	MostS  float64  `toml:"most_s"` // the run fails if it has not ended by then
+	From   string   `toml:"from"`   // the version that the controllers begin with; empty: this one; see FromProduction
 	Fleet  Fleet    `toml:"fleet"`
 	Teams  []Team   `toml:"teams"`
 	Jobs   []Job    `toml:"jobs"`
@@ -39,8 +39,9 @@
 	Expect []Expect `toml:"expect"`
 }
 
-// What a scenario's controllers begin with: the version in production, or this one, so that
-// the same roll can be seen without a change of versions. An empty From is no roll at all.
+// Values of Scenario.From, the version that the controllers begin with: the version in production,
+// or this one, so that the same rolling restart can be run without a change of version. An empty
+// From means no rolling restart.
 const (
 	FromProduction = "production"
 	FromThis       = "this"
@@ -49,15 +50,15 @@
 // Fleet describes the emulated deployment.
 type Fleet struct {
 	Controllers int     `toml:"controllers"`
-	Machines    int     `toml:"machines"` // standing ones
+	Machines    int     `toml:"machines"` // permanent machines
 	Zones       int     `toml:"zones"`
-	Rentable    int     `toml:"rentable"` // of each kind in each zone
-	CPUs        float64 `toml:"cpus"`     // of a machine
+	Rentable    int     `toml:"rentable"` // rentable machines of each type in each zone
+	CPUs        float64 `toml:"cpus"`     // per machine
 	MemoryGB    float64 `toml:"memory_gb"`
 	BootS       float64 `toml:"boot_s"`
 	FetchGBps   float64 `toml:"fetch_gb_per_s"`
-	StoreGBps   float64 `toml:"store_gb_per_s"` // that all fetches share; 0: no bound, and nothing is handed on
-	HandOn      bool    `toml:"hand_on"`        // switched on in the controllers, as is Pace
+	StoreGBps   float64 `toml:"store_gb_per_s"` // shared by all fetches; 0: unlimited, and machines do not serve images to each other
+	HandOn      bool    `toml:"hand_on"`        // enabled in the controllers, as is Pace
 	Pace        bool    `toml:"pace"`
 	ReportS     float64 `toml:"report_s"`
 	LeaseS      float64 `toml:"lease_s"`
@@ -68,7 +69,7 @@
 	NoticeS     float64 `toml:"notice_s"`
 }
 
-// Team is a team's guarantee and limit in cpus.
+// Team is a team's guarantee and limit in CPUs.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -76,7 +77,7 @@
 }
 
 // Job is work that is submitted during the rehearsal. Count jobs are submitted,
-// Every seconds apart, with ids that follow the first.
+// EveryS seconds apart, with consecutive IDs.
 type Job struct {
 	ID       string  `toml:"id"`
 	Class    string  `toml:"class"`
@@ -86,7 +87,7 @@
 	Tasks    int     `toml:"tasks"`
 	CPUs     float64 `toml:"cpus"`
 	MemoryGB float64 `toml:"memory_gb"`
-	RunS     float64 `toml:"run_s"` // of a task, give or take a third
+	RunS     float64 `toml:"run_s"` // run time of a task, varied by up to a third
 	ImageGB  float64 `toml:"image_gb"`
 	SaveS    float64 `toml:"checkpoint_every_s"`
 	Spread   bool    `toml:"spread"`
@@ -96,24 +97,24 @@
 	AtS      float64 `toml:"at_s"`
 	When     string  `toml:"when"`
 	AfterS   float64 `toml:"after_s"`
-	// Awaits are jobs of the scenario, listed before, that have to be done before any task of this one starts; it is
-	// submitted once they are accepted.
+	// Awaits lists jobs of the scenario, defined before this one, that must be done before any task of this one
+	// starts. This job is submitted once they are accepted.
 	Awaits  []string `toml:"awaits"`
-	CancelS float64  `toml:"cancel_s"` // its user cancels it so long after it was accepted; 0: never
+	CancelS float64  `toml:"cancel_s"` // the user cancels the job this long after it was accepted; 0: never
 }
 
-// Crew is put into the calendar as the rehearsal begins.
+// Crew is a crew that is put into the calendar when the rehearsal begins.
 type Crew struct {
 	Name    string   `toml:"name"`
 	Team    string   `toml:"team"`
 	Classes []string `toml:"classes"`
-	LeavesS float64  `toml:"leaves_s"` // after the beginning
+	LeavesS float64  `toml:"leaves_s"` // counted from the beginning
 	Tasks   int      `toml:"expect_tasks"`
 	RunS    float64  `toml:"expect_run_s"`
 	CPUs    float64  `toml:"expect_cpus"`
 }
 
-// Fault is staged at a time, or so long after a condition holds. Conditions:
+// Fault is a fault that is staged at AtS, or AfterS after the condition When is met. Conditions:
 // "running JOB", "done JOB N" (tasks), "noticed N" and "step N STEP" (of the Nth
 // fault), "lifted N", "understood FEATURE" (by every controller).
 type Fault struct {
@@ -133,10 +134,11 @@
 	return site.Fault{Kind: f.Kind, Target: f.Target, Peer: f.Peer, Mode: f.Mode, OneWay: f.OneWay, Value: f.Value, ForS: f.ForS}
 }
 
-// Expect is what must hold. Kinds: "running" (all tasks of a job, or of every job
-// of a class, run within WithinS of their submission), "done" (and its user is
-// told), "accepted", "up" (all replicas run for at least Share of the time since they
-// first did), "cancelled" (its user is told so), "recovered" (the Fault-th fault's Step comes within WithinS of it),
+// Expect is an expectation that must be met. Kinds: "running" (all tasks of a job, or of every job
+// of a class, run within WithinS of their submission), "done" (the job's user
+// has received the report), "accepted", "up" (all replicas run for at least Share of the time since they
+// first did), "cancelled" (the job's user has received the report), "recovered" (Step of fault number Fault is
+// reached within WithinS),
 // "starts" (no more than Most tasks were started in all), "handed" (leadership or a shard
 // passed from a controller of one version to one of the other, as Step says).
 type Expect struct {
@@ -150,12 +152,12 @@
 	Most    int     `toml:"most"`
 }
 
-// problem is what is wrong with a scenario: key and what is allowed.
+// problem is an invalid setting of a scenario: the key and what is allowed.
 type problem struct{ key, allowed string }
 
 func (p *problem) Error() string { return p.key + ": " + p.allowed }
 
-// Parse reads and checks a scenario. What is wrong is one line: file, line, key and
+// Parse decodes and validates a scenario. An error is one line with the file, line, key and
 // what is allowed.
 func Parse(file string, b []byte) (*Scenario, error) {
 	var s Scenario
@@ -170,7 +172,7 @@
 	return &s, nil
 }
 
-// lineOf finds the line of a key like faults[1].kind, or that of its table.
+// lineOf returns the line of a key such as faults[1].kind, or the line of its table.
 func lineOf(b []byte, key string) int {
 	table, field, _ := strings.Cut(key, ".")
 	name, index := table, 0
@@ -259,7 +261,7 @@
 	return nil
 }
 
-// first returns the first error.
+// first returns the first error that is not nil.
 func first(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -398,7 +400,7 @@
 	return within(k+"within_s", e.WithinS, 0.1, s.MostS)
 }
 
-// condition checks a when.
+// condition validates the condition of a when key.
 func (s *Scenario) condition(key, when string, ids map[string]bool) error {
 	if when == "" {
 		return nil
@@ -431,7 +433,7 @@
 	return nil
 }
 
-// ids are the names of a job's copies.
+// ids returns the IDs of the jobs that are submitted for j.
 func (j Job) ids() (out []string) {
 	for n := range j.Count {
 		out = append(out, jobID(j.ID, n))
@@ -439,13 +441,13 @@
 	return out
 }
 
-// jobID is the n-th id after the first.
+// jobID returns the n-th ID after first.
 func jobID(first string, n int) string {
 	k, _ := strconv.Atoi(strings.TrimPrefix(first, "job-"))
 	return fmt.Sprintf("job-%0*d", len(first)-4, k+n)
 }
 
-// Names lists the shipped scenarios, but for those of an upgrade, which need the repository.
+// Names returns the names of the shipped scenarios except those of an upgrade, which need the repository.
 func Names() []string { return names("scenarios") }
 
 func names(dir string) (out []string) {
@@ -463,7 +465,7 @@
 	return out
 }
 
-// Source returns a shipped scenario's text, or that of a file.
+// Source returns the text of a shipped scenario or of a file.
 func Source(name string) (file string, b []byte, err error) {
 	for _, dir := range []string{"scenarios", "scenarios/upgrade"} {
 		if b, err := shipped.ReadFile(path.Join(dir, name+".toml")); err == nil {
@@ -477,7 +479,7 @@
 	return name, b, err
 }
 
-// Load reads a shipped scenario or a file.
+// Load parses a shipped scenario or a file.
 func Load(name string) (*Scenario, error) {
 	file, b, err := Source(name)
 	if err != nil {
--- a/internal/rehearse/upgrade_test.go
+++ b/internal/rehearse/upgrade_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// The shipped scenarios of an upgrade, each roll of one version and each cut link are valid,
-// and a generated text is read as what it was made from.
+// The shipped upgrade scenarios, their baselines of one version and each variant with a cut link are
+// valid, and a generated text parses to the scenario that it was generated from.
 func TestUpgradeScenarios(t *testing.T) {
 	if len(UpgradeNames()) == 0 {
 		t.Fatal("none is shipped")
@@ -58,13 +58,13 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if len(seen) != 18 { // six links, each both ways and in either direction
+	if len(seen) != 18 { // six links, each cut in both directions and in either one
 		t.Errorf("%d masks", len(seen))
 	}
 }
 
-// Who handed over to whom is told by the versions that ran then, also for what was held before
-// the scenario began.
+// A handover is classified by the versions that ran at its time, also for shards and leadership
+// held since before the scenario began.
 func TestHandedBetweenVersions(t *testing.T) {
 	r := &rehearsal{sc: &Scenario{From: FromProduction}, lives: []life{{"c0", 0, true}, {"c1", 0, true}, {"c0", 10, false}, {"c1", 30, false}}}
 	r.line.Leaders = []Span{{Who: "c1", What: "leads", FromS: -3}, {Who: "c0", What: "leads", FromS: 12}, {Who: "c1", What: "leads", FromS: 20}, {Who: "c1", What: "leads", FromS: 32}}
@@ -86,7 +86,7 @@
 	return strings.TrimSpace(string(out))
 }
 
-// A commit is built as it was; a shallow clone and an unknown commit are told in one line.
+// A commit is built from its own source. A shallow clone and an unknown commit give an error of one line.
 func TestBuildCommit(t *testing.T) {
 	repo, ctx := t.TempDir(), context.Background()
 	write := func(file, text string) {
--- a/internal/rehearse/versions.go
+++ b/internal/rehearse/versions.go
@@ -11,23 +11,23 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Changes of leader or holder between versions, as expectations and results name them.
+// Changes of leader or holder between versions, as named in expectations and results.
 const (
 	ToNewer   = "old to new"
 	ToEarlier = "new to old"
 )
 
 const (
-	versionsEvery = 500 * time.Millisecond // controllers are asked what they hold back
-	// backSeen (duration) is how long a controller may run the earlier version again before the
-	// others must have heard of it: its grant, its presence, and the watch that tells of it.
+	versionsEvery = 500 * time.Millisecond // interval of requests to the controllers for the features that they hold back
+	// backSeen is how long a controller may run the earlier version again before the others must
+	// know of it: the duration of its state lease, its presence, and the watch that reports it.
 	backSeen = 8 * time.Second
 )
 
-// programs are what the controllers run.
+// programs holds the paths of the programs that the controllers run.
 type programs struct{ this, earlier string }
 
-// programs finds what the scenarios need, and builds what is not there.
+// programs returns the programs that the scenarios need, and builds the earlier version if needed.
 func (p Plan) programs(ctx context.Context, items []item) (programs, error) {
 	this, err := Program()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return programs{this: this}, nil
 }
 
-// source returns a scenario of the plan's own, a shipped one or a file.
+// source returns the text of a scenario from p.Sources, of a shipped one or of a file.
 func (p Plan) source(name string) (file string, b []byte, err error) {
 	if s, ok := p.Sources[name]; ok {
 		return name + ".toml", []byte(s), nil
@@ -54,21 +54,21 @@
 	return Source(name)
 }
 
-// life is one life of a controller.
+// life is one incarnation of a controller.
 type life struct {
 	node    string
 	fromS   float64
 	earlier bool
 }
 
-// heldVersion is what a controller last said of features, and when.
+// heldVersion is a controller's last answer about features, and its time.
 type heldVersion struct {
 	at   time.Duration
 	on   map[string]bool
 	held map[string][]string
 }
 
-// readVersions asks every controller of this version that runs who understands what.
+// readVersions asks every running controller of this version which controllers understand which features.
 func (r *rehearsal) readVersions(ctx context.Context) {
 	for _, n := range r.site.Names() {
 		c := r.site.Controller(n)
@@ -96,8 +96,8 @@
 	}
 }
 
-// judgeEarly notes a feature that is on though a controller runs the earlier version, or will
-// when it is started again; the lock is held.
+// judgeEarly records a feature that is enabled although a controller runs the earlier version, or
+// will run it when it is started again. The caller holds the lock.
 func (r *rehearsal) judgeEarly(node string, h heldVersion) {
 	for _, n := range r.site.Names() {
 		if !r.site.Controller(n).Earlier() {
@@ -109,7 +109,7 @@
 				since = l.fromS
 			}
 			if l.node == n && !l.earlier {
-				since = h.at.Seconds() // its first life as the earlier version again is to come
+				since = h.at.Seconds() // its first incarnation that runs the earlier version again has not begun
 			}
 		}
 		for f, on := range h.on {
@@ -120,7 +120,7 @@
 	}
 }
 
-// early lists features that were used too early, once each.
+// early returns the features that were enabled too early, once each.
 func (r *rehearsal) early() (out []Broken) {
 	seen := map[string]bool{}
 	for _, b := range r.tooEarly {
@@ -132,7 +132,7 @@
 	return out
 }
 
-// understood tells whether all controllers that run said lately that a feature is on.
+// understood reports whether the last answers of all controllers say that a feature is enabled.
 func (r *rehearsal) understood(feature string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,8 +144,8 @@
 	return true
 }
 
-// versionAt tells which version a controller ran at a time; before the scenario began, that
-// of its first life.
+// versionAt reports whether a controller ran the earlier version at a time. For a time before the
+// scenario began it uses the controller's first incarnation.
 func (r *rehearsal) versionAt(node string, s float64) (earlier bool) {
 	first := true
 	for _, l := range r.lives {
@@ -156,7 +156,7 @@
 	return earlier
 }
 
-// handed counts the changes of leader and holders between versions; the lock is held.
+// handed counts the changes of leader and holders between versions. The caller holds the lock.
 func (r *rehearsal) handed() map[string]int {
 	if r.sc.From != FromProduction {
 		return nil
@@ -181,7 +181,7 @@
 
 func (r *rehearsal) judgeHanded(e Expect) Objective {
 	o := Objective{What: "leader or holder " + e.Step, Want: 1, Unit: "times"}
-	if r.sc.From != FromProduction { // nothing to pass between
+	if r.sc.From != FromProduction { // all controllers run the same version
 		o.Want, o.Met = 0, true
 		return o
 	}
@@ -190,7 +190,7 @@
 	return o
 }
 
-// countedUsers tells a site's checker what its users saw, and counts what they were refused.
+// countedUsers passes the users' observations to a site's checker and counts refused requests.
 type countedUsers struct {
 	load.SiteUsers
 	r *rehearsal
--- a/internal/rehearse/watch.go
+++ b/internal/rehearse/watch.go
@@ -17,7 +17,7 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// event takes what a worker saw; it is called under the site's lock.
+// event records an observation of a worker. It is called with the site's lock held.
 func (r *rehearsal) event(e site.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// begin and end draw a span.
+// begin and end open and close a span of the timeline.
 func (r *rehearsal) begin(key string, spans *[]Span, s Span) {
 	s.ToS = -1
 	r.open[key] = len(*spans)
@@ -56,7 +56,7 @@
 	}
 }
 
-// readTrails takes the news of every controller that lives.
+// readTrails reads the new trail events of every running controller.
 func (r *rehearsal) readTrails(ctx context.Context) {
 	for _, n := range r.site.Names() {
 		if !r.site.Controller(n).Alive() {
@@ -69,7 +69,7 @@
 		if err != nil || wire.Unmarshal(raw, &t) != nil || t.Node != n {
 			continue
 		}
-		if r.boots[n] != 0 && t.Boot != r.boots[n] && t.Boot != 0 { // a new life counts from 1
+		if r.boots[n] != 0 && t.Boot != r.boots[n] && t.Boot != 0 { // a new incarnation numbers its events from 1
 			if r.after[n] > 0 {
 				r.after[n], r.boots[n] = 0, t.Boot
 				continue
@@ -87,7 +87,7 @@
 	}
 }
 
-// believe takes one event of a controller's trail.
+// believe records one event of a controller's trail.
 func (r *rehearsal) believe(node string, e wire.TrailEvent) {
 	at := time.Duration(e.WallMS)*time.Millisecond - time.Duration(r.site.Begun().UnixMilli())*time.Millisecond - r.zero
 	o := recovery.Observation{At: at, From: recovery.FromTrail, Kind: e.Kind, Machine: e.Machine, Task: e.Task, Job: e.Job, Node: e.Node, By: node, Shard: -1}
@@ -110,8 +110,8 @@
 	}
 }
 
-// running counts a job's tasks that are on machines whose lease runs, and its tasks
-// that have completed.
+// running returns the number of a job's tasks on machines with a valid lease, and the number of
+// its completed tasks.
 func (r *rehearsal) running(id string) (on, done int) {
 	r.site.Check(func(now time.Duration, c *checker.Checker) {
 		tasks := map[string]bool{}
@@ -124,7 +124,7 @@
 	return on, done
 }
 
-// watch notes which jobs run in full, since when and for how long.
+// watch records which jobs run in full, since when and for how long.
 func (r *rehearsal) watch(now, passed time.Duration) {
 	for _, id := range r.jobIDs() {
 		on, done := r.running(id)
@@ -168,7 +168,7 @@
 	return sortedJobs(r.jobs)
 }
 
-// facts answers the director.
+// facts implements Facts for the director.
 type facts struct{ r *rehearsal }
 
 func (f facts) AllRunning(id string) bool {
@@ -202,7 +202,7 @@
 	return n <= len(f.r.staged) && slices.ContainsFunc(f.r.steps(n), func(s recovery.Step) bool { return s.Step == step })
 }
 
-// steps are those of a fault's recovery so far; the lock is held.
+// steps returns the steps of a fault's recovery so far. The caller holds the lock.
 func (r *rehearsal) steps(n int) []recovery.Step {
 	return recovery.Analyze(r.params(), r.staged[n-1].inc, r.seen)
 }
@@ -221,7 +221,7 @@
 	return all, met
 }
 
-// since is when an expectation's time begins.
+// since returns the time from which an expectation is measured.
 func (r *rehearsal) since(e Expect) time.Duration {
 	if e.Kind == "recovered" {
 		if e.Fault > len(r.staged) {
@@ -235,7 +235,7 @@
 	return 0
 }
 
-// rules tells what was broken so far, and how many starts were watched.
+// rules returns the violations so far and the number of checked task starts.
 func (r *rehearsal) rules() (broken []Broken, starts int) {
 	broken = []Broken{}
 	r.site.Check(func(_ time.Duration, c *checker.Checker) {
@@ -247,7 +247,7 @@
 	return broken, starts
 }
 
-// judge measures one expectation, job by job; Got is -1 where nothing was seen yet.
+// judge evaluates one expectation, with one result per job; Got is -1 if nothing was observed yet.
 func (r *rehearsal) judge(e Expect, starts int) (out []Objective) {
 	switch e.Kind {
 	case "starts":
@@ -286,7 +286,7 @@
 	return []Objective{worst}
 }
 
-// measure is what one job's user saw; -1: not yet.
+// measure returns the value that one job's user observed; -1: none yet.
 func (r *rehearsal) measure(kind string, j *job) float64 {
 	at := time.Duration(0)
 	switch kind {
@@ -310,7 +310,7 @@
 	return (at - j.begun).Seconds()
 }
 
-// recovered measures a step that counts only once all that was lost is back.
+// recovered evaluates a step of a recovery. From the restart on, a step counts only once all lost tasks run again.
 func (r *rehearsal) recovered(e Expect) Objective {
 	o := Objective{What: fmt.Sprintf("fault %d: %s", e.Fault, e.Step), Want: e.WithinS, Got: -1, Unit: "s"}
 	if e.Fault > len(r.staged) {
@@ -331,10 +331,10 @@
 	return o
 }
 
-// waveLeast is how many replicas make a wave.
+// waveLeast is the minimum number of replicas for which a wave is reported.
 const waveLeast = 20
 
-// waves tells how services of many replicas came up; the lock is held.
+// waves returns how the services of many replicas came up. The caller holds the lock.
 func (r *rehearsal) waves() (list []Wave) {
 	for _, id := range sortedJobs(r.jobs) {
 		j := r.jobs[id]
@@ -354,7 +354,7 @@
 	return list
 }
 
-// fill writes down all that was seen.
+// fill stores all observations in the result.
 func (r *rehearsal) fill(res *Result) {
 	broken, starts := r.rules()
 	r.mu.Lock()
