--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -98,11 +98,11 @@
 	r := &rehearsal{jobs: map[string]*job{"job-000001": {begun: 2 * time.Second}}}
 	j := r.jobs["job-000001"]
 	if got := r.measure("cancelled", j); got != -1 || (facts{r}).JobOver("job-000001") {
-		t.Errorf("not told, and measured as %v s, or over", got)
+		t.Errorf("before the cancellation is reported: measured %v s, want -1, and the job not over", got)
 	}
 	j.cancelled = 9 * time.Second
 	if got := r.measure("cancelled", j); got != 7 || !(facts{r}).JobOver("job-000001") {
-		t.Errorf("told after 7 s, and measured as %v s, or not over", got)
+		t.Errorf("cancellation reported after 7 s: measured %v s, want 7, and the job over", got)
 	}
 }
 
@@ -169,7 +169,7 @@
 	}
 	d = NewDirector(s)
 	if _, over := d.Step(30*time.Second, fakeFacts{}); !over {
-		t.Error("time is up, and it goes on")
+		t.Error("the scenario continues after its time limit")
 	}
 }
 
@@ -208,7 +208,7 @@
 		}
 		l.Close()
 		if l, got, err = OpenLog(dir); err != nil || got[len(got)-1].What != "resume" {
-			t.Fatalf("cut at %d, then written: %v", cut, err)
+			t.Fatalf("record cut at %d, then appended to: %v", cut, err)
 		}
 		l.Close()
 	}
@@ -219,10 +219,10 @@
 			t.Fatal(err)
 		}
 		if _, _, err := OpenLog(dir); err == nil {
-			t.Errorf("a wrong byte at %d is not noticed", at)
+			t.Errorf("a corrupt byte at %d is not detected", at)
 		}
 		if now, _ := os.ReadFile(path); !bytes.Equal(now, bad) {
-			t.Errorf("the record with a wrong byte at %d was changed", at)
+			t.Errorf("the record with a corrupt byte at %d was changed", at)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		}
 	}
 	if killed, err := p.End(); !killed || err != nil {
-		t.Errorf("the very process: ended %v, %v", killed, err)
+		t.Errorf("the identified process: ended %v, %v", killed, err)
 	}
 }
 
@@ -300,11 +300,11 @@
 	}
 	for _, p := range Leftovers(entries) {
 		if p.same() {
-			t.Errorf("process %d is left", p.PID)
+			t.Errorf("process %d is still running", p.PID)
 		}
 	}
 	if _, err := Run(ctx, Plan{Dir: dir, Names: []string{filepath.Join(dir, "one.toml")}, Seeds: []uint64{1}}); err == nil {
-		t.Error("a folder with a rehearsal is used for another")
+		t.Error("a folder that contains a rehearsal was accepted for another")
 	}
 	if _, err := os.Stat(filepath.Join(dir, "index.html")); err != nil {
 		t.Error(err)
@@ -345,12 +345,12 @@
 		return Row{}
 	}
 	if r := find(a, b); !r.Paired || !r.Sure || r.Diff < 0.49 || r.Diff > 0.52 || r.Low < 0.4 || r.High > 0.6 {
-		t.Errorf("half a second later with every seed: %+v", r)
+		t.Errorf("difference of half a second with every seed: %+v", r)
 	}
 	if r := find(a, c); r.Paired || r.Sure {
-		t.Errorf("other seeds, far spread: %+v", r)
+		t.Errorf("different seeds with a large variance: %+v", r)
 	}
 	if _, err := Compare(a, base); err == nil {
-		t.Error("a folder without results is compared")
+		t.Error("a folder without results was accepted")
 	}
 }
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -146,14 +146,14 @@
 		}
 	}
 	put("controllers", true)
-	for _, c := range whos(line.Lives, line.Shards, line.Leaders) {
+	for _, c := range spanOwners(line.Lives, line.Shards, line.Leaders) {
 		at := put(c, false)
 		addBars(at, line.Lives, c, "up")
 		addBars(at, line.Shards, c, "shard")
 		addBars(at, line.Leaders, c, "leader")
 	}
 	put("machines", true)
-	for _, m := range whos(line.Machines) {
+	for _, m := range spanOwners(line.Machines) {
 		if busy := len(spansOf(line.Tasks, m)) > 0; !busy && len(line.Machines) > 40 {
 			continue // of a large fleet, show only machines that had work
 		}
@@ -243,8 +243,8 @@
 	return out
 }
 
-// whos returns the distinct owners of spans, in order.
-func whos(lists ...[]Span) (out []string) {
+// spanOwners returns the distinct owners of spans, in order.
+func spanOwners(lists ...[]Span) (out []string) {
 	seen := map[string]bool{}
 	for _, l := range lists {
 		for _, s := range l {
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	pulse      = 40 * time.Millisecond  // between steps of the director
-	trailEvery = 150 * time.Millisecond // bounds how many of a killed controller's last events are missed
-	pollEvery  = 400 * time.Millisecond // between polls of a user
-	upWithin   = 20 * time.Second       // time limit for the deployment to become ready
-	stallMost  = 2 * time.Second        // a run is not valid if the process was stalled for longer
+	directorInterval = 40 * time.Millisecond  // between steps of the director
+	trailInterval    = 150 * time.Millisecond // a killed controller loses at most the events of its last interval
+	pollInterval     = 400 * time.Millisecond // between polls of a user
+	readyTimeout     = 20 * time.Second       // time limit for the deployment to become ready
+	maxStall         = 2 * time.Second        // a run is not valid if the process was stalled for longer
 )
 
 // rehearsal is one run of a scenario.
@@ -44,21 +44,21 @@
 	http   *http.Client
 	note   func(Entry)
 
-	mu       sync.Mutex
-	zero     time.Duration // the site's time at which the scenario begins
-	over     time.Duration // when the scenario ended; 0: not yet
-	seen     []recovery.Observation
-	jobs     map[string]*job
-	staged   []*staged
-	line     Timeline
-	open     map[string]int // index of the open span by key
-	after    map[string]uint64
-	boots    map[string]uint64
-	cost     Cost
-	tooEarly []Broken               // features that were enabled while a controller ran the earlier version
-	lives    []life                 // incarnations of controllers, in order
-	rolled   map[string]heldVersion // last answer of each responding controller about versions
-	wg       sync.WaitGroup
+	mu           sync.Mutex
+	zero         time.Duration // the site's time at which the scenario begins
+	over         time.Duration // when the scenario ended; 0: not yet
+	seen         []recovery.Observation
+	jobs         map[string]*job
+	staged       []*staged
+	line         Timeline
+	open         map[string]int // index of the open span by key
+	after        map[string]uint64
+	boots        map[string]uint64
+	cost         Cost
+	tooEarly     []Broken               // features that were enabled while a controller ran the earlier version
+	incarnations []incarnation          // incarnations of controllers, in order
+	rolled       map[string]heldVersion // last answer of each responding controller about versions
+	wg           sync.WaitGroup
 }
 
 // job is a submitted job as its user observes it.
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer r.site.Stop()
-	up, done := context.WithTimeout(ctx, upWithin)
+	up, done := context.WithTimeout(ctx, readyTimeout)
 	defer done()
 	err := r.site.Start(ctx)
 	if err == nil {
@@ -116,7 +116,7 @@
 		res.Why = err.Error()
 	case interrupted:
 		res.Result, res.Why = Interrupted, "ended before it was over"
-	case r.site.Stalled() > stallMost:
+	case r.site.Stalled() > maxStall:
 		res.Result, res.Why = Interrupted, fmt.Sprintf("this machine or process stood still for %.1f s", r.site.Stalled().Seconds())
 	case len(res.Rules.Broken) > 0:
 		res.Why = "a rule was broken"
@@ -172,7 +172,7 @@
 	}
 	if what == "process" {
 		r.begin("life "+name, &r.line.Lives, Span{Who: name, What: "process", FromS: at})
-		r.lives = append(r.lives, life{name, at, r.site.Controller(name).Earlier()})
+		r.incarnations = append(r.incarnations, incarnation{name, at, r.site.Controller(name).Earlier()})
 		if p, err := Identify(pid, settings); err == nil {
 			known.Store(key, p)
 			r.note(Entry{What: what, Scenario: r.sc.Name, Seed: r.seed, Process: &p})
@@ -214,16 +214,16 @@
 	r.zero = r.site.Now()
 	r.putCrews(ctx)
 	d := NewDirector(r.sc)
-	t := time.NewTicker(pulse)
+	t := time.NewTicker(directorInterval)
 	defer t.Stop()
-	last, trails, versions := r.now(), time.Duration(-trailEvery), time.Duration(-versionsEvery)
+	last, trails, versions := r.now(), time.Duration(-trailInterval), time.Duration(-versionsInterval)
 	for {
 		now := r.now()
-		if now-trails >= trailEvery {
+		if now-trails >= trailInterval {
 			trails = now
 			r.readTrails(ctx)
 		}
-		if r.sc.From != "" && now-versions >= versionsEvery {
+		if r.sc.From != "" && now-versions >= versionsInterval {
 			versions = now
 			r.readVersions(ctx)
 		}
@@ -297,7 +297,7 @@
 		for err == nil && ctx.Err() == nil && !r.poll(ctx, a.Submit, j) {
 			select {
 			case <-ctx.Done():
-			case <-time.After(pollEvery):
+			case <-time.After(pollInterval):
 			}
 		}
 	})
@@ -310,7 +310,7 @@
 		defer r.mu.Unlock()
 		return r.jobs[id] == nil || r.jobs[id].accepted == 0
 	}) {
-		time.Sleep(pulse)
+		time.Sleep(directorInterval)
 	}
 }
 
@@ -422,7 +422,7 @@
 		}
 	}
 	wg.Wait()
-	for end := time.Now().Add(seconds(r.sc.Fleet.CancelS)); ctx.Err() == nil && time.Now().Before(end); time.Sleep(pulse) {
+	for end := time.Now().Add(seconds(r.sc.Fleet.CancelS)); ctx.Err() == nil && time.Now().Before(end); time.Sleep(directorInterval) {
 		gone := true
 		for id, j := range r.jobs {
 			gone = gone && (j.plan.Shape != wire.ShapeService || len(r.site.Running(id)) == 0)
--- a/internal/rehearse/upgrade_test.go
+++ b/internal/rehearse/upgrade_test.go
@@ -13,7 +13,7 @@
 // valid, and a generated text parses to the scenario that it was generated from.
 func TestUpgradeScenarios(t *testing.T) {
 	if len(UpgradeNames()) == 0 {
-		t.Fatal("none is shipped")
+		t.Fatal("no upgrade scenario is shipped")
 	}
 	for _, n := range UpgradeNames() {
 		s, err := Load(n)
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(name, []byte(source)); err != nil || seen[name] {
-			t.Errorf("%s: twice, or %v", name, err)
+			t.Errorf("%s: duplicate mask, or error %v", name, err)
 		}
 		seen[name] = true
 	}
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		if _, again, _ := Random(seed); again != source {
-			t.Errorf("%s is not the same twice", name)
+			t.Errorf("%s: two calls with the same seed differ", name)
 		}
 		if s, err := Parse(name, []byte(source)); err != nil || len(s.Faults) != 11 {
 			t.Errorf("%s: %v", name, err)
@@ -66,7 +66,7 @@
 // A handover is classified by the versions that ran at its time, also for shards and leadership
 // held since before the scenario began.
 func TestHandedBetweenVersions(t *testing.T) {
-	r := &rehearsal{sc: &Scenario{From: FromProduction}, lives: []life{{"c0", 0, true}, {"c1", 0, true}, {"c0", 10, false}, {"c1", 30, false}}}
+	r := &rehearsal{sc: &Scenario{From: FromProduction}, incarnations: []incarnation{{"c0", 0, true}, {"c1", 0, true}, {"c0", 10, false}, {"c1", 30, false}}}
 	r.line.Leaders = []Span{{Who: "c1", What: "leads", FromS: -3}, {Who: "c0", What: "leads", FromS: 12}, {Who: "c1", What: "leads", FromS: 20}, {Who: "c1", What: "leads", FromS: 32}}
 	r.line.Shards = []Span{{Who: "c0", What: "shard 0", FromS: -3}, {Who: "c0", What: "shard 0", FromS: 11}}
 	if got := r.handed(); got[ToNewer] != 3 || got[ToEarlier] != 1 {
@@ -133,6 +133,6 @@
 		}
 	}
 	if _, _, err := Production(t.TempDir()); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("outside of a checkout: %v", err)
+		t.Errorf("folder outside a checkout: %v", err)
 	}
 }
--- a/internal/rehearse/versions.go
+++ b/internal/rehearse/versions.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	versionsEvery = 500 * time.Millisecond // interval of requests to the controllers for the features that they hold back
-	// backSeen is how long a controller may run the earlier version again before the others must
+	versionsInterval = 500 * time.Millisecond // interval of requests to the controllers for the features that they hold back
+	// rollbackSeenWithin is how long a controller may run the earlier version again before the others must
 	// know of it: the duration of its state lease, its presence, and the watch that reports it.
-	backSeen = 8 * time.Second
+	rollbackSeenWithin = 8 * time.Second
 )
 
 // programs holds the paths of the programs that the controllers run.
@@ -54,8 +54,8 @@
 	return Source(name)
 }
 
-// life is one incarnation of a controller.
-type life struct {
+// incarnation is one incarnation of a controller.
+type incarnation struct {
 	node    string
 	fromS   float64
 	earlier bool
@@ -68,7 +68,8 @@
 	held map[string][]string
 }
 
-// readVersions asks every running controller of this version which controllers understand which features.
+// readVersions asks every running controller of this version which features are enabled, and which
+// controllers it holds the others back for. A controller without an answer has no entry in r.rolled.
 func (r *rehearsal) readVersions(ctx context.Context) {
 	for _, n := range r.site.Names() {
 		c := r.site.Controller(n)
@@ -78,7 +79,7 @@
 		if !c.Alive() || c.Earlier() {
 			continue
 		}
-		one, cancel := context.WithTimeout(ctx, trailEvery)
+		one, cancel := context.WithTimeout(ctx, trailInterval)
 		status, raw, err := cborhttp.RoundTrip(one, r.http, http.MethodGet, "http://"+r.site.Direct(n)+"/admin/v1/version", nil)
 		cancel()
 		var v wire.VersionView
@@ -91,20 +92,20 @@
 		}
 		r.mu.Lock()
 		r.rolled[n] = h
-		r.judgeEarly(n, h)
+		r.checkEarlyFeatures(n, h)
 		r.mu.Unlock()
 	}
 }
 
-// judgeEarly records a feature that is enabled although a controller runs the earlier version, or
+// checkEarlyFeatures records a feature that is enabled although a controller runs the earlier version, or
 // will run it when it is started again. The caller holds the lock.
-func (r *rehearsal) judgeEarly(node string, h heldVersion) {
+func (r *rehearsal) checkEarlyFeatures(node string, h heldVersion) {
 	for _, n := range r.site.Names() {
 		if !r.site.Controller(n).Earlier() {
 			continue
 		}
 		since := 0.0
-		for _, l := range r.lives {
+		for _, l := range r.incarnations {
 			if l.node == n && l.earlier {
 				since = l.fromS
 			}
@@ -113,7 +114,7 @@
 			}
 		}
 		for f, on := range h.on {
-			if on && h.at.Seconds()-since > backSeen.Seconds() {
+			if on && h.at.Seconds()-since > rollbackSeenWithin.Seconds() {
 				r.tooEarly = append(r.tooEarly, Broken{Rule: "held_back", AtS: h.at.Seconds(), What: fmt.Sprintf("%s has %s on, and %s runs the earlier version", node, f, n)})
 			}
 		}
@@ -148,7 +149,7 @@
 // scenario began it uses the controller's first incarnation.
 func (r *rehearsal) versionAt(node string, s float64) (earlier bool) {
 	first := true
-	for _, l := range r.lives {
+	for _, l := range r.incarnations {
 		if l.node == node && (first || l.fromS <= s) {
 			earlier, first = l.earlier, false
 		}
--- a/internal/rehearse/watch.go
+++ b/internal/rehearse/watch.go
@@ -62,7 +62,7 @@
 		if !r.site.Controller(n).Alive() {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(ctx, trailEvery)
+		ctx, cancel := context.WithTimeout(ctx, trailInterval)
 		_, raw, err := cborhttp.RoundTrip(ctx, r.http, http.MethodGet, fmt.Sprintf("http://%s/admin/v1/trail?after=%d", r.site.Direct(n), r.after[n]), nil)
 		cancel()
 		var t wire.Trail
@@ -81,14 +81,14 @@
 		r.after[n] = t.Next
 		r.mu.Lock()
 		for _, e := range t.Events {
-			r.believe(n, e)
+			r.recordTrailEvent(n, e)
 		}
 		r.mu.Unlock()
 	}
 }
 
-// believe records one event of a controller's trail.
-func (r *rehearsal) believe(node string, e wire.TrailEvent) {
+// recordTrailEvent records one event of a controller's trail.
+func (r *rehearsal) recordTrailEvent(node string, e wire.TrailEvent) {
 	at := time.Duration(e.WallMS)*time.Millisecond - time.Duration(r.site.Begun().UnixMilli())*time.Millisecond - r.zero
 	o := recovery.Observation{At: at, From: recovery.FromTrail, Kind: e.Kind, Machine: e.Machine, Task: e.Task, Job: e.Job, Node: e.Node, By: node, Shard: -1}
 	if e.Shard != nil {
@@ -331,14 +331,14 @@
 	return o
 }
 
-// waveLeast is the minimum number of replicas for which a wave is reported.
-const waveLeast = 20
+// minWaveReplicas is the minimum number of replicas for which a wave is reported.
+const minWaveReplicas = 20
 
 // waves returns how the services of many replicas came up. The caller holds the lock.
 func (r *rehearsal) waves() (list []Wave) {
 	for _, id := range sortedJobs(r.jobs) {
 		j := r.jobs[id]
-		if j.plan.Shape != wire.ShapeService || j.plan.Tasks < waveLeast {
+		if j.plan.Shape != wire.ShapeService || j.plan.Tasks < minWaveReplicas {
 			continue
 		}
 		since := func(n int) float64 {
