--- a/internal/rehearse/log.go
+++ b/internal/rehearse/log.go
@@ -74,7 +74,7 @@
 		e, perr := parseLine(line)
 		if perr != nil {
 			if _, more := br.Peek(1); more == nil {
-				return out, good, fmt.Errorf("%s:%d: %w, and more follows it", logName, n, perr)
+				return out, good, fmt.Errorf("%s:%d: %w, followed by more lines", logName, n, perr)
 			}
 			return out, good, nil // the last line, left incomplete by a crash
 		}
@@ -88,7 +88,7 @@
 	body, whole := strings.CutSuffix(body, "\n")
 	want, perr := strconv.ParseUint(sum, 16, 64)
 	if !ok || !whole || perr != nil || xxhash.Sum64String(body) != want {
-		return e, fmt.Errorf("a line whose checksum is wrong")
+		return e, fmt.Errorf("line with an invalid checksum")
 	}
 	return e, json.Unmarshal([]byte(body), &e)
 }
--- a/internal/rehearse/plan.go
+++ b/internal/rehearse/plan.go
@@ -64,7 +64,7 @@
 	}
 	defer log.Close()
 	if len(old) > 0 {
-		return nil, fmt.Errorf("%s holds a rehearsal already; go on with it by resume, or choose another folder", p.Dir)
+		return nil, fmt.Errorf("%s already contains a rehearsal; continue it with resume, or choose another folder", p.Dir)
 	}
 	for _, i := range items {
 		if err := log.Add(Entry{What: "plan", Scenario: i.sc.Name, Seed: i.seed, Source: i.source, File: i.file}); err != nil {
@@ -78,7 +78,7 @@
 // the missing scenarios. A scenario that was interrupted is run again.
 func Resume(ctx context.Context, p Plan) ([]Result, error) {
 	if _, err := os.Stat(filepath.Join(p.Dir, logName)); err != nil {
-		return nil, fmt.Errorf("%s holds no rehearsal: %w", p.Dir, err)
+		return nil, fmt.Errorf("%s contains no rehearsal: %w", p.Dir, err)
 	}
 	log, entries, err := OpenLog(p.Dir)
 	if err != nil {
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		if killed {
-			p.say("ended process %d, left of the earlier run", proc.PID)
+			p.say("ended process %d, left over from the earlier run", proc.PID)
 		}
 		if err := log.Add(Entry{What: "ended", Process: &proc, Detail: fmt.Sprintf("left over, was running: %v", killed)}); err != nil {
 			return nil, err
@@ -124,9 +124,9 @@
 				results = append(results, *r)
 				continue
 			}
-			p.say("%s: its result cannot be read, it is run again", i.key())
+			p.say("%s: its result cannot be read; running it again", i.key())
 		case begun[i.key()]:
-			p.say("%s was interrupted and is run again", i.key())
+			p.say("%s was interrupted; running it again", i.key())
 			if err := log.Add(Entry{What: "interrupted", Scenario: i.sc.Name, Seed: i.seed}); err != nil {
 				return nil, err
 			}
@@ -205,7 +205,7 @@
 		if r.Result != Interrupted || ctx.Err() != nil || n == tries-1 {
 			break
 		}
-		p.say("%s seed %d: %s; once more", r.Scenario, r.Seed, r.Why)
+		p.say("%s seed %d: %s; running it again", r.Scenario, r.Seed, r.Why)
 	}
 	if err := writeResult(p.Dir, i.key(), r); err != nil {
 		r.Result, r.Why = Failed, err.Error()
@@ -253,7 +253,7 @@
 		return nil, err
 	}
 	if len(names) == 0 {
-		return nil, fmt.Errorf("%s holds no results of a rehearsal", dir)
+		return nil, fmt.Errorf("%s contains no results of a rehearsal", dir)
 	}
 	var out []Result
 	for _, n := range names {
--- a/internal/rehearse/production.go
+++ b/internal/rehearse/production.go
@@ -31,7 +31,7 @@
 		b, err := os.ReadFile(file)
 		if errors.Is(err, os.ErrNotExist) {
 			if d == filepath.Dir(d) {
-				return "", "", fmt.Errorf("%s stands in no checkout of this program: no deploy/service.toml above it", dir)
+				return "", "", fmt.Errorf("%s is not in a checkout of this program: no deploy/service.toml in it or a folder above", dir)
 			}
 			continue
 		}
@@ -60,7 +60,7 @@
 	if _, err := output(ctx, repo, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
 		why := "is not in the history of " + repo
 		if shallow, err := output(ctx, repo, "git", "rev-parse", "--is-shallow-repository"); err != nil {
-			why = "cannot be looked for: " + err.Error()
+			why = "cannot be searched for: " + err.Error()
 		} else if shallow == "true" {
 			why = "is not in this shallow clone; get the history with: git fetch --unshallow"
 		}
--- a/internal/rehearse/versions.go
+++ b/internal/rehearse/versions.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		if p.Earlier == nil {
-			return programs{}, fmt.Errorf("%s begins with the version in production, and no way to build it is given", i.sc.Name)
+			return programs{}, fmt.Errorf("%s begins with the version in production, and the plan has no function to build it", i.sc.Name)
 		}
 		earlier, err := p.Earlier(ctx)
 		return programs{this, earlier}, err
