--- a/internal/rehearse/director.go
+++ b/internal/rehearse/director.go
@@ -13,7 +13,7 @@
 	StepDone(fault int, step string) bool     // a step of the fault's recovery
 	Lifted(fault int) bool                    // the fault was staged and has been lifted
 	Understood(feature string) bool           // by every controller, according to the running ones
-	JobOver(job string) bool                  // its user received the report that it is done
+	JobOver(job string) bool                  // its user knows that it is done, cancelled or refused
 	Judged(now time.Duration) (all, met bool) // whether all expectations are decided, and all are met
 }
 
--- a/internal/rehearse/plan.go
+++ b/internal/rehearse/plan.go
@@ -27,7 +27,7 @@
 	Sources map[string]string
 }
 
-// tries is the maximum number of runs of a scenario that stalls of this machine disturb.
+// tries is the maximum number of runs of a scenario; a run during which this machine stalled is repeated.
 const tries = 3
 
 type item struct {
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -45,7 +45,7 @@
 }
 
 type mark struct {
-	X, W, H float64 // W is the time until the fault was lifted
+	X, W, H float64 // W is the width up to the time at which the fault was lifted
 	Label   string
 	N       int
 }
--- a/internal/rehearse/versions.go
+++ b/internal/rehearse/versions.go
@@ -54,7 +54,7 @@
 	return Source(name)
 }
 
-// incarnation is one incarnation of a controller.
+// incarnation is one incarnation of a controller: the time of its start and which version it ran.
 type incarnation struct {
 	node    string
 	fromS   float64
