--- a/internal/standin/site/controllers.go
+++ b/internal/standin/site/controllers.go
@@ -145,7 +145,7 @@
 	}
 	s.mu.Lock()
 	for i := range s.Spec.Machines {
-		s.stand(s.Spec.Zones[i%len(s.Spec.Zones)])
+		s.addOwnMachine(s.Spec.Zones[i%len(s.Spec.Zones)])
 	}
 	s.mu.Unlock()
 	go s.clock(ctx)
--- a/internal/standin/site/faults.go
+++ b/internal/standin/site/faults.go
@@ -12,28 +12,28 @@
 	"github.com/barrowbridge/barrowbridge/internal/standin/worker"
 )
 
-// Fault is something that goes wrong, from when it is staged until it is lifted.
+// Fault is a failure that lasts from when it is staged until it is lifted.
 type Fault struct {
 	Kind   string  `json:"kind" toml:"kind"`
 	Target string  `json:"target,omitempty" toml:"target"` // see Resolve
-	Peer   string  `json:"peer,omitempty" toml:"peer"`     // link: the other side
+	Peer   string  `json:"peer,omitempty" toml:"peer"`     // link: the other end
 	Mode   string  `json:"mode,omitempty" toml:"mode"`     // link: hold, reset, refuse or delay
 	OneWay bool    `json:"one_way,omitempty" toml:"one_way"`
-	Value  float64 `json:"value,omitempty" toml:"value"` // its meaning goes by kind
+	Value  float64 `json:"value,omitempty" toml:"value"` // its meaning depends on the kind
 	ForS   float64 `json:"for_s,omitempty" toml:"for_s"` // seconds; 0: until lifted
 }
 
 // Kind describes a kind of fault.
 type Kind struct {
 	Name   string  `json:"kind"`
-	Target string  `json:"target,omitempty"` // what Target names; "" if it has none
-	Value  string  `json:"value,omitempty"`  // what Value means; "" if it has none
+	Target string  `json:"target,omitempty"` // what Target names; "" if the kind has no target
+	Value  string  `json:"value,omitempty"`  // what Value means; "" if the kind has no value
 	Min    float64 `json:"min,omitempty"`
 	Max    float64 `json:"max,omitempty"`
 	Doc    string  `json:"doc"`
 }
 
-// Kinds lists every kind, for checks, errors and documents.
+// Kinds lists every kind of fault, for validation, error messages and documentation.
 var Kinds = []Kind{
 	{"state_down", "", "", 0, 0, "the state service answers 503 to everybody"},
 	{"state_slow", "", "seconds", 0.001, 60, "its answers come so much later"},
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Check tells in one line what is wrong with a fault, before it is staged: the
-// field first, then what is allowed.
+// Check validates a fault before it is staged. The error is one line: first the
+// field, then what is allowed.
 func (f Fault) Check() error {
 	k := kindOf(f.Kind)
 	switch {
@@ -117,27 +117,28 @@
 	return fmt.Errorf("mode: %q is none of hold, reset, refuse, delay", f.Mode)
 }
 
-// Active is a fault that is staged.
+// Active is a staged fault.
 type Active struct {
 	ID     uint64        `json:"id"`
 	Fault  Fault         `json:"fault"`
-	Hits   []string      `json:"hits"` // whom it hits, as resolved when it was staged
+	Hits   []string      `json:"hits"` // affected parties, as resolved when the fault was staged
 	Staged time.Duration `json:"staged_ns"`
 
 	rule  uint64
 	timer *time.Timer
 }
 
-// faults is what is staged, under the site's lock.
+// faults holds the staged faults; guarded by the site's lock.
 type faults struct {
-	next   uint64
-	active map[uint64]*Active
-	still  map[string]string // controller -> what was last done to it
+	next          uint64
+	active        map[uint64]*Active
+	processStates map[string]string // controller -> state of its process: "kill", "pause", its share of the time, or "" if unaffected
 }
 
-// Resolve turns a target into names: a name itself, several with commas, "all"
-// controllers, "leader", "holder:TEAM", "zone:Z" (its machines and controllers),
-// "machines:Z" (of a zone, all if Z is empty), "spot" machines, "machine-of:JOB".
+// Resolve turns a target into names. A target is a comma-separated list of: a name,
+// "all" (controllers), "leader", "holder:TEAM", "zone:Z" (its machines and
+// controllers), "machines:Z" (machines of a zone, all machines if Z is empty),
+// "spot" (spot machines), "machine-of:JOB".
 func (s *Site) Resolve(kind, target string) ([]string, error) {
 	var out []string
 	for _, t := range strings.Split(target, ",") {
@@ -178,11 +179,11 @@
 			out = append(out, strings.TrimSpace(t))
 		}
 	}
-	return s.suitable(kind, target, out)
+	return s.filterTargets(kind, target, out)
 }
 
-// suitable keeps what a kind can hit, and refuses a target that hits nothing.
-func (s *Site) suitable(kind, target string, names []string) ([]string, error) {
+// filterTargets returns the names that a kind of fault can affect, or an error if there are none.
+func (s *Site) filterTargets(kind, target string, names []string) ([]string, error) {
 	want := "parties"
 	if k := kindOf(kind); k != nil {
 		want = k.Target
@@ -206,7 +207,7 @@
 	return slices.Compact(out), nil
 }
 
-// Stage makes something go wrong.
+// Stage starts a fault.
 func (s *Site) Stage(f Fault) (Active, error) {
 	if err := f.Check(); err != nil {
 		return Active{}, err
@@ -226,18 +227,18 @@
 	}
 	switch f.Kind {
 	case "link":
-		a.rule = s.Net.Add(link.Rule{From: among(a.Hits), To: among(peers), Mode: link.Mode(f.Mode), OneWay: f.OneWay, Delay: seconds(f.Value)})
+		a.rule = s.Net.Add(link.Rule{From: memberOf(a.Hits), To: memberOf(peers), Mode: link.Mode(f.Mode), OneWay: f.OneWay, Delay: seconds(f.Value)})
 	case "peers_refuse":
-		a.rule = s.Net.Add(link.Rule{From: among(a.Hits), To: func(p string) bool { return s.controllers[p] != nil && !slices.Contains(a.Hits, p) }, Mode: link.Refuse})
+		a.rule = s.Net.Add(link.Rule{From: memberOf(a.Hits), To: func(p string) bool { return s.controllers[p] != nil && !slices.Contains(a.Hits, p) }, Mode: link.Refuse})
 	}
 	s.mu.Lock()
 	if s.faults.active == nil {
-		s.faults.active, s.faults.still = map[uint64]*Active{}, map[string]string{}
+		s.faults.active, s.faults.processStates = map[uint64]*Active{}, map[string]string{}
 	}
 	s.faults.next++
 	a.ID, a.Staged = s.faults.next, s.Now()
 	s.faults.active[a.ID] = a
-	s.once(a)
+	s.applyOneTime(a)
 	after := s.apply()
 	if f.ForS > 0 {
 		id := a.ID
@@ -252,12 +253,12 @@
 
 func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
 
-func among(names []string) func(string) bool {
+func memberOf(names []string) func(string) bool {
 	return func(p string) bool { return slices.Contains(names, p) }
 }
 
-// once does what a fault does a single time.
-func (s *Site) once(a *Active) {
+// applyOneTime applies the effects that a fault has only once, when it is staged.
+func (s *Site) applyOneTime(a *Active) {
 	now := s.Now()
 	switch a.Fault.Kind {
 	case "cloud_unborn":
@@ -279,7 +280,7 @@
 	}
 }
 
-// Lift ends a fault. It tells whether it was there.
+// Lift ends a fault. It reports whether the fault was staged.
 func (s *Site) Lift(id uint64) bool {
 	s.mu.Lock()
 	a := s.faults.active[id]
@@ -308,7 +309,7 @@
 	}
 }
 
-// Faults lists what is staged, oldest first.
+// Faults returns the staged faults, oldest first.
 func (s *Site) Faults() (out []Active) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -319,9 +320,10 @@
 	return out
 }
 
-// apply sets all that is wrong afresh from the active faults, so that faults of
-// the same kind may overlap and each can be lifted by itself. What it returns
-// acts on processes, outside the lock.
+// apply recomputes all effects from the active faults, so that faults of the same
+// kind may overlap and each can be lifted separately. The caller holds the site's
+// lock; the function returned changes the controllers' processes and must be called
+// after the lock is released.
 func (s *Site) apply() func() {
 	now := s.Now()
 	st, cl := &s.store.Trouble, &s.cloud.Trouble
@@ -333,7 +335,7 @@
 	clear(s.late)
 	s.lateWrites = 0
 	clear(s.copies)
-	sick, still := map[string]worker.Fault{}, map[string]string{}
+	sick, processStates := map[string]worker.Fault{}, map[string]string{}
 	limits := s.Spec.State
 	for _, a := range s.faults.active {
 		f := a.Fault
@@ -364,7 +366,7 @@
 			s.late[p] = max(s.late[p], seconds(f.Value))
 		}
 		for _, n := range a.Hits {
-			s.applyTo(n, f, sick, still)
+			s.applyTo(n, f, sick, processStates)
 		}
 	}
 	if limits != s.limits {
@@ -391,11 +393,11 @@
 		}
 		s.drive(now, name, m, nil)
 	}
-	return func() { s.move(still) }
+	return func() { s.updateProcesses(processStates) }
 }
 
-// applyTo adds one fault to what is wrong with one party.
-func (s *Site) applyTo(n string, f Fault, sick map[string]worker.Fault, still map[string]string) {
+// applyTo adds the effects of one fault on one party.
+func (s *Site) applyTo(n string, f Fault, sick map[string]worker.Fault, processStates map[string]string) {
 	m := sick[n]
 	switch f.Kind {
 	case "state_refuses":
@@ -417,25 +419,25 @@
 	case "machine_slow":
 		m.Slow = max(m.Slow, f.Value)
 	case "controller_kill", "controller_upgrade":
-		still[n] = "kill"
+		processStates[n] = "kill"
 	case "controller_pause":
-		if still[n] != "kill" {
-			still[n] = "pause"
+		if processStates[n] != "kill" {
+			processStates[n] = "pause"
 		}
 	case "controller_slow":
-		if still[n] == "" {
-			still[n] = fmt.Sprint(f.Value)
+		if processStates[n] == "" {
+			processStates[n] = fmt.Sprint(f.Value)
 		}
 	}
 	sick[n] = m
 }
 
-// move brings the controllers' processes to what the active faults ask for.
-func (s *Site) move(want map[string]string) {
+// updateProcesses puts the controllers' processes into the states that the active faults require.
+func (s *Site) updateProcesses(want map[string]string) {
 	for _, n := range s.names {
 		s.mu.Lock()
-		old, c := s.faults.still[n], s.controllers[n]
-		s.faults.still[n] = want[n]
+		old, c := s.faults.processStates[n], s.controllers[n]
+		s.faults.processStates[n] = want[n]
 		s.mu.Unlock()
 		if old == want[n] || c == nil {
 			continue
@@ -445,7 +447,7 @@
 		case "kill":
 			if want[n] != "kill" && s.ctx.Err() == nil {
 				if err := c.Run(); err != nil {
-					s.log.Error("a controller does not start again", "err", err.Error())
+					s.log.Error("controller could not be restarted", "err", err.Error())
 				}
 			}
 		case "pause":
@@ -467,8 +469,8 @@
 	}
 }
 
-// stand adds one of the operator's own machines.
-func (s *Site) stand(zone string) {
+// addOwnMachine adds one of the operator's own machines in a zone.
+func (s *Site) addOwnMachine(zone string) {
 	s.cloud.Stand(s.Now(), cloud.Place{Type: s.Spec.Type.Name, Zone: zone}, 0)
 }
 
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,6 +1,7 @@
-// Package site runs an emulated deployment on loopback: state service, cloud
-// and workers behind HTTP, controllers as processes of their own, and a network
-// between them that can be cut. Every fault it can stage is lifted again.
+// Package site runs an emulated deployment on loopback: the state service, the
+// cloud and the workers behind HTTP, controllers as separate processes, and a
+// network between them that can be interrupted. Every fault that can be staged can
+// also be lifted.
 package site
 
 import (
@@ -22,26 +23,26 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Names of parties beside controllers and machines.
+// Names of the parties other than controllers and machines.
 const (
 	PartyState = "state"
 	PartyCloud = "cloud"
 	PartyUsers = "users"
 )
 
-// clockEvery is the pulse that lets time pass where nobody calls.
+// clockEvery is the interval at which the emulated parts advance without a call.
 const clockEvery = 5 * time.Millisecond
 
-// Team is a team's guarantee and limit, in cpus and gpus.
+// Team is a team's guaranteed share and maximum usage, in CPUs and GPUs.
 type Team struct{ CPUs, CPUsMax, GPUs, GPUsMax float64 }
 
 // Spec describes a deployment.
 type Spec struct {
 	Controllers int
 	Zones       []string
-	Machines    int // the operator's own, spread over the zones
+	Machines    int // number of the operator's own machines, spread over the zones
 	Type        wire.MachineType
-	Rentable    int // most rented machines of each kind and zone
+	Rentable    int // maximum number of rented machines of each type and zone
 	Teams       map[string]Team
 	Report      time.Duration
 	Lease       time.Duration
@@ -49,18 +50,18 @@
 	State       state.Limits
 	Cloud       cloud.Params
 	Seed        uint64
-	Program     string          // of the controllers
-	Earlier     string          // of an earlier version, which they begin with; "": none
-	Dir         string          // for settings files
-	StoreGBps   float64         // that all fetches of images share, and workers hand on what they are told to; 0: neither
-	Switches    config.Switches // of the controllers
+	Program     string          // controller executable
+	Earlier     string          // executable of an earlier version that the controllers start with; "": none
+	Dir         string          // directory of the settings files
+	StoreGBps   float64         // bandwidth that all image fetches share; workers also pass images on when told to; 0: neither is emulated
+	Switches    config.Switches // switches of the controllers
 	LogLevel    string
 
-	// Spawned and Ended, if not nil, are told of each controller's process.
+	// Spawned and Ended, if not nil, are called when a controller's process starts and ends.
 	Spawned, Ended func(name string, pid int, settings string)
 }
 
-// Default is a small deployment that starts, rents and fails over in seconds.
+// Default returns a small deployment that starts, rents and fails over in seconds.
 func Default() Spec {
 	return Spec{Controllers: 3, Zones: []string{"a", "b"}, Machines: 8, Rentable: 8,
 		Type:   wire.MachineType{Name: "std", CPUs: 4, MemoryGB: 16, CacheGB: 40, FetchGBps: 1, Price: 0.2, SpotPrice: 0.06, BootS: 3},
@@ -79,8 +80,8 @@
 	TaskLeft    = "task_left"
 )
 
-// Event is what a worker saw. Cause is that of a task that left, "" if its lease
-// or its machine ended.
+// Event is an event on a machine. Cause is the reason why a task left, "" if its
+// lease expired or its machine ended.
 type Event struct {
 	At      time.Duration
 	Kind    string
@@ -96,35 +97,36 @@
 	wake     time.Duration
 	post     poster
 	close    func()
-	resumed  chan struct{} // closed when the machine hangs no more
-	// lapsed: it goes on after a hang that outlasted its lease. What it now says to have killed
-	// has not run since, though its next session has a lease again.
+	resumed  chan struct{} // closed when the machine no longer hangs
+	// lapsed is set while the machine resumes after a hang that outlasted its lease. The tasks
+	// that it now reports as killed have not run since the lease expired, although the next
+	// session has a lease again.
 	lapsed bool
 }
 
 // Site is a running deployment.
 type Site struct {
-	Spec  Spec
-	Net   *link.Net
-	log   *slog.Logger
-	begun time.Time
+	Spec      Spec
+	Net       *link.Net
+	log       *slog.Logger
+	startedAt time.Time
 
 	mu       sync.Mutex
 	rng      *rand.Rand
 	store    *state.Store
-	limits   state.Limits // that the store has now
+	limits   state.Limits // current limits of the store
 	cloud    *cloud.Cloud
 	work     *worker.Work
 	check    *checker.Checker
 	machines map[string]*machine
 	calls    map[uint64]chan state.Answer
 	callID   uint64
-	slow     map[string]time.Duration // party -> its answers come so much later
-	mute     map[string]bool          // "state" or "cloud" of a client: executes without answering
-	copies   map[string]time.Duration // of a machine's reports come so much later at most
-	late     map[string]time.Duration // "state" or "cloud" of a client: executes so much later
+	slow     map[string]time.Duration // party -> delay of its answers
+	mute     map[string]bool          // "state" or "cloud", or either with "/CLIENT": requests are executed but not answered
+	copies   map[string]time.Duration // machine -> maximum delay of the copies of its reports
+	late     map[string]time.Duration // "state" or "cloud" -> delay before requests are executed
 
-	lateWrites float64 // share of changes of the state that get no answer and come late
+	lateWrites float64 // share of state changes that get no answer and are executed late
 	observe    func(Event)
 	faults     faults
 
@@ -133,18 +135,18 @@
 	ctx         context.Context
 	starter     *starter
 
-	host                 string // where the controllers' processes listen
+	host                 string // loopback address that the controllers' processes listen on
 	stateAddr, cloudAddr string
-	stalled              time.Duration // longest time that this whole process stood still
+	stalled              time.Duration // longest time that this whole process was suspended
 }
 
-// New prepares a deployment; Start brings it up. observe, if not nil, is called
-// with every event, in order and under the site's lock.
+// New prepares a deployment; Start starts it. observe, if not nil, is called with
+// every event, in order and with the site's lock held.
 func New(spec Spec, log *slog.Logger, observe func(Event)) *Site {
 	rng := rand.New(rand.NewPCG(spec.Seed, 2))
 	spec.Type.Zones = spec.Zones
 	spec.Cloud.Types, spec.Cloud.Otherwise = []wire.MachineType{spec.Type}, spec.Rentable
-	s := &Site{Spec: spec, Net: link.New(), log: log, begun: time.Now(), rng: rng,
+	s := &Site{Spec: spec, Net: link.New(), log: log, startedAt: time.Now(), rng: rng,
 		store: state.New(spec.State, rng), limits: spec.State, cloud: cloud.New(spec.Cloud, rng), work: worker.NewWork(),
 		host: ownHost(), machines: map[string]*machine{}, calls: map[uint64]chan state.Answer{}, slow: map[string]time.Duration{},
 		mute: map[string]bool{}, late: map[string]time.Duration{}, copies: map[string]time.Duration{}, observe: observe, controllers: map[string]*Controller{}}
@@ -156,7 +158,7 @@
 	}
 	limits := map[string]checker.Limit{}
 	for n, t := range spec.Teams {
-		cpus, gpus := config.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}.MaxUsage() // as the controllers read it
+		cpus, gpus := config.Team{CPUsMax: t.CPUsMax, GPUsMax: t.GPUsMax}.MaxUsage() // as the controllers interpret it
 		limits[n] = checker.Limit{CPUs: cpus, GPUs: gpus}
 	}
 	s.check = checker.New(checker.Params{Teams: limits, Types: spec.Cloud.Types, Cancel: spec.Cancel, Lapsed: func(m string, now time.Duration) bool {
@@ -169,13 +171,13 @@
 	return s
 }
 
-// Now is steady time since the site began.
-func (s *Site) Now() time.Duration { return time.Since(s.begun) }
+// Now returns the monotonic time since the site was created.
+func (s *Site) Now() time.Duration { return time.Since(s.startedAt) }
 
-// Names lists the controllers.
+// Names returns the names of the controllers.
 func (s *Site) Names() []string { return s.names }
 
-// ZoneOf is a controller's zone.
+// ZoneOf returns the zone of a controller, "" if there is no such controller.
 func (s *Site) ZoneOf(controller string) string {
 	for i, n := range s.names {
 		if n == controller {
@@ -185,14 +187,14 @@
 	return ""
 }
 
-// Check gives the checker under the site's lock.
+// Check calls f with the checker while the site's lock is held.
 func (s *Site) Check(f func(now time.Duration, c *checker.Checker)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(s.Now(), s.check)
 }
 
-// Upload makes a job known to workers and checker, as its user does.
+// Upload makes a job known to the workers and the checker before its user submits it.
 func (s *Site) Upload(spec wire.JobSpec, job worker.Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,9 +202,9 @@
 	s.check.Submitting(spec)
 }
 
-// findJob takes a job that nobody uploaded, for instance one submitted on the
-// command line, from its record in the state service. Its tasks take half to one
-// and a half times their estimate.
+// findJob builds a job that was not uploaded, for instance one submitted on the
+// command line, from its record in the state service. Its tasks take between 0.5
+// and 1.5 times their estimate.
 func (s *Site) findJob(id string) (worker.Job, bool) {
 	it, ok := s.store.Peek(wire.PrefixJob + id)
 	var r wire.Job
@@ -217,7 +219,7 @@
 	}), true
 }
 
-// SpecOf is a job's description as its user gave it.
+// SpecOf returns the description of a job as its user submitted it.
 func SpecOf(r wire.Job) wire.JobSpec {
 	tasks := int64(r.Tasks)
 	s := wire.JobSpec{ID: &r.ID, Class: &r.Class, Team: &r.Team, Shape: &r.Shape, Priority: &r.Priority, Tasks: &tasks,
@@ -233,7 +235,7 @@
 	return s
 }
 
-// clock lets time pass until the context ends.
+// clock advances the emulated parts every clockEvery until the context ends.
 func (s *Site) clock(ctx context.Context) {
 	t := time.NewTicker(clockEvery)
 	defer t.Stop()
@@ -246,8 +248,8 @@
 		}
 		s.mu.Lock()
 		now := s.Now()
-		// A machine that slept shows in its time of day, a process that was stopped in
-		// its steady time.
+		// A suspended machine shows as a jump of the wall clock, a stopped process as a
+		// jump of the monotonic clock.
 		this := time.Now()
 		s.stalled = max(s.stalled, this.Sub(last), this.Round(0).Sub(last.Round(0)))
 		last = this
@@ -272,7 +274,7 @@
 	return out
 }
 
-// cloudEvents brings machines up, warns them and takes them away.
+// cloudEvents starts machines, delivers reclaim notices to them and removes them.
 func (s *Site) cloudEvents(now time.Duration, list []cloud.Event) {
 	for _, e := range list {
 		switch e.Kind {
@@ -294,13 +296,13 @@
 	m := &machine{up: true, post: newPoster(s, name)}
 	addr, stop, err := s.listenWorker(name)
 	if err != nil {
-		s.log.Error("a worker cannot listen", "machine", name, "err", err.Error())
+		s.log.Error("worker could not open its listener", "machine", name, "err", err.Error())
 		return
 	}
 	m.close = stop
 	s.cloud.SetAddr(name, addr)
 	first := 0
-	for i, n := range s.names { // workers try a node of their own zone first
+	for i, n := range s.names { // workers try a controller of their own zone first
 		if s.ZoneOf(n) == h.Zone {
 			first = i
 			break
@@ -310,7 +312,7 @@
 		Type: s.Spec.Type, Speed: 0.95 + 0.1*s.rng.Float64()}, s.work, s.rng)
 	s.machines[name] = m
 	s.check.MachineUp(checker.Machine{Name: name, Type: h.Type, Zone: h.Zone, Spot: h.Spot})
-	s.tell(Event{At: now, Kind: MachineUp, Machine: name})
+	s.publish(Event{At: now, Kind: MachineUp, Machine: name})
 	s.drive(now, name, m, m.Advance(now))
 }
 
@@ -322,16 +324,16 @@
 	s.effects(now, name, m, m.Vanish())
 	m.gone = true
 	m.close()
-	s.tell(Event{At: now, Kind: MachineGone, Machine: name})
+	s.publish(Event{At: now, Kind: MachineGone, Machine: name})
 }
 
-func (s *Site) tell(e Event) {
+func (s *Site) publish(e Event) {
 	if s.observe != nil {
 		s.observe(e)
 	}
 }
 
-// drive carries out a worker's effects and notes when it is to be woken.
+// drive carries out the effects of a worker and records when it has to be advanced next.
 func (s *Site) drive(now time.Duration, name string, m *machine, list []any) {
 	s.effects(now, name, m, list)
 	m.wake = now + time.Hour
@@ -346,18 +348,18 @@
 		case worker.Send:
 			m.post.send(v)
 		case worker.Ordered:
-			s.tell(Event{At: now, Kind: TaskOrdered, Machine: name, Task: v.Task, Attempt: v.Attempt})
+			s.publish(Event{At: now, Kind: TaskOrdered, Machine: name, Task: v.Task, Attempt: v.Attempt})
 		case worker.Started:
 			s.check.TaskStarted(now, name, v.Task, v.Attempt)
-			s.tell(Event{At: now, Kind: TaskStarted, Machine: name, Task: v.Task, Attempt: v.Attempt})
+			s.publish(Event{At: now, Kind: TaskStarted, Machine: name, Task: v.Task, Attempt: v.Attempt})
 		case worker.Left:
 			s.check.TaskLeft(now, name, v.Task, v.Cause)
-			s.tell(Event{At: now, Kind: TaskLeft, Machine: name, Task: v.Task, Attempt: v.Attempt, Cause: v.Cause})
+			s.publish(Event{At: now, Kind: TaskLeft, Machine: name, Task: v.Task, Attempt: v.Attempt, Cause: v.Cause})
 		}
 	}
 }
 
-// Machines lists the machines that are up, by name, and what runs on each.
+// Machines returns the machines that are up, with the tasks that run on each.
 func (s *Site) Machines() map[string][]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -370,7 +372,7 @@
 	return out
 }
 
-// Running lists the machines that tasks of a job are on now, in order.
+// Running returns the machines that tasks of a job run on now, one entry per task, sorted.
 func (s *Site) Running(job string) (out []string) {
 	for m, tasks := range s.Machines() {
 		for _, t := range tasks {
@@ -383,7 +385,7 @@
 	return out
 }
 
-// Leader names the leading controller as the state service has it, "" if none.
+// Leader returns the leading controller according to the state service, "" if there is none.
 func (s *Site) Leader() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -395,7 +397,7 @@
 	return l.Node
 }
 
-// HolderOf names the controller that holds a team, "" if none does.
+// HolderOf returns the controller that holds the shard of a team, "" if there is none.
 func (s *Site) HolderOf(team string) (holder string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -412,23 +414,23 @@
 	return holder
 }
 
-// Stalled is the longest time for which this process stood still, be it that the
-// machine slept: what is seen then says nothing of the cluster.
+// Stalled returns the longest time for which this process was suspended, including
+// because the machine was: what is observed then says nothing about the cluster.
 func (s *Site) Stalled() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stalled
 }
 
-// State is a machine at a moment.
+// State is a snapshot of a machine.
 type State struct {
 	Name      string
-	LeaseLeft time.Duration // until its worker gives its tasks up
-	Reported  time.Duration // since it sent its last report
-	Tasks     []string      // on it
+	LeaseLeft time.Duration // time until its worker gives up its tasks
+	Reported  time.Duration // time since it sent its last report
+	Tasks     []string      // tasks on the machine
 }
 
-// States tells of machines as they are now; names of others are passed over.
+// States returns snapshots of the named machines; machines that are unknown or gone are omitted.
 func (s *Site) States(names []string) (out []State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -442,8 +444,8 @@
 	return out
 }
 
-// Begun is the time of day at which the site's time began.
-func (s *Site) Begun() time.Time { return s.begun }
+// Begun returns the wall-clock time at which the site's time starts.
+func (s *Site) Begun() time.Time { return s.startedAt }
 
-// Direct is where a controller's process itself listens, whatever is cut.
+// Direct returns the address that a controller's process itself listens on, unaffected by link faults.
 func (s *Site) Direct(controller string) string { return s.addrOf(controller) }
