--- a/internal/standin/site/controllers.go
+++ b/internal/standin/site/controllers.go
@@ -23,50 +23,51 @@
 )
 
 const (
-	restartAfter = time.Second           // of a process that ended by itself
-	startTries   = 5                     // a port taken between choosing and listening costs one
-	quickEnd     = 2 * time.Second       // a process that ends sooner has not started
-	slowCycle    = 40 * time.Millisecond // a slowed controller stands still for a part of each
+	restartAfter = time.Second           // delay before a process that ended by itself is restarted
+	startTries   = 5                     // a port that is taken between choosing it and listening on it costs one try
+	quickEnd     = 2 * time.Second       // a process that ends within this time counts as not started
+	slowCycle    = 40 * time.Millisecond // a slowed controller is paused for a part of each cycle
 )
 
-// Controller is one controller: a process, and the addresses that stay while it
-// is killed and started again.
+// Controller is one controller: its process, and the addresses that stay the same
+// while the process is killed and restarted.
 type Controller struct {
 	Name   string
-	Public string // where users reach it
+	Public string // address at which users reach it
 
 	site      *Site
 	stateAddr string
 	cloudAddr string
-	peers     map[string]string // sibling -> where this controller reaches it
+	peers     map[string]string // peer -> address at which this controller reaches it
 
-	earlier atomic.Bool // its next process runs the earlier version
+	earlier atomic.Bool // whether the next process runs the earlier version
 
 	mu       sync.Mutex
 	proc     *os.Process
 	ended    chan struct{}
-	client   string // where the process listens
+	client   string // address that the process itself listens on
 	peer     string
-	wanted   bool // it is to run
+	wanted   bool // whether the process should be running
 	lives    int
 	slowStop chan struct{}
 }
 
-// ownHost is a loopback address that most likely nobody else on this machine uses. A
-// process is told a port that was free a moment before; on an address shared by all,
-// another deployment took it in between, and was taken for the process.
+// ownHost returns a loopback address that is most likely unused on this machine. A
+// process is given a port that was free a moment before. On an address shared by all
+// deployments, another one took the port in between and was mistaken for the process.
 func ownHost() string {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(254), rand.IntN(256), 1+rand.IntN(254))
 	ln, err := listenOn(host)
 	if err != nil {
-		return "127.0.0.1" // a system with one loopback address only
+		return "127.0.0.1" // the system has a single loopback address
 	}
 	_ = ln.Close()
 	return host
 }
 
-// starter starts processes on one thread that lives as long as this process, so
-// that they end with it, even if it is killed: the kernel ties them to the thread.
+// starter starts processes on one thread that exists as long as this process. The
+// kernel's parent-death signal depends on that thread, so the processes end with this
+// process even if it is killed.
 type starter struct{ jobs chan func() }
 
 func newStarter() *starter {
@@ -91,7 +92,7 @@
 	return err
 }
 
-// Start brings the deployment up. It ends with the context.
+// Start starts the deployment. It runs until the context ends.
 func (s *Site) Start(ctx context.Context) error {
 	s.ctx, s.starter = ctx, newStarter()
 	var open []io.Closer
@@ -160,7 +161,7 @@
 // Controller returns a controller by name, nil if there is none.
 func (s *Site) Controller(name string) *Controller { return s.controllers[name] }
 
-// Public lists where users reach the controllers.
+// Public returns the addresses at which users reach the controllers.
 func (s *Site) Public() (out []string) {
 	for _, n := range s.names {
 		out = append(out, s.controllers[n].Public)
@@ -168,8 +169,8 @@
 	return out
 }
 
-// Services are the addresses of state service and cloud for whoever is no
-// controller.
+// Services returns the addresses of the state service and the cloud for clients that
+// are not controllers.
 func (s *Site) Services() (state, cloud string) { return s.stateAddr, s.cloudAddr }
 
 func (s *Site) addrOf(controller string) string {
@@ -188,7 +189,7 @@
 	return c.peer
 }
 
-// settings writes the controller's settings file for ports that are free now.
+// settings writes the controller's settings file, with ports that are free at the moment.
 func (c *Controller) settings() (path string, err error) {
 	a, err := listenOn(c.site.host)
 	if err != nil {
@@ -226,8 +227,8 @@
 	return path, os.WriteFile(path, raw, 0o644)
 }
 
-// Run starts the process. One that ends at once, since another program took its
-// port, is tried again on others.
+// Run starts the process if it is not running. If it ends at once, because another
+// program took its port, Run retries with other ports.
 func (c *Controller) Run() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,7 +241,7 @@
 			return err
 		}
 		ended := c.ended
-		if last = c.listens(ended); last == nil {
+		if last = c.waitListening(ended); last == nil {
 			return nil
 		}
 		c.end()
@@ -294,28 +295,28 @@
 		}
 		_ = log.Close()
 		close(ended)
-		time.AfterFunc(restartAfter, func() { c.revive(ended) })
+		time.AfterFunc(restartAfter, func() { c.restart(ended) })
 	}()
 	return nil
 }
 
-// revive starts a process again that ended though nobody wanted it to, as a
-// platform does.
-func (c *Controller) revive(ended chan struct{}) {
+// restart restarts a process that ended unexpectedly, as a service manager does.
+func (c *Controller) restart(ended chan struct{}) {
 	c.mu.Lock()
 	gone := c.wanted && c.ended == ended && c.site.ctx.Err() == nil
 	c.mu.Unlock()
 	if !gone {
 		return
 	}
-	c.site.log.Error("a controller ended by itself and is started again", "controller", c.Name, "log", c.logPath())
+	c.site.log.Error("controller process ended unexpectedly; restarting it", "controller", c.Name, "log", c.logPath())
 	if err := c.Run(); err != nil {
-		c.site.log.Error("a controller does not start", "err", err.Error())
+		c.site.log.Error("controller could not be started", "err", err.Error())
 	}
 }
 
-// listens waits until the process takes connections.
-func (c *Controller) listens(ended chan struct{}) error {
+// waitListening waits until the process accepts connections. A process that accepts none
+// within quickEnd but still runs counts as slow, which is no error.
+func (c *Controller) waitListening(ended chan struct{}) error {
 	end := time.Now().Add(quickEnd)
 	for {
 		if conn, err := net.DialTimeout("tcp", c.client, 200*time.Millisecond); err == nil {
@@ -332,7 +333,7 @@
 	}
 }
 
-// Alive tells whether the process runs.
+// Alive reports whether the process is running.
 func (c *Controller) Alive() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -351,17 +352,17 @@
 	}
 }
 
-// Earlier tells whether the controller runs the earlier version, or will when it starts.
+// Earlier reports whether the controller runs the earlier version, or will run it when it starts.
 func (c *Controller) Earlier() bool { return c.earlier.Load() && c.site.Spec.Earlier != "" }
 
-// Lives counts how often the process was started.
+// Lives returns how often the process was started.
 func (c *Controller) Lives() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lives
 }
 
-// Kill ends the process without a word, as a power cut does.
+// Kill ends the process abruptly, as a power failure does.
 func (c *Controller) Kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -376,21 +377,21 @@
 	}
 }
 
-// Pause lets the process stand still, or go on.
-func (c *Controller) Pause(still bool) {
+// Pause suspends the process, or resumes it.
+func (c *Controller) Pause(suspend bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.alive() {
 		return
 	}
 	sig := syscall.SIGCONT
-	if still {
+	if suspend {
 		sig = syscall.SIGSTOP
 	}
 	_ = c.proc.Signal(sig)
 }
 
-// Slow gives the process only a share of the time; 1 is all of it.
+// Slow lets the process run for only a share of the time; 1 is all of it.
 func (c *Controller) Slow(share float64) {
 	c.mu.Lock()
 	if c.slowStop != nil {
@@ -424,7 +425,7 @@
 	}()
 }
 
-// Ready asks the controller whether it can take requests.
+// Ready reports whether the controller says that it can accept requests.
 func (c *Controller) Ready(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -432,7 +433,7 @@
 	if err != nil {
 		return false
 	}
-	req.Close = true // a kept connection would lead to an earlier life of the process
+	req.Close = true // a reused connection would lead to an earlier incarnation of the process
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
--- a/internal/standin/site/faultapi.go
+++ b/internal/standin/site/faultapi.go
@@ -8,13 +8,13 @@
 	"github.com/labstack/echo/v4"
 )
 
-// ServeFaults opens the address on which faults are staged and lifted, as JSON:
+// ServeFaults opens an HTTP address on which faults are staged and lifted, in JSON:
 //
-//	GET    /faults        what is staged
+//	GET    /faults        the staged faults
 //	POST   /faults        stage one: {"kind":"state_slow","value":0.5,"for_s":10}
 //	DELETE /faults/{id}   lift one
 //	DELETE /faults        lift all
-//	GET    /kinds         what can be staged
+//	GET    /kinds         the kinds of faults
 func (s *Site) ServeFaults() (addr string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/site/serve.go
+++ b/internal/standin/site/serve.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	headerTime = 10 * time.Second // for a request's header
-	muteFor    = time.Minute      // a request that is never answered is held open so long
+	headerTime = 10 * time.Second // timeout for reading a request's header
+	muteFor    = time.Minute      // how long a request that is never answered is held open
 )
 
 // listen opens a free loopback port.
@@ -27,14 +27,14 @@
 
 func listenOn(host string) (net.Listener, error) { return net.Listen("tcp", host+":0") }
 
-// serve runs handlers on a listener until the site ends.
+// serve runs handlers on a listener until the listener or the returned server is closed.
 func (s *Site) serve(ln net.Listener, e *echo.Echo) *http.Server {
 	srv := &http.Server{Handler: e, ReadHeaderTimeout: headerTime, MaxHeaderBytes: 16 << 10}
 	go func() { _ = srv.Serve(ln) }()
 	return srv
 }
 
-// body reads a request's CBOR within the protocol's limit.
+// body decodes a request's CBOR body, within the protocol's size limit.
 func body(c echo.Context, into any) error {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, wire.MaxBody+1))
 	if err != nil {
@@ -58,7 +58,8 @@
 	return send(c, http.StatusBadRequest, wire.Problem{Error: why})
 }
 
-// number reads a query's number; a missing one is 0.
+// number parses a numeric query parameter; a missing one is 0. It reports whether the
+// parameter is valid.
 func number(c echo.Context, name string) (uint64, bool) {
 	v := c.QueryParam(name)
 	if v == "" {
@@ -68,7 +69,8 @@
 	return n, err == nil
 }
 
-// stateServer serves one client, so that faults can hit it alone.
+// stateServer returns the state service's handlers for one client, so that faults can
+// affect that client alone.
 func (s *Site) stateServer(client string) *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -121,7 +123,7 @@
 	return e
 }
 
-// state puts a call to the service and waits for its answer.
+// state passes a call to the state service and waits for its answer.
 func (s *Site) state(c echo.Context, call state.Call) error {
 	s.mu.Lock()
 	ctx, slow, mute, late := c.Request().Context(), s.slow[PartyState], s.muted(PartyState, call.Client), s.late[PartyState]
@@ -129,7 +131,7 @@
 		mute, late = true, lateWriteLeast+time.Duration(s.rng.Float64()*float64(lateWriteMost-lateWriteLeast))
 	}
 	s.mu.Unlock()
-	if late > 0 { // executed late, even if the caller has gone by then
+	if late > 0 { // executed late, even if the caller has given up by then
 		pause(context.Background(), late)
 	}
 	s.mu.Lock()
@@ -141,7 +143,7 @@
 	select {
 	case a := <-reply:
 		if mute {
-			return s.hush(c)
+			return s.leaveUnanswered(c)
 		}
 		pause(ctx, slow)
 		return send(c, a.Status, a.Body)
@@ -154,7 +156,7 @@
 	}
 }
 
-// answer hands answers to the requests that wait; one whose caller has gone is lost.
+// answer passes answers to the waiting requests; an answer whose caller has given up is dropped.
 func (s *Site) answer(list []state.Answer) {
 	for _, a := range list {
 		if ch := s.calls[a.ID]; ch != nil {
@@ -164,7 +166,7 @@
 	}
 }
 
-// Changes that get no answer are executed so much later, at least and at most.
+// Minimum and maximum delay before changes that get no answer are executed.
 const (
 	lateWriteLeast = 2 * time.Second
 	lateWriteMost  = 12 * time.Second
@@ -174,8 +176,8 @@
 	return s.mute[service] || s.mute[service+"/"+client]
 }
 
-// hush leaves a request without an answer.
-func (s *Site) hush(c echo.Context) error {
+// leaveUnanswered holds a request open and then closes its connection without an answer.
+func (s *Site) leaveUnanswered(c echo.Context) error {
 	pause(c.Request().Context(), muteFor)
 	if h, ok := c.Response().Writer.(http.Hijacker); ok {
 		if conn, _, err := h.Hijack(); err == nil {
@@ -197,7 +199,7 @@
 	}
 }
 
-// cloudServer serves one client.
+// cloudServer returns the cloud's handlers for one client.
 func (s *Site) cloudServer(client string) *echo.Echo {
 	e := echo.New()
 	e.HideBanner = true
@@ -217,7 +219,7 @@
 			r := do(s.Now())
 			s.mu.Unlock()
 			if mute {
-				return s.hush(c)
+				return s.leaveUnanswered(c)
 			}
 			pause(c.Request().Context(), slow)
 			return send(c, r.Status, r.Body)
@@ -252,7 +254,7 @@
 	return e
 }
 
-// listenWorker opens a machine's own address.
+// listenWorker opens the address of a machine's worker.
 func (s *Site) listenWorker(name string) (addr string, stop func(), err error) {
 	ln, err := listen()
 	if err != nil {
@@ -286,14 +288,14 @@
 	return ln.Addr().String(), func() { _ = srv.Close() }, nil
 }
 
-// direct reaches a machine's worker; one that hangs executes when it resumes.
+// direct calls a machine's worker; one that hangs executes the call when it resumes.
 func (s *Site) direct(c echo.Context, name string, f func(time.Duration, *machine) (int, any)) error {
 	for {
 		s.mu.Lock()
 		m := s.machines[name]
 		if m == nil || m.gone {
 			s.mu.Unlock()
-			return s.hush(c)
+			return s.leaveUnanswered(c)
 		}
 		if m.resumed == nil {
 			status, v := f(s.Now(), m)
@@ -306,7 +308,7 @@
 	}
 }
 
-// poster sends a machine's reports, one at a time, on connections of its own.
+// poster sends a machine's reports on connections of its own.
 type poster struct {
 	site *Site
 	name string
@@ -316,7 +318,7 @@
 func newPoster(s *Site, name string) poster {
 	t := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, DisableCompression: true}
 	t.DialContext = func(ctx context.Context, _, addr string) (net.Conn, error) {
-		host, _, err := net.SplitHostPort(addr) // the controller's name stands for its address
+		host, _, err := net.SplitHostPort(addr) // the host is the controller's name, in place of its address
 		if err != nil {
 			return nil, err
 		}
@@ -325,12 +327,12 @@
 	return poster{s, name, &http.Client{Transport: t}}
 }
 
-// send posts a report in the background; the site's lock is held.
+// send posts a report in the background; the caller holds the site's lock.
 func (p poster) send(v worker.Send) {
 	if late := p.site.copies[p.name]; late > 0 {
 		node := p.site.names[p.site.rng.IntN(len(p.site.names))]
 		again := time.Duration(p.site.rng.Float64() * float64(late))
-		go func() { // a copy, whose answer reaches nobody
+		go func() { // a late copy, whose answer is dropped
 			pause(p.site.ctx, again)
 			if v.Node = node; p.site.ctx.Err() == nil {
 				p.post(v)
@@ -352,7 +354,7 @@
 	}()
 }
 
-// post sends a report; whoever waits longer than a worker does gets no answer.
+// post sends a report; the outcome is empty if there is no answer within a worker's timeout.
 func (p poster) post(v worker.Send) (o worker.Outcome) {
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 	defer cancel()
