--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,5 +1,6 @@
-// Package load plays users: it submits, polls and cancels jobs as PROTOCOL says
-// users do, tells a checker what they saw, and offers load at a set rate.
+// Package load emulates users: it submits, polls and cancels jobs as PROTOCOL
+// specifies for users, reports what they observe to a checker, and generates load at
+// a given rate.
 package load
 
 import (
@@ -14,26 +15,27 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Times that PROTOCOL gives users.
+// Timeouts and retry delays that PROTOCOL specifies for users.
 const (
-	submitWait = 5 * time.Second
-	pollWait   = 2 * time.Second
-	retryAfter = time.Second
-	retryMost  = 30 * time.Second
-	giveUp     = time.Minute
+	submitTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	minRetryDelay = time.Second
+	maxRetryDelay = 30 * time.Second
+	retryTimeout  = time.Minute
 )
 
-// Observer is told what users ask and hear. asked is when a request was sent.
+// Observer receives the requests of users and the answers to them. sentAt is the time at
+// which a request was sent; status 0 means that there was no answer.
 type Observer interface {
 	Submitting(spec wire.JobSpec)
-	Submitted(asked time.Duration, id string, status int, st wire.JobStatus)
-	Polled(asked time.Duration, id string, status int, st wire.JobStatus)
+	Submitted(sentAt time.Duration, id string, status int, st wire.JobStatus)
+	Polled(sentAt time.Duration, id string, status int, st wire.JobStatus)
 	Aborting(id string)
-	Aborted(asked time.Duration, id string, status int, st wire.JobStatus)
+	Aborted(sentAt time.Duration, id string, status int, st wire.JobStatus)
 	Now() time.Duration
 }
 
-// Client talks to the controllers in turn, as through a load balancer.
+// Client sends requests to the controllers in turn, like a load balancer.
 type Client struct {
 	addrs []string
 	http  *http.Client
@@ -44,20 +46,20 @@
 // NewClient returns a client of the controllers at addrs. obs may be nil.
 func NewClient(addrs []string, obs Observer) *Client {
 	if obs == nil {
-		obs = nobody(time.Now())
+		obs = discardObserver(time.Now())
 	}
 	return &Client{addrs: addrs, http: cborhttp.NewClient(500*time.Millisecond, 64), obs: obs}
 }
 
-// nobody is an Observer that remembers only when it began.
-type nobody time.Time
+// discardObserver is an Observer that ignores all events; its value is its start time.
+type discardObserver time.Time
 
-func (nobody) Submitting(wire.JobSpec)                              {}
-func (nobody) Submitted(time.Duration, string, int, wire.JobStatus) {}
-func (nobody) Polled(time.Duration, string, int, wire.JobStatus)    {}
-func (nobody) Aborting(string)                                      {}
-func (nobody) Aborted(time.Duration, string, int, wire.JobStatus)   {}
-func (n nobody) Now() time.Duration                                 { return time.Since(time.Time(n)) }
+func (discardObserver) Submitting(wire.JobSpec)                              {}
+func (discardObserver) Submitted(time.Duration, string, int, wire.JobStatus) {}
+func (discardObserver) Polled(time.Duration, string, int, wire.JobStatus)    {}
+func (discardObserver) Aborting(string)                                      {}
+func (discardObserver) Aborted(time.Duration, string, int, wire.JobStatus)   {}
+func (n discardObserver) Now() time.Duration                                 { return time.Since(time.Time(n)) }
 
 // reply is the outcome of one request; status 0: no answer.
 type reply struct {
@@ -67,8 +69,8 @@
 	after  time.Duration // Retry-After
 }
 
-// once sends a request to the next controller that takes the connection.
-func (c *Client) once(ctx context.Context, method, path string, body any, wait time.Duration) reply {
+// sendOnce sends a request to the next controller that answers, trying at most three.
+func (c *Client) sendOnce(ctx context.Context, method, path string, body any, wait time.Duration) reply {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	var r reply
@@ -96,35 +98,36 @@
 	return r
 }
 
-// retry repeats a request until it gets a definite answer or a minute is over.
-func (c *Client) retry(ctx context.Context, method, path string, body any, heard func(asked time.Duration, r reply)) (reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, giveUp)
+// retry repeats a request until it gets a definite answer or retryTimeout has passed. It
+// calls onReply after each attempt.
+func (c *Client) retry(ctx context.Context, method, path string, body any, onReply func(sentAt time.Duration, r reply)) (reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
 	for {
-		asked := c.obs.Now()
-		r := c.once(ctx, method, path, body, submitWait)
-		heard(asked, r)
+		sentAt := c.obs.Now()
+		r := c.sendOnce(ctx, method, path, body, submitTimeout)
+		onReply(sentAt, r)
 		switch r.status {
 		case 200, 201:
 			return r, nil
 		case 400, 404, 422:
 			return r, fmt.Errorf("refused with %d: %s", r.status, r.why)
 		}
-		t := time.NewTimer(min(retryMost, max(retryAfter, r.after)))
+		t := time.NewTimer(min(maxRetryDelay, max(minRetryDelay, r.after)))
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			return r, fmt.Errorf("no controller took it within %v: status %d %s", giveUp, r.status, r.why)
+			return r, fmt.Errorf("no controller took it within %v: status %d %s", retryTimeout, r.status, r.why)
 		case <-t.C:
 		}
 	}
 }
 
-// Submit submits a job until it is accepted or refused for good.
+// Submit submits a job, with retries, until it is accepted or permanently refused.
 func (c *Client) Submit(ctx context.Context, spec wire.JobSpec) (wire.JobStatus, error) {
 	c.obs.Submitting(spec)
-	r, err := c.retry(ctx, http.MethodPost, "/v1/jobs", spec, func(asked time.Duration, r reply) {
-		c.obs.Submitted(asked, *spec.ID, r.status, r.body)
+	r, err := c.retry(ctx, http.MethodPost, "/v1/jobs", spec, func(sentAt time.Duration, r reply) {
+		c.obs.Submitted(sentAt, *spec.ID, r.status, r.body)
 	})
 	return r.body, err
 }
@@ -132,23 +135,23 @@
 // Abort cancels a job.
 func (c *Client) Abort(ctx context.Context, id string) (wire.JobStatus, error) {
 	c.obs.Aborting(id)
-	r, err := c.retry(ctx, http.MethodPost, "/v1/jobs/"+id+"/abort", nil, func(asked time.Duration, r reply) {
-		c.obs.Aborted(asked, id, r.status, r.body)
+	r, err := c.retry(ctx, http.MethodPost, "/v1/jobs/"+id+"/abort", nil, func(sentAt time.Duration, r reply) {
+		c.obs.Aborted(sentAt, id, r.status, r.body)
 	})
 	return r.body, err
 }
 
-// Poll asks for a job's state once; status 0: no answer.
+// Poll requests a job's state once; status 0: no answer.
 func (c *Client) Poll(ctx context.Context, id string) (int, wire.JobStatus) {
-	asked := c.obs.Now()
-	r := c.once(ctx, http.MethodGet, "/v1/jobs/"+id, nil, pollWait)
-	if ctx.Err() == nil { // a poll that we gave up ourselves says nothing
-		c.obs.Polled(asked, id, r.status, r.body)
+	sentAt := c.obs.Now()
+	r := c.sendOnce(ctx, http.MethodGet, "/v1/jobs/"+id, nil, pollTimeout)
+	if ctx.Err() == nil { // a poll that the caller cancelled says nothing about the controllers
+		c.obs.Polled(sentAt, id, r.status, r.body)
 	}
 	return r.status, r.body
 }
 
-// Wait polls until a job is over.
+// Wait polls until a job is done or aborted.
 func (c *Client) Wait(ctx context.Context, id string, every time.Duration) (wire.JobStatus, error) {
 	for {
 		status, st := c.Poll(ctx, id)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -38,8 +38,9 @@
 run_s = { kind = "fixed", mean = 1.0 }
 `
 
-// face answers like a controller, each submission after a while.
-func face(t *testing.T, wait time.Duration, status func(n int64) int) *Client {
+// startFakeController starts a server that answers like a controller, each submission after
+// wait, and returns a client of it.
+func startFakeController(t *testing.T, wait time.Duration, status func(n int64) int) *Client {
 	var n atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		st := wire.JobStatus{ID: "job-1", Status: wire.JobDone}
@@ -61,12 +62,13 @@
 	return NewClient([]string{strings.TrimPrefix(srv.URL, "http://")}, nil)
 }
 
-// A service that takes 400 ms for each of 40 submissions a second, four at a time,
-// cannot take them all: what was not sent is said, and what was sent is measured from
-// when it was meant to be, not from when there was room for it.
+// TestHonestAboutASlowService guards against load results that hide an overloaded service: one
+// that takes 400 ms for each submission, four at a time, cannot accept 40 a second. Submissions
+// that were not sent must be counted, and latencies must be measured from the intended time of
+// submission, not from when a slot was free.
 func TestHonestAboutASlowService(t *testing.T) {
 	p := plan(t, simple)
-	o := Run(context.Background(), p, 1, 1, face(t, 400*time.Millisecond, func(int64) int { return 201 }), nil)
+	o := Run(context.Background(), p, 1, 1, startFakeController(t, 400*time.Millisecond, func(int64) int { return 201 }), nil)
 	if o.Sent+o.NotSent != o.Planned || o.NotSent == 0 || o.Sent > 16 {
 		t.Errorf("%d planned, %d sent, %d not sent", o.Planned, o.Sent, o.NotSent)
 	}
@@ -78,15 +80,16 @@
 	}
 }
 
-// What is refused for good is not repeated and counted with its reason; what is told to
-// come back after 2 s is repeated no sooner, and its time runs from the first attempt.
+// TestRefusedAndRepeated checks that a permanently refused job is not retried and is counted with
+// its reason, and that a submission with Retry-After of 2 s is retried no sooner, with its latency
+// measured from the first attempt.
 func TestRefusedAndRepeated(t *testing.T) {
 	p := plan(t, strings.Replace(simple, "rate = 40.0", "rate = 8.0", 1))
-	o := Run(context.Background(), p, 1, 1, face(t, 0, func(int64) int { return 422 }), nil)
+	o := Run(context.Background(), p, 1, 1, startFakeController(t, 0, func(int64) int { return 422 }), nil)
 	if o.Refused != o.Sent || o.Sent == 0 || len(o.Why) != 1 {
 		t.Errorf("%d of %d refused: %v", o.Refused, o.Sent, o.Why)
 	}
-	o = Run(context.Background(), p, 1, 1, face(t, 0, func(n int64) int {
+	o = Run(context.Background(), p, 1, 1, startFakeController(t, 0, func(n int64) int {
 		if n == 1 {
 			return 503
 		}
@@ -97,8 +100,8 @@
 	}
 }
 
-// Whatever a plan asks for: the same seed gives the same arrivals, in order, within
-// their time and bounds, and about as many as the rates say.
+// TestSchedule checks for random plans that the same seed gives the same arrivals, in order, within
+// their time and bounds, and that their number fits the rates.
 func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(5, 50).Draw(t, "rate")
@@ -117,7 +120,7 @@
 		}
 		want := rate*40 + rate*20*factor
 		if n := float64(len(a)); n < want-6*max(6, math.Sqrt(want)) || n > want+6*max(6, math.Sqrt(want)) {
-			t.Fatalf("%g arrivals, about %g are asked for", n, want)
+			t.Fatalf("%g arrivals, want about %g", n, want)
 		}
 		last := time.Duration(0)
 		for i, x := range a {
@@ -136,7 +139,8 @@
 	})
 }
 
-// What is wrong with a load file is one line; the shipped example is right.
+// TestPlanErrors checks that errors in a load file are reported in one line and that the shipped
+// example is valid.
 func TestPlanErrors(t *testing.T) {
 	for from, to := range map[string]string{`rate = 40.0`: "rate = -1.0", `kind = "fixed", mean = 1.0 }` + "\ncpus": `kind = "gauss" }` + "\ncpus",
 		`team = "red"`: `taem = "red"`, `for_s = 1.0`: "for_s = nan", `in_flight = 4`: "in_flight = 0"} {
--- a/internal/load/pipeline_test.go
+++ b/internal/load/pipeline_test.go
@@ -58,26 +58,26 @@
 ]
 `
 
-// Each job comes after those that it needs, the last stage alone has priority and deadline, and the
-// same seed draws the same pipelines.
+// TestPipelineSchedule checks that each job comes after its predecessors, that only the last stage
+// has the pipeline's priority and deadline, and that the same seed draws the same pipelines.
 func TestPipelineSchedule(t *testing.T) {
 	p := plan(t, strings.Replace(piped, "for_s = 3.0", "for_s = 200.0", 1))
 	a, _ := p.Schedule(7, 100)
 	b, _ := p.Schedule(7, 100)
 	var specs [2][]wire.JobSpec
-	late, cancelled, pipes, numbers := map[*pipe]bool{}, map[*pipe]bool{}, map[*pipe]int{}, map[string]int{}
+	late, cancelled, pipes, numbers := map[*pipelineRun]bool{}, map[*pipelineRun]bool{}, map[*pipelineRun]int{}, map[string]int{}
 	for i := range a {
 		specs[0], specs[1] = append(specs[0], a[i].Spec), append(specs[1], b[i].Spec)
 		numbers[*a[i].Spec.ID] = i
-		if a[i].pipe == nil {
+		if a[i].pipeline == nil {
 			continue
 		}
-		pipes[a[i].pipe]++
+		pipes[a[i].pipeline]++
 		if a[i].late > 0 {
-			late[a[i].pipe] = true
+			late[a[i].pipeline] = true
 		}
 		if a[i].Lasts > 0 {
-			cancelled[a[i].pipe] = true
+			cancelled[a[i].pipeline] = true
 		}
 	}
 	if d := cmp.Diff(specs[0], specs[1]); d != "" {
@@ -93,12 +93,12 @@
 			t.Fatalf("%s of class %s is late", *x.Spec.ID, *x.Spec.Class)
 		}
 		for _, n := range x.Spec.Predecessors {
-			if numbers[n] >= i || a[numbers[n]].pipe != x.pipe {
+			if numbers[n] >= i || a[numbers[n]].pipeline != x.pipeline {
 				t.Fatalf("%s needs %s", *x.Spec.ID, n)
 			}
 		}
-		if n := len(x.Spec.Predecessors); last && (n < 2 || !slices.Equal(x.Spec.Predecessors, x.pipe.ids[:n])) {
-			t.Fatalf("%s needs %v of %v", *x.Spec.ID, x.Spec.Predecessors, x.pipe.ids)
+		if n := len(x.Spec.Predecessors); last && (n < 2 || !slices.Equal(x.Spec.Predecessors, x.pipeline.ids[:n])) {
+			t.Fatalf("%s needs %v of %v", *x.Spec.ID, x.Spec.Predecessors, x.pipeline.ids)
 		}
 	}
 	n := float64(len(pipes))
@@ -107,14 +107,14 @@
 	}
 }
 
-// service accepts jobs and calls each done a while after what it needs is.
+// service accepts jobs and reports each as done 700 ms after its predecessors.
 type service struct {
 	mu    sync.Mutex
 	t     *testing.T
 	specs map[string]wire.JobSpec
-	done  map[string]time.Time // when, or long past: cancelled
-	late  int                  // submitted when all that they need was over
-	gone  int                  // cancelled
+	done  map[string]time.Time // job -> when it is done; zero: cancelled
+	late  int                  // last-stage jobs submitted after all their predecessors were over
+	gone  int                  // number of cancelled jobs
 }
 
 func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -172,54 +172,55 @@
 	_, _ = w.Write(b)
 }
 
-// told hands what users see to a checker.
-type told struct {
-	nobody
+// checkerObserver passes submissions and their answers to a checker.
+type checkerObserver struct {
+	discardObserver
 	mu sync.Mutex
 	c  *checker.Checker
 }
 
-func (o *told) Submitting(s wire.JobSpec) {
+func (o *checkerObserver) Submitting(s wire.JobSpec) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.c.Submitting(s)
 }
 
-func (o *told) Submitted(asked time.Duration, id string, status int, st wire.JobStatus) {
+func (o *checkerObserver) Submitted(sentAt time.Duration, id string, status int, st wire.JobStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.c.Submitted(o.Now(), asked, id, status, st)
+	o.c.Submitted(o.Now(), sentAt, id, status, st)
 }
 
-// Jobs are submitted when those that they need are accepted, late ones when these are over, and
-// what is cancelled is; the checker hears of each before it is submitted.
+// TestPipelinesAreOffered checks that jobs are submitted after their predecessors are accepted, late
+// ones after these are over, that jobs are cancelled as planned, and that the checker receives each
+// job before it is submitted.
 func TestPipelinesAreOffered(t *testing.T) {
 	s := &service{t: t, specs: map[string]wire.JobSpec{}, done: map[string]time.Time{}}
 	srv := httptest.NewServer(s)
 	t.Cleanup(srv.Close)
-	o := &told{nobody: nobody(time.Now()), c: checker.New(checker.Params{Teams: map[string]checker.Limit{"red": {CPUs: 1000}, "blue": {CPUs: 1000}}})}
+	o := &checkerObserver{discardObserver: discardObserver(time.Now()), c: checker.New(checker.Params{Teams: map[string]checker.Limit{"red": {CPUs: 1000}, "blue": {CPUs: 1000}}})}
 	out := Run(context.Background(), plan(t, piped), 3, 1, NewClient([]string{strings.TrimPrefix(srv.URL, "http://")}, o), nil)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if out.Sent != out.Planned || out.NotSent+out.Lost+out.Refused+out.Open > 0 || len(s.specs) != out.Sent {
 		t.Errorf("%+v", out)
 	}
-	var told, done int64
+	var counted, done int64
 	for _, l := range out.Classes {
-		told += l.Done.TotalCount()
+		counted += l.Done.TotalCount()
 	}
 	for _, d := range s.done {
 		if !d.IsZero() {
 			done++
 		}
 	}
-	if told != done { // a cancellation that came too late is answered done, too
-		t.Errorf("%d done, %d counted", done, told)
+	if counted != done { // a cancellation that came too late is answered with done, too
+		t.Errorf("%d done, %d counted", done, counted)
 	}
 	earlier := 0
 	for id, x := range s.specs {
 		if !o.c.Accepted(id) {
-			t.Errorf("the checker has not heard of %s", id)
+			t.Errorf("the checker did not receive the acceptance of %s", id)
 		}
 		if *x.Class == "clean" && len(x.Predecessors) > 0 && *s.specs[x.Predecessors[len(x.Predecessors)-1]].Class == "scan" {
 			earlier++
@@ -230,10 +231,10 @@
 	}
 }
 
-// What needs a job that was refused is not sent.
+// TestWhatNeedsARefusedJob checks that a job is not sent if a predecessor was refused.
 func TestWhatNeedsARefusedJob(t *testing.T) {
 	p := plan(t, strings.Replace(piped, "rate = 3.0", "rate = 0.0001", 1))
-	o := Run(context.Background(), p, 3, 1, face(t, 0, func(int64) int { return 422 }), nil)
+	o := Run(context.Background(), p, 3, 1, startFakeController(t, 0, func(int64) int { return 422 }), nil)
 	first := 0
 	list, _ := p.Schedule(3, 1)
 	for _, a := range list {
@@ -246,7 +247,8 @@
 	}
 }
 
-// What is wrong with a pipeline is one line; the shipped examples are right.
+// TestPipelineErrors checks that errors in a pipeline are reported in one line and that the shipped
+// examples are valid.
 func TestPipelineErrors(t *testing.T) {
 	for from, to := range map[string]string{`needs = ["clean"] }`: `needs = ["join"] }`, `earlier = "scan"`: `earlier = "scam"`, `jobs = [1, 3]`: "jobs = [3, 1]",
 		`class = "join", jobs`: `class = "jion", jobs`, `due_s = 60.0`: "due_s = -1.0", `late = 0.5`: "late = 1.5", `rate = 4.0`: "rate = 0.0", `name = "night"`: `name = ""`,
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -13,38 +13,38 @@
 	"github.com/barrowbridge/barrowbridge/wire"
 )
 
-// Plan is what a load file describes. Arrivals are open-loop: they come at their
-// times, however long the answers take.
+// Plan is the content of a load file. Arrivals are open-loop: their times do not
+// depend on how long the answers take.
 type Plan struct {
 	Name     string  `toml:"name"`
-	ForS     float64 `toml:"for_s"`     // seconds in which jobs arrive
-	DrainS   float64 `toml:"drain_s"`   // then so long until they must be over
-	Most     int     `toml:"most"`      // submissions in all
-	InFlight int     `toml:"in_flight"` // requests under way at once; what comes then is not sent
+	ForS     float64 `toml:"for_s"`     // duration in seconds in which jobs arrive
+	DrainS   float64 `toml:"drain_s"`   // seconds after that until all jobs must be over
+	Most     int     `toml:"most"`      // maximum number of submissions
+	InFlight int     `toml:"in_flight"` // maximum number of concurrent submissions; arrivals beyond it are not sent
 	Classes  []Class `toml:"class"`
 
 	Pipelines []Pipeline `toml:"pipeline"`
 }
 
-// Class is one kind of jobs.
+// Class is one kind of job.
 type Class struct {
 	Name     string  `toml:"name"`
 	Team     string  `toml:"team"`
 	Shape    string  `toml:"shape"`
 	Priority string  `toml:"priority"`
-	Rate     float64 `toml:"rate"` // jobs a second; 0: of pipelines only
+	Rate     float64 `toml:"rate"` // jobs a second; 0: only in pipelines
 	Bursts   []Burst `toml:"burst"`
 	Tasks    Dist    `toml:"tasks"`
 	CPUs     float64 `toml:"cpus"`
 	MemoryGB float64 `toml:"memory_gb"`
-	RunS     Dist    `toml:"run_s"` // of a task; of a service, until its user cancels it
+	RunS     Dist    `toml:"run_s"` // run time of a task; for a service, the time until its user cancels it
 	Images   int     `toml:"images"`
 	ImageGB  float64 `toml:"image_gb"`
 	Spot     bool    `toml:"spot"`
 	Spread   bool    `toml:"spread"`
 }
 
-// Burst raises a class's rate for a while.
+// Burst multiplies a class's rate by Factor for ForS seconds.
 type Burst struct {
 	AtS    float64 `toml:"at_s"`
 	ForS   float64 `toml:"for_s"`
@@ -62,27 +62,27 @@
 	Max    float64 `toml:"max"`
 }
 
-// Arrival is one job and when its user means to submit it.
+// Arrival is one job and the time at which its user intends to submit it.
 type Arrival struct {
 	At    time.Duration
 	Class int
 	Spec  wire.JobSpec
-	Lasts time.Duration // until it is cancelled: a service, or a job of a pipeline; 0: never
+	Lasts time.Duration // time from acceptance to cancellation, for services and jobs of pipelines; 0: never cancelled
 
-	pipe    *pipe         // of which it is a job; nil: none
-	needs   []int         // jobs of its pipeline, by their place in it
-	earlier string        // also the latest accepted job of this class
-	late    time.Duration // submitted so long after those that it needs are over; 0: as soon as they are accepted
+	pipeline *pipelineRun  // the pipeline that the job belongs to; nil: none
+	needs    []int         // predecessors in its pipeline, by index
+	earlier  string        // class whose latest accepted job is a predecessor too
+	late     time.Duration // delay of submission after its predecessors are over; 0: submitted as soon as they are accepted
 }
 
 // Bounds of a plan.
 const (
-	mostSubmissions = 1000000
-	mostInFlight    = 10000
-	longest         = 86400.0
+	maxSubmissions = 1000000
+	maxInFlight    = 10000
+	maxSeconds     = 86400.0
 )
 
-// ParsePlan reads and checks a load file; what is wrong is one line.
+// ParsePlan parses and validates a load file. An error is a single line.
 func ParsePlan(file string, b []byte) (*Plan, error) {
 	p := Plan{DrainS: 60, Most: 10000, InFlight: 256}
 	if err := tomlfile.Decode(file, b, &p); err != nil {
@@ -102,8 +102,8 @@
 }
 
 func (p *Plan) check() error {
-	errs := []error{within("for_s", p.ForS, 0.1, longest), within("drain_s", p.DrainS, 0, longest), within("most", float64(p.Most), 1, mostSubmissions),
-		within("in_flight", float64(p.InFlight), 1, mostInFlight)}
+	errs := []error{within("for_s", p.ForS, 0.1, maxSeconds), within("drain_s", p.DrainS, 0, maxSeconds), within("most", float64(p.Most), 1, maxSubmissions),
+		within("in_flight", float64(p.InFlight), 1, maxInFlight)}
 	if len(p.Classes) == 0 {
 		errs = append(errs, errors.New("class: at least one is needed"))
 	}
@@ -125,11 +125,11 @@
 		if wire.PriorityRank(c.Priority) < 0 {
 			errs = append(errs, fmt.Errorf("%spriority: must be production, urgent, normal or idle", k))
 		}
-		errs = append(errs, within(k+"rate", c.Rate, p.leastRate(c.Name), 10000), within(k+"cpus", c.CPUs, 0.001, 1e6), within(k+"memory_gb", c.MemoryGB, 0, 1e6),
-			within(k+"images", float64(c.Images), 0, 1000), within(k+"image_gb", c.ImageGB, 0, 1e4), c.Tasks.check(k+"tasks", 1, wire.MaxTasks), c.RunS.check(k+"run_s", 0.01, longest))
+		errs = append(errs, within(k+"rate", c.Rate, p.minRate(c.Name), 10000), within(k+"cpus", c.CPUs, 0.001, 1e6), within(k+"memory_gb", c.MemoryGB, 0, 1e6),
+			within(k+"images", float64(c.Images), 0, 1000), within(k+"image_gb", c.ImageGB, 0, 1e4), c.Tasks.check(k+"tasks", 1, wire.MaxTasks), c.RunS.check(k+"run_s", 0.01, maxSeconds))
 		for j, x := range c.Bursts {
 			kb := fmt.Sprintf("%sburst[%d].", k, j)
-			errs = append(errs, within(kb+"at_s", x.AtS, 0, p.ForS), within(kb+"for_s", x.ForS, 0.01, longest), within(kb+"factor", x.Factor, 0, 1000))
+			errs = append(errs, within(kb+"at_s", x.AtS, 0, p.ForS), within(kb+"for_s", x.ForS, 0.01, maxSeconds), within(kb+"factor", x.Factor, 0, 1000))
 		}
 	}
 	for i := range p.Pipelines {
@@ -183,7 +183,7 @@
 	return min(max(v, d.Min), d.Max)
 }
 
-// rate is a class's rate at a time.
+// rate returns a class's rate, in jobs a second, at a time in seconds.
 func (c *Class) rate(at float64) float64 {
 	r := c.Rate
 	for _, b := range c.Bursts {
@@ -194,7 +194,7 @@
 	return r
 }
 
-// peak is the highest rate there can be.
+// peak returns an upper bound of the class's rate, in jobs a second.
 func (c *Class) peak() float64 {
 	r := c.Rate
 	for _, b := range c.Bursts {
@@ -203,8 +203,9 @@
 	return r
 }
 
-// Schedule draws all arrivals of a seed, in order, as Poisson processes. Ids are
-// numbered from first. left is how many there would be beyond Most.
+// Schedule draws all arrivals for a seed as Poisson processes and returns them in
+// order of time. Ids are numbered from first. left is the number of arrivals that were
+// dropped because they exceed Most.
 func (p *Plan) Schedule(seed, first uint64) (out []Arrival, left int) {
 	for i := range p.Classes {
 		c := &p.Classes[i]
@@ -214,7 +215,7 @@
 			if at >= p.ForS {
 				break
 			}
-			if src.Float64()*c.peak() >= c.rate(at) { // thinned from the peak rate
+			if src.Float64()*c.peak() >= c.rate(at) { // thinning: keep arrivals in proportion to the current rate
 				continue
 			}
 			out = append(out, c.arrival(i, at, src))
@@ -223,7 +224,7 @@
 	for i := range p.Pipelines {
 		out = p.draw(out, i, rand.New(rand.NewPCG(seed, uint64(len(p.Classes)+i))))
 	}
-	// Classes are drawn one by one and go in one order; ids follow it.
+	// Classes are drawn one after the other; ids follow the merged order of time.
 	sortArrivals(out)
 	if len(out) > p.Most {
 		out, left = out[:p.Most], len(out)-p.Most
@@ -231,7 +232,7 @@
 	for i := range out {
 		id := fmt.Sprintf("job-%06d", first+uint64(i))
 		out[i].Spec.ID = &id
-		out[i].name()
+		out[i].addToPipeline()
 	}
 	return out, left
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	pollEvery   = time.Second       // of a job's user
-	lateMost    = time.Second       // an arrival that could not be sent by then is not sent
-	histMaxMS   = int64(6 * 3600e3) // six hours
-	histDigits  = 3
-	pollersMost = 64 // polls under way at once
+	pollEvery          = time.Second       // interval between polls of a job
+	maxSendDelay       = time.Second       // an arrival that is delayed by more than this is not sent
+	histMaxMS          = int64(6 * 3600e3) // six hours
+	histDigits         = 3
+	maxConcurrentPolls = 64 // maximum number of concurrent polls
 )
 
-// Latencies of one class, in milliseconds from the intended time of submission.
+// Latencies holds the latencies of one class, in milliseconds from the intended time of submission.
 type Latencies struct {
 	Class    string
 	Accepted *hdrhistogram.Histogram
-	Running  *hdrhistogram.Histogram // until its user was told that all of it runs, or is done
+	Running  *hdrhistogram.Histogram // until its user received that all its tasks run, or that it is done
 	Done     *hdrhistogram.Histogram
 }
 
-// Outcome is what a load run saw.
+// Outcome is the result of a load run.
 type Outcome struct {
 	Planned   int // arrivals
 	Sent      int
-	NotSent   int                     // in_flight was reached, or this program came too late
-	LeftOut   int                     // beyond most
-	Refused   int                     // for good
-	Lost      int                     // no controller took it within a minute
+	NotSent   int                     // in_flight was reached, this program was too late, or a predecessor was not accepted
+	LeftOut   int                     // dropped because they exceed most
+	Refused   int                     // permanently refused
+	Lost      int                     // no controller accepted it within a minute
 	Open      int                     // not over at the end
-	Due       int                     // done, of those with a deadline
-	Met       int                     // done by it
-	SendDelay *hdrhistogram.Histogram // milliseconds between the intended and the true time
+	Due       int                     // jobs with a deadline that are done
+	Met       int                     // of these, done by their deadline
+	SendDelay *hdrhistogram.Histogram // milliseconds between the intended and the actual time of sending
 	Classes   []*Latencies
 	Why       map[string]int // refusals by reason
 }
@@ -53,33 +53,33 @@
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 }
 
-// live is a job that is accepted and not over.
-type live struct {
-	a        Arrival
-	due      time.Time // when its user meant to submit it
-	running  bool
-	cancelAt time.Time
+// activeJob is a job that is accepted and not over.
+type activeJob struct {
+	a          Arrival
+	intendedAt time.Time // intended time of submission
+	running    bool
+	cancelAt   time.Time
 }
 
-// runner carries a plan out.
+// runner executes a plan.
 type runner struct {
-	plan  *Plan
-	users *Client
-	begun time.Time
+	plan      *Plan
+	users     *Client
+	startedAt time.Time
 
-	fates map[string]*fate // of the jobs of pipelines
+	pipelineJobs map[string]*pipelineJob // jobs of pipelines, by id
 
 	mu     sync.Mutex
 	out    *Outcome
-	live   map[string]*live
-	latest map[string]string // the latest accepted job of each class
+	active map[string]*activeJob
+	latest map[string]string // class -> its latest accepted job
 }
 
-// Run offers a plan's load to the controllers and follows every job until it is over
-// or the time to drain is up. It ends by itself.
+// Run sends a plan's load to the controllers and polls every job until it is over or
+// the drain time has passed.
 func Run(ctx context.Context, p *Plan, seed, first uint64, users *Client, progress io.Writer) *Outcome {
 	arrivals, left := p.Schedule(seed, first)
-	r := &runner{plan: p, users: users, begun: time.Now(), live: map[string]*live{}, fates: fates(arrivals), latest: map[string]string{},
+	r := &runner{plan: p, users: users, startedAt: time.Now(), active: map[string]*activeJob{}, pipelineJobs: newPipelineJobs(arrivals), latest: map[string]string{},
 		out: &Outcome{Planned: len(arrivals), LeftOut: left, SendDelay: histogram(), Why: map[string]int{}}}
 	for _, c := range p.Classes {
 		r.out.Classes = append(r.out.Classes, &Latencies{Class: c.Name, Accepted: histogram(), Running: histogram(), Done: histogram()})
@@ -94,48 +94,49 @@
 	<-followed
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.out.Open = len(r.live)
+	r.out.Open = len(r.active)
 	return r.out
 }
 
-// offer submits at the intended times, whatever became of what was sent before.
+// offer submits jobs at their intended times, independent of the outcome of earlier submissions,
+// except that jobs of pipelines wait for their predecessors.
 func (r *runner) offer(ctx context.Context, arrivals []Arrival, progress io.Writer) {
 	slots := make(chan struct{}, r.plan.InFlight)
 	var wg sync.WaitGroup
-	said := time.Now()
+	lastProgress := time.Now()
 	for i, a := range arrivals {
-		due := r.begun.Add(a.At)
+		intendedAt := r.startedAt.Add(a.At)
 		select {
 		case <-ctx.Done():
 			r.count(func(o *Outcome) { o.NotSent += len(arrivals) - i })
 			wg.Wait()
 			return
-		case <-time.After(time.Until(due)):
+		case <-time.After(time.Until(intendedAt)):
 		}
-		if progress != nil && time.Since(said) > 5*time.Second {
-			said = time.Now()
-			fmt.Fprintf(progress, "%.0f s: %d of %d offered\n", time.Since(r.begun).Seconds(), i, len(arrivals))
+		if progress != nil && time.Since(lastProgress) > 5*time.Second {
+			lastProgress = time.Now()
+			fmt.Fprintf(progress, "%.0f s: %d of %d offered\n", time.Since(r.startedAt).Seconds(), i, len(arrivals))
 		}
-		late := time.Since(due)
+		late := time.Since(intendedAt)
 		r.count(func(o *Outcome) { _ = o.SendDelay.RecordValue(max(1, late.Milliseconds())) })
-		if late > lateMost {
+		if late > maxSendDelay {
 			r.drop(&a)
 			continue
 		}
 		wg.Go(func() {
-			if a.pipe != nil {
-				if !r.ready(ctx, &a) {
+			if a.pipeline != nil {
+				if !r.awaitPredecessors(ctx, &a) {
 					r.drop(&a)
 					return
 				}
 				if len(a.needs) > 0 {
-					due = time.Now()
+					intendedAt = time.Now()
 				}
 			}
 			select {
 			case slots <- struct{}{}:
 				defer func() { <-slots }()
-				r.submit(ctx, a, due)
+				r.submit(ctx, a, intendedAt)
 			default:
 				r.drop(&a)
 			}
@@ -144,12 +145,12 @@
 	wg.Wait()
 }
 
-// drop does not send a job.
+// drop records that a job was not sent.
 func (r *runner) drop(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.out.NotSent++
-	r.settled(a, false)
+	r.recordSubmission(a, false)
 }
 
 func (r *runner) count(f func(*Outcome)) {
@@ -158,16 +159,16 @@
 	f(r.out)
 }
 
-func (r *runner) submit(ctx context.Context, a Arrival, due time.Time) {
+func (r *runner) submit(ctx context.Context, a Arrival, intendedAt time.Time) {
 	r.count(func(o *Outcome) { o.Sent++ })
 	_, err := r.users.Submit(ctx, a.Spec)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.settled(&a, err == nil)
+	r.recordSubmission(&a, err == nil)
 	switch {
 	case err == nil:
-		_ = r.out.Classes[a.Class].Accepted.RecordValue(since(due))
-		r.live[*a.Spec.ID] = &live{a: a, due: due, cancelAt: time.Now().Add(a.Lasts)}
+		_ = r.out.Classes[a.Class].Accepted.RecordValue(since(intendedAt))
+		r.active[*a.Spec.ID] = &activeJob{a: a, intendedAt: intendedAt, cancelAt: time.Now().Add(a.Lasts)}
 	case strings.HasPrefix(err.Error(), "refused"):
 		r.out.Refused++
 		r.out.Why[err.Error()]++
@@ -176,10 +177,13 @@
 	}
 }
 
-// since is the time from the intended moment, in milliseconds.
-func since(due time.Time) int64 { return min(histMaxMS, max(1, time.Since(due).Milliseconds())) }
+// since returns the time since the intended submission, in milliseconds.
+func since(intendedAt time.Time) int64 {
+	return min(histMaxMS, max(1, time.Since(intendedAt).Milliseconds()))
+}
 
-// follow polls what is accepted until all is over.
+// follow polls the accepted jobs until all are over and none is left to submit. If the context
+// ends first, it cancels the rest.
 func (r *runner) follow(ctx context.Context, offered <-chan struct{}) {
 	t := time.NewTicker(pollEvery)
 	defer t.Stop()
@@ -200,24 +204,24 @@
 		if over {
 			return
 		}
-		r.each(ids, func(id string) { r.look(ctx, id) })
+		r.each(ids, func(id string) { r.pollJob(ctx, id) })
 	}
 }
 
 func (r *runner) ids() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ids := make([]string, 0, len(r.live))
-	for id := range r.live {
+	ids := make([]string, 0, len(r.active))
+	for id := range r.active {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	return ids
 }
 
-// each does something for every id, a bounded number at once.
+// each calls f for every id, for at most maxConcurrentPolls at once.
 func (r *runner) each(ids []string, f func(string)) {
-	slots := make(chan struct{}, pollersMost)
+	slots := make(chan struct{}, maxConcurrentPolls)
 	var wg sync.WaitGroup
 	for _, id := range ids {
 		slots <- struct{}{}
@@ -229,16 +233,16 @@
 	wg.Wait()
 }
 
-// look polls a job once, and cancels one whose time is up.
-func (r *runner) look(ctx context.Context, id string) {
+// pollJob polls a job once, or cancels it if its time is up.
+func (r *runner) pollJob(ctx context.Context, id string) {
 	r.mu.Lock()
-	j := *r.live[id]
+	j := *r.active[id]
 	r.mu.Unlock()
 	if j.a.Lasts > 0 && time.Now().After(j.cancelAt) {
 		if st, err := r.users.Abort(ctx, id); err == nil {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.over(&j, st.Status)
+			r.recordEnd(&j, st.Status)
 		}
 		return
 	}
@@ -251,22 +255,22 @@
 	defer r.mu.Unlock()
 	done := st.Status == wire.JobDone
 	if !j.running && (done || st.Running != nil && int64(*st.Running) >= *j.a.Spec.Tasks) {
-		r.live[id].running = true
-		_ = class.Running.RecordValue(since(j.due))
+		r.active[id].running = true
+		_ = class.Running.RecordValue(since(j.intendedAt))
 	}
 	if done || st.Status == wire.JobAborted {
-		r.over(&j, st.Status)
+		r.recordEnd(&j, st.Status)
 	}
 }
 
-// cancelAll cancels what is left, so that a run leaves no work behind.
+// cancelAll cancels the remaining jobs, so that a run leaves no work behind.
 func (r *runner) cancelAll() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	r.each(r.ids(), func(id string) { _, _ = r.users.Abort(ctx, id) })
 }
 
-// Print prints an outcome for people.
+// Print writes an outcome in readable form.
 func (o *Outcome) Print(out io.Writer) error {
 	fmt.Fprintf(out, "%d jobs planned: %d sent, %d not sent, %d beyond the most; %d refused, %d lost, %d not over at the end\n",
 		o.Planned, o.Sent, o.NotSent, o.LeftOut, o.Refused, o.Lost, o.Open)
@@ -293,7 +297,7 @@
 	H    *hdrhistogram.Histogram
 }
 
-// Each lists a class's histograms.
+// Each returns a class's histograms with their names.
 func (l *Latencies) Each() []Named {
 	return []Named{{"accepted", l.Accepted}, {"running", l.Running}, {"done", l.Done}}
 }
