--- a/internal/standin/site/controllers.go
+++ b/internal/standin/site/controllers.go
@@ -42,14 +42,14 @@
 
 	earlier atomic.Bool // whether the next process runs the earlier version
 
-	mu       sync.Mutex
-	proc     *os.Process
-	ended    chan struct{}
-	client   string // address that the process itself listens on
-	peer     string
-	wanted   bool // whether the process should be running
-	lives    int
-	slowStop chan struct{}
+	mu         sync.Mutex
+	proc       *os.Process
+	ended      chan struct{}
+	client     string // address that the process itself listens on
+	peer       string
+	wanted     bool // whether the process should be running
+	startCount int
+	slowStop   chan struct{}
 }
 
 // ownHost returns a loopback address that is most likely unused on this machine. A
@@ -287,7 +287,7 @@
 	if f := c.site.Spec.Spawned; f != nil {
 		f(c.Name, cmd.Process.Pid, path)
 	}
-	c.lives++
+	c.startCount++
 	go func() {
 		_ = cmd.Wait()
 		if f := c.site.Spec.Ended; f != nil {
@@ -359,7 +359,7 @@
 func (c *Controller) Lives() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lives
+	return c.startCount
 }
 
 // Kill ends the process abruptly, as a power failure does.
