--- a/internal/tools/knownred/knownred_test.go
+++ b/internal/tools/knownred/knownred_test.go
@@ -1,4 +1,4 @@
-// Package knownred tests the reader of KNOWN-RED.txt, .ci/known-red.
+// Package knownred tests .ci/known-red, the script that reads KNOWN-RED.txt.
 package knownred
 
 import (
@@ -20,7 +20,8 @@
 ?   	example/c	[no test files]
 `
 
-// Named tests are told with their packages; whatever else stands there is refused in one line.
+// TestKnownRed checks that the script prints the listed tests with their packages and
+// refuses any invalid file with a one-line error.
 func TestKnownRed(t *testing.T) {
 	for _, c := range []struct{ name, file, want, refused string }{
 		{"one", "TestOne | a read is late | 33\n", "example/a TestOne\n", ""},
--- a/internal/tools/repeat/main.go
+++ b/internal/tools/repeat/main.go
@@ -1,7 +1,7 @@
-// Command repeat plays days of the operators' bench over and over, to find
-// what happens once in many runs. It keeps report, log and journal entry of
-// every run that broke a rule, did not end, or fell out of its day's
-// distribution, and prints per day how the worth of each aim is distributed.
+// Command repeat runs days of the operators' bench many times, to find rare
+// failures. It keeps the report, log and journal entry of every run that broke a
+// rule, did not finish, or is an outlier among the runs of its day, and prints for
+// each day the distribution of the score and of each objective.
 package main
 
 import (
@@ -43,7 +43,7 @@
 func command() *cobra.Command {
 	var o options
 	cmd := &cobra.Command{
-		Use: "repeat SITE...", Short: "Play days many times and keep what falls out",
+		Use: "repeat SITE...", Short: "Run days many times and keep the files of outliers",
 		SilenceUsage: true, SilenceErrors: true, Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			o.sites = args
@@ -52,18 +52,18 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
-			return o.play(ctx)
+			return o.runAll(ctx)
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&o.bench, "bench", "../given/kit/more/fleet/bin/fleetbench", "the bench")
-	f.StringVar(&o.out, "out", "target/repeat", "folder for results; runs found there are counted in")
-	f.StringSliceVar(&o.days, "day", []string{"rough", "troubles"}, "days of each site")
-	f.IntVar(&o.runs, "runs", 10, "runs of each day, or scores")
-	f.IntVar(&o.jobs, "jobs", 2, "runs at once")
-	f.Float64Var(&o.fall, "fall", 0.15, "a run is kept if it lies so far below its day's median")
-	f.DurationVar(&o.limit, "limit", 20*time.Minute, "longest time for one run")
-	f.BoolVar(&o.score, "score", false, "play whole quick scores of all sites instead of single days")
+	f.StringVar(&o.bench, "bench", "../given/kit/more/fleet/bin/fleetbench", "path of the bench executable")
+	f.StringVar(&o.out, "out", "target/repeat", "folder for results; runs recorded there earlier are included")
+	f.StringSliceVar(&o.days, "day", []string{"rough", "troubles"}, "days to run for each site")
+	f.IntVar(&o.runs, "runs", 10, "number of runs of each day, or of scores with --score")
+	f.IntVar(&o.jobs, "jobs", 2, "number of parallel runs")
+	f.Float64Var(&o.fall, "fall", 0.15, "keep a run whose score is more than this below the median of its day")
+	f.DurationVar(&o.limit, "limit", 20*time.Minute, "maximum duration of one run")
+	f.BoolVar(&o.score, "score", false, "run whole quick scores of all sites instead of single days")
 	return cmd
 }
 
@@ -93,7 +93,7 @@
 	return out
 }
 
-// task is one call of the bench.
+// task is one invocation of the bench.
 type task struct {
 	name string
 	args []string
@@ -117,7 +117,8 @@
 	return out
 }
 
-func (o *options) play(ctx context.Context) error {
+// runAll runs all tasks, records their outcomes, and prints the summary.
+func (o *options) runAll(ctx context.Context) error {
 	record := filepath.Join(o.out, "runs.jsonl")
 	past, err := readRuns(record)
 	if err != nil {
@@ -149,7 +150,7 @@
 		wg.Go(func() {
 			defer os.RemoveAll(tree)
 			for t := range todo {
-				runs := o.one(ctx, tree, t)
+				runs := o.runTask(ctx, tree, t)
 				if ctx.Err() != nil {
 					return
 				}
@@ -169,12 +170,13 @@
 	return keep(o.out, past, o.fall)
 }
 
-// checkout clones the present sources for one slot. The bench keeps journal
-// entries beside the repository too and copies them into every worktree of it, so
-// only a clone keeps these runs' entries apart from each other and the project's.
+// checkout clones the current sources for one slot and returns the folder. The bench
+// also keeps journal entries beside the repository and copies them into each of its
+// worktrees, so only a clone separates the entries of parallel runs from each other
+// and from the project's.
 func checkout(dir string, slot int) (string, error) {
 	tree := filepath.Join(dir, fmt.Sprint(slot))
-	if err := os.RemoveAll(tree); err != nil { // of a run that was interrupted
+	if err := os.RemoveAll(tree); err != nil { // left over from an interrupted run
 		return "", err
 	}
 	if out, err := exec.Command("git", "clone", "--quiet", "--shared", ".", tree).CombinedOutput(); err != nil {
@@ -183,13 +185,13 @@
 	return tree, nil
 }
 
-// one plays a task and reads its outcome from the journal entry it wrote.
-func (o *options) one(ctx context.Context, tree string, t task) []run {
+// runTask runs a task and reads its outcome from the journal entries that it wrote.
+func (o *options) runTask(ctx context.Context, tree string, t task) []run {
 	base := filepath.Join(o.out, "runs", t.name)
-	lost := func(fault string) []run { return []run{{Task: t.name, Day: t.name[:len(t.name)-5], Fault: fault}} }
+	failed := func(fault string) []run { return []run{{Task: t.name, Day: t.name[:len(t.name)-5], Fault: fault}} }
 	log, err := os.Create(base + ".log")
 	if err != nil {
-		return lost(err.Error())
+		return failed(err.Error())
 	}
 	defer log.Close()
 	args := t.args
@@ -203,27 +205,27 @@
 	cmd.Dir, cmd.Stdout, cmd.Stderr = tree, log, log
 	runErr := cmd.Run()
 	var runs []run
-	for name := range entries(tree) { // a score writes one for each site
+	for name := range entries(tree) { // a score writes one entry for each site
 		if before[name] {
 			continue
 		}
 		b, err := os.ReadFile(filepath.Join(tree, "journal", name))
 		if err != nil {
-			return lost(err.Error())
+			return failed(err.Error())
 		}
 		if err := os.WriteFile(base+"."+name, b, 0o644); err != nil {
-			return lost(err.Error())
+			return failed(err.Error())
 		}
 		days, err := parseEntry(t.name, b)
 		if err != nil {
-			return lost(err.Error())
+			return failed(err.Error())
 		}
 		runs = append(runs, days...)
 	}
 	if runs != nil {
 		return runs
 	}
-	return lost(fmt.Sprintf("no journal entry: %v", runErr))
+	return failed(fmt.Sprintf("no journal entry: %v", runErr))
 }
 
 func entries(tree string) map[string]bool {
@@ -248,14 +250,14 @@
 	sc.Buffer(nil, 1<<20)
 	for sc.Scan() {
 		var r run
-		if json.Unmarshal(sc.Bytes(), &r) == nil { // a torn last line is passed over
+		if json.Unmarshal(sc.Bytes(), &r) == nil { // skip a partially written last line
 			out = append(out, r)
 		}
 	}
 	return out, sc.Err()
 }
 
-// keep moves the files of runs that fell out to kept/ and removes the others.
+// keep moves the files of outliers to kept/ and removes those of the other runs.
 func keep(out string, runs []run, fall float64) error {
 	if err := os.MkdirAll(filepath.Join(out, "kept"), 0o755); err != nil {
 		return err
--- a/internal/tools/repeat/spread.go
+++ b/internal/tools/repeat/spread.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// run is one day played.
+// run is the outcome of one day of the bench.
 type run struct {
 	Task  string             `json:"task"`
 	Site  string             `json:"site"`
 	Day   string             `json:"day"`
 	Worth float64            `json:"worth"`
 	Aims  map[string]float64 `json:"aims"`
-	Rules map[string]int     `json:"rules"` // broken rule -> how often
+	Rules map[string]int     `json:"rules"` // broken rule -> number of times
 	Fault string             `json:"fault"`
-	WallS float64            `json:"wall_s"` // seconds the bench took
+	WallS float64            `json:"wall_s"` // duration of the bench's run, in seconds
 }
 
 func (r run) key() string { return r.Site + " " + r.Day }
 
-// broken tells whether a run broke a rule or was not valid.
+// broken reports whether a run broke a rule or was not valid.
 func (r run) broken() bool { return len(r.Rules) > 0 || r.Fault != "" }
 
-// entry is what is read of a journal entry of the bench.
+// entry is the part of a bench's journal entry that is read.
 type entry struct {
 	Site string `json:"site"`
 	Days []struct {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// median of a day's worth; runs that broke a rule count with what they would
-// be worth, 0, so that a day that mostly breaks shows it.
+// median returns the median of the scores of a day. Runs that broke a rule are
+// included with their score of 0, so that a day that mostly fails shows it.
 func median(v []float64) float64 {
 	v = slices.Sorted(slices.Values(v))
 	n := len(v)
@@ -90,8 +90,8 @@
 	return (v[n/2-1] + v[n/2]) / 2
 }
 
-// outliers are the runs that broke something or lie more than fall below
-// their day's median.
+// outliers returns the runs that are broken or whose score is more than fall below
+// the median of their day, sorted by task.
 func outliers(runs []run, fall float64) (out []run) {
 	for _, day := range byDay(runs) {
 		var v []float64
